--- a/brain/host_test.go
+++ b/brain/host_test.go
@@ -15,8 +15,8 @@
 
 func settings(groups ...*ServiceGroup) Settings {
 	return Settings{Routers: 1, Groups: groups, EngineKinds: []EngineKind{{8, 16000}},
-		LargestGrant: 0.5, Shortage: LineUp, LongestDefer: 0.5, MostDispatches: 3, ColdFrom: 0.4,
-		ColdTime: 10, FallMultiple: 2, FallTime: 1, SettleTime: 0.5, Tick: 0.005}
+		MaxGrantShare: 0.5, MemoryPolicy: WaitForMemory, MaxRetryDelay: 0.5, MaxDispatches: 3, ColdCapacityShare: 0.4,
+		SlowStartTime: 10, OverloadFactor: 2, OverloadWindow: 1, SettleTime: 0.5, Tick: 0.005}
 }
 
 func fleet(routers int) Settings {
@@ -26,7 +26,7 @@
 }
 
 func lookups() *ServiceGroup {
-	return &ServiceGroup{Effect: Repeatable, Goal: 1, Limit: 4, Utility: 1, Threads: 1}
+	return &ServiceGroup{Idempotency: Idempotent, Goal: 1, Limit: 4, Utility: 1, Threads: 1}
 }
 
 // newHost starts a router at 100 s with so many warm engines of 8 cores.
@@ -36,8 +36,8 @@
 	for i := range engines {
 		list = append(list, &Engine{ID: uint32(i + 1), Phase: Ready, Zone: i, Cell: i})
 	}
-	h.Clock(h.now)
-	h.Listed(list, true)
+	h.SetTime(h.now)
+	h.UpdateEngines(list, true)
 	h.pull()
 	return h, list
 }
@@ -45,7 +45,7 @@
 func (h *host) pull() {
 	for range 100000 {
 		d := h.Next()
-		if d.Kind == Nothing {
+		if d.Kind == NoDecision {
 			return
 		}
 		if d.Kind == WakeAt {
@@ -61,39 +61,39 @@
 	for end := h.now + seconds; ; {
 		at := min(h.wake, end)
 		h.now = max(at, h.now)
-		h.Clock(h.now)
+		h.SetTime(h.now)
 		if at == end {
 			return
 		}
 		h.wake = 1e9
-		h.Woken()
+		h.TimerFired()
 		h.pull()
 	}
 }
 
 func (h *host) take(edit func(*Batch)) *Batch {
 	h.ids++
-	b := &Batch{ID: h.ids, Group: h.group, Client: -1, Left: h.group.Limit, Cost: 0.1}
+	b := &Batch{ID: h.ids, Group: h.group, Client: -1, TimeLeft: h.group.Limit, EstimatedWork: 0.1}
 	if edit != nil {
 		edit(b)
 	}
-	h.Take(b)
+	h.AddBatch(b)
 	h.pull()
 	return b
 }
 
-func (h *host) end(b *Batch, end Ending) {
+func (h *host) end(b *Batch, end Outcome) {
 	d := b.dispatches[len(b.dispatches)-1]
-	h.Outcome(b, d.number, end, end == Returned, h.now-d.sent, b.Cost, 0, nil)
+	h.DispatchEnded(b, d.number, end, end == Completed, h.now-d.sentAt, b.EstimatedWork, 0, nil)
 	h.pull()
 }
 
 func (h *host) report(e *Engine, held float64) {
-	h.Probed(e, true, &Report{Held: held, Waiting: -1, Busy: -1, Memory: -1, Disks: -1})
+	h.ProbeEnded(e, true, &Report{InFlight: held, Waiting: -1, CPU: -1, Memory: -1, Disks: -1})
 }
 
 // of gives the decisions of a kind, about one batch or, with nil, any.
-func (h *host) of(k Kind, b *Batch) (out []Decision) {
+func (h *host) of(k DecisionKind, b *Batch) (out []Decision) {
 	for _, d := range h.did {
 		if d.Kind == k && (b == nil || d.Batch == b) {
 			out = append(out, d)
