--- a/brain/brain.go
+++ b/brain/brain.go
@@ -1,7 +1,11 @@
-// Package brain holds all decisions of a router, its tables and its tuned values; its interface is types.go.
-// How to call it: New, then for each round Clock, then what came in (Listed, Take, Outcome, Left, News,
-// Probed, Woken), which only updates what is known; then Next until it answers Nothing, doing each decision.
-// Nothing here knows the time, draws chance or meets another router but through these calls.
+// Package brain is the scheduler of a router: it decides which batch is dispatched when and to which engine, and
+// when a batch is retried, hedged, rejected or failed. types.go holds its data types and seen.go the rest of its interface.
+//
+// A host creates a Router with New. In each round it calls SetTime, then one method for each event (UpdateEngines,
+// AddBatch, DispatchEnded, RemoveBatch, DispatchUpdated, ProbeEnded, TimerFired), which only record what is known,
+// and then Next until it returns NoDecision, carrying out each decision. The package is deterministic: it reads no
+// clock, uses no random numbers but those of its seed, and communicates only through these calls. A Router is not
+// safe for concurrent use. All times are in seconds.
 package brain
 
 import (
@@ -15,335 +19,467 @@
 	"pitchfield/internal/shares"
 )
 
-// The design's values (ours to tune) and those of what it leaves open. Times are seconds.
+// The admission threshold is the load of an engine, in threads per core, below which a batch is started there at once.
+// It follows the measured stretch of answers (the time taken over the time alone on an idle engine).
 const (
-	initialThreshold, minThreshold, maxThreshold = 1.5, 0.4, 4.0 // threads a core below which a batch starts
-
-	thresholdStep, targetStretch = 0.02, 1.5 // it follows answers to this time over time alone: full, not crowded
-	// Where all are told of the same loads, a few drawn engines are looked at first, or all meet on the idlest.
-	sampledEngines, unsampledPenalty  = 3.0, 1.0 // so many; threads a core by which the others have to be emptier
-	warmDataBonus, warmDataEngines    = 0.4, 2   // threads a core that a likely warm data set is worth, on so many engines
-	lockedDataPenalty, maxSlowBatches = 2.0, 4   // threads a core for a load on the data set; slow batches that wait
-
-	initialLoad, maxLoad, loadSmoothingTime = 0.9, 0.95, 2.0 // load until something is seen, its clamp, and its pace
-
-	minGateDelay, maxGateDelay                     = 0.05, 0.2
-	reportDelay, reportLifetime                    = 0.4, 1.4 // a report is about this old when it comes; then believed for so long
-	unreportedThreadFactor, unreportedMemoryFactor = 2.0, 8.0 // an engine without one counts as so many times as full as the pool
-	averageLoadWindow, ownLoadWindow               = 4.0, 5.0 // how long reports count towards that, and own dispatches without any
-
-	memoryLimit, unreportedMemoryLimit  = 0.65, 0.55  // share of memory for heavy batches: all engines reported, and none
-	minSimilarRoom, extraSimilarRoom    = 8.0, 4.0    // batches of its like that must find room before one is sent
-	memoryMargin, overcommitGrantFactor = 1.25, 3.0   // grant over the corrected need; times that, where only need counts
-	probeCostShare, minProbeInterval    = 0.005, 0.25 // of the result that probes may cost, and between those of an engine
-	warmUtilization, coldBudgetShare    = 0.85, 0.95  // busy share that is capacity; of the cold budget
-	coldBudgetRouters, maxHedgeLoad     = 16, 0.75    // routers that share it; load from which no second copies are sent
-
-	minEjectionTime, maxEjectionTime                         = 1.0, 8.0      // an engine set aside is tried again then, doubled each time
-	maxConsecutiveFailures, failurePenalty, failureDecayTime = 6.0, 3.0, 8.0 // failures in a row; threads a core for sure ones, how long
-	missedUpdates                                            = 2.5           // times the pace of notes without one: the dispatch is lost
-	sweepInterval, minPause                                  = 0.05, 0.2     // woken so much too late, a router has stood still
-	// Clients leave on the dot: so much is for the ways and standstills. It hurts answers of the last moment.
-	transitShare, minTransitTime, maxTransitTime = 0.05, 0.04, 0.25
-	slopePrior, uncertaintyDeviations            = 8.0, 2.0 // pairs that speak for exact estimates at first; deviations held safe
-	fullLoadSlowdown, maxPlacementTries          = 1.0, 16  // estimates more that full load takes; batches no engine fits, a pull
-	overdueFactor, restartGain                   = 2.0, 2.0 // times the usual longest time; a fresh start must be so much quicker
+	initialThreshold = 1.5  // threads per core
+	minThreshold     = 0.4  // threads per core
+	maxThreshold     = 4.0  // threads per core
+	thresholdStep    = 0.02 // relative change by one answer at most; twice that for a large batch
+	targetStretch    = 1.5  // an engine is full at this stretch, but not yet crowded
 )
 
-func New(s Settings, seed uint64, now float64) *Router {
-	r := &Router{groups: s.Groups, routerCount: max(float64(s.Routers), 1), index: s.Index, engineKinds: s.EngineKinds,
-		grants: s.Grants, priorities: s.Priorities, maxGrantShare: min(cmp.Or(max(s.MaxGrantShare, 0), 1), 1),
-		mayCancel: s.MayCancel, mayHedge: s.MayHedge, mayProbe: s.MayProbe, mustSubscribe: s.MustSubscribe, limitRetries: s.LimitRetries,
-		maxDispatches: max(s.MaxDispatches, 1), batchesPerProbe: min(max(s.ProbeCost/probeCostShare, 1), 16), slowStartTime: s.SlowStartTime,
-		settleTime: s.SettleTime, tick: s.Tick, freeRetries: s.FreeRetries, grantFactor: 1,
-		retryRatio: s.RetryRatio, retryWindow: s.RetryWindow, now: now, startedAt: now, retryDelay: s.MaxRetryDelay,
-		randomState: seed&0xffffffff | 1<<33, keyQueues: map[uint64]*keyQueue{}, load: initialLoad, admissionThreshold: initialThreshold,
-		sweptAt: now, nextSweepAt: now, wakeAt: math.Inf(1), updateInterval: s.UpdateInterval}
-	if r.grants && s.MemoryPolicy == Overcommit {
+// Scoring of engines for a batch.
+const (
+	// Where all routers know the same loads, a few randomly drawn engines are preferred: otherwise all routers would
+	// choose the same least loaded engine.
+	sampledEngines    = 3.0 // engines drawn
+	unsampledPenalty  = 1.0 // threads per core by which another engine must be less loaded
+	warmDataBonus     = 0.4 // threads per core that a data set that is probably cached is worth
+	warmDataEngines   = 2   // engines on which a data set is probably cached
+	lockedDataPenalty = 2.0 // threads per core for an engine where a load locks the data set
+	maxSlowBatches    = 4   // slowed batches that may wait before the most slowed one goes first
+)
+
+// The load estimate of the fleet, a share of its capacity.
+const (
+	initialLoad       = 0.9  // until something is known
+	maxLoad           = 0.95 // keeps 1/(1-load) finite
+	loadSmoothingTime = 2.0  // seconds; time constant
+)
+
+// The gate closes for a random time between these bounds when the best engine is too loaded.
+const (
+	minGateDelay = 0.05 // seconds
+	maxGateDelay = 0.2  // seconds
+)
+
+// How engines' load reports are used.
+const (
+	reportDelay            = 0.4 // seconds; the age of a report when it arrives
+	reportLifetime         = 1.4 // seconds for which a report is believed after its arrival
+	unreportedThreadFactor = 2.0 // an engine without a report counts as this many times as loaded as the average,
+	unreportedMemoryFactor = 8.0 // and as this many times as full
+	averageLoadWindow      = 4.0 // seconds for which a report counts towards the average
+	ownLoadWindow          = 5.0 // seconds over which own dispatches are averaged where there are no reports
+)
+
+// Memory.
+const (
+	memoryLimit           = 0.65 // share of an engine's memory for heavy batches if all engines report,
+	unreportedMemoryLimit = 0.55 // and if none does
+	minSimilarRoom        = 8.0  // batches of the same need that must fit before one is sent, at least,
+	extraSimilarRoom      = 4.0  // and in addition to one for each router that acts on the same report
+	memoryMargin          = 1.25 // grant over the corrected need
+	overcommitGrantFactor = 3.0  // further factor of a grant where an engine checks only the memory in use
+)
+
+// Probes, cold engines and hedges.
+const (
+	probeCostShare    = 0.005 // share of the result that probes may cost
+	minProbeInterval  = 0.25  // seconds between two probes of an engine
+	warmUtilization   = 0.85  // share of an engine's cores that counts as its capacity
+	coldBudgetShare   = 0.95  // share of what a cold engine can take that is used
+	coldBudgetRouters = 16    // routers that share the budget of a cold engine, at most
+	maxHedgeLoad      = 0.75  // load of the fleet from which no hedges are sent
+)
+
+// Outlier ejection and process pauses.
+const (
+	minEjectionTime        = 1.0  // seconds until an ejected engine is tried again; doubled each time
+	maxEjectionTime        = 8.0  // seconds
+	maxConsecutiveFailures = 6.0  // failures in a row that eject an engine
+	failurePenalty         = 3.0  // threads per core for an engine that always fails
+	failureDecayTime       = 8.0  // seconds; time constant of the decay of failures
+	missedUpdates          = 2.5  // update intervals without an update after which a dispatch counts as lost
+	sweepInterval          = 0.05 // seconds
+	minPause               = 0.2  // seconds by which a late timer shows that this process was paused
+)
+
+// Part of the time that a client waits is reserved for the way of the answer and for pauses, as clients leave exactly at
+// their deadline. The reserve costs the answers that would have come in the last moment.
+const (
+	transitShare   = 0.05 // of the time that the client waits
+	minTransitTime = 0.04 // seconds
+	maxTransitTime = 0.25 // seconds
+)
+
+// Estimates, retries and restarts.
+const (
+	slopePrior            = 8.0 // pairs of estimated and actual work assumed to be exact at the start
+	uncertaintyDeviations = 2.0 // standard deviations that count as safe
+	fullLoadSlowdown      = 1.0 // a batch takes this many times its time alone longer at full load
+	maxPlacementTries     = 16  // batches in one call of Next for which no engine was found
+	overdueFactor         = 2.0 // a dispatch is overdue after this many times the longest usual time
+	restartGain           = 2.0 // a dispatch is restarted if the rest takes this many times a fresh start
+)
+
+// New returns a Router with these settings. The seed determines all its random choices; now is the time of its start.
+func New(settings Settings, seed uint64, now float64) *Router {
+	r := &Router{
+		groups:             settings.Groups,
+		routerCount:        max(float64(settings.Routers), 1),
+		index:              settings.Index,
+		engineKinds:        settings.EngineKinds,
+		grants:             settings.Grants,
+		priorities:         settings.Priorities,
+		maxGrantShare:      min(cmp.Or(max(settings.MaxGrantShare, 0), 1), 1),
+		mayCancel:          settings.MayCancel,
+		mayHedge:           settings.MayHedge,
+		mayProbe:           settings.MayProbe,
+		mustSubscribe:      settings.MustSubscribe,
+		limitRetries:       settings.LimitRetries,
+		maxDispatches:      max(settings.MaxDispatches, 1),
+		batchesPerProbe:    min(max(settings.ProbeCost/probeCostShare, 1), 16),
+		slowStartTime:      settings.SlowStartTime,
+		settleTime:         settings.SettleTime,
+		tick:               settings.Tick,
+		freeRetries:        settings.FreeRetries,
+		grantFactor:        1,
+		retryRatio:         settings.RetryRatio,
+		retryWindow:        settings.RetryWindow,
+		now:                now,
+		startedAt:          now,
+		retryDelay:         settings.MaxRetryDelay,
+		randomState:        seed&0xffffffff | 1<<33,
+		keyQueues:          map[uint64]*keyQueue{},
+		load:               initialLoad,
+		admissionThreshold: initialThreshold,
+		sweptAt:            now,
+		nextSweepAt:        now,
+		wakeAt:             math.Inf(1),
+		updateInterval:     settings.UpdateInterval,
+	}
+	if r.grants && settings.MemoryPolicy == Overcommit {
 		r.grantFactor = overcommitGrantFactor
 	}
-	r.fixedQuota = shares.Fixed{Routers: float64(s.Routers), Index: s.Index, Sharers: coldBudgetRouters, Began: now,
-		Whole: coldBudgetShare * s.OverloadFactor * s.ColdCapacityShare * warmUtilization * s.OverloadWindow, Window: s.OverloadWindow}
+	r.fixedQuota = shares.Fixed{
+		Routers: float64(settings.Routers),
+		Index:   settings.Index,
+		Sharers: coldBudgetRouters,
+		Began:   now,
+		Whole: coldBudgetShare * settings.OverloadFactor * settings.ColdCapacityShare * warmUtilization *
+			settings.OverloadWindow,
+		Window: settings.OverloadWindow,
+	}
 	r.quota, r.quotaSharers = shares.NewPlain(r.fixedQuota), min(r.routerCount, coldBudgetRouters)
-	for _, g := range s.Groups {
+	for _, g := range settings.Groups {
 		g.Threads = max(g.Threads, 1)
 		r.typicalBatch.batches, r.typicalBatch.threads = r.typicalBatch.batches+1e-3, r.typicalBatch.threads+1e-3*g.Threads
 	}
 	return r
 }
 
+// SetTime sets the current time; an earlier one than before is ignored.
 func (r *Router) SetTime(now float64) {
 	r.now = max(r.now, now)
-	// Woken far too late we stood still ourselves: silence meanwhile was ours, and what comes now is old.
+	// A timer that fires far too late shows that this process was paused: the silence of engines during that time tells
+	// nothing of them, and messages that are read now are old.
 	if late := r.now - r.wakeAt; late > minPause && r.lastPauseAt < r.now {
 		r.lastPause, r.lastPauseAt, r.totalPause = late, r.now, r.totalPause+late
 		r.log("stood still for %.1f s, %d held", late, len(r.queue))
 	}
 }
 
-// UpdateEngines brings the list of engines: the whole of it, or what changed.
+// UpdateEngines takes a list of engines. If whole is set, engines that are not in the list are gone; otherwise the list
+// holds only what changed.
 func (r *Router) UpdateEngines(list []*Engine, whole bool) {
-	for _, e := range list {
-		if e.cores = 1; e.Kind < len(r.engineKinds) {
-			e.cores, e.memory = max(r.engineKinds[e.Kind].Cores, 1), r.engineKinds[e.Kind].Memory
-		}
-		r.largestMemory = max(r.largestMemory, e.memory)
-		if e.groupHealth == nil || e.knownStart != e.StartedAt { // what was learned of the process before is void
-			e.knownStart, e.startReceivedAt, e.health, e.reportAt, e.reported = e.StartedAt, r.now, health{}, 0, resources{}
-			e.groupHealth = map[*ServiceGroup]*health{}
+	for _, engine := range list {
+		if engine.cores = 1; engine.Kind < len(r.engineKinds) {
+			engine.cores, engine.memory = max(r.engineKinds[engine.Kind].Cores, 1), r.engineKinds[engine.Kind].Memory
+		}
+		r.largestMemory = max(r.largestMemory, engine.memory)
+		if engine.groupHealth == nil || engine.knownStart != engine.StartedAt { // a new process: what is known of the old one is void
+			engine.knownStart, engine.startReceivedAt, engine.health, engine.reportAt, engine.reported =
+				engine.StartedAt, r.now, health{}, 0, resources{}
+			engine.groupHealth = map[*ServiceGroup]*health{}
 			for _, g := range r.groups {
-				e.groupHealth[g] = &health{}
+				engine.groupHealth[g] = &health{}
 			}
 		}
-		if !slices.Contains(r.engines, e) {
-			// Each router keeps an order of its own: ties fall apart, or all meet on the first of the list.
-			r.engines = slices.Insert(r.engines, int(r.randomFloat()*float64(len(r.engines)+1)), e)
+		if !slices.Contains(r.engines, engine) {
+			// Each router keeps the engines in its own random order: otherwise all routers would break ties in favour of
+			// the first engine of the list.
+			r.engines = slices.Insert(r.engines, int(r.randomFloat()*float64(len(r.engines)+1)), engine)
 		}
 	}
-	r.engines = slices.DeleteFunc(r.engines, func(e *Engine) bool {
-		if whole && !slices.Contains(list, e) {
-			e.Phase = Gone
+	r.engines = slices.DeleteFunc(r.engines, func(engine *Engine) bool {
+		if whole && !slices.Contains(list, engine) {
+			engine.Phase = Gone
 		}
-		return e.Phase == Gone && len(e.inFlight) == 0
+		return engine.Phase == Gone && len(engine.inFlight) == 0
 	})
 }
 
+// EngineListFailed records that the list of engines could not be had; Next asks for it again.
 func (r *Router) EngineListFailed() { r.mustSubscribe = true }
 
-// AddBatch brings a batch, which is owed one final answer from now on.
-func (r *Router) AddBatch(b *Batch) {
-	g := b.Group
-	b.receivedAt, b.deadline = r.now, r.now+clampNonNegative(b.TimeLeft-min(max(transitShare*b.TimeLeft, minTransitTime), maxTransitTime), 1e6)
-	b.demand = clampNonNegative(b.EstimatedWork, 1e5)
-	if b.demand > 0 {
-		four := 4*g.estimateSum/max(g.estimateCount, 1) + 1e-6
-		b.demand *= (g.actualSum + four) / (g.estimateSum + four)
-	} else if b.demand = g.workSum / max(g.answerCount, 1); b.demand == 0 {
-		b.demand = g.Goal * g.Threads / 4
-	}
-	b.memoryNeed = clampNonNegative(b.EstimatedMemory, 1e7)
-	if b.memoryNeed > 0 && g.memoryEstimateSum > 0 {
-		b.memoryNeed *= g.memoryActualSum / g.memoryEstimateSum
-	} else if b.memoryNeed == 0 && g.answerCount > 0 {
-		b.memoryNeed = g.memorySum / g.answerCount
-	}
-	b.timeAlone, b.likelyWork, b.usefulUntil = b.demand/g.Threads, r.estimateLikelyWork(b), b.deadline
-	if g.LateShare <= 0 { // an answer past the goal earns nothing
-		b.usefulUntil = min(b.deadline, r.now+g.Goal+g.GoalStretch*b.timeAlone)
-	}
-	// A batch is at work in proportion to its time alone: that tells from the first batch on what is out there.
-	// One that could never end in time, or that fits nowhere, must not pass for what batches are like.
-	if b.timeAlone <= g.Limit && (r.largestMemory == 0 || b.memoryNeed <= r.largestMemory) {
-		r.meanDemand += (b.demand - r.meanDemand) / 64
-		r.typicalBatch = r.typicalBatch.add(r.typicalBatch, -1.0/64).add(resources{1, g.Threads, b.memoryNeed * memoryMargin}, b.timeAlone)
-	}
-	if b.keyQueue = (&keyQueue{}); g.InOrder && b.Key != 0 {
-		b.keyQueue = cmp.Or(r.keyQueues[b.Key], b.keyQueue)
-		r.keyQueues[b.Key] = b.keyQueue
-	}
-	first := len(b.keyQueue.batches) == 0 && b.keyQueue.inFlight == 0 // one behind another of its key might end out of order
-	bound := b.Route.Comes(r.now)
-	if b.Shed = first && bound == limits.Wait && r.shouldShed(b); b.Shed || first && bound != limits.Wait {
-		out := r.giveUp(b)
-		if bound == limits.Refuse {
-			out = Decision{Kind: Fail, Batch: b}
-		}
-		r.pending = append(r.pending, out)
+// AddBatch takes a batch. From now on it gets exactly one final answer: the outcome of a dispatch, a Reject or a Fail,
+// unless the host calls RemoveBatch.
+func (r *Router) AddBatch(batch *Batch) {
+	group := batch.Group
+	batch.receivedAt, batch.deadline = r.now, r.now+
+		clampNonNegative(batch.TimeLeft-min(max(transitShare*batch.TimeLeft, minTransitTime), maxTransitTime), 1e6)
+	batch.demand = clampNonNegative(batch.EstimatedWork, 1e5)
+	if batch.demand > 0 {
+		prior := 4*group.estimateSum/max(group.estimateCount, 1) + 1e-6
+		batch.demand *= (group.actualSum + prior) / (group.estimateSum + prior)
+	} else if batch.demand = group.workSum / max(group.answerCount, 1); batch.demand == 0 {
+		batch.demand = group.Goal * group.Threads / 4
+	}
+	batch.memoryNeed = clampNonNegative(batch.EstimatedMemory, 1e7)
+	if batch.memoryNeed > 0 && group.memoryEstimateSum > 0 {
+		batch.memoryNeed *= group.memoryActualSum / group.memoryEstimateSum
+	} else if batch.memoryNeed == 0 && group.answerCount > 0 {
+		batch.memoryNeed = group.memorySum / group.answerCount
+	}
+	batch.timeAlone, batch.likelyWork, batch.usefulUntil = batch.demand/group.Threads, r.estimateLikelyWork(batch), batch.deadline
+	if group.LateShare <= 0 { // an answer past the goal earns nothing
+		batch.usefulUntil = min(batch.deadline, r.now+group.Goal+group.GoalStretch*batch.timeAlone)
+	}
+	// A batch is weighted by its time alone, as it occupies an engine in proportion to that: so the first batch already
+	// gives an estimate of what runs on the engines. A batch that can't end in time or fits on no engine is left out.
+	if batch.timeAlone <= group.Limit && (r.largestMemory == 0 || batch.memoryNeed <= r.largestMemory) {
+		r.meanDemand += (batch.demand - r.meanDemand) / 64
+		r.typicalBatch = r.typicalBatch.add(r.typicalBatch, -1.0/64).
+			add(resources{1, group.Threads, batch.memoryNeed * memoryMargin}, batch.timeAlone)
+	}
+	if batch.keyQueue = (&keyQueue{}); group.InOrder && batch.Key != 0 {
+		batch.keyQueue = cmp.Or(r.keyQueues[batch.Key], batch.keyQueue)
+		r.keyQueues[batch.Key] = batch.keyQueue
+	}
+	// Only the first batch of its key is answered at once: another one's answer could overtake that of the one before.
+	first := len(batch.keyQueue.batches) == 0 && batch.keyQueue.inFlight == 0
+	limitAction := batch.Route.Comes(r.now)
+	if batch.Shed = first && limitAction == limits.Wait && r.shouldShed(batch); batch.Shed || first && limitAction != limits.Wait {
+		decision := r.giveUp(batch)
+		if limitAction == limits.Refuse {
+			decision = Decision{Kind: Fail, Batch: batch}
+		}
+		r.pending = append(r.pending, decision)
 		return
 	}
-	b.Route.Took(r.now)
+	batch.Route.Took(r.now)
 	r.retryBudget.Took(r.now)
-	b.keyQueue.batches, r.arrivals = append(b.keyQueue.batches, b), append(r.arrivals, r.now)
+	batch.keyQueue.batches, r.arrivals = append(batch.keyQueue.batches, batch), append(r.arrivals, r.now)
 	r.probeCredit = min(r.probeCredit+1, 8*r.probeCost())
-	r.enqueue(b)
-	r.nextSweepAt = min(r.nextSweepAt, b.deadline-4*sweepInterval) // a late try can't wait for the next one
+	r.enqueue(batch)
+	// A batch with little time left can't wait for the regular sweep.
+	r.nextSweepAt = min(r.nextSweepAt, batch.deadline-4*sweepInterval)
 }
 
-// SetReducedService brings the level of reduced service that holds from now on. What has been taken stays.
+// SetReducedService sets the level of reduced service from now on. Batches that were added before stay.
 func (r *Router) SetReducedService(level ReducedService) { r.reduced = level }
 
+// shouldShed reports whether the level of reduced service excludes a batch.
 func (r *Router) shouldShed(b *Batch) bool {
 	keep, some := r.reduced.KeepShare[b.Group]
 	return r.reduced.MinUtilityPerSecond*b.demand > b.Group.Utility || some && r.randomFloat() >= keep
 }
 
+// maxTries returns how many dispatches a batch may have in all.
 func (r *Router) maxTries(b *Batch) int {
-	most := b.Route.Most(r.maxDispatches)
+	maxTries := b.Route.Most(r.maxDispatches)
 	if r.reduced.MaxRetries != 0 {
-		most = min(most, 1+max(r.reduced.MaxRetries, 0))
+		maxTries = min(maxTries, 1+max(r.reduced.MaxRetries, 0))
 	}
-	return most
+	return maxTries
 }
 
+// probeCost returns how many batches must be added for one probe.
 func (r *Router) probeCost() float64 { return r.batchesPerProbe / cmp.Or(r.reduced.ProbeShare, 1) }
 
+// enqueue puts a batch into the queue, which is ordered by demand.
 func (r *Router) enqueue(b *Batch) {
 	i := sort.Search(len(r.queue), func(i int) bool { return r.queue[i].demand > b.demand })
 	r.queue = slices.Insert(r.queue, i, b)
 	b.Route.Uses(r.now, 0, 1)
 }
 
+// dequeue removes a batch from the queue, if it is there.
 func (r *Router) dequeue(b *Batch) {
 	n := len(r.queue)
 	r.queue = without(r.queue, b)
 	b.Route.Uses(r.now, 0, len(r.queue)-n)
 }
 
+// RemoveBatch ends a batch: its client has left or it was answered. Dispatches in flight still end by DispatchEnded.
 func (r *Router) RemoveBatch(b *Batch) {
 	b.Done = true
 	r.dequeue(b)
 	b.keyQueue.batches = without(b.keyQueue.batches, b)
 }
 
-// DispatchEnded ends a dispatch; last says that the batch is over with it. Work and memory are what it needed.
-func (r *Router) DispatchEnded(b *Batch, no int, end Outcome, last bool, took, work, memory float64, rep *Report) {
-	if no >= len(b.dispatches) || b.dispatches[no].ended {
+// DispatchEnded records the outcome of dispatch number of a batch. last says that the batch ends with it; took is its time
+// in seconds; work, in seconds, and memory, in MB, are what it needed (0: not known; work below 0: the protocol of the
+// engine doesn't report it); report is the engine's load, or nil. Unknown and repeated outcomes are ignored.
+func (r *Router) DispatchEnded(batch *Batch, number int, outcome Outcome, last bool, took, work, memory float64,
+	report *Report) {
+	if number >= len(batch.dispatches) || batch.dispatches[number].ended {
 		return
 	}
-	d, e := b.dispatches[no], b.dispatches[no].engine
-	d.ended, d.outcome, e.inFlight = true, end, without(e.inFlight, d)
-	b.InFlight, b.keyQueue.inFlight = b.InFlight-1, b.keyQueue.inFlight-1
-	b.Route.Uses(r.now, -1, 0)
-	if e.ConcurrencyLimit != nil && end != Canceled && end != NotSent {
-		e.ConcurrencyLimit.Ended(d.sample(r.now, took, work))
+	attempt, engine := batch.dispatches[number], batch.dispatches[number].engine
+	attempt.ended, attempt.outcome, engine.inFlight = true, outcome, without(engine.inFlight, attempt)
+	batch.InFlight, batch.keyQueue.inFlight = batch.InFlight-1, batch.keyQueue.inFlight-1
+	batch.Route.Uses(r.now, -1, 0)
+	if engine.ConcurrencyLimit != nil && outcome != Canceled && outcome != NotSent {
+		engine.ConcurrencyLimit.Ended(attempt.sample(r.now, took, work))
 	}
-	r.recordReport(e, rep)
-	doubt := end == TimedOut || end == ConnectionLost || end == Canceled || end == Unconfirmed
-	b.unconfirmed = b.unconfirmed || end == Unconfirmed
-	if doubt {
-		b.keyQueue.restUntil, b.keyQueue.restExempt = r.now+r.settleTime, b
+	r.recordReport(engine, report)
+	mayStillRun := outcome == TimedOut || outcome == ConnectionLost || outcome == Canceled || outcome == Unconfirmed
+	batch.unconfirmed = batch.unconfirmed || outcome == Unconfirmed
+	if mayStillRun {
+		batch.keyQueue.restUntil, batch.keyQueue.restExempt = r.now+r.settleTime, batch
 	}
-	if b.mayHaveRunOn == nil && (end == Completed || end == Errored || doubt) {
-		b.mayHaveRunOn, b.mayHaveRunSince = e, d.sentAt
+	if batch.mayHaveRunOn == nil && (outcome == Completed || outcome == Errored || mayStillRun) {
+		batch.mayHaveRunOn, batch.mayHaveRunSince = engine, attempt.sentAt
 	}
 	r.gateOpensAt = r.now
-	for _, o := range b.dispatches {
-		// A batch that errs wherever it goes is at fault itself: errors count once an engine has answered.
-		once := b.Group.Idempotency == AtMostOnce
-		if o == d && (end != Errored || once) || end == Completed && o.ended && o.outcome == Errored {
-			r.recordHealth(o)
+	for _, other := range batch.dispatches {
+		// A batch that fails on every engine is itself the cause: an error counts against an engine only once another
+		// dispatch of the batch has succeeded.
+		atMostOnce := batch.Group.Idempotency == AtMostOnce
+		if other == attempt && (outcome != Errored || atMostOnce) ||
+			outcome == Completed && other.ended && other.outcome == Errored {
+			r.recordHealth(other)
 		}
 	}
-	if end == Completed && work > 0 {
-		r.learnFromAnswer(b, took, clampNonNegative(work, 1e5), clampNonNegative(memory, 1e7))
-	} else if end == Completed && work < 0 {
-		r.learnFromDuration(b, clampNonNegative(took, 1e5))
+	if outcome == Completed && work > 0 {
+		r.learnFromAnswer(batch, took, clampNonNegative(work, 1e5), clampNonNegative(memory, 1e7))
+	} else if outcome == Completed && work < 0 {
+		r.learnFromDuration(batch, clampNonNegative(took, 1e5))
 	}
 	if last {
-		r.RemoveBatch(b)
-		for _, o := range b.dispatches { // of two copies the loser is given up at once
-			if r.mayCancel && !o.ended && !o.cancelRequested {
-				o.cancelRequested, r.pending = true, append(r.pending, Decision{Kind: Cancel, Batch: b, Number: o.number})
+		r.RemoveBatch(batch)
+		for _, other := range batch.dispatches { // the losing copy of a hedged batch is canceled at once
+			if r.mayCancel && !other.ended && !other.cancelRequested {
+				other.cancelRequested, r.pending = true,
+					append(r.pending, Decision{Kind: Cancel, Batch: batch, Number: other.number})
 			}
 		}
-	} else if r.dequeue(b); !b.Done && b.InFlight == 0 {
-		if b.Route != nil {
-			b.wantsQuota, b.reconsiderAt = false, r.now+b.Route.Rest(r.randomFloat())
+	} else if r.dequeue(batch); !batch.Done && batch.InFlight == 0 {
+		if batch.Route != nil {
+			batch.wantsQuota, batch.reconsiderAt = false, r.now+batch.Route.Rest(r.randomFloat())
 		}
-		r.enqueue(b)
+		r.enqueue(batch)
 		r.nextSweepAt = r.now
 	}
 }
 
-// learnFromDuration learns from an answer that tells no work, as engines of some protocols do: else time-outs would
-// never follow what is usual there, and a silent engine would hold its batches to their limits. It covers
-// answers that leave it out for once. It hurts under load, when what took long is held for large.
-func (r *Router) learnFromDuration(b *Batch, took float64) {
-	g := b.Group
-	g.memorySum += g.memorySum / max(g.answerCount, 1)
-	g.workSum, g.answerCount = g.workSum+took*g.Threads, g.answerCount+1
+// learnFromDuration learns from an answer that doesn't report its work, as with engines of some protocols, or once in a
+// while. Without it, time-outs would never adapt to the usual times, and a silent engine would keep its batches until
+// their time limits. Drawback: under load, a batch that took long counts as large.
+func (r *Router) learnFromDuration(batch *Batch, took float64) {
+	group := batch.Group
+	group.memorySum += group.memorySum / max(group.answerCount, 1)
+	group.workSum, group.answerCount = group.workSum+took*group.Threads, group.answerCount+1
 	if r.lastPauseAt != r.now {
-		g.stretch.add(took / max(b.timeAlone, 1e-3))
+		group.stretch.add(took / max(batch.timeAlone, 1e-3))
 	}
-	g.decay()
+	group.decay()
 }
 
-func (r *Router) learnFromAnswer(b *Batch, took, work, memory float64) {
-	g := b.Group
-	if b.EstimatedWork > 0 && b.EstimatedWork < 1e5 {
-		r.recordEstimate(g, math.Log(b.EstimatedWork), work)
-		g.estimateSum, g.actualSum, g.estimateCount = g.estimateSum+b.EstimatedWork, g.actualSum+work, g.estimateCount+1
-	}
-	if b.EstimatedMemory > 0 && memory > 0 {
-		g.memoryEstimateSum, g.memoryActualSum = g.memoryEstimateSum+b.EstimatedMemory, g.memoryActualSum+memory
-	}
-	g.workSum, g.memorySum, g.answerCount = g.workSum+work, g.memorySum+memory, g.answerCount+1
-	// The mark is the threads a core at which answers take about so long: figures that leave out other
-	// routers' threads, spilling, busy disks and slow cores all show there. It only rises while batches wait.
-	if r.lastPauseAt == r.now { // how long it took is not known
+// learnFromAnswer updates the group's statistics and the admission threshold by the work (seconds) and memory (MB) that an
+// answer reports.
+func (r *Router) learnFromAnswer(batch *Batch, took, work, memory float64) {
+	group := batch.Group
+	if batch.EstimatedWork > 0 && batch.EstimatedWork < 1e5 {
+		r.recordEstimate(group, math.Log(batch.EstimatedWork), work)
+		group.estimateSum, group.actualSum, group.estimateCount =
+			group.estimateSum+batch.EstimatedWork, group.actualSum+work, group.estimateCount+1
+	}
+	if batch.EstimatedMemory > 0 && memory > 0 {
+		group.memoryEstimateSum, group.memoryActualSum =
+			group.memoryEstimateSum+batch.EstimatedMemory, group.memoryActualSum+memory
+	}
+	group.workSum, group.memorySum, group.answerCount = group.workSum+work, group.memorySum+memory, group.answerCount+1
+	// The admission threshold is the load at which answers take about targetStretch times their time alone. It thereby
+	// covers what reports leave out: other routers' threads, spilling, busy disks and slow cores. It rises only while
+	// batches are queued.
+	if r.lastPauseAt == r.now { // after a pause of this process the time taken is not known
 		return
 	}
-	if step := math.Log(targetStretch * work / (g.Threads * max(took, 1e-3))); step < 0 || len(r.queue) > 0 {
+	if step := math.Log(targetStretch * work / (group.Threads * max(took, 1e-3))); step < 0 || len(r.queue) > 0 {
 		step = min(max(step, -1), 1) * min(2*work/max(r.meanDemand, 1e-3), 2)
 		r.admissionThreshold = min(max(r.admissionThreshold*(1+thresholdStep*step), minThreshold), maxThreshold)
 	}
-	g.stretch.add(took / max(b.timeAlone, 1e-3))
-	g.decay()
+	group.stretch.add(took / max(batch.timeAlone, 1e-3))
+	group.decay()
 }
 
+// decay halves the sums from time to time, so that recent answers count more.
 func (g *ServiceGroup) decay() {
 	if g.answerCount >= 128 {
-		g.estimateSum, g.actualSum, g.estimateCount, g.memoryEstimateSum = g.estimateSum/2, g.actualSum/2, g.estimateCount/2, g.memoryEstimateSum/2
-		g.memoryActualSum, g.workSum, g.memorySum, g.answerCount = g.memoryActualSum/2, g.workSum/2, g.memorySum/2, g.answerCount/2
+		g.estimateSum, g.actualSum, g.estimateCount, g.memoryEstimateSum =
+			g.estimateSum/2, g.actualSum/2, g.estimateCount/2, g.memoryEstimateSum/2
+		g.memoryActualSum, g.workSum, g.memorySum, g.answerCount =
+			g.memoryActualSum/2, g.workSum/2, g.memorySum/2, g.answerCount/2
 	}
 }
 
-// estimateLikelyWork is the work that a batch most likely needs, for the books of cold engines; the page's demand orders
-// batches. Where estimates are rough, what looks small enough for a share is mostly told too small: it took
-// 1.6 times what was booked, and large ones take less. Below coldRouters nothing evens that out, and two
-// large ones pushed an engine over: there none counts for less than its demand, nor, while few answers speak
-// for less, than was told. It hurts where large ones are told far too large.
-func (r *Router) estimateLikelyWork(b *Batch) float64 {
-	g := b.Group
-	if b.EstimatedWork <= 0 || b.EstimatedWork >= 1e5 {
-		return b.demand
-	}
-	if g.pairCount < 4 { // not known yet: no less than where nothing is told
-		return max(b.demand, g.Goal*g.Threads/4)
-	}
-	likely := math.Exp(r.slope()*(math.Log(b.EstimatedWork)-g.meanLogEstimate)) * g.recentActual / g.recentPredicted
+// estimateLikelyWork returns the work in seconds that a batch most likely needs. It is charged to the quotas of cold
+// engines; the queue is ordered by demand instead. Where estimates are inaccurate, batches that look small enough for a
+// quota are mostly underestimated (they took 1.6 times what was charged) and large ones are overestimated. With fewer
+// than coldBudgetRouters routers nothing evens that out, and two large batches overloaded an engine: there no batch is
+// charged less than its demand nor, while few answers justify less, less than its estimate. Drawback: batches whose
+// estimates are far too large get too little of the quota.
+func (r *Router) estimateLikelyWork(batch *Batch) float64 {
+	group := batch.Group
+	if batch.EstimatedWork <= 0 || batch.EstimatedWork >= 1e5 {
+		return batch.demand
+	}
+	if group.pairCount < 4 { // too few answers: at least what a batch without an estimate is charged
+		return max(batch.demand, group.Goal*group.Threads/4)
+	}
+	likely := math.Exp(r.slope()*(math.Log(batch.EstimatedWork)-group.meanLogEstimate)) * group.recentActual / group.recentPredicted
 	if r.quotaSharers < coldBudgetRouters {
-		return max(likely, min(b.demand*(1+uncertaintyDeviations/math.Sqrt(g.estimateCount+1)), max(b.EstimatedWork, b.demand)))
+		return max(likely, min(batch.demand*(1+uncertaintyDeviations/math.Sqrt(group.estimateCount+1)),
+			max(batch.EstimatedWork, batch.demand)))
 	}
-	return likely + max(b.demand-likely, 0)/math.Sqrt(coldBudgetRouters)
+	return likely + max(batch.demand-likely, 0)/math.Sqrt(coldBudgetRouters)
 }
 
-// slope is by how much the logarithm of true work grows with that of told work: one for exact estimates.
+// slope returns the regression slope of the logarithm of actual work on that of estimated work; 1 for exact estimates.
 func (r *Router) slope() float64 {
 	return min(max((r.estimateCovariance+slopePrior)/(r.estimateVariance+slopePrior), 0), 1)
 }
 
-func (r *Router) recordEstimate(g *ServiceGroup, told, work float64) {
-	g.pairCount = min(g.pairCount+1, 64)
-	from, to := told-g.meanLogEstimate, math.Log(max(work, 1e-6))-g.meanLogActual
-	if g.pairCount > 1 {
-		r.estimateVariance, r.estimateCovariance = r.estimateVariance*(1-1.0/256)+from*from, r.estimateCovariance*(1-1.0/256)+from*to
-	}
-	g.meanLogEstimate, g.meanLogActual = g.meanLogEstimate+from/g.pairCount, g.meanLogActual+to/g.pairCount
-	g.recentActual -= g.recentActual/64 - work
-	g.recentPredicted -= g.recentPredicted/64 - math.Exp(r.slope()*(told-g.meanLogEstimate))
+// recordEstimate adds a pair of estimated work (its logarithm) and actual work to the regression.
+func (r *Router) recordEstimate(group *ServiceGroup, logEstimate, work float64) {
+	group.pairCount = min(group.pairCount+1, 64)
+	estimateDeviation, actualDeviation := logEstimate-group.meanLogEstimate, math.Log(max(work, 1e-6))-group.meanLogActual
+	if group.pairCount > 1 {
+		r.estimateVariance, r.estimateCovariance = r.estimateVariance*(1-1.0/256)+estimateDeviation*estimateDeviation,
+			r.estimateCovariance*(1-1.0/256)+estimateDeviation*actualDeviation
+	}
+	group.meanLogEstimate, group.meanLogActual =
+		group.meanLogEstimate+estimateDeviation/group.pairCount, group.meanLogActual+actualDeviation/group.pairCount
+	group.recentActual -= group.recentActual/64 - work
+	group.recentPredicted -= group.recentPredicted/64 - math.Exp(r.slope()*(logEstimate-group.meanLogEstimate))
 }
 
-// recordHealth counts how an engine does, in all and for the batch's group: it may turn away one group for long, and
-// looks idle to it. Covers any failure that one group meets; hurts where failures are mere chance.
-func (r *Router) recordHealth(d *dispatch) {
-	for _, h := range []*health{&d.engine.health, d.engine.groupHealth[d.batch.Group]} {
-		switch d.outcome {
+// recordHealth counts the outcome of a dispatch for its engine as a whole and for its group on that engine, and ejects
+// the engine where too many fail. Groups count separately, as an engine may reject one group for long and then looks
+// idle to it; that covers any failure that concerns one group. Drawback: random failures eject engines, too.
+func (r *Router) recordHealth(attempt *dispatch) {
+	for _, h := range []*health{&attempt.engine.health, attempt.engine.groupHealth[attempt.batch.Group]} {
+		switch attempt.outcome {
 		case Completed:
-			d.engine.lastSeenAt, h.successes, h.consecutiveFailures = r.now, h.successes+1, 0
-			if h.ejectedUntil > 0 && d.sentAt >= h.ejectedAt {
-				r.log("engine %d back after %.1f s", d.engine.ID, h.backoff)
+			attempt.engine.lastSeenAt, h.successes, h.consecutiveFailures = r.now, h.successes+1, 0
+			if h.ejectedUntil > 0 && attempt.sentAt >= h.ejectedAt {
+				r.log("engine %d: ejection ends after %.1f s", attempt.engine.ID, h.backoff)
 				h.ejectedUntil, h.backoff = 0, h.backoff/2
 			}
 		case ConnectFailed, ConnectionLost, Rejected, Errored:
-			if h.lastFailureAt < r.now { // what fails together fails for one cause
+			if h.lastFailureAt < r.now { // failures at the same time have one cause and count once
 				h.failures, h.consecutiveFailures, h.lastFailureAt = h.failures+1, h.consecutiveFailures+1, r.now
 			}
 			fallthrough
 		case TimedOut, Unconfirmed:
-			failing := h.consecutiveFailures >= maxConsecutiveFailures || h.consecutiveFailures >= 3 && h.failures > h.successes && d.engine.ejectedUntil == 0
+			failing := h.consecutiveFailures >= maxConsecutiveFailures ||
+				h.consecutiveFailures >= 3 && h.failures > h.successes && attempt.engine.ejectedUntil == 0
 			if r.now >= h.ejectedUntil && (failing || h.ejectedUntil > 0) {
-				r.eject(d.engine, h, "failing")
+				r.eject(attempt.engine, h, "failing")
 			}
 		}
 		if h.successes+h.failures > 32 {
@@ -352,59 +488,68 @@
 	}
 }
 
-func (r *Router) eject(e *Engine, h *health, why string) {
+// eject excludes an engine, or one group on it, for a random time around the backoff, which doubles with each ejection.
+func (r *Router) eject(engine *Engine, h *health, reason string) {
 	h.ejectedAt, h.backoff = r.now, min(max(minEjectionTime, 2*h.backoff), maxEjectionTime)
 	h.ejectedUntil = r.now + h.backoff*(0.75+0.5*r.randomFloat())
-	r.log("engine %d aside for %.1f s: %s, good %.0f bad %.0f, for all groups %t", e.ID, h.backoff, why, h.successes,
-		h.failures, h == &e.health)
+	r.log("engine %d: ejected for %.1f s: %s, successes %.0f, failures %.0f, all groups %t", engine.ID, h.backoff, reason,
+		h.successes, h.failures, h == &engine.health)
 }
 
-func (r *Router) ProbeEnded(e *Engine, ok bool, rep *Report) {
-	if e.probing = false; ok {
-		r.recordReport(e, rep)
+// ProbeEnded records the end of a probe: whether the engine answered, and the load it reported (nil: none).
+func (r *Router) ProbeEnded(engine *Engine, ok bool, report *Report) {
+	if engine.probing = false; ok {
+		r.recordReport(engine, report)
 	}
 }
 
-func (r *Router) recordReport(e *Engine, rep *Report) {
-	if rep == nil || sanitize(*rep) == e.report { // the same figures again are the same report, or frozen
+// recordReport takes an engine's report of its load and updates the average load of the fleet.
+func (r *Router) recordReport(engine *Engine, report *Report) {
+	if report == nil || sanitize(*report) == engine.report { // equal values are the same report, or one that is frozen
 		return
 	}
-	e.report, e.reportAt = sanitize(*rep), r.now
+	engine.report, engine.reportAt = sanitize(*report), r.now
 	if r.lastPauseAt == r.now {
-		e.reportAt -= r.lastPause / 2
+		engine.reportAt -= r.lastPause / 2
 	}
-	// A held count left out is told by memory and what batches at work are like. Memory left out stays with the
-	// engine: guessed from the count, far more is pushed back than would wait there.
-	held, memory, each := e.report.InFlight, max(e.report.Memory, 0)*e.memory/r.grantFactor, r.typicalBatch
-	if held < 0 && e.report.Memory >= 0 && each.memory > 0 {
-		held = memory * each.batches / each.memory
+	// A report without the number of batches: it is estimated by the memory in use and a typical batch. Memory is not
+	// estimated the other way round: far more batches were rejected then than would have waited at the engine.
+	inFlight, memory, typical := engine.report.InFlight, max(engine.report.Memory, 0)*engine.memory/r.grantFactor, r.typicalBatch
+	if inFlight < 0 && engine.report.Memory >= 0 && typical.memory > 0 {
+		inFlight = memory * typical.batches / typical.memory
 	}
-	if held < 0 {
+	if inFlight < 0 {
 		return
 	}
-	e.reported = resources{1, held * each.threads / each.batches, memory}.perEngine(e)
-	// A cold engine is kept nearly empty by its budget and tells nothing of the others: in the pool, six in ten
-	// made jammed ones look idle, and 30 heavy batches met on each. It hurts where all are cold: none tells.
-	if r.inSlowStart(e) {
+	engine.reported = resources{1, inFlight * typical.threads / typical.batches, memory}.perEngine(engine)
+	// A cold engine is kept nearly empty by its quota, so its report tells nothing of the others: when six in ten engines
+	// were cold and counted in the average, overloaded ones looked idle, and 30 heavy batches met on each. Drawback:
+	// while all engines are cold, the average follows no report.
+	if r.inSlowStart(engine) {
 		return
 	}
-	one := resources{1, min(e.reported.threads, 2*maxThreshold), min(e.reported.memory, 1)} // one that lies stays one
-	r.averageLoad = r.averageLoad.add(one.add(r.averageLoad, -1), max(min((r.now-r.averageLoadAt)/averageLoadWindow, 1), 0.03))
+	// The bounds keep the influence of an engine that reports absurd values to that of one engine.
+	bounded := resources{1, min(engine.reported.threads, 2*maxThreshold), min(engine.reported.memory, 1)}
+	r.averageLoad = r.averageLoad.add(bounded.add(r.averageLoad, -1),
+		max(min((r.now-r.averageLoadAt)/averageLoadWindow, 1), 0.03))
 	r.averageLoadAt = r.now
 }
 
-func (r *Router) DispatchUpdated(b *Batch, no int, kind Update, level float64) {
-	if no >= len(b.dispatches) || b.dispatches[no].ended {
+// DispatchUpdated records an update of a dispatch in flight. For Progress, level is the share done, from 0 to 1.
+func (r *Router) DispatchUpdated(b *Batch, number int, kind Update, level float64) {
+	if number >= len(b.dispatches) || b.dispatches[number].ended {
 		return
 	}
-	d := b.dispatches[no]
-	if d.engine.lastSeenAt, d.lastUpdateAt = r.now, r.now; kind == Progress {
-		d.progress, d.progressAt = clampNonNegative(level, 1), r.now
+	attempt := b.dispatches[number]
+	if attempt.engine.lastSeenAt, attempt.lastUpdateAt = r.now, r.now; kind == Progress {
+		attempt.progress, attempt.progressAt = clampNonNegative(level, 1), r.now
 	}
 }
 
+// TimerFired records that the timer set by the last WakeAt decision has fired.
 func (r *Router) TimerFired() { r.wakeAt = math.Inf(1) }
 
+// Next returns the next decision; NoDecision if there is nothing to do before the next event.
 func (r *Router) Next() Decision {
 	if r.now >= r.nextSweepAt {
 		r.sweep()
@@ -424,6 +569,7 @@
 	return r.scheduleWake()
 }
 
+// scheduleWake asks for a timer while batches are queued or in flight, unless an earlier one is set.
 func (r *Router) scheduleWake() Decision {
 	at := r.now + 2*sweepInterval
 	if len(r.queue) > 0 && r.gateOpensAt > r.now {
@@ -437,18 +583,19 @@
 	return Decision{Kind: WakeAt, At: at}
 }
 
-// giveUp answers a batch for good, at once. A pushback is a promise that nothing ran or a repeat is harmless.
+// giveUp ends a batch at once with a final answer. A rejection promises that the batch did not run or is safe to retry.
 func (r *Router) giveUp(b *Batch) Decision {
 	r.RemoveBatch(b)
-	anywhere := b.mayHaveRunOn == nil || b.Group.Idempotency == Idempotent || b.Group.DedupScope == WithinAll
-	if anywhere && r.safeToRetry(b, r.retryDelay) {
+	canMove := b.mayHaveRunOn == nil || b.Group.Idempotency == Idempotent || b.Group.DedupScope == WithinAll
+	if canMove && r.safeToRetry(b, r.retryDelay) {
 		return Decision{Kind: Reject, Batch: b, Wait: r.retryDelay}
 	}
 	return Decision{Kind: Fail, Batch: b}
 }
 
-// FinalDecision answers a batch for good while its router ends. What is out may have run; what never was, or may run
-// again, goes back: an error for it would lose what another router still has the time for.
+// FinalDecision returns the final answer of a batch while its router shuts down. A batch in flight may have run and
+// fails unless it is idempotent. One that was not dispatched or is safe to retry is rejected rather than failed, as
+// another router may still have the time for it.
 func (r *Router) FinalDecision(b *Batch) Decision {
 	if b.InFlight > 0 && b.Group.Idempotency != Idempotent {
 		r.RemoveBatch(b)
@@ -457,150 +604,164 @@
 	return r.giveUp(b)
 }
 
-// PrepareShutdown tells that the process is about to end. Nothing is sent to cold engines from now on: the next one
-// under the same name may run already, and goes by the same part of what they bear.
+// PrepareShutdown announces that the process is about to end. From now on nothing is sent to cold engines: the next
+// process under the same name may already run, and it uses the same quota.
 func (r *Router) PrepareShutdown() { r.stopping = true }
 
+// mayDispatch reports whether the rules allow another dispatch of a batch.
 func (r *Router) mayDispatch(b *Batch) bool {
-	// A budget of its route that is spent ends the batch at once: others would wait behind it, and it would come
-	// back into the same trouble. It hurts where the trouble ends the next moment.
+	// An exhausted retry budget of its route ends the batch at once: others would wait behind it, and its retry would
+	// meet the same failure. Drawback: the failure may end the next moment.
 	return !b.unconfirmed && len(b.dispatches) < r.maxTries(b) && r.safeToRetry(b, r.tick) &&
 		(b.InFlight == 0 || r.load < maxHedgeLoad) &&
 		(len(b.dispatches) == 0 || b.Route.May(r.now) && r.retryBudget.May(r.now))
 }
 
-// safeToRetry: nothing ran, or a repeat may run so much later.
-func (r *Router) safeToRetry(b *Batch, later float64) bool {
+// safeToRetry reports whether a batch can't have run, or may run again within delay seconds from now.
+func (r *Router) safeToRetry(b *Batch, delay float64) bool {
 	return b.mayHaveRunOn == nil || b.Group.Idempotency == Idempotent ||
-		b.Group.Idempotency == Deduplicated && r.now+later < b.dedupDeadline()
+		b.Group.Idempotency == Deduplicated && r.now+delay < b.dedupDeadline()
 }
 
-// dedupDeadline is when the engines forget the mark of one that may have run.
+// dedupDeadline returns when engines forget the batch's deduplication mark, if it may have run.
 func (b *Batch) dedupDeadline() float64 { return b.mayHaveRunSince + b.Group.DedupWindow }
 
-func (r *Router) timeNeeded(b *Batch) float64 { // to be tried
+// timeNeeded returns the seconds that must be left for a dispatch of the batch.
+func (r *Router) timeNeeded(b *Batch) float64 {
 	return max(r.reduced.GiveUpFactor, 1)*(1+r.load*fullLoadSlowdown)*b.timeAlone + 3*sweepInterval
 }
 
+// retriesExhausted reports whether the router's retry budget is used up; it also drops entries older than the window.
 func (r *Router) retriesExhausted() bool {
 	old := func(at float64) bool { return at <= r.now-r.retryWindow }
 	r.arrivals, r.retries = slices.DeleteFunc(r.arrivals, old), slices.DeleteFunc(r.retries, old)
 	return float64(len(r.retries)+1) > r.freeRetries+r.retryRatio*float64(len(r.arrivals))
 }
 
-// sweep looks now and then at all that is held or out for what time alone has changed.
+// sweep checks all queued batches, dispatches in flight and engines for what has changed by the passing of time: batches
+// to give up, dispatches to cancel or hedge, silent engines, and the load estimates.
 func (r *Router) sweep() {
 	maps.DeleteFunc(r.keyQueues, func(_ uint64, l *keyQueue) bool {
 		return len(l.batches) == 0 && l.inFlight == 0 && r.now >= l.restUntil
 	})
-	r.retriesExhausted() // forgets what is old
-	passed := min(r.now-r.sweptAt, 1)
+	r.retriesExhausted() // drops old entries
+	elapsed := min(r.now-r.sweptAt, 1)
 	r.sweptAt, r.nextSweepAt = r.now, r.now+sweepInterval
 	if r.mustSubscribe {
 		r.mustSubscribe, r.pending = false, append(r.pending, Decision{Kind: Subscribe})
 	}
 	for _, b := range slices.Clone(r.queue) {
-		// Given up: it can no longer be answered with any utility, or not be sent again.
+		// A batch is given up when no answer in time has any utility left or it must not be dispatched again.
 		if r.mayDispatch(b) && r.now+r.timeNeeded(b) <= b.usefulUntil {
 			continue
 		}
-		if r.dequeue(b); b.InFlight == 0 { // else there is no copy, and the first goes on
+		if r.dequeue(b); b.InFlight == 0 { // otherwise only the hedge is dropped, and the first dispatch goes on
 			r.pending = append(r.pending, r.giveUp(b))
 		}
 	}
-	var out resources
-	cores, memory, busy, told, fresh, ready, aside := 0.0, 0.0, 0.0, 0.0, 0.0, 0, 0
-	for _, e := range r.engines {
-		late := 0
-		for _, h := range e.groupHealth {
-			h.failures -= h.failures * passed / failureDecayTime
-		}
-		for _, d := range e.inFlight {
-			g := d.batch.Group
-			out = out.add(d.resources, 1)
-			age, usual := r.now-d.sentAt-(r.totalPause-d.pausedBefore), d.batch.timeAlone*g.stretch.quantile(0.95, 8)
-			if age > overdueFactor*usual+0.2 && e.lastSeenAt < d.sentAt {
-				late++
+	var ownLoad resources
+	cores, memory, busy, reporting, freshReports, ready, ejected := 0.0, 0.0, 0.0, 0.0, 0.0, 0, 0
+	for _, engine := range r.engines {
+		overdue := 0
+		for _, h := range engine.groupHealth {
+			h.failures -= h.failures * elapsed / failureDecayTime
+		}
+		for _, attempt := range engine.inFlight {
+			group := attempt.batch.Group
+			ownLoad = ownLoad.add(attempt.resources, 1)
+			age, usual := r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore),
+				attempt.batch.timeAlone*group.stretch.quantile(0.95, 8)
+			if age > overdueFactor*usual+0.2 && engine.lastSeenAt < attempt.sentAt {
+				overdue++
 			}
-			repeat := g.Idempotency == Idempotent || g.Idempotency == Deduplicated && r.now+1 < d.sentAt+g.DedupWindow
-			repeat = repeat && len(d.batch.dispatches) < r.maxTries(d.batch) && d.batch.Route.May(r.now) && !d.batch.Done
-			if r.mayCancel && !d.cancelRequested && repeat && r.shouldRestart(d) {
-				d.cancelRequested = true
-				r.pending = append(r.pending, Decision{Kind: Cancel, Batch: d.batch, Number: d.number})
-			} else if repeat && r.shouldHedge(d) {
-				r.enqueue(d.batch)
+			mayRetry := group.Idempotency == Idempotent ||
+				group.Idempotency == Deduplicated && r.now+1 < attempt.sentAt+group.DedupWindow
+			mayRetry = mayRetry && len(attempt.batch.dispatches) < r.maxTries(attempt.batch) &&
+				attempt.batch.Route.May(r.now) && !attempt.batch.Done
+			if r.mayCancel && !attempt.cancelRequested && mayRetry && r.shouldRestart(attempt) {
+				attempt.cancelRequested = true
+				r.pending = append(r.pending, Decision{Kind: Cancel, Batch: attempt.batch, Number: attempt.number})
+			} else if mayRetry && r.shouldHedge(attempt) {
+				r.enqueue(attempt.batch)
 			}
 		}
-		if r.now >= e.ejectedUntil && (late >= 3 || late > 0 && late == len(e.inFlight) && r.now-e.lastSeenAt > 1) {
-			r.eject(e, &e.health, "silent")
+		if r.now >= engine.ejectedUntil &&
+			(overdue >= 3 || overdue > 0 && overdue == len(engine.inFlight) && r.now-engine.lastSeenAt > 1) {
+			r.eject(engine, &engine.health, "silent")
 		}
-		if e.Phase == Ready {
+		if engine.Phase == Ready {
 			ready++
-			if e.ejectedUntil > 0 {
-				aside++
+			if engine.ejectedUntil > 0 {
+				ejected++
 			}
-			cores, memory = cores+e.cores, memory+e.memory
-			if r.hasFreshReport(e) {
-				fresh++
+			cores, memory = cores+engine.cores, memory+engine.memory
+			if r.hasFreshReport(engine) {
+				freshReports++
 			}
-			if e.report.CPU >= 0 && e.reportAt > 0 {
-				busy, told = busy+e.report.CPU, told+1
+			if engine.report.CPU >= 0 && engine.reportAt > 0 {
+				busy, reporting = busy+engine.report.CPU, reporting+1
 			}
 		}
 	}
-	if shaken := 2*aside > ready; shaken != r.mostEjected {
-		r.mostEjected = shaken
-		r.log("%d of %d engines aside, shaken %t", aside, ready, shaken)
+	if mostEjected := 2*ejected > ready; mostEjected != r.mostEjected {
+		r.mostEjected = mostEjected
+		r.log("%d of %d engines aside, shaken %t", ejected, ready, mostEjected)
 	}
-	r.reportedShare = fresh / max(float64(ready), 1)
+	r.reportedShare = freshReports / max(float64(ready), 1)
 	r.similarRouters = 1 + (r.routerCount-1)*r.reportedShare
-	r.ownLoad = r.ownLoad.add(out.add(r.ownLoad, -1), passed/ownLoadWindow)
+	r.ownLoad = r.ownLoad.add(ownLoad.add(r.ownLoad, -1), elapsed/ownLoadWindow)
 	if cores > 0 {
 		seen := r.averageLoad.threads
-		if r.now > r.averageLoadAt+ownLoadWindow { // no report tells of others: they are taken to be like us
+		if r.now > r.averageLoadAt+ownLoadWindow { // no reports: the other routers are assumed to send as much as this one
 			fleet := &Engine{engineState: engineState{cores: cores, memory: memory}}
 			r.averageLoad = resources{}.add(r.ownLoad, r.routerCount-1).perEngine(fleet)
 			seen = r.averageLoad.threads + r.ownLoad.threads/cores
 		}
-		if told > 0 {
-			seen = busy / told
+		if reporting > 0 {
+			seen = busy / reporting
 		}
-		r.load += (min(max(seen, 0), maxLoad) - r.load) * passed / loadSmoothingTime
+		r.load += (min(max(seen, 0), maxLoad) - r.load) * elapsed / loadSmoothingTime
 	}
 }
 
-// shouldRestart: a fresh dispatch would be far quicker (a bad plan, an engine that crawls), its notes have ceased
-// (an answer got lost), or the engine is set aside. It may hurt when all engines slow down at once.
-func (r *Router) shouldRestart(d *dispatch) bool {
-	usual := d.batch.timeAlone * d.batch.Group.stretch.quantile(0.75, 4)
-	rest := (d.progressAt-d.sentAt)*(1-d.progress)/d.progress - (r.now - d.progressAt)
-	lost := r.updateInterval > 0 && r.now-max(d.sentAt, d.lastUpdateAt)-(r.totalPause-d.pausedBefore) > missedUpdates*r.updateInterval
-	slow := d.progress > 0 && rest > restartGain*usual && d.batch.Group.Idempotency == Idempotent
-	silent := d.engine.ejectedUntil > r.now && d.engine.lastSeenAt < d.sentAt
-	return r.now+usual < d.batch.deadline && (lost || slow || silent)
+// shouldRestart reports whether a dispatch is to be canceled for another one: a fresh start would be far quicker (a bad
+// query plan, a slow engine), its updates have stopped (the answer was lost), or its engine is ejected. Drawback: work
+// is lost when all engines slow down at once.
+func (r *Router) shouldRestart(attempt *dispatch) bool {
+	usual := attempt.batch.timeAlone * attempt.batch.Group.stretch.quantile(0.75, 4)
+	remaining := (attempt.progressAt-attempt.sentAt)*(1-attempt.progress)/attempt.progress - (r.now - attempt.progressAt)
+	lost := r.updateInterval > 0 && r.now-max(attempt.sentAt, attempt.lastUpdateAt)-(r.totalPause-attempt.pausedBefore) >
+		missedUpdates*r.updateInterval
+	slow := attempt.progress > 0 && remaining > restartGain*usual && attempt.batch.Group.Idempotency == Idempotent
+	silent := attempt.engine.ejectedUntil > r.now && attempt.engine.lastSeenAt < attempt.sentAt
+	return r.now+usual < attempt.batch.deadline && (lost || slow || silent)
 }
 
-// shouldHedge: it takes longer than the quantile that its route names, so another engine may well answer sooner.
-// Work done twice is no help to a fleet that is full, or reduced. It hurts where all engines are slow at
-// once: the share bounds that.
-func (r *Router) shouldHedge(d *dispatch) bool {
-	b := d.batch
+// shouldHedge reports whether a second copy of a batch is to be sent: the first has taken longer than the quantile that
+// its route names, so another engine may well answer sooner. No copies are sent while the fleet is full or at a level of
+// reduced service, as they add work. Drawback: all are copied where all engines are slow at once; the route's share of
+// copies bounds that.
+func (r *Router) shouldHedge(attempt *dispatch) bool {
+	b := attempt.batch
 	return b.Route.MayCopy(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 && !b.Streaming &&
-		!d.cancelRequested && r.reduced.isZero() && r.load < maxHedgeLoad && !slices.Contains(r.queue, b) &&
-		r.now-d.sentAt-(r.totalPause-d.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Copies.After, 8)
+		!attempt.cancelRequested && r.reduced.isZero() && r.load < maxHedgeLoad && !slices.Contains(r.queue, b) &&
+		r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Copies.After, 8)
 }
 
-// nextDispatch is the design's ordinary path: which batch leaves next, where to, and whether the gate lets it.
+// nextDispatch returns the batch to dispatch next and its engine, or nil while the gate is closed or nothing fits. A batch
+// passes the gate if the score of its engine is below the admission threshold, and otherwise with a chance of threshold
+// over score.
 func (r *Router) nextDispatch() (*Batch, *Engine) {
 	for tries := 0; r.now >= r.gateOpensAt && tries < maxPlacementTries; tries++ {
 		b := r.pickBatch()
 		if b == nil {
 			break
 		}
-		e, figure := r.placeBatch(b)
-		if r.quotaLackingEngine != nil && (e == nil || r.quotaLackingScore < figure) {
+		e, score := r.placeBatch(b)
+		if r.quotaLackingEngine != nil && (e == nil || r.quotaLackingScore < score) {
 			b.wantsQuota, b.quotaWantedAt = true, cmp.Or(b.quotaWantedAt, r.now)
-			if b.reconsiderAt = b.quotaWantedAt + r.quota.Want(r.now, r.quotaLackingEngine.startID(), b.likelyWork); r.now < b.reconsiderAt {
+			b.reconsiderAt = b.quotaWantedAt + r.quota.Want(r.now, r.quotaLackingEngine.startID(), b.likelyWork)
+			if r.now < b.reconsiderAt {
 				continue
 			}
 		}
@@ -608,23 +769,27 @@
 			b.reconsiderAt = r.now + minGateDelay
 			continue
 		}
-		if figure < r.admissionThreshold || r.randomFloat() < r.admissionThreshold/figure {
+		if score < r.admissionThreshold || r.randomFloat() < r.admissionThreshold/score {
 			return b, e
 		}
-		// The page lets the batch redraw; with many held a crowd walks through, so the whole gateway waits.
+		// The whole router waits, not just this batch: if each batch drew by itself, many of a long queue would pass.
 		r.gateOpensAt = r.now + minGateDelay + (maxGateDelay-minGateDelay)*r.randomFloat()
 	}
 	return nil, nil
 }
 
-// pickBatch: the smallest demand past twice the threshold; else, of many slow, the most slowed; else the smallest.
+// pickBatch returns the queued batch to dispatch next. Slowdown is the time since arrival plus the time alone, over the
+// time alone; its threshold is 1/(1-load). First comes the batch of smallest demand whose slowdown is above twice the
+// threshold. Otherwise, if more than maxSlowBatches are above the threshold, it is the most slowed of them; otherwise
+// the batch of smallest demand.
 func (r *Router) pickBatch() *Batch {
 	threshold := 1 / (1 - r.load)
 	var first, worst *Batch
-	slow, most := 0, 0.0
+	slowCount, maxSlowdown := 0, 0.0
 	for _, b := range r.queue {
-		if b.reconsiderAt > r.now || !r.isNextOfKey(b) || len(b.dispatches) > 0 && (!r.mayDispatch(b) || r.limitRetries && r.retriesExhausted() ||
-			!b.Route.Ready(r.now) || !r.retryBudget.Ready(r.now)) || !b.Route.Room(r.now) {
+		if b.reconsiderAt > r.now || !r.isNextOfKey(b) ||
+			len(b.dispatches) > 0 && (!r.mayDispatch(b) || r.limitRetries && r.retriesExhausted() ||
+				!b.Route.Ready(r.now) || !r.retryBudget.Ready(r.now)) || !b.Route.Room(r.now) {
 			continue
 		}
 		first = cmp.Or(first, b)
@@ -633,70 +798,77 @@
 			return b
 		}
 		if slowdown > threshold {
-			if slow++; slowdown >= most {
-				worst, most = b, slowdown
+			if slowCount++; slowdown >= maxSlowdown {
+				worst, maxSlowdown = b, slowdown
 			}
 		}
 	}
-	if slow > maxSlowBatches {
+	if slowCount > maxSlowBatches {
 		return worst
 	}
 	return first
 }
 
-// isNextOfKey tells whether the key's earlier batches are over, have all their outcomes, and the key has rested.
+// isNextOfKey reports whether all earlier batches of the key are done, none of their dispatches is in flight, and the
+// rest time after an uncertain outcome is over.
 func (r *Router) isNextOfKey(b *Batch) bool {
 	l := b.keyQueue
 	return l.batches[0] == b && l.inFlight == b.InFlight && (r.now >= l.restUntil || l.restExempt == b)
 }
 
-// placeBatch gives the engine with the lowest figure among those the batch may go to, and the one without a part.
-func (r *Router) placeBatch(b *Batch) (best *Engine, figure float64) {
+// placeBatch returns the engine with the lowest score (threads per core, with bonuses and penalties) of those that may
+// take the batch. It sets quotaLackingEngine to the best engine that only lacks quota, or nil.
+func (r *Router) placeBatch(batch *Batch) (best *Engine, bestScore float64) {
 	r.quotaLackingEngine = nil
-	others := len(b.dispatches) > 0 && slices.ContainsFunc(r.engines, func(e *Engine) bool {
-		return e.ejectedUntil == 0 && e.groupHealth[b.Group].ejectedUntil == 0 && !b.refusedBy(e) && r.allowed(b, e) &&
-			r.hasQuota(b, e)
+	preferOthers := len(batch.dispatches) > 0 && slices.ContainsFunc(r.engines, func(engine *Engine) bool {
+		return engine.ejectedUntil == 0 && engine.groupHealth[batch.Group].ejectedUntil == 0 && !batch.refusedBy(engine) &&
+			r.allowed(batch, engine) && r.hasQuota(batch, engine)
 	})
-	for _, e := range r.engines {
-		room := r.hasQuota(b, e)
-		if !room && !r.quotaOnDemand || !r.allowed(b, e) || others && b.refusedBy(e) || !r.canAccept(b, e) {
+	for _, engine := range r.engines {
+		hasQuota := r.hasQuota(batch, engine)
+		if !hasQuota && !r.quotaOnDemand || !r.allowed(batch, engine) || preferOthers && batch.refusedBy(engine) ||
+			!r.canAccept(batch, engine) {
 			continue
 		}
-		f := r.estimateLoad(e).threads
-		if g := b.Group; g.LocksDataSet || g.WaitsForLock {
-			// A load holds its data set on its engine; what waits for it stands still there with its memory.
-			if slices.ContainsFunc(e.inFlight, func(d *dispatch) bool {
-				return d.batch.DataSet == b.DataSet && (d.batch.Group.LocksDataSet || g.LocksDataSet && d.batch.Group.WaitsForLock)
+		score := r.estimateLoad(engine).threads
+		if g := batch.Group; g.LocksDataSet || g.WaitsForLock {
+			// A load locks its data set on its engine; a batch that waits for the lock keeps its memory meanwhile.
+			if slices.ContainsFunc(engine.inFlight, func(d *dispatch) bool {
+				return d.batch.DataSet == batch.DataSet &&
+					(d.batch.Group.LocksDataSet || g.LocksDataSet && d.batch.Group.WaitsForLock)
 			}) {
-				f += lockedDataPenalty
+				score += lockedDataPenalty
 			}
-		} else if (r.routerCount <= 1 || r.hasFreshReport(e) || r.now < e.othersValidUntil) &&
-			shares.Mix(math.Float64bits(b.DataSet)>>24+1, uint64(e.ID))*float64(len(r.engines)) < warmDataEngines {
-			f -= warmDataBonus
-		} else if r.now < e.othersValidUntil && r.randomFloat()*float64(len(r.engines)) >= sampledEngines {
-			f += unsampledPenalty
+		} else if (r.routerCount <= 1 || r.hasFreshReport(engine) || r.now < engine.othersValidUntil) &&
+			shares.Mix(math.Float64bits(batch.DataSet)>>24+1, uint64(engine.ID))*float64(len(r.engines)) < warmDataEngines {
+			score -= warmDataBonus
+		} else if r.now < engine.othersValidUntil && r.randomFloat()*float64(len(r.engines)) >= sampledEngines {
+			score += unsampledPenalty
 		}
-		h := e.groupHealth[b.Group]
-		f += failurePenalty * h.failures / (h.successes + h.failures + 4)
-		if room && (best == nil || f < figure) {
-			best, figure = e, f
-		} else if !room && (r.quotaLackingEngine == nil || f < r.quotaLackingScore) {
-			r.quotaLackingEngine, r.quotaLackingScore = e, f
+		h := engine.groupHealth[batch.Group]
+		score += failurePenalty * h.failures / (h.successes + h.failures + 4)
+		if hasQuota && (best == nil || score < bestScore) {
+			best, bestScore = engine, score
+		} else if !hasQuota && (r.quotaLackingEngine == nil || score < r.quotaLackingScore) {
+			r.quotaLackingEngine, r.quotaLackingScore = engine, score
 		}
 	}
-	return best, figure
+	return best, bestScore
 }
 
-// refusedBy: its word was no. On an engine that takes one batch at a time a connection, silence counts too:
-// no check tells there which of the two is silent, and three dispatches went to one silent engine. Elsewhere
-// that was no gain (brno-klima-later 0.873 to 0.870). It hurts where only the one was slow.
+// refusedBy reports whether a dispatch of the batch was rejected or failed with an error at the engine. On an engine that
+// takes one batch at a time per connection a time-out counts as well: no check can tell there whether the engine or the
+// batch is silent, and three dispatches went to one silent engine. Elsewhere counting time-outs was no gain
+// (brno-klima-later 0.873 to 0.870). Drawback: the engine is avoided also where only that one batch was slow.
 func (b *Batch) refusedBy(e *Engine) bool {
 	return slices.ContainsFunc(b.dispatches, func(d *dispatch) bool {
-		return d.engine == e && d.ended && (d.outcome == Rejected || d.outcome == Errored || d.outcome == TimedOut && e.OneBatchPerConnection)
+		return d.engine == e && d.ended &&
+			(d.outcome == Rejected || d.outcome == Errored || d.outcome == TimedOut && e.OneBatchPerConnection)
 	})
 }
 
-// allowed: what the rules say, at every dispatch.
+// allowed reports whether the placement rules let a batch go to an engine: its phase, the route and the group's zones and
+// kinds, and for a batch that may have run the scope of its deduplication.
 func (r *Router) allowed(b *Batch, e *Engine) bool {
 	g, at := b.Group, b.mayHaveRunOn
 	return e.Phase == Ready && b.Route.Goes(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
@@ -705,144 +877,163 @@
 			(g.DedupScope != WithinCell || e.Cell == at.Cell))
 }
 
-// hasQuota: what a cold engine bears is divided among all routers, by a fixed division or by talk.
+// hasQuota reports whether this router may send the batch to the engine. The work that a cold engine can take is divided
+// among all routers, either by a fixed division or by a quota coordinator.
 func (r *Router) hasQuota(b *Batch, e *Engine) bool {
 	return !r.inSlowStart(e) || !r.stopping && r.quota.Room(r.now, e.startID(), b.likelyWork)
 }
 
-// inSlowStart tells whether an engine may still be slow after its start. The time of the start is another machine's
-// and may be off by hours, so it only tells one start from another: slow start runs on our clock, from when
-// the start was first heard of.
+// inSlowStart reports whether an engine is cold, that is, may still be slow after its start. The start time comes from
+// another machine's clock, which may be off by hours, so it only distinguishes one start from another: slow start is
+// measured by this router's clock, from when the start was first reported.
 func (r *Router) inSlowStart(e *Engine) bool {
 	return e.StartedAt != 0 && r.now < e.startReceivedAt+r.slowStartTime
 }
 
-// canAccept: bounds, health and memory. An engine set aside is tried with one batch at a time once its time has
-// come, or at once while most are set aside: nearly all failing is more likely the network's doing, or ours.
-func (r *Router) canAccept(b *Batch, e *Engine) bool {
-	here := func(d *dispatch) bool { // where a copy may not go
-		return !d.ended && (d.engine == e || b.Route.OtherZone() && d.engine.Zone == e.Zone)
-	}
-	if b.InFlight > 0 && slices.ContainsFunc(b.dispatches, here) || !b.Route.RoomAt(e.countSharing(b)) ||
-		len(b.dispatches) > 0 && !e.RetryBudget.May(r.now) || // what has failed elsewhere must not fall on one
-		e.ConcurrencyLimit != nil && float64(len(e.inFlight)) >= e.ConcurrencyLimit.Limit() {
+// canAccept reports whether concurrency limits, retry budget, health and memory of an engine let it take a batch. An
+// ejected engine is tried with one batch at a time once its ejection time is over, or at once while most engines are
+// ejected: if nearly all fail, the cause is more likely the network or this router.
+func (r *Router) canAccept(batch *Batch, engine *Engine) bool {
+	conflicts := func(d *dispatch) bool { // a copy must not go to the engine, or the zone, of the first dispatch
+		return !d.ended && (d.engine == engine || batch.Route.OtherZone() && d.engine.Zone == engine.Zone)
+	}
+	if batch.InFlight > 0 && slices.ContainsFunc(batch.dispatches, conflicts) ||
+		!batch.Route.RoomAt(engine.countSharing(batch)) ||
+		len(batch.dispatches) > 0 && !engine.RetryBudget.May(r.now) || // retries must not all go to one engine
+		engine.ConcurrencyLimit != nil && float64(len(engine.inFlight)) >= engine.ConcurrencyLimit.Limit() {
 		return false
 	}
-	for _, h := range []*health{&e.health, e.groupHealth[b.Group]} {
-		all := h == &e.health
-		trial := func(d *dispatch) bool { return d.sentAt >= h.ejectedAt && (all || d.batch.Group == b.Group) }
-		if h.ejectedUntil > 0 && (r.now < h.ejectedUntil && !r.mostEjected || slices.ContainsFunc(e.inFlight, trial)) {
+	for _, h := range []*health{&engine.health, engine.groupHealth[batch.Group]} {
+		wholeEngine := h == &engine.health
+		isTrial := func(d *dispatch) bool {
+			return d.sentAt >= h.ejectedAt && (wholeEngine || d.batch.Group == batch.Group)
+		}
+		if h.ejectedUntil > 0 && (r.now < h.ejectedUntil && !r.mostEjected || slices.ContainsFunc(engine.inFlight, isTrial)) {
 			return false
 		}
 	}
-	// A small batch may go where a heavy one may not: it needs room for some of its like, of which routers
-	// that act alike send one each, but never more than the share that counts as full leaves free.
-	need := min(b.memoryNeed*memoryMargin, r.maxGrantShare*e.memory)
-	full := unreportedMemoryLimit + (memoryLimit-unreportedMemoryLimit)*r.reportedShare
-	room := min(max(minSimilarRoom, extraSimilarRoom+r.similarRouters)*need, need+(1-full)*e.memory)
-	return need <= 0 || r.estimateLoad(e).memory*e.memory+room <= e.memory
+	// There must be room for some batches of the same need, as each router that acts on the same report may send one, but
+	// for no more than the share of memory beyond the limit. So a small batch may go where a heavy one may not.
+	need := min(batch.memoryNeed*memoryMargin, r.maxGrantShare*engine.memory)
+	usable := unreportedMemoryLimit + (memoryLimit-unreportedMemoryLimit)*r.reportedShare
+	room := min(max(minSimilarRoom, extraSimilarRoom+r.similarRouters)*need, need+(1-usable)*engine.memory)
+	return need <= 0 || r.estimateLoad(engine).memory*engine.memory+room <= engine.memory
 }
 
+// hasFreshReport reports whether an engine's last report is still believed.
 func (r *Router) hasFreshReport(e *Engine) bool {
 	return e.reported.batches > 0 && r.now < e.reportAt+reportLifetime
 }
 
-// estimateLoad: an engine's threads a core and share of memory spoken for, by whom ever. One router of hundreds
-// sees next to nothing of the rest, so reports are pooled over fleet and time; an old one leans to the pool,
-// no one counts as fuller. What was sent since a report counts once for each router that likely acts on its
-// like, or all meet on one. It hurts where one engine fills much faster than the fleet.
-func (r *Router) estimateLoad(e *Engine) resources {
-	var own, since resources
-	for _, d := range e.inFlight {
-		own = own.add(d.resources, 1)
-		if d.sentAt > e.reportAt-reportDelay {
-			since = since.add(d.resources, r.similarRouters)
+// estimateLoad returns an engine's threads per core and share of memory in use, by all routers. One router of hundreds
+// sees nearly nothing of the others' batches, so reports are averaged over the fleet and over time: an engine's estimate
+// moves towards the average as its report ages, and an engine without a report counts as fuller. What this router sent
+// since a report counts once for each router that probably acts on a similar report; otherwise all would choose the same
+// engine. Drawback: an engine that fills much faster than the fleet is underestimated.
+func (r *Router) estimateLoad(engine *Engine) resources {
+	var ownLoad, sinceReport resources
+	for _, d := range engine.inFlight {
+		ownLoad = ownLoad.add(d.resources, 1)
+		if d.sentAt > engine.reportAt-reportDelay {
+			sinceReport = sinceReport.add(d.resources, r.similarRouters)
 		}
 	}
-	own, since = own.perEngine(e), since.perEngine(e)
-	if r.now < e.othersValidUntil { // what all have out is told, but for what has come in the meantime
-		return own.add(e.othersLoad, 1)
+	ownLoad, sinceReport = ownLoad.perEngine(engine), sinceReport.perEngine(engine)
+	if r.now < engine.othersValidUntil { // the other routers report what they have in flight
+		return ownLoad.add(engine.othersLoad, 1)
 	}
-	all, others := resources{}.add(own, r.similarRouters), 1-1/r.routerCount
+	fleetLike, othersShare := resources{}.add(ownLoad, r.similarRouters), 1-1/r.routerCount
 	switch {
-	case r.hasFreshReport(e) && e.report.Memory < 0:
-		own.memory = all.memory
-	case r.hasFreshReport(e) && e.report.InFlight < 0: // reports that lack both are never believed
-		own.threads = all.threads
-	case r.hasFreshReport(e):
-	case r.inSlowStart(e): // only the few that share its budget send there, each like us
-		return resources{}.add(own, r.quotaSharers)
+	case r.hasFreshReport(engine) && engine.report.Memory < 0:
+		ownLoad.memory = fleetLike.memory
+	case r.hasFreshReport(engine) && engine.report.InFlight < 0: // a report that lacks both is never fresh
+		ownLoad.threads = fleetLike.threads
+	case r.hasFreshReport(engine):
+	case r.inSlowStart(engine): // only the routers that share its quota send there, each about as much as this one
+		return resources{}.add(ownLoad, r.quotaSharers)
 	case r.reportedShare == 0:
-		return all.add(r.averageLoad, others)
+		return fleetLike.add(r.averageLoad, othersShare)
 	default:
-		return all.add(resources{0, unreportedThreadFactor * r.averageLoad.threads, unreportedMemoryFactor * r.averageLoad.memory}, others)
+		return fleetLike.add(resources{0, unreportedThreadFactor * r.averageLoad.threads,
+			unreportedMemoryFactor * r.averageLoad.memory}, othersShare)
 	}
-	old := (r.now - e.reportAt) / reportLifetime
-	sum := since.add(e.reported, 1-old).add(r.averageLoad, old)
-	return resources{0, max(own.threads, sum.threads), max(own.memory, sum.memory)}
+	age := (r.now - engine.reportAt) / reportLifetime
+	sum := sinceReport.add(engine.reported, 1-age).add(r.averageLoad, age)
+	return resources{0, max(ownLoad.threads, sum.threads), max(ownLoad.memory, sum.memory)}
 }
 
-func (r *Router) send(b *Batch, e *Engine) Decision {
-	r.dequeue(b)
-	if len(b.dispatches) > 0 {
+// send records a dispatch of the batch to the engine and returns the decision for it. If the engine takes grants or
+// priorities, a Terms decision comes first and the Dispatch follows.
+func (r *Router) send(batch *Batch, engine *Engine) Decision {
+	r.dequeue(batch)
+	if len(batch.dispatches) > 0 {
 		r.retries = append(r.retries, r.now)
-		b.Route.Again(r.now)
+		batch.Route.Again(r.now)
 		r.retryBudget.Again(r.now)
-		e.RetryBudget.Again(r.now)
+		engine.RetryBudget.Again(r.now)
 	} else {
-		e.RetryBudget.Took(r.now)
-	}
-	if b.InFlight > 0 {
-		b.Route.Copied(r.now)
-	}
-	b.Route.Uses(r.now, 1, 0)
-	d := &dispatch{batch: b, engine: e, number: len(b.dispatches), sentAt: r.now, pausedBefore: r.totalPause,
-		resources: resources{1, b.Group.Threads, min(b.memoryNeed*memoryMargin, r.maxGrantShare*e.memory)}}
-	b.dispatches = append(b.dispatches, d)
-	e.inFlight = append(e.inFlight, d)
-	b.InFlight++
-	b.keyQueue.inFlight++
-	if r.inSlowStart(e) {
-		r.quota.Spend(r.now, e.startID(), b.likelyWork)
-	}
-	wait := b.deadline - r.now
-	g, again := b.Group, b.Group.Idempotency == Idempotent || b.Group.Idempotency == Deduplicated && e.OneBatchPerConnection
-	if again && len(b.dispatches) < r.maxTries(b) {
-		own := overdueFactor*b.timeAlone*g.stretch.quantile(0.98, 16) + 0.2
-		if early := b.usefulUntil - r.now - r.timeNeeded(b) - sweepInterval; early > b.timeAlone*g.stretch.quantile(0.9, 8) {
-			own = min(own, early) // else a lost answer leaves no time for another try
-		}
-		// Nothing can be asked beside a batch on an engine that takes one at a time a connection, so a time-out
-		// alone tells there of a lost answer to a referenced one. It hurts where such a batch was only slow: its
-		// repeat costs a dispatch, and is answered once the first has ended.
-		inTime := g.Idempotency == Idempotent || own+1 < g.DedupWindow && r.safeToRetry(b, own+1)
-		if r.now+own+2*b.timeAlone < b.deadline && inTime {
-			wait = own
-		}
-	}
-	if b.Group.Idempotency != AtMostOnce { // a time-out would only lose its answer
-		wait = b.Route.Within(wait)
-	}
-	out := Decision{Kind: Dispatch, Batch: b, Engine: e, Number: d.number, Wait: wait}
-	if g.Idempotency == Deduplicated && b.mayHaveRunOn != nil { // engines forget what ran, also while a connection comes up
-		out.SendBefore = b.dedupDeadline()
+		engine.RetryBudget.Took(r.now)
+	}
+	if batch.InFlight > 0 {
+		batch.Route.Copied(r.now)
+	}
+	batch.Route.Uses(r.now, 1, 0)
+	attempt := &dispatch{
+		batch:        batch,
+		engine:       engine,
+		number:       len(batch.dispatches),
+		sentAt:       r.now,
+		pausedBefore: r.totalPause,
+		resources:    resources{1, batch.Group.Threads, min(batch.memoryNeed*memoryMargin, r.maxGrantShare*engine.memory)},
+	}
+	batch.dispatches = append(batch.dispatches, attempt)
+	engine.inFlight = append(engine.inFlight, attempt)
+	batch.InFlight++
+	batch.keyQueue.inFlight++
+	if r.inSlowStart(engine) {
+		r.quota.Spend(r.now, engine.startID(), batch.likelyWork)
+	}
+	wait := batch.deadline - r.now
+	group, mayRepeat := batch.Group, batch.Group.Idempotency == Idempotent ||
+		batch.Group.Idempotency == Deduplicated && engine.OneBatchPerConnection
+	if mayRepeat && len(batch.dispatches) < r.maxTries(batch) {
+		timeout := overdueFactor*batch.timeAlone*group.stretch.quantile(0.98, 16) + 0.2
+		if latestUseful := batch.usefulUntil - r.now - r.timeNeeded(batch) - sweepInterval; latestUseful >
+			batch.timeAlone*group.stretch.quantile(0.9, 8) {
+			timeout = min(timeout, latestUseful) // otherwise a lost answer leaves no time for a retry
+		}
+		// On an engine that takes one batch at a time per connection nothing else can be asked there meanwhile, so only a
+		// time-out shows that the answer to a deduplicated batch was lost. Drawback: where such a batch was only slow, its
+		// retry costs a dispatch and is answered once the first has ended.
+		inTime := group.Idempotency == Idempotent || timeout+1 < group.DedupWindow && r.safeToRetry(batch, timeout+1)
+		if r.now+timeout+2*batch.timeAlone < batch.deadline && inTime {
+			wait = timeout
+		}
+	}
+	if batch.Group.Idempotency != AtMostOnce { // such a batch can't be retried, so a time-out would only lose its answer
+		wait = batch.Route.Within(wait)
+	}
+	decision := Decision{Kind: Dispatch, Batch: batch, Engine: engine, Number: attempt.number, Wait: wait}
+	if group.Idempotency == Deduplicated && batch.mayHaveRunOn != nil {
+		// Engines may forget the deduplication mark while a connection is being established.
+		decision.SendBefore = batch.dedupDeadline()
 	}
 	if !r.grants && !r.priorities {
-		return out
+		return decision
 	}
-	terms := Decision{Kind: Terms, Batch: b, Priority: 1}
+	terms := Decision{Kind: Terms, Batch: batch, Priority: 1}
 	if r.grants {
-		terms.Memory = min(d.resources.memory*r.grantFactor, r.maxGrantShare*e.memory)
+		terms.Memory = min(attempt.resources.memory*r.grantFactor, r.maxGrantShare*engine.memory)
 	}
 	if r.priorities {
-		doublings := math.Log2(max(2*b.demand/max(r.meanDemand, 1e-6), 0.25)) // 3 under half the mean
+		doublings := math.Log2(max(2*batch.demand/max(r.meanDemand, 1e-6), 0.25)) // gives priority 3 below half the mean demand
 		terms.Priority = min(max(3-int(math.Ceil(doublings/2)), 0), 3)
 	}
-	r.pending = append(r.pending, out)
+	r.pending = append(r.pending, decision)
 	return terms
 }
 
-// nextProbe gives the engine whose load is to be asked for, within what a probe is worth.
+// nextProbe returns the engine to probe for its load next, or nil while the credit for probes is too small or none is due.
 func (r *Router) nextProbe() *Engine {
 	if !r.mayProbe || r.probeCredit < r.probeCost() {
 		return nil
@@ -850,9 +1041,9 @@
 	var oldest *Engine
 	for _, e := range r.engines {
 		due := e.Phase == Ready && !e.probing && r.now > e.probedAt+minProbeInterval
-		// A cold one comes last: what goes there is bounded by its budget, whatever its load.
-		if last := r.inSlowStart(e); due && (oldest == nil || r.inSlowStart(oldest) && !last ||
-			r.inSlowStart(oldest) == last && e.probedAt < oldest.probedAt) {
+		// Cold engines come last: what is sent there is bounded by their quota, whatever their load.
+		if cold := r.inSlowStart(e); due && (oldest == nil || r.inSlowStart(oldest) && !cold ||
+			r.inSlowStart(oldest) == cold && e.probedAt < oldest.probedAt) {
 			oldest = e
 		}
 	}
