--- a/brain/brain.go
+++ b/brain/brain.go
@@ -108,7 +108,7 @@
 const (
 	slopePrior            = 8.0 // pairs of estimated and actual work assumed to be exact at the start
 	uncertaintyDeviations = 2.0 // standard deviations that count as safe
-	fullLoadSlowdown      = 1.0 // a batch takes this many times its time alone longer at full load
+	fullLoadSlowdown      = 1.0 // extra time of a batch at full load, as a multiple of its time alone
 	maxPlacementTries     = 16  // batches in one call of Next for which no engine was found
 	overdueFactor         = 2.0 // a dispatch is overdue after this many times the longest usual time
 	restartGain           = 2.0 // a dispatch is restarted if the rest takes this many times a fresh start
