--- a/brain/figures.go
+++ b/brain/figures.go
@@ -7,8 +7,9 @@
 	"pitchfield/internal/limits"
 )
 
-// Figures that decisions rest on; nothing is decided here.
+// This file holds the arithmetic that decisions use.
 
+// add counts one ratio.
 func (h *histogram) add(ratio float64) {
 	bin := int(math.Ceil(2*math.Log2(max(ratio, 0.1)))) + 1
 	h.bins[min(max(bin, 0), len(h.bins)-1)]++
@@ -20,7 +21,8 @@
 	}
 }
 
-// quantile gives the upper edge of the bin that holds the share; unless enough was seen, the usual one.
+// quantile returns the upper bound of the bin in which the share of all ratios is reached, or the usual value while the
+// total is below 16.
 func (h *histogram) quantile(share, usual float64) float64 {
 	if h.total < 16 {
 		return usual
@@ -34,7 +36,7 @@
 	return usual
 }
 
-// countSharing counts dispatches out at an engine that count against the same bound as a batch's route.
+// countSharing counts the dispatches in flight at an engine under the same concurrency limit as the batch's route.
 func (e *Engine) countSharing(b *Batch) (n int) {
 	for _, d := range e.inFlight {
 		if b.Route.Shares(d.batch.Route) {
@@ -44,12 +46,12 @@
 	return n
 }
 
-// isZero: no level of reduced service holds.
+// isZero reports whether no level of reduced service is in effect.
 func (l *ReducedService) isZero() bool {
 	return l.KeepShare == nil && l.MinUtilityPerSecond == 0 && l.MaxRetries == 0 && l.ProbeShare == 0 && l.GiveUpFactor == 0
 }
 
-// sample is what an adaptive limit is told of a dispatch that has ended.
+// sample returns what an adaptive concurrency limit learns from a dispatch that has ended.
 func (d *dispatch) sample(now, took, work float64) limits.Sample {
 	alone := d.batch.timeAlone
 	if work > 0 {
@@ -59,14 +61,17 @@
 	return limits.Sample{Now: now, Took: took, Alone: alone, Out: len(d.engine.inFlight) + 1, Bad: bad}
 }
 
+// add returns the sum of a and b multiplied by times.
 func (a resources) add(b resources, times float64) resources {
 	return resources{a.batches + times*b.batches, a.threads + times*b.threads, a.memory + times*b.memory}
 }
 
+// perEngine relates threads to the engine's cores and memory to its memory.
 func (a resources) perEngine(e *Engine) resources {
 	return resources{a.batches, a.threads / e.cores, a.memory / max(e.memory, 1)}
 }
 
+// clampNonNegative limits v to the range from 0 to most; NaN becomes 0.
 func clampNonNegative(v, most float64) float64 {
 	if !(v > 0) {
 		return 0
@@ -74,10 +79,12 @@
 	return min(v, most)
 }
 
+// without removes an element from a list, in place.
 func without[T comparable](list []T, one T) []T {
 	return slices.DeleteFunc(list, func(t T) bool { return t == one })
 }
 
+// sanitize limits the values of a report to 1e4; negative values and NaN become -1, which stands for a missing value.
 func sanitize(rep Report) Report {
 	for _, v := range []*float64{&rep.InFlight, &rep.Waiting, &rep.CPU, &rep.Memory, &rep.Disks} {
 		if *v = min(*v, 1e4); !(*v >= 0) {
@@ -87,7 +94,7 @@
 	return rep
 }
 
-// randomFloat gives the next number below 1 of the router's own chance.
+// randomFloat returns the next number from 0 to below 1 of the router's own multiply-with-carry generator.
 func (r *Router) randomFloat() float64 {
 	r.randomState = 4294957665*(r.randomState&0xffffffff) + r.randomState>>32
 	return float64(r.randomState&0xffffffff) / (1 << 32)
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -7,16 +7,20 @@
 	"pitchfield/internal/shares"
 )
 
-// Stats is what the module holds now, for hosts that watch it. Nothing is decided here.
+// Stats is a snapshot of what the router holds, for monitoring.
 type Stats struct {
-	Queued, InFlight         int     // batches that wait, and dispatches that are out
-	QueuedWork               float64 // seconds of work that the held ones need, as estimated
-	Engines                  int     // of the list that are not gone
-	Cold, Ejected, Draining  int     // of those
-	Load, AdmissionThreshold float64
+	Queued             int     // batches in the queue
+	InFlight           int     // dispatches in flight
+	QueuedWork         float64 // estimated work of the queued batches, seconds
+	Engines            int     // engines that are not gone
+	Cold               int     // of these: in slow start
+	Ejected            int     // of these: ejected
+	Draining           int     // of these: draining
+	Load               float64 // estimated load of the fleet, a share of its capacity
+	AdmissionThreshold float64 // threads per core
 }
 
-// Stats tells it.
+// Stats returns the current statistics.
 func (r *Router) Stats() Stats {
 	s := Stats{Queued: len(r.queue), Load: r.load, AdmissionThreshold: r.admissionThreshold}
 	for _, b := range r.queue {
@@ -40,36 +44,38 @@
 	return s
 }
 
-// ReducedService is how a level of reduced service changes what is taken. The zero value changes nothing.
+// ReducedService is a level of reduced service: how it changes which batches are taken. The zero value changes nothing.
 type ReducedService struct {
 	KeepShare           map[*ServiceGroup]float64 // share of a group's batches that is still taken; absent: all
-	MinUtilityPerSecond float64                   // utility for a second of work that a batch must promise; 0: any
-	MaxRetries          int                       // dispatches after the first, at most; below 0: none; 0: as the settings say
-	ProbeShare          float64                   // share of the probes; 0: all
-	GiveUpFactor        float64                   // a batch is given up when so many times its time is not left; 0: once
+	MinUtilityPerSecond float64                   // least utility per second of work of a batch that is taken; 0: any
+	MaxRetries          int                       // dispatches after the first; below 0: none; 0: as configured
+	ProbeShare          float64                   // share of the probes that are still sent; 0: all
+	GiveUpFactor        float64                   // a batch is given up once less than this times its time needed is left; 0: 1
 }
 
-// SetRetryBudget brings the operators' budget of further dispatches of all batches; nil: none.
+// SetRetryBudget sets the operators' budget for the retries of all batches; nil: none.
 func (r *Router) SetRetryBudget(all *limits.Budget) { r.retryBudget = all }
 
-// Deadline is when a batch must have its final answer, by the module's clock in seconds.
+// Deadline returns when a batch must have its final answer, in seconds on the clock of SetTime.
 func (b *Batch) Deadline() float64 { return b.deadline }
 
-// Demand is the work that a batch was estimated to need when it was taken, in seconds.
+// Demand returns the work in seconds that a batch was estimated to need when it was added.
 func (b *Batch) Demand() float64 { return b.demand }
 
-// FixedQuota is how work for cold engines is divided among the routers where they don't talk.
+// FixedQuota returns how work for cold engines is divided among the routers if they use no quota coordinator.
 func (r *Router) FixedQuota() shares.Fixed { return r.fixedQuota }
 
+// startID identifies the engine's start for the quota.
 func (e *Engine) startID() shares.Start {
 	return shares.Start{Engine: e.ID, At: e.StartedAt, Cores: e.cores}
 }
 
-// SetQuota brings a division that goes by what is wanted, in place of the fixed one. What was sent by that is not known to it,
-// so it comes before the first batch, or opens late.
+// SetQuota replaces the fixed division by a quota that is moved to the routers that want it. It does not know what was
+// sent under the fixed division, so it must be set before the first batch, or start with a delay.
 func (r *Router) SetQuota(parts shares.Parts) { r.quota, r.quotaOnDemand = parts, true }
 
-// QuotaGranted: a part has come, so batches that were put off for want of one look again at once. What rests by its route rests on.
+// QuotaGranted records that quota has arrived: batches that waited for it are considered again at once. Batches that rest
+// because of their route keep resting.
 func (r *Router) QuotaGranted() {
 	for _, b := range r.queue {
 		if b.wantsQuota {
@@ -79,11 +85,11 @@
 	r.gateOpensAt = min(r.gateOpensAt, r.now)
 }
 
-// SetRouterCount brings how many routers are there. While that is not sure hosts tell the larger number, so that more are taken to act
-// on the like of what is seen here.
+// SetRouterCount sets the number of routers. While it is uncertain, hosts pass the larger number, so that more routers are
+// assumed to act on the same reports.
 func (r *Router) SetRouterCount(routers int) { r.routerCount = max(float64(routers), 1) }
 
-// InFlightResources is what this router has out at an engine: threads, and MB of memory.
+// InFlightResources returns what this router has in flight at an engine: threads, and memory in MB.
 func (e *Engine) InFlightResources() (threads, memory float64) {
 	for _, d := range e.inFlight {
 		threads, memory = threads+d.resources.threads, memory+d.resources.memory
@@ -91,11 +97,13 @@
 	return threads, memory
 }
 
-// SetOthersLoad brings what all other routers have out at an engine, which holds until a time.
+// SetOthersLoad sets the threads and the memory, in MB, that all other routers have in flight at an engine. The values are
+// believed until the given time.
 func (r *Router) SetOthersLoad(e *Engine, threads, memory, until float64) {
 	e.othersLoad, e.othersValidUntil = resources{0, threads, memory}.perEngine(e), until
 }
 
+// log adds a Log decision.
 func (r *Router) log(format string, args ...any) {
 	r.pending = append(r.pending, Decision{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
