--- a/brain/host_test.go
+++ b/brain/host_test.go
@@ -2,99 +2,106 @@
 
 import "testing"
 
-// host is the tiny fake host of the stories: it pulls, keeps what was decided, wakes the router when asked.
+// host is a minimal host for tests: it takes the router's decisions, records them, and fires timers that were asked for.
 type host struct {
 	*Router
-	t     *testing.T
-	now   float64
-	wake  float64
-	did   []Decision
-	ids   uint64
-	group *ServiceGroup
+	t       *testing.T
+	now     float64
+	timerAt float64 // of the router's timer; 1e9: none
+	made    []Decision
+	lastID  uint64 // of the batches
+	group   *ServiceGroup
 }
 
-func settings(groups ...*ServiceGroup) Settings {
+// testSettings returns settings for one router with these groups.
+func testSettings(groups ...*ServiceGroup) Settings {
 	return Settings{Routers: 1, Groups: groups, EngineKinds: []EngineKind{{8, 16000}},
 		MaxGrantShare: 0.5, MemoryPolicy: WaitForMemory, MaxRetryDelay: 0.5, MaxDispatches: 3, ColdCapacityShare: 0.4,
 		SlowStartTime: 10, OverloadFactor: 2, OverloadWindow: 1, SettleTime: 0.5, Tick: 0.005}
 }
 
-func fleet(routers int) Settings {
-	s := settings(lookups())
+// fleetSettings returns settings for the first of several routers.
+func fleetSettings(routers int) Settings {
+	s := testSettings(lookupGroup())
 	s.Routers = routers
 	return s
 }
 
-func lookups() *ServiceGroup {
+// lookupGroup returns a group of short idempotent batches.
+func lookupGroup() *ServiceGroup {
 	return &ServiceGroup{Idempotency: Idempotent, Goal: 1, Limit: 4, Utility: 1, Threads: 1}
 }
 
-// newHost starts a router at 100 s with so many warm engines of 8 cores.
+// newHost starts a router at 100 s with a number of warm engines of 8 cores.
 func newHost(t *testing.T, s Settings, engines int) (*host, []*Engine) {
-	h := &host{Router: New(s, 7+uint64(s.Index)*0x9e3779b9, 100), t: t, now: 100, wake: 1e9, group: s.Groups[0]}
+	h := &host{Router: New(s, 7+uint64(s.Index)*0x9e3779b9, 100), t: t, now: 100, timerAt: 1e9, group: s.Groups[0]}
 	var list []*Engine
 	for i := range engines {
 		list = append(list, &Engine{ID: uint32(i + 1), Phase: Ready, Zone: i, Cell: i})
 	}
 	h.SetTime(h.now)
 	h.UpdateEngines(list, true)
-	h.pull()
+	h.pullDecisions()
 	return h, list
 }
 
-func (h *host) pull() {
+// pullDecisions takes decisions until there are no more.
+func (h *host) pullDecisions() {
 	for range 100000 {
 		d := h.Next()
 		if d.Kind == NoDecision {
 			return
 		}
 		if d.Kind == WakeAt {
-			h.wake = min(h.wake, d.At)
+			h.timerAt = min(h.timerAt, d.At)
 		}
-		h.did = append(h.did, d)
+		h.made = append(h.made, d)
 	}
-	h.t.Fatal("the router never stops deciding")
+	h.t.Fatal("Next returned 100000 decisions without NoDecision")
 }
 
-// pass lets time go by; the router is woken as it asked.
-func (h *host) pass(seconds float64) {
+// advance lets time pass and fires the router's timers.
+func (h *host) advance(seconds float64) {
 	for end := h.now + seconds; ; {
-		at := min(h.wake, end)
+		at := min(h.timerAt, end)
 		h.now = max(at, h.now)
 		h.SetTime(h.now)
 		if at == end {
 			return
 		}
-		h.wake = 1e9
+		h.timerAt = 1e9
 		h.TimerFired()
-		h.pull()
+		h.pullDecisions()
 	}
 }
 
-func (h *host) take(edit func(*Batch)) *Batch {
-	h.ids++
-	b := &Batch{ID: h.ids, Group: h.group, Client: -1, TimeLeft: h.group.Limit, EstimatedWork: 0.1}
+// addBatch adds a batch of 0.1 s of work, changed by edit unless that is nil.
+func (h *host) addBatch(edit func(*Batch)) *Batch {
+	h.lastID++
+	b := &Batch{ID: h.lastID, Group: h.group, Client: -1, TimeLeft: h.group.Limit, EstimatedWork: 0.1}
 	if edit != nil {
 		edit(b)
 	}
 	h.AddBatch(b)
-	h.pull()
+	h.pullDecisions()
 	return b
 }
 
-func (h *host) end(b *Batch, end Outcome) {
+// endDispatch ends the last dispatch of a batch.
+func (h *host) endDispatch(b *Batch, end Outcome) {
 	d := b.dispatches[len(b.dispatches)-1]
 	h.DispatchEnded(b, d.number, end, end == Completed, h.now-d.sentAt, b.EstimatedWork, 0, nil)
-	h.pull()
+	h.pullDecisions()
 }
 
-func (h *host) report(e *Engine, held float64) {
-	h.ProbeEnded(e, true, &Report{InFlight: held, Waiting: -1, CPU: -1, Memory: -1, Disks: -1})
+// reportLoad reports a number of batches in flight at an engine and nothing else.
+func (h *host) reportLoad(e *Engine, inFlight float64) {
+	h.ProbeEnded(e, true, &Report{InFlight: inFlight, Waiting: -1, CPU: -1, Memory: -1, Disks: -1})
 }
 
-// of gives the decisions of a kind, about one batch or, with nil, any.
-func (h *host) of(k DecisionKind, b *Batch) (out []Decision) {
-	for _, d := range h.did {
+// decisions returns the decisions of a kind so far, for one batch or, with nil, for any.
+func (h *host) decisions(k DecisionKind, b *Batch) (out []Decision) {
+	for _, d := range h.made {
 		if d.Kind == k && (b == nil || d.Batch == b) {
 			out = append(out, d)
 		}
@@ -102,9 +109,9 @@
 	return out
 }
 
-// crowd fills every engine so that the gate is all but shut.
-func (h *host) crowd(list []*Engine) {
+// saturate has every engine report so many batches that the gate is nearly always closed.
+func (h *host) saturate(list []*Engine) {
 	for _, e := range list {
-		h.report(e, 1e4)
+		h.reportLoad(e, 1e4)
 	}
 }
