--- a/brain/brain.go
+++ b/brain/brain.go
@@ -467,7 +467,7 @@
 		case Completed:
 			attempt.engine.lastSeenAt, h.successes, h.consecutiveFailures = r.now, h.successes+1, 0
 			if h.ejectedUntil > 0 && attempt.sentAt >= h.ejectedAt {
-				r.log("engine %d: ejection ends after %.1f s", attempt.engine.ID, h.backoff)
+				r.log("engine %d back after %.1f s", attempt.engine.ID, h.backoff)
 				h.ejectedUntil, h.backoff = 0, h.backoff/2
 			}
 		case ConnectFailed, ConnectionLost, Rejected, Errored:
@@ -492,7 +492,7 @@
 func (r *Router) eject(engine *Engine, h *health, reason string) {
 	h.ejectedAt, h.backoff = r.now, min(max(minEjectionTime, 2*h.backoff), maxEjectionTime)
 	h.ejectedUntil = r.now + h.backoff*(0.75+0.5*r.randomFloat())
-	r.log("engine %d: ejected for %.1f s: %s, successes %.0f, failures %.0f, all groups %t", engine.ID, h.backoff, reason,
+	r.log("engine %d aside for %.1f s: %s, good %.0f bad %.0f, for all groups %t", engine.ID, h.backoff, reason,
 		h.successes, h.failures, h == &engine.health)
 }
 
