--- a/brain/brain.go
+++ b/brain/brain.go
@@ -1,7 +1,11 @@
-// Package brain holds all decisions of a router, its tables and its tuned values; its interface is types.go.
-// How to call it: New, then for each round Clock, then what came in (Listed, Take, Outcome, Left, News,
-// Probed, Woken), which only updates what is known; then Next until it answers Nothing, doing each decision.
-// Nothing here knows the time, draws chance or meets another router but through these calls.
+// Package brain is the scheduler of a router: it decides which batch is dispatched when and to which engine, and
+// when a batch is retried, hedged, rejected or failed. types.go holds its data types and seen.go the rest of its interface.
+//
+// A host creates a Router with New. In each round it calls SetTime, then one method for each event (UpdateEngines,
+// AddBatch, DispatchEnded, RemoveBatch, DispatchUpdated, ProbeEnded, TimerFired), which only record what is known,
+// and then Next until it returns NoDecision, carrying out each decision. The package is deterministic: it reads no
+// clock, uses no random numbers but those of its seed, and communicates only through these calls. A Router is not
+// safe for concurrent use. All times are in seconds.
 package brain
 
 import (
@@ -15,421 +19,563 @@
 	"pitchfield/internal/shares"
 )
 
-// The design's values (ours to tune) and those of what it leaves open. Times are seconds.
+// The admission threshold is the load of an engine, in threads per core, below which a batch is started there at once.
+// It follows the measured stretch of answers (the time taken over the time alone on an idle engine).
 const (
-	firstMark, leastMark, mostMark = 1.5, 0.4, 4.0 // threads a core below which a batch starts
-
-	markStep, goodStretch = 0.02, 1.5 // it follows answers to this time over time alone: full, not crowded
-	// Where all are told of the same loads, a few drawn engines are looked at first, or all meet on the idlest.
-	looked, passed     = 3.0, 1.0 // so many; threads a core by which the others have to be emptier
-	homeBonus, homes   = 0.4, 2   // threads a core that a likely warm data set is worth, on so many engines
-	blocked, slowLimit = 2.0, 4   // threads a core for a load on the data set; slow batches that wait
-
-	firstLoad, mostLoad, loadTime = 0.9, 0.95, 2.0 // load until something is seen, its clamp, and its pace
-
-	redrawLeast, redrawMost   = 0.05, 0.2
-	reportLag, reportStale    = 0.4, 1.4 // a report is about this old when it comes; then believed for so long
-	blindThreads, blindMemory = 2.0, 8.0 // an engine without one counts as so many times as full as the pool
-	poolTime, presentTime     = 4.0, 5.0 // how long reports count towards that, and own dispatches without any
-
-	memoryFull, blindFull = 0.65, 0.55  // share of memory for heavy batches: all engines reported, and none
-	memoryRoom, roomSpare = 8.0, 4.0    // batches of its like that must find room before one is sent
-	memorySpare, generous = 1.25, 3.0   // grant over the corrected need; times that, where only need counts
-	probeWorth, probeRest = 0.005, 0.25 // of the result that probes may cost, and between those of an engine
-	warmLoad, coldShare   = 0.85, 0.95  // busy share that is capacity; of the cold budget
-	coldRouters, copyLoad = 16, 0.75    // routers that share it; load from which no second copies are sent
-
-	asideFirst, asideMost         = 1.0, 8.0      // an engine set aside is tried again then, doubled each time
-	rowMost, failCost, forgetTime = 6.0, 3.0, 8.0 // failures in a row; threads a core for sure ones, how long
-	notesMissed                   = 2.5           // times the pace of notes without one: the dispatch is lost
-	sweepEvery, standstill        = 0.05, 0.2     // woken so much too late, a router has stood still
-	// Clients leave on the dot: so much is for the ways and standstills. It hurts answers of the last moment.
-	wayShare, leastWay, mostWay = 0.05, 0.04, 0.25
-	slopePrior, unsure          = 8.0, 2.0 // pairs that speak for exact estimates at first; deviations held safe
-	trustLoad, mostTries        = 1.0, 16  // estimates more that full load takes; batches no engine fits, a pull
-	overdue, restartGain        = 2.0, 2.0 // times the usual longest time; a fresh start must be so much quicker
+	initialThreshold = 1.5  // threads per core
+	minThreshold     = 0.4  // threads per core
+	maxThreshold     = 4.0  // threads per core
+	thresholdStep    = 0.02 // relative change by one answer at most; twice that for a large batch
+	targetStretch    = 1.5  // an engine is full at this stretch, but not yet crowded
 )
 
-func New(s Settings, seed uint64, now float64) *Router {
-	r := &Router{groups: s.Groups, routers: max(float64(s.Routers), 1), index: s.Index, kinds: s.EngineKinds,
-		grants: s.Grants, priorities: s.Priorities, largestGrant: min(cmp.Or(max(s.LargestGrant, 0), 1), 1),
-		mayCancel: s.MayCancel, mayCopy: s.MayCopy, mayProbe: s.MayProbe, mustAsk: s.MustAsk, rationed: s.Rationed,
-		most: max(s.MostDispatches, 1), probeEvery: min(max(s.ProbePrice/probeWorth, 1), 16), coldTime: s.ColdTime,
-		settle: s.SettleTime, tick: s.Tick, freeFurther: s.FreeFurther, generous: 1,
-		further: s.FurtherShare, furtherWindow: s.FurtherWindow, now: now, started: now, comeBack: s.LongestDefer,
-		random: seed&0xffffffff | 1<<33, lanes: map[uint64]*lane{}, load: firstLoad, mark: firstMark,
-		swept: now, sweepAt: now, wakeAt: math.Inf(1), notesEvery: s.NotesEvery}
-	if r.grants && s.Shortage == Overcommit {
-		r.generous = generous
-	}
-	r.fixed = shares.Fixed{Routers: float64(s.Routers), Index: s.Index, Sharers: coldRouters, Began: now,
-		Whole: coldShare * s.FallMultiple * s.ColdFrom * warmLoad * s.FallTime, Window: s.FallTime}
-	r.parts, r.sharers = shares.NewPlain(r.fixed), min(r.routers, coldRouters)
-	for _, g := range s.Groups {
+// Scoring of engines for a batch.
+const (
+	// Where all routers know the same loads, a few randomly drawn engines are preferred: otherwise all routers would
+	// choose the same least loaded engine.
+	sampledEngines    = 3.0 // engines drawn
+	unsampledPenalty  = 1.0 // threads per core by which another engine must be less loaded
+	warmDataBonus     = 0.4 // threads per core that a data set that is probably cached is worth
+	warmDataEngines   = 2   // engines on which a data set is probably cached
+	lockedDataPenalty = 2.0 // threads per core for an engine where a load locks the data set
+	maxSlowBatches    = 4   // slowed batches that may wait before the most slowed one goes first
+)
+
+// The load estimate of the fleet, a share of its capacity.
+const (
+	initialLoad       = 0.9  // until something is known
+	maxLoad           = 0.95 // keeps 1/(1-load) finite
+	loadSmoothingTime = 2.0  // seconds; time constant
+)
+
+// The gate closes for a random time between these bounds when the best engine is too loaded.
+const (
+	minGateDelay = 0.05 // seconds
+	maxGateDelay = 0.2  // seconds
+)
+
+// How engines' load reports are used.
+const (
+	reportDelay            = 0.4 // seconds; the age of a report when it arrives
+	reportLifetime         = 1.4 // seconds for which a report is believed after its arrival
+	unreportedThreadFactor = 2.0 // an engine without a report counts as this many times as loaded as the average,
+	unreportedMemoryFactor = 8.0 // and as this many times as full
+	averageLoadWindow      = 4.0 // seconds for which a report counts towards the average
+	ownLoadWindow          = 5.0 // seconds over which own dispatches are averaged where there are no reports
+)
+
+// Memory.
+const (
+	memoryLimit           = 0.65 // share of an engine's memory for heavy batches if all engines report,
+	unreportedMemoryLimit = 0.55 // and if none does
+	minSimilarRoom        = 8.0  // batches of the same need that must fit before one is sent, at least,
+	extraSimilarRoom      = 4.0  // and in addition to one for each router that acts on the same report
+	memoryMargin          = 1.25 // grant over the corrected need
+	overcommitGrantFactor = 3.0  // further factor of a grant where an engine checks only the memory in use
+)
+
+// Probes, cold engines and hedges.
+const (
+	probeCostShare    = 0.005 // share of the result that probes may cost
+	minProbeInterval  = 0.25  // seconds between two probes of an engine
+	warmUtilization   = 0.85  // share of an engine's cores that counts as its capacity
+	coldBudgetShare   = 0.95  // share of what a cold engine can take that is used
+	coldBudgetRouters = 16    // routers that share the budget of a cold engine, at most
+	maxHedgeLoad      = 0.75  // load of the fleet from which no hedges are sent
+)
+
+// Outlier ejection and process pauses.
+const (
+	minEjectionTime        = 1.0  // seconds until an ejected engine is tried again; doubled each time
+	maxEjectionTime        = 8.0  // seconds
+	maxConsecutiveFailures = 6.0  // failures in a row that eject an engine
+	failurePenalty         = 3.0  // threads per core for an engine that always fails
+	failureDecayTime       = 8.0  // seconds; time constant of the decay of failures
+	missedUpdates          = 2.5  // update intervals without an update after which a dispatch counts as lost
+	sweepInterval          = 0.05 // seconds
+	minPause               = 0.2  // seconds by which a late timer shows that this process was paused
+)
+
+// Part of the time that a client waits is reserved for the way of the answer and for pauses, as clients leave exactly at
+// their deadline. The reserve costs the answers that would have come in the last moment.
+const (
+	transitShare   = 0.05 // of the time that the client waits
+	minTransitTime = 0.04 // seconds
+	maxTransitTime = 0.25 // seconds
+)
+
+// Estimates, retries and restarts.
+const (
+	slopePrior            = 8.0 // pairs of estimated and actual work assumed to be exact at the start
+	uncertaintyDeviations = 2.0 // standard deviations that count as safe
+	fullLoadSlowdown      = 1.0 // extra time of a batch at full load, as a multiple of its time alone
+	maxPlacementTries     = 16  // batches in one call of Next for which no engine was found
+	overdueFactor         = 2.0 // a dispatch is overdue after this many times the longest usual time
+	restartGain           = 2.0 // a dispatch is restarted if the rest takes this many times a fresh start
+)
+
+// New returns a Router with these settings. The seed determines all its random choices; now is the time of its start.
+func New(settings Settings, seed uint64, now float64) *Router {
+	r := &Router{
+		groups:             settings.Groups,
+		routerCount:        max(float64(settings.Routers), 1),
+		index:              settings.Index,
+		engineKinds:        settings.EngineKinds,
+		grants:             settings.Grants,
+		priorities:         settings.Priorities,
+		maxGrantShare:      min(cmp.Or(max(settings.MaxGrantShare, 0), 1), 1),
+		mayCancel:          settings.MayCancel,
+		mayHedge:           settings.MayHedge,
+		mayProbe:           settings.MayProbe,
+		mustSubscribe:      settings.MustSubscribe,
+		limitRetries:       settings.LimitRetries,
+		maxDispatches:      max(settings.MaxDispatches, 1),
+		batchesPerProbe:    min(max(settings.ProbeCost/probeCostShare, 1), 16),
+		slowStartTime:      settings.SlowStartTime,
+		settleTime:         settings.SettleTime,
+		tick:               settings.Tick,
+		freeRetries:        settings.FreeRetries,
+		grantFactor:        1,
+		retryRatio:         settings.RetryRatio,
+		retryWindow:        settings.RetryWindow,
+		now:                now,
+		startedAt:          now,
+		retryDelay:         settings.MaxRetryDelay,
+		randomState:        seed&0xffffffff | 1<<33,
+		keyQueues:          map[uint64]*keyQueue{},
+		load:               initialLoad,
+		admissionThreshold: initialThreshold,
+		sweptAt:            now,
+		nextSweepAt:        now,
+		wakeAt:             math.Inf(1),
+		updateInterval:     settings.UpdateInterval,
+	}
+	if r.grants && settings.MemoryPolicy == Overcommit {
+		r.grantFactor = overcommitGrantFactor
+	}
+	r.fixedQuota = shares.Fixed{
+		Routers: float64(settings.Routers),
+		Index:   settings.Index,
+		Sharers: coldBudgetRouters,
+		Began:   now,
+		Whole: coldBudgetShare * settings.OverloadFactor * settings.ColdCapacityShare * warmUtilization *
+			settings.OverloadWindow,
+		Window: settings.OverloadWindow,
+	}
+	r.quota, r.quotaSharers = shares.NewPlain(r.fixedQuota), min(r.routerCount, coldBudgetRouters)
+	for _, g := range settings.Groups {
 		g.Threads = max(g.Threads, 1)
-		r.like.batches, r.like.threads = r.like.batches+1e-3, r.like.threads+1e-3*g.Threads
+		r.typicalBatch.batches, r.typicalBatch.threads = r.typicalBatch.batches+1e-3, r.typicalBatch.threads+1e-3*g.Threads
 	}
 	return r
 }
 
-func (r *Router) Clock(now float64) {
+// SetTime sets the current time; an earlier one than before is ignored.
+func (r *Router) SetTime(now float64) {
 	r.now = max(r.now, now)
-	// Woken far too late we stood still ourselves: silence meanwhile was ours, and what comes now is old.
-	if late := r.now - r.wakeAt; late > standstill && r.stoodAt < r.now {
-		r.stood, r.stoodAt, r.still = late, r.now, r.still+late
-		r.log("stood still for %.1f s, %d held", late, len(r.held))
+	// A timer that fires far too late shows that this process was paused: the silence of engines during that time tells
+	// nothing of them, and messages that are read now are old.
+	if late := r.now - r.wakeAt; late > minPause && r.lastPauseAt < r.now {
+		r.lastPause, r.lastPauseAt, r.totalPause = late, r.now, r.totalPause+late
+		r.log("stood still for %.1f s, %d held", late, len(r.queue))
 	}
 }
 
-// Listed brings the list of engines: the whole of it, or what changed.
-func (r *Router) Listed(list []*Engine, whole bool) {
-	for _, e := range list {
-		if e.cores = 1; e.Kind < len(r.kinds) {
-			e.cores, e.memory = max(r.kinds[e.Kind].Cores, 1), r.kinds[e.Kind].Memory
+// UpdateEngines takes a list of engines. If whole is set, engines that are not in the list are gone; otherwise the list
+// holds only what changed.
+func (r *Router) UpdateEngines(list []*Engine, whole bool) {
+	for _, engine := range list {
+		if engine.cores = 1; engine.Kind < len(r.engineKinds) {
+			engine.cores, engine.memory = max(r.engineKinds[engine.Kind].Cores, 1), r.engineKinds[engine.Kind].Memory
 		}
-		r.largest = max(r.largest, e.memory)
-		if e.by == nil || e.started != e.StartedAt { // what was learned of the process before is void
-			e.started, e.startHeardAt, e.health, e.reportAt, e.told = e.StartedAt, r.now, health{}, 0, amount{}
-			e.by = map[*ServiceGroup]*health{}
+		r.largestMemory = max(r.largestMemory, engine.memory)
+		if engine.groupHealth == nil || engine.knownStart != engine.StartedAt { // a new process: what is known of the old one is void
+			engine.knownStart, engine.startReceivedAt, engine.health, engine.reportAt, engine.reported =
+				engine.StartedAt, r.now, health{}, 0, resources{}
+			engine.groupHealth = map[*ServiceGroup]*health{}
 			for _, g := range r.groups {
-				e.by[g] = &health{}
+				engine.groupHealth[g] = &health{}
 			}
 		}
-		if !slices.Contains(r.engines, e) {
-			// Each router keeps an order of its own: ties fall apart, or all meet on the first of the list.
-			r.engines = slices.Insert(r.engines, int(r.draw()*float64(len(r.engines)+1)), e)
+		if !slices.Contains(r.engines, engine) {
+			// Each router keeps the engines in its own random order: otherwise all routers would break ties in favour of
+			// the first engine of the list.
+			r.engines = slices.Insert(r.engines, int(r.randomFloat()*float64(len(r.engines)+1)), engine)
 		}
 	}
-	r.engines = slices.DeleteFunc(r.engines, func(e *Engine) bool {
-		if whole && !slices.Contains(list, e) {
-			e.Phase = Gone
+	r.engines = slices.DeleteFunc(r.engines, func(engine *Engine) bool {
+		if whole && !slices.Contains(list, engine) {
+			engine.Phase = Gone
 		}
-		return e.Phase == Gone && len(e.outs) == 0
+		return engine.Phase == Gone && len(engine.inFlight) == 0
 	})
 }
 
-func (r *Router) ListFailed() { r.mustAsk = true }
-
-// Take brings a batch, which is owed one final answer from now on.
-func (r *Router) Take(b *Batch) {
-	g := b.Group
-	b.taken, b.limitAt = r.now, r.now+sane(b.Left-min(max(wayShare*b.Left, leastWay), mostWay), 1e6)
-	b.demand = sane(b.Cost, 1e5)
-	if b.demand > 0 {
-		four := 4*g.told/max(g.seen, 1) + 1e-6
-		b.demand *= (g.needed + four) / (g.told + four)
-	} else if b.demand = g.work / max(g.count, 1); b.demand == 0 {
-		b.demand = g.Goal * g.Threads / 4
-	}
-	b.memory = sane(b.Memory, 1e7)
-	if b.memory > 0 && g.memTold > 0 {
-		b.memory *= g.memNeeded / g.memTold
-	} else if b.memory == 0 && g.count > 0 {
-		b.memory = g.memory / g.count
-	}
-	b.alone, b.likely, b.endAt = b.demand/g.Threads, r.likely(b), b.limitAt
-	if g.LateShare <= 0 { // an answer past the goal earns nothing
-		b.endAt = min(b.limitAt, r.now+g.Goal+g.GoalStretch*b.alone)
-	}
-	// A batch is at work in proportion to its time alone: that tells from the first batch on what is out there.
-	// One that could never end in time, or that fits nowhere, must not pass for what batches are like.
-	if b.alone <= g.Limit && (r.largest == 0 || b.memory <= r.largest) {
-		r.meanDemand += (b.demand - r.meanDemand) / 64
-		r.like = r.like.add(r.like, -1.0/64).add(amount{1, g.Threads, b.memory * memorySpare}, b.alone)
-	}
-	if b.lane = (&lane{}); g.InOrder && b.Key != 0 {
-		b.lane = cmp.Or(r.lanes[b.Key], b.lane)
-		r.lanes[b.Key] = b.lane
-	}
-	first := len(b.lane.line) == 0 && b.lane.out == 0 // one behind another of its key might end out of order
-	bound := b.Route.Comes(r.now)
-	if b.Shed = first && bound == limits.Wait && r.shed(b); b.Shed || first && bound != limits.Wait {
-		out := r.giveUp(b)
-		if bound == limits.Refuse {
-			out = Decision{Kind: Fail, Batch: b}
-		}
-		r.next = append(r.next, out)
+// EngineListFailed records that the list of engines could not be had; Next asks for it again.
+func (r *Router) EngineListFailed() { r.mustSubscribe = true }
+
+// AddBatch takes a batch. From now on it gets exactly one final answer: the outcome of a dispatch, a Reject or a Fail,
+// unless the host calls RemoveBatch.
+func (r *Router) AddBatch(batch *Batch) {
+	group := batch.Group
+	batch.receivedAt, batch.deadline = r.now, r.now+
+		clampNonNegative(batch.TimeLeft-min(max(transitShare*batch.TimeLeft, minTransitTime), maxTransitTime), 1e6)
+	batch.demand = clampNonNegative(batch.EstimatedWork, 1e5)
+	if batch.demand > 0 {
+		prior := 4*group.estimateSum/max(group.estimateCount, 1) + 1e-6
+		batch.demand *= (group.actualSum + prior) / (group.estimateSum + prior)
+	} else if batch.demand = group.workSum / max(group.answerCount, 1); batch.demand == 0 {
+		batch.demand = group.Goal * group.Threads / 4
+	}
+	batch.memoryNeed = clampNonNegative(batch.EstimatedMemory, 1e7)
+	if batch.memoryNeed > 0 && group.memoryEstimateSum > 0 {
+		batch.memoryNeed *= group.memoryActualSum / group.memoryEstimateSum
+	} else if batch.memoryNeed == 0 && group.answerCount > 0 {
+		batch.memoryNeed = group.memorySum / group.answerCount
+	}
+	batch.timeAlone, batch.likelyWork, batch.usefulUntil = batch.demand/group.Threads, r.estimateLikelyWork(batch), batch.deadline
+	if group.LateShare <= 0 { // an answer past the goal earns nothing
+		batch.usefulUntil = min(batch.deadline, r.now+group.Goal+group.GoalStretch*batch.timeAlone)
+	}
+	// A batch is weighted by its time alone, as it occupies an engine in proportion to that: so the first batch already
+	// gives an estimate of what runs on the engines. A batch that can't end in time or fits on no engine is left out.
+	if batch.timeAlone <= group.Limit && (r.largestMemory == 0 || batch.memoryNeed <= r.largestMemory) {
+		r.meanDemand += (batch.demand - r.meanDemand) / 64
+		r.typicalBatch = r.typicalBatch.add(r.typicalBatch, -1.0/64).
+			add(resources{1, group.Threads, batch.memoryNeed * memoryMargin}, batch.timeAlone)
+	}
+	if batch.keyQueue = (&keyQueue{}); group.InOrder && batch.Key != 0 {
+		batch.keyQueue = cmp.Or(r.keyQueues[batch.Key], batch.keyQueue)
+		r.keyQueues[batch.Key] = batch.keyQueue
+	}
+	// Only the first batch of its key is answered at once: another one's answer could overtake that of the one before.
+	first := len(batch.keyQueue.batches) == 0 && batch.keyQueue.inFlight == 0
+	limitAction := batch.Route.Comes(r.now)
+	if batch.Shed = first && limitAction == limits.Wait && r.shouldShed(batch); batch.Shed || first && limitAction != limits.Wait {
+		decision := r.giveUp(batch)
+		if limitAction == limits.Refuse {
+			decision = Decision{Kind: Fail, Batch: batch}
+		}
+		r.pending = append(r.pending, decision)
 		return
 	}
-	b.Route.Took(r.now)
-	r.all.Took(r.now)
-	b.lane.line, r.takes = append(b.lane.line, b), append(r.takes, r.now)
+	batch.Route.Took(r.now)
+	r.retryBudget.Took(r.now)
+	batch.keyQueue.batches, r.arrivals = append(batch.keyQueue.batches, batch), append(r.arrivals, r.now)
 	r.probeCredit = min(r.probeCredit+1, 8*r.probeCost())
-	r.hold(b)
-	r.sweepAt = min(r.sweepAt, b.limitAt-4*sweepEvery) // a late try can't wait for the next one
+	r.enqueue(batch)
+	// A batch with little time left can't wait for the regular sweep.
+	r.nextSweepAt = min(r.nextSweepAt, batch.deadline-4*sweepInterval)
 }
 
-// Reduce brings the level of reduced service that holds from now on. What has been taken stays.
-func (r *Router) Reduce(level Reduced) { r.level = level }
+// SetReducedService sets the level of reduced service from now on. Batches that were added before stay.
+func (r *Router) SetReducedService(level ReducedService) { r.reduced = level }
 
-func (r *Router) shed(b *Batch) bool {
-	keep, some := r.level.Keep[b.Group]
-	return r.level.LeastGain*b.demand > b.Group.Utility || some && r.draw() >= keep
+// shouldShed reports whether the level of reduced service excludes a batch.
+func (r *Router) shouldShed(b *Batch) bool {
+	keep, some := r.reduced.KeepShare[b.Group]
+	return r.reduced.MinUtilityPerSecond*b.demand > b.Group.Utility || some && r.randomFloat() >= keep
 }
 
-func (r *Router) tries(b *Batch) int {
-	most := b.Route.Most(r.most)
-	if r.level.Further != 0 {
-		most = min(most, 1+max(r.level.Further, 0))
+// maxTries returns how many dispatches a batch may have in all.
+func (r *Router) maxTries(b *Batch) int {
+	maxTries := b.Route.Most(r.maxDispatches)
+	if r.reduced.MaxRetries != 0 {
+		maxTries = min(maxTries, 1+max(r.reduced.MaxRetries, 0))
 	}
-	return most
+	return maxTries
 }
 
-func (r *Router) probeCost() float64 { return r.probeEvery / cmp.Or(r.level.Probes, 1) }
+// probeCost returns how many batches must be added for one probe.
+func (r *Router) probeCost() float64 { return r.batchesPerProbe / cmp.Or(r.reduced.ProbeShare, 1) }
 
-func (r *Router) hold(b *Batch) {
-	i := sort.Search(len(r.held), func(i int) bool { return r.held[i].demand > b.demand })
-	r.held = slices.Insert(r.held, i, b)
+// enqueue puts a batch into the queue, which is ordered by demand.
+func (r *Router) enqueue(b *Batch) {
+	i := sort.Search(len(r.queue), func(i int) bool { return r.queue[i].demand > b.demand })
+	r.queue = slices.Insert(r.queue, i, b)
 	b.Route.Uses(r.now, 0, 1)
 }
 
-func (r *Router) unhold(b *Batch) {
-	n := len(r.held)
-	r.held = without(r.held, b)
-	b.Route.Uses(r.now, 0, len(r.held)-n)
+// dequeue removes a batch from the queue, if it is there.
+func (r *Router) dequeue(b *Batch) {
+	n := len(r.queue)
+	r.queue = without(r.queue, b)
+	b.Route.Uses(r.now, 0, len(r.queue)-n)
 }
 
-func (r *Router) Left(b *Batch) {
-	b.Over = true
-	r.unhold(b)
-	b.lane.line = without(b.lane.line, b)
+// RemoveBatch ends a batch: its client has left or it was answered. Dispatches in flight still end by DispatchEnded.
+func (r *Router) RemoveBatch(b *Batch) {
+	b.Done = true
+	r.dequeue(b)
+	b.keyQueue.batches = without(b.keyQueue.batches, b)
 }
 
-// Outcome ends a dispatch; last says that the batch is over with it. Work and memory are what it needed.
-func (r *Router) Outcome(b *Batch, no int, end Ending, last bool, took, work, memory float64, rep *Report) {
-	if no >= len(b.dispatches) || b.dispatches[no].ended {
+// DispatchEnded records the outcome of dispatch number of a batch. last says that the batch ends with it; took is its time
+// in seconds; work, in seconds, and memory, in MB, are what it needed (0: not known; work below 0: the protocol of the
+// engine doesn't report it); report is the engine's load, or nil. Unknown and repeated outcomes are ignored.
+func (r *Router) DispatchEnded(batch *Batch, number int, outcome Outcome, last bool, took, work, memory float64,
+	report *Report) {
+	if number >= len(batch.dispatches) || batch.dispatches[number].ended {
 		return
 	}
-	d, e := b.dispatches[no], b.dispatches[no].engine
-	d.ended, d.end, e.outs = true, end, without(e.outs, d)
-	b.Out, b.lane.out = b.Out-1, b.lane.out-1
-	b.Route.Uses(r.now, -1, 0)
-	if e.Limit != nil && end != Withdrawn && end != NotSent {
-		e.Limit.Ended(d.sample(r.now, took, work))
-	}
-	r.heard(e, rep)
-	doubt := end == TimedOut || end == Broken || end == Withdrawn || end == Unconfirmed
-	b.unconfirmed = b.unconfirmed || end == Unconfirmed
-	if doubt {
-		b.lane.restTo, b.lane.restBy = r.now+r.settle, b
-	}
-	if b.bound == nil && (end == Returned || end == Errored || doubt) {
-		b.bound, b.boundAt = e, d.sent
-	}
-	r.gateAt = r.now
-	for _, o := range b.dispatches {
-		// A batch that errs wherever it goes is at fault itself: errors count once an engine has answered.
-		once := b.Group.Effect == OnceOnly
-		if o == d && (end != Errored || once) || end == Returned && o.ended && o.end == Errored {
-			r.judge(o)
+	attempt, engine := batch.dispatches[number], batch.dispatches[number].engine
+	attempt.ended, attempt.outcome, engine.inFlight = true, outcome, without(engine.inFlight, attempt)
+	batch.InFlight, batch.keyQueue.inFlight = batch.InFlight-1, batch.keyQueue.inFlight-1
+	batch.Route.Uses(r.now, -1, 0)
+	if engine.ConcurrencyLimit != nil && outcome != Canceled && outcome != NotSent {
+		engine.ConcurrencyLimit.Ended(attempt.sample(r.now, took, work))
+	}
+	r.recordReport(engine, report)
+	mayStillRun := outcome == TimedOut || outcome == ConnectionLost || outcome == Canceled || outcome == Unconfirmed
+	batch.unconfirmed = batch.unconfirmed || outcome == Unconfirmed
+	if mayStillRun {
+		batch.keyQueue.restUntil, batch.keyQueue.restExempt = r.now+r.settleTime, batch
+	}
+	if batch.mayHaveRunOn == nil && (outcome == Completed || outcome == Errored || mayStillRun) {
+		batch.mayHaveRunOn, batch.mayHaveRunSince = engine, attempt.sentAt
+	}
+	r.gateOpensAt = r.now
+	for _, other := range batch.dispatches {
+		// A batch that fails on every engine is itself the cause: an error counts against an engine only once another
+		// dispatch of the batch has succeeded.
+		atMostOnce := batch.Group.Idempotency == AtMostOnce
+		if other == attempt && (outcome != Errored || atMostOnce) ||
+			outcome == Completed && other.ended && other.outcome == Errored {
+			r.recordHealth(other)
 		}
 	}
-	if end == Returned && work > 0 {
-		r.learn(b, took, sane(work, 1e5), sane(memory, 1e7))
-	} else if end == Returned && work < 0 {
-		r.learnTime(b, sane(took, 1e5))
+	if outcome == Completed && work > 0 {
+		r.learnFromAnswer(batch, took, clampNonNegative(work, 1e5), clampNonNegative(memory, 1e7))
+	} else if outcome == Completed && work < 0 {
+		r.learnFromDuration(batch, clampNonNegative(took, 1e5))
 	}
 	if last {
-		r.Left(b)
-		for _, o := range b.dispatches { // of two copies the loser is given up at once
-			if r.mayCancel && !o.ended && !o.cancel {
-				o.cancel, r.next = true, append(r.next, Decision{Kind: Cancel, Batch: b, Number: o.number})
+		r.RemoveBatch(batch)
+		for _, other := range batch.dispatches { // the losing copy of a hedged batch is canceled at once
+			if r.mayCancel && !other.ended && !other.cancelRequested {
+				other.cancelRequested, r.pending = true,
+					append(r.pending, Decision{Kind: Cancel, Batch: batch, Number: other.number})
 			}
 		}
-	} else if r.unhold(b); !b.Over && b.Out == 0 {
-		if b.Route != nil {
-			b.wants, b.redrawAt = false, r.now+b.Route.Rest(r.draw())
+	} else if r.dequeue(batch); !batch.Done && batch.InFlight == 0 {
+		if batch.Route != nil {
+			batch.wantsQuota, batch.reconsiderAt = false, r.now+batch.Route.Rest(r.randomFloat())
 		}
-		r.hold(b)
-		r.sweepAt = r.now
+		r.enqueue(batch)
+		r.nextSweepAt = r.now
 	}
 }
 
-// learnTime learns from an answer that tells no work, as engines of some protocols do: else time-outs would
-// never follow what is usual there, and a silent engine would hold its batches to their limits. It covers
-// answers that leave it out for once. It hurts under load, when what took long is held for large.
-func (r *Router) learnTime(b *Batch, took float64) {
-	g := b.Group
-	g.memory += g.memory / max(g.count, 1)
-	g.work, g.count = g.work+took*g.Threads, g.count+1
-	if r.stoodAt != r.now {
-		g.stretch.add(took / max(b.alone, 1e-3))
-	}
-	g.forget()
+// learnFromDuration learns from an answer that doesn't report its work, as with engines of some protocols, or once in a
+// while. Without it, time-outs would never adapt to the usual times, and a silent engine would keep its batches until
+// their time limits. Drawback: under load, a batch that took long counts as large.
+func (r *Router) learnFromDuration(batch *Batch, took float64) {
+	group := batch.Group
+	group.memorySum += group.memorySum / max(group.answerCount, 1)
+	group.workSum, group.answerCount = group.workSum+took*group.Threads, group.answerCount+1
+	if r.lastPauseAt != r.now {
+		group.stretch.add(took / max(batch.timeAlone, 1e-3))
+	}
+	group.decay()
 }
 
-func (r *Router) learn(b *Batch, took, work, memory float64) {
-	g := b.Group
-	if b.Cost > 0 && b.Cost < 1e5 {
-		r.relate(g, math.Log(b.Cost), work)
-		g.told, g.needed, g.seen = g.told+b.Cost, g.needed+work, g.seen+1
-	}
-	if b.Memory > 0 && memory > 0 {
-		g.memTold, g.memNeeded = g.memTold+b.Memory, g.memNeeded+memory
-	}
-	g.work, g.memory, g.count = g.work+work, g.memory+memory, g.count+1
-	// The mark is the threads a core at which answers take about so long: figures that leave out other
-	// routers' threads, spilling, busy disks and slow cores all show there. It only rises while batches wait.
-	if r.stoodAt == r.now { // how long it took is not known
+// learnFromAnswer updates the group's statistics and the admission threshold by the work (seconds) and memory (MB) that an
+// answer reports.
+func (r *Router) learnFromAnswer(batch *Batch, took, work, memory float64) {
+	group := batch.Group
+	if batch.EstimatedWork > 0 && batch.EstimatedWork < 1e5 {
+		r.recordEstimate(group, math.Log(batch.EstimatedWork), work)
+		group.estimateSum, group.actualSum, group.estimateCount =
+			group.estimateSum+batch.EstimatedWork, group.actualSum+work, group.estimateCount+1
+	}
+	if batch.EstimatedMemory > 0 && memory > 0 {
+		group.memoryEstimateSum, group.memoryActualSum =
+			group.memoryEstimateSum+batch.EstimatedMemory, group.memoryActualSum+memory
+	}
+	group.workSum, group.memorySum, group.answerCount = group.workSum+work, group.memorySum+memory, group.answerCount+1
+	// The admission threshold is the load at which answers take about targetStretch times their time alone. It thereby
+	// covers what reports leave out: other routers' threads, spilling, busy disks and slow cores. It rises only while
+	// batches are queued.
+	if r.lastPauseAt == r.now { // after a pause of this process the time taken is not known
 		return
 	}
-	if step := math.Log(goodStretch * work / (g.Threads * max(took, 1e-3))); step < 0 || len(r.held) > 0 {
+	if step := math.Log(targetStretch * work / (group.Threads * max(took, 1e-3))); step < 0 || len(r.queue) > 0 {
 		step = min(max(step, -1), 1) * min(2*work/max(r.meanDemand, 1e-3), 2)
-		r.mark = min(max(r.mark*(1+markStep*step), leastMark), mostMark)
+		r.admissionThreshold = min(max(r.admissionThreshold*(1+thresholdStep*step), minThreshold), maxThreshold)
 	}
-	g.stretch.add(took / max(b.alone, 1e-3))
-	g.forget()
+	group.stretch.add(took / max(batch.timeAlone, 1e-3))
+	group.decay()
 }
 
-func (g *ServiceGroup) forget() {
-	if g.count >= 128 {
-		g.told, g.needed, g.seen, g.memTold = g.told/2, g.needed/2, g.seen/2, g.memTold/2
-		g.memNeeded, g.work, g.memory, g.count = g.memNeeded/2, g.work/2, g.memory/2, g.count/2
+// decay halves the sums from time to time, so that recent answers count more.
+func (g *ServiceGroup) decay() {
+	if g.answerCount >= 128 {
+		g.estimateSum, g.actualSum, g.estimateCount, g.memoryEstimateSum =
+			g.estimateSum/2, g.actualSum/2, g.estimateCount/2, g.memoryEstimateSum/2
+		g.memoryActualSum, g.workSum, g.memorySum, g.answerCount =
+			g.memoryActualSum/2, g.workSum/2, g.memorySum/2, g.answerCount/2
 	}
 }
 
-// likely is the work that a batch most likely needs, for the books of cold engines; the page's demand orders
-// batches. Where estimates are rough, what looks small enough for a share is mostly told too small: it took
-// 1.6 times what was booked, and large ones take less. Below coldRouters nothing evens that out, and two
-// large ones pushed an engine over: there none counts for less than its demand, nor, while few answers speak
-// for less, than was told. It hurts where large ones are told far too large.
-func (r *Router) likely(b *Batch) float64 {
-	g := b.Group
-	if b.Cost <= 0 || b.Cost >= 1e5 {
-		return b.demand
-	}
-	if g.pairs < 4 { // not known yet: no less than where nothing is told
-		return max(b.demand, g.Goal*g.Threads/4)
-	}
-	likely := math.Exp(r.slope()*(math.Log(b.Cost)-g.logTold)) * g.trueSum / g.flatSum
-	if r.sharers < coldRouters {
-		return max(likely, min(b.demand*(1+unsure/math.Sqrt(g.seen+1)), max(b.Cost, b.demand)))
-	}
-	return likely + max(b.demand-likely, 0)/math.Sqrt(coldRouters)
+// estimateLikelyWork returns the work in seconds that a batch most likely needs. It is charged to the quotas of cold
+// engines; the queue is ordered by demand instead. Where estimates are inaccurate, batches that look small enough for a
+// quota are mostly underestimated (they took 1.6 times what was charged) and large ones are overestimated. With fewer
+// than coldBudgetRouters routers nothing evens that out, and two large batches overloaded an engine: there no batch is
+// charged less than its demand nor, while few answers justify less, less than its estimate. Drawback: batches whose
+// estimates are far too large get too little of the quota.
+func (r *Router) estimateLikelyWork(batch *Batch) float64 {
+	group := batch.Group
+	if batch.EstimatedWork <= 0 || batch.EstimatedWork >= 1e5 {
+		return batch.demand
+	}
+	if group.pairCount < 4 { // too few answers: at least what a batch without an estimate is charged
+		return max(batch.demand, group.Goal*group.Threads/4)
+	}
+	likely := math.Exp(r.slope()*(math.Log(batch.EstimatedWork)-group.meanLogEstimate)) * group.recentActual / group.recentPredicted
+	if r.quotaSharers < coldBudgetRouters {
+		return max(likely, min(batch.demand*(1+uncertaintyDeviations/math.Sqrt(group.estimateCount+1)),
+			max(batch.EstimatedWork, batch.demand)))
+	}
+	return likely + max(batch.demand-likely, 0)/math.Sqrt(coldBudgetRouters)
 }
 
-// slope is by how much the logarithm of true work grows with that of told work: one for exact estimates.
+// slope returns the regression slope of the logarithm of actual work on that of estimated work; 1 for exact estimates.
 func (r *Router) slope() float64 {
-	return min(max((r.both+slopePrior)/(r.spread+slopePrior), 0), 1)
-}
-
-func (r *Router) relate(g *ServiceGroup, told, work float64) {
-	g.pairs = min(g.pairs+1, 64)
-	from, to := told-g.logTold, math.Log(max(work, 1e-6))-g.logTrue
-	if g.pairs > 1 {
-		r.spread, r.both = r.spread*(1-1.0/256)+from*from, r.both*(1-1.0/256)+from*to
-	}
-	g.logTold, g.logTrue = g.logTold+from/g.pairs, g.logTrue+to/g.pairs
-	g.trueSum -= g.trueSum/64 - work
-	g.flatSum -= g.flatSum/64 - math.Exp(r.slope()*(told-g.logTold))
-}
-
-// judge counts how an engine does, in all and for the batch's group: it may turn away one group for long, and
-// looks idle to it. Covers any failure that one group meets; hurts where failures are mere chance.
-func (r *Router) judge(d *dispatch) {
-	for _, h := range []*health{&d.engine.health, d.engine.by[d.batch.Group]} {
-		switch d.end {
-		case Returned:
-			d.engine.signAt, h.good, h.row = r.now, h.good+1, 0
-			if h.asideUntil > 0 && d.sent >= h.asideAt {
-				r.log("engine %d back after %.1f s", d.engine.ID, h.backoff)
-				h.asideUntil, h.backoff = 0, h.backoff/2
+	return min(max((r.estimateCovariance+slopePrior)/(r.estimateVariance+slopePrior), 0), 1)
+}
+
+// recordEstimate adds a pair of estimated work (its logarithm) and actual work to the regression.
+func (r *Router) recordEstimate(group *ServiceGroup, logEstimate, work float64) {
+	group.pairCount = min(group.pairCount+1, 64)
+	estimateDeviation, actualDeviation := logEstimate-group.meanLogEstimate, math.Log(max(work, 1e-6))-group.meanLogActual
+	if group.pairCount > 1 {
+		r.estimateVariance, r.estimateCovariance = r.estimateVariance*(1-1.0/256)+estimateDeviation*estimateDeviation,
+			r.estimateCovariance*(1-1.0/256)+estimateDeviation*actualDeviation
+	}
+	group.meanLogEstimate, group.meanLogActual =
+		group.meanLogEstimate+estimateDeviation/group.pairCount, group.meanLogActual+actualDeviation/group.pairCount
+	group.recentActual -= group.recentActual/64 - work
+	group.recentPredicted -= group.recentPredicted/64 - math.Exp(r.slope()*(logEstimate-group.meanLogEstimate))
+}
+
+// recordHealth counts the outcome of a dispatch for its engine as a whole and for its group on that engine, and ejects
+// the engine where too many fail. Groups count separately, as an engine may reject one group for long and then looks
+// idle to it; that covers any failure that concerns one group. Drawback: random failures eject engines, too.
+func (r *Router) recordHealth(attempt *dispatch) {
+	for _, h := range []*health{&attempt.engine.health, attempt.engine.groupHealth[attempt.batch.Group]} {
+		switch attempt.outcome {
+		case Completed:
+			attempt.engine.lastSeenAt, h.successes, h.consecutiveFailures = r.now, h.successes+1, 0
+			if h.ejectedUntil > 0 && attempt.sentAt >= h.ejectedAt {
+				r.log("engine %d back after %.1f s", attempt.engine.ID, h.backoff)
+				h.ejectedUntil, h.backoff = 0, h.backoff/2
 			}
-		case Unconnected, Broken, TurnedAway, Errored:
-			if h.badAt < r.now { // what fails together fails for one cause
-				h.bad, h.row, h.badAt = h.bad+1, h.row+1, r.now
+		case ConnectFailed, ConnectionLost, Rejected, Errored:
+			if h.lastFailureAt < r.now { // failures at the same time have one cause and count once
+				h.failures, h.consecutiveFailures, h.lastFailureAt = h.failures+1, h.consecutiveFailures+1, r.now
 			}
 			fallthrough
 		case TimedOut, Unconfirmed:
-			failing := h.row >= rowMost || h.row >= 3 && h.bad > h.good && d.engine.asideUntil == 0
-			if r.now >= h.asideUntil && (failing || h.asideUntil > 0) {
-				r.aside(d.engine, h, "failing")
+			failing := h.consecutiveFailures >= maxConsecutiveFailures ||
+				h.consecutiveFailures >= 3 && h.failures > h.successes && attempt.engine.ejectedUntil == 0
+			if r.now >= h.ejectedUntil && (failing || h.ejectedUntil > 0) {
+				r.eject(attempt.engine, h, "failing")
 			}
 		}
-		if h.good+h.bad > 32 {
-			h.good, h.bad, h.backoff = h.good/2, h.bad/2, h.backoff/2
+		if h.successes+h.failures > 32 {
+			h.successes, h.failures, h.backoff = h.successes/2, h.failures/2, h.backoff/2
 		}
 	}
 }
 
-func (r *Router) aside(e *Engine, h *health, why string) {
-	h.asideAt, h.backoff = r.now, min(max(asideFirst, 2*h.backoff), asideMost)
-	h.asideUntil = r.now + h.backoff*(0.75+0.5*r.draw())
-	r.log("engine %d aside for %.1f s: %s, good %.0f bad %.0f, for all groups %t", e.ID, h.backoff, why, h.good,
-		h.bad, h == &e.health)
+// eject excludes an engine, or one group on it, for a random time around the backoff, which doubles with each ejection.
+func (r *Router) eject(engine *Engine, h *health, reason string) {
+	h.ejectedAt, h.backoff = r.now, min(max(minEjectionTime, 2*h.backoff), maxEjectionTime)
+	h.ejectedUntil = r.now + h.backoff*(0.75+0.5*r.randomFloat())
+	r.log("engine %d aside for %.1f s: %s, good %.0f bad %.0f, for all groups %t", engine.ID, h.backoff, reason,
+		h.successes, h.failures, h == &engine.health)
 }
 
-func (r *Router) Probed(e *Engine, ok bool, rep *Report) {
-	if e.probing = false; ok {
-		r.heard(e, rep)
+// ProbeEnded records the end of a probe: whether the engine answered, and the load it reported (nil: none).
+func (r *Router) ProbeEnded(engine *Engine, ok bool, report *Report) {
+	if engine.probing = false; ok {
+		r.recordReport(engine, report)
 	}
 }
 
-func (r *Router) heard(e *Engine, rep *Report) {
-	if rep == nil || clean(*rep) == e.report { // the same figures again are the same report, or frozen
+// recordReport takes an engine's report of its load and updates the average load of the fleet.
+func (r *Router) recordReport(engine *Engine, report *Report) {
+	if report == nil || sanitize(*report) == engine.report { // equal values are the same report, or one that is frozen
 		return
 	}
-	e.report, e.reportAt = clean(*rep), r.now
-	if r.stoodAt == r.now {
-		e.reportAt -= r.stood / 2
+	engine.report, engine.reportAt = sanitize(*report), r.now
+	if r.lastPauseAt == r.now {
+		engine.reportAt -= r.lastPause / 2
 	}
-	// A held count left out is told by memory and what batches at work are like. Memory left out stays with the
-	// engine: guessed from the count, far more is pushed back than would wait there.
-	held, memory, each := e.report.Held, max(e.report.Memory, 0)*e.memory/r.generous, r.like
-	if held < 0 && e.report.Memory >= 0 && each.memory > 0 {
-		held = memory * each.batches / each.memory
+	// A report without the number of batches: it is estimated by the memory in use and a typical batch. Memory is not
+	// estimated the other way round: far more batches were rejected then than would have waited at the engine.
+	inFlight, memory, typical := engine.report.InFlight, max(engine.report.Memory, 0)*engine.memory/r.grantFactor, r.typicalBatch
+	if inFlight < 0 && engine.report.Memory >= 0 && typical.memory > 0 {
+		inFlight = memory * typical.batches / typical.memory
 	}
-	if held < 0 {
+	if inFlight < 0 {
 		return
 	}
-	e.told = amount{1, held * each.threads / each.batches, memory}.per(e)
-	// A cold engine is kept nearly empty by its budget and tells nothing of the others: in the pool, six in ten
-	// made jammed ones look idle, and 30 heavy batches met on each. It hurts where all are cold: none tells.
-	if r.cold(e) {
+	engine.reported = resources{1, inFlight * typical.threads / typical.batches, memory}.perEngine(engine)
+	// A cold engine is kept nearly empty by its quota, so its report tells nothing of the others: when six in ten engines
+	// were cold and counted in the average, overloaded ones looked idle, and 30 heavy batches met on each. Drawback:
+	// while all engines are cold, the average follows no report.
+	if r.inSlowStart(engine) {
 		return
 	}
-	one := amount{1, min(e.told.threads, 2*mostMark), min(e.told.memory, 1)} // one that lies stays one
-	r.common = r.common.add(one.add(r.common, -1), max(min((r.now-r.commonAt)/poolTime, 1), 0.03))
-	r.commonAt = r.now
+	// The bounds keep the influence of an engine that reports absurd values to that of one engine.
+	bounded := resources{1, min(engine.reported.threads, 2*maxThreshold), min(engine.reported.memory, 1)}
+	r.averageLoad = r.averageLoad.add(bounded.add(r.averageLoad, -1),
+		max(min((r.now-r.averageLoadAt)/averageLoadWindow, 1), 0.03))
+	r.averageLoadAt = r.now
 }
 
-func (r *Router) News(b *Batch, no int, kind Note, level float64) {
-	if no >= len(b.dispatches) || b.dispatches[no].ended {
+// DispatchUpdated records an update of a dispatch in flight. For Progress, level is the share done, from 0 to 1.
+func (r *Router) DispatchUpdated(b *Batch, number int, kind Update, level float64) {
+	if number >= len(b.dispatches) || b.dispatches[number].ended {
 		return
 	}
-	d := b.dispatches[no]
-	if d.engine.signAt, d.noteAt = r.now, r.now; kind == Progress {
-		d.share, d.shareAt = sane(level, 1), r.now
+	attempt := b.dispatches[number]
+	if attempt.engine.lastSeenAt, attempt.lastUpdateAt = r.now, r.now; kind == Progress {
+		attempt.progress, attempt.progressAt = clampNonNegative(level, 1), r.now
 	}
 }
 
-func (r *Router) Woken() { r.wakeAt = math.Inf(1) }
+// TimerFired records that the timer set by the last WakeAt decision has fired.
+func (r *Router) TimerFired() { r.wakeAt = math.Inf(1) }
 
+// Next returns the next decision; NoDecision if there is nothing to do before the next event.
 func (r *Router) Next() Decision {
-	if r.now >= r.sweepAt {
+	if r.now >= r.nextSweepAt {
 		r.sweep()
 	}
-	if len(r.next) > 0 {
-		d := r.next[0]
-		r.next = r.next[1:]
+	if len(r.pending) > 0 {
+		d := r.pending[0]
+		r.pending = r.pending[1:]
 		return d
 	}
-	if b, e := r.release(); b != nil {
+	if b, e := r.nextDispatch(); b != nil {
 		return r.send(b, e)
 	}
-	if e := r.probe(); e != nil {
+	if e := r.nextProbe(); e != nil {
 		e.probing, e.probedAt, r.probeCredit = true, r.now, r.probeCredit-r.probeCost()
 		return Decision{Kind: Probe, Engine: e}
 	}
-	return r.wake()
+	return r.scheduleWake()
 }
 
-func (r *Router) wake() Decision {
-	at := r.now + 2*sweepEvery
-	if len(r.held) > 0 && r.gateAt > r.now {
-		at = min(at, r.gateAt)
+// scheduleWake asks for a timer while batches are queued or in flight, unless an earlier one is set.
+func (r *Router) scheduleWake() Decision {
+	at := r.now + 2*sweepInterval
+	if len(r.queue) > 0 && r.gateOpensAt > r.now {
+		at = min(at, r.gateOpensAt)
 	}
-	busy := len(r.held) > 0 || slices.ContainsFunc(r.engines, func(e *Engine) bool { return len(e.outs) > 0 })
+	busy := len(r.queue) > 0 || slices.ContainsFunc(r.engines, func(e *Engine) bool { return len(e.inFlight) > 0 })
 	if !busy || at >= r.wakeAt && r.wakeAt > r.now {
 		return Decision{}
 	}
@@ -437,422 +583,467 @@
 	return Decision{Kind: WakeAt, At: at}
 }
 
-// giveUp answers a batch for good, at once. A pushback is a promise that nothing ran or a repeat is harmless.
+// giveUp ends a batch at once with a final answer. A rejection promises that the batch did not run or is safe to retry.
 func (r *Router) giveUp(b *Batch) Decision {
-	r.Left(b)
-	anywhere := b.bound == nil || b.Group.Effect == Repeatable || b.Group.Scope == WithinAll
-	if anywhere && r.harmless(b, r.comeBack) {
-		return Decision{Kind: PushBack, Batch: b, Wait: r.comeBack}
+	r.RemoveBatch(b)
+	canMove := b.mayHaveRunOn == nil || b.Group.Idempotency == Idempotent || b.Group.DedupScope == WithinAll
+	if canMove && r.safeToRetry(b, r.retryDelay) {
+		return Decision{Kind: Reject, Batch: b, Wait: r.retryDelay}
 	}
 	return Decision{Kind: Fail, Batch: b}
 }
 
-// Last answers a batch for good while its router ends. What is out may have run; what never was, or may run
-// again, goes back: an error for it would lose what another router still has the time for.
-func (r *Router) Last(b *Batch) Decision {
-	if b.Out > 0 && b.Group.Effect != Repeatable {
-		r.Left(b)
+// FinalDecision returns the final answer of a batch while its router shuts down. A batch in flight may have run and
+// fails unless it is idempotent. One that was not dispatched or is safe to retry is rejected rather than failed, as
+// another router may still have the time for it.
+func (r *Router) FinalDecision(b *Batch) Decision {
+	if b.InFlight > 0 && b.Group.Idempotency != Idempotent {
+		r.RemoveBatch(b)
 		return Decision{Kind: Fail, Batch: b}
 	}
 	return r.giveUp(b)
 }
 
-// Leave tells that the process is about to end. Nothing is sent to cold engines from now on: the next one
-// under the same name may run already, and goes by the same part of what they bear.
-func (r *Router) Leave() { r.leaving = true }
+// PrepareShutdown announces that the process is about to end. From now on nothing is sent to cold engines: the next
+// process under the same name may already run, and it uses the same quota.
+func (r *Router) PrepareShutdown() { r.stopping = true }
 
-func (r *Router) again(b *Batch) bool {
-	// A budget of its route that is spent ends the batch at once: others would wait behind it, and it would come
-	// back into the same trouble. It hurts where the trouble ends the next moment.
-	return !b.unconfirmed && len(b.dispatches) < r.tries(b) && r.harmless(b, r.tick) &&
-		(b.Out == 0 || r.load < copyLoad) &&
-		(len(b.dispatches) == 0 || b.Route.May(r.now) && r.all.May(r.now))
+// mayDispatch reports whether the rules allow another dispatch of a batch.
+func (r *Router) mayDispatch(b *Batch) bool {
+	// An exhausted retry budget of its route ends the batch at once: others would wait behind it, and its retry would
+	// meet the same failure. Drawback: the failure may end the next moment.
+	return !b.unconfirmed && len(b.dispatches) < r.maxTries(b) && r.safeToRetry(b, r.tick) &&
+		(b.InFlight == 0 || r.load < maxHedgeLoad) &&
+		(len(b.dispatches) == 0 || b.Route.May(r.now) && r.retryBudget.May(r.now))
 }
 
-// harmless: nothing ran, or a repeat may run so much later.
-func (r *Router) harmless(b *Batch, later float64) bool {
-	return b.bound == nil || b.Group.Effect == Repeatable ||
-		b.Group.Effect == Referenced && r.now+later < b.repeatBy()
+// safeToRetry reports whether a batch can't have run, or may run again within delay seconds from now.
+func (r *Router) safeToRetry(b *Batch, delay float64) bool {
+	return b.mayHaveRunOn == nil || b.Group.Idempotency == Idempotent ||
+		b.Group.Idempotency == Deduplicated && r.now+delay < b.dedupDeadline()
 }
 
-// repeatBy is when the engines forget the mark of one that may have run.
-func (b *Batch) repeatBy() float64 { return b.boundAt + b.Group.Window }
+// dedupDeadline returns when engines forget the batch's deduplication mark, if it may have run.
+func (b *Batch) dedupDeadline() float64 { return b.mayHaveRunSince + b.Group.DedupWindow }
 
-func (r *Router) needs(b *Batch) float64 { // to be tried
-	return max(r.level.Early, 1)*(1+r.load*trustLoad)*b.alone + 3*sweepEvery
+// timeNeeded returns the seconds that must be left for a dispatch of the batch.
+func (r *Router) timeNeeded(b *Batch) float64 {
+	return max(r.reduced.GiveUpFactor, 1)*(1+r.load*fullLoadSlowdown)*b.timeAlone + 3*sweepInterval
 }
 
-func (r *Router) spent() bool {
-	old := func(at float64) bool { return at <= r.now-r.furtherWindow }
-	r.takes, r.furthers = slices.DeleteFunc(r.takes, old), slices.DeleteFunc(r.furthers, old)
-	return float64(len(r.furthers)+1) > r.freeFurther+r.further*float64(len(r.takes))
+// retriesExhausted reports whether the router's retry budget is used up; it also drops entries older than the window.
+func (r *Router) retriesExhausted() bool {
+	old := func(at float64) bool { return at <= r.now-r.retryWindow }
+	r.arrivals, r.retries = slices.DeleteFunc(r.arrivals, old), slices.DeleteFunc(r.retries, old)
+	return float64(len(r.retries)+1) > r.freeRetries+r.retryRatio*float64(len(r.arrivals))
 }
 
-// sweep looks now and then at all that is held or out for what time alone has changed.
+// sweep checks all queued batches, dispatches in flight and engines for what has changed by the passing of time: batches
+// to give up, dispatches to cancel or hedge, silent engines, and the load estimates.
 func (r *Router) sweep() {
-	maps.DeleteFunc(r.lanes, func(_ uint64, l *lane) bool {
-		return len(l.line) == 0 && l.out == 0 && r.now >= l.restTo
+	maps.DeleteFunc(r.keyQueues, func(_ uint64, l *keyQueue) bool {
+		return len(l.batches) == 0 && l.inFlight == 0 && r.now >= l.restUntil
 	})
-	r.spent() // forgets what is old
-	passed := min(r.now-r.swept, 1)
-	r.swept, r.sweepAt = r.now, r.now+sweepEvery
-	if r.mustAsk {
-		r.mustAsk, r.next = false, append(r.next, Decision{Kind: Subscribe})
-	}
-	for _, b := range slices.Clone(r.held) {
-		// Given up: it can no longer be answered with any utility, or not be sent again.
-		if r.again(b) && r.now+r.needs(b) <= b.endAt {
+	r.retriesExhausted() // drops old entries
+	elapsed := min(r.now-r.sweptAt, 1)
+	r.sweptAt, r.nextSweepAt = r.now, r.now+sweepInterval
+	if r.mustSubscribe {
+		r.mustSubscribe, r.pending = false, append(r.pending, Decision{Kind: Subscribe})
+	}
+	for _, b := range slices.Clone(r.queue) {
+		// A batch is given up when no answer in time has any utility left or it must not be dispatched again.
+		if r.mayDispatch(b) && r.now+r.timeNeeded(b) <= b.usefulUntil {
 			continue
 		}
-		if r.unhold(b); b.Out == 0 { // else there is no copy, and the first goes on
-			r.next = append(r.next, r.giveUp(b))
+		if r.dequeue(b); b.InFlight == 0 { // otherwise only the hedge is dropped, and the first dispatch goes on
+			r.pending = append(r.pending, r.giveUp(b))
 		}
 	}
-	var out amount
-	cores, memory, busy, told, fresh, ready, aside := 0.0, 0.0, 0.0, 0.0, 0.0, 0, 0
-	for _, e := range r.engines {
-		late := 0
-		for _, h := range e.by {
-			h.bad -= h.bad * passed / forgetTime
-		}
-		for _, d := range e.outs {
-			g := d.batch.Group
-			out = out.add(d.takes, 1)
-			age, usual := r.now-d.sent-(r.still-d.still), d.batch.alone*g.stretch.quantile(0.95, 8)
-			if age > overdue*usual+0.2 && e.signAt < d.sent {
-				late++
+	var ownLoad resources
+	cores, memory, busy, reporting, freshReports, ready, ejected := 0.0, 0.0, 0.0, 0.0, 0.0, 0, 0
+	for _, engine := range r.engines {
+		overdue := 0
+		for _, h := range engine.groupHealth {
+			h.failures -= h.failures * elapsed / failureDecayTime
+		}
+		for _, attempt := range engine.inFlight {
+			group := attempt.batch.Group
+			ownLoad = ownLoad.add(attempt.resources, 1)
+			age, usual := r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore),
+				attempt.batch.timeAlone*group.stretch.quantile(0.95, 8)
+			if age > overdueFactor*usual+0.2 && engine.lastSeenAt < attempt.sentAt {
+				overdue++
 			}
-			repeat := g.Effect == Repeatable || g.Effect == Referenced && r.now+1 < d.sent+g.Window
-			repeat = repeat && len(d.batch.dispatches) < r.tries(d.batch) && d.batch.Route.May(r.now) && !d.batch.Over
-			if r.mayCancel && !d.cancel && repeat && r.startOver(d) {
-				d.cancel = true
-				r.next = append(r.next, Decision{Kind: Cancel, Batch: d.batch, Number: d.number})
-			} else if repeat && r.copyDue(d) {
-				r.hold(d.batch)
+			mayRetry := group.Idempotency == Idempotent ||
+				group.Idempotency == Deduplicated && r.now+1 < attempt.sentAt+group.DedupWindow
+			mayRetry = mayRetry && len(attempt.batch.dispatches) < r.maxTries(attempt.batch) &&
+				attempt.batch.Route.May(r.now) && !attempt.batch.Done
+			if r.mayCancel && !attempt.cancelRequested && mayRetry && r.shouldRestart(attempt) {
+				attempt.cancelRequested = true
+				r.pending = append(r.pending, Decision{Kind: Cancel, Batch: attempt.batch, Number: attempt.number})
+			} else if mayRetry && r.shouldHedge(attempt) {
+				r.enqueue(attempt.batch)
 			}
 		}
-		if r.now >= e.asideUntil && (late >= 3 || late > 0 && late == len(e.outs) && r.now-e.signAt > 1) {
-			r.aside(e, &e.health, "silent")
+		if r.now >= engine.ejectedUntil &&
+			(overdue >= 3 || overdue > 0 && overdue == len(engine.inFlight) && r.now-engine.lastSeenAt > 1) {
+			r.eject(engine, &engine.health, "silent")
 		}
-		if e.Phase == Ready {
+		if engine.Phase == Ready {
 			ready++
-			if e.asideUntil > 0 {
-				aside++
+			if engine.ejectedUntil > 0 {
+				ejected++
 			}
-			cores, memory = cores+e.cores, memory+e.memory
-			if r.fresh(e) {
-				fresh++
+			cores, memory = cores+engine.cores, memory+engine.memory
+			if r.hasFreshReport(engine) {
+				freshReports++
 			}
-			if e.report.Busy >= 0 && e.reportAt > 0 {
-				busy, told = busy+e.report.Busy, told+1
+			if engine.report.CPU >= 0 && engine.reportAt > 0 {
+				busy, reporting = busy+engine.report.CPU, reporting+1
 			}
 		}
 	}
-	if shaken := 2*aside > ready; shaken != r.shaken {
-		r.shaken = shaken
-		r.log("%d of %d engines aside, shaken %t", aside, ready, shaken)
+	if mostEjected := 2*ejected > ready; mostEjected != r.mostEjected {
+		r.mostEjected = mostEjected
+		r.log("%d of %d engines aside, shaken %t", ejected, ready, mostEjected)
 	}
-	r.sight = fresh / max(float64(ready), 1)
-	r.alike = 1 + (r.routers-1)*r.sight
-	r.out = r.out.add(out.add(r.out, -1), passed/presentTime)
+	r.reportedShare = freshReports / max(float64(ready), 1)
+	r.similarRouters = 1 + (r.routerCount-1)*r.reportedShare
+	r.ownLoad = r.ownLoad.add(ownLoad.add(r.ownLoad, -1), elapsed/ownLoadWindow)
 	if cores > 0 {
-		seen := r.common.threads
-		if r.now > r.commonAt+presentTime { // no report tells of others: they are taken to be like us
+		seen := r.averageLoad.threads
+		if r.now > r.averageLoadAt+ownLoadWindow { // no reports: the other routers are assumed to send as much as this one
 			fleet := &Engine{engineState: engineState{cores: cores, memory: memory}}
-			r.common = amount{}.add(r.out, r.routers-1).per(fleet)
-			seen = r.common.threads + r.out.threads/cores
+			r.averageLoad = resources{}.add(r.ownLoad, r.routerCount-1).perEngine(fleet)
+			seen = r.averageLoad.threads + r.ownLoad.threads/cores
 		}
-		if told > 0 {
-			seen = busy / told
+		if reporting > 0 {
+			seen = busy / reporting
 		}
-		r.load += (min(max(seen, 0), mostLoad) - r.load) * passed / loadTime
+		r.load += (min(max(seen, 0), maxLoad) - r.load) * elapsed / loadSmoothingTime
 	}
 }
 
-// startOver: a fresh dispatch would be far quicker (a bad plan, an engine that crawls), its notes have ceased
-// (an answer got lost), or the engine is set aside. It may hurt when all engines slow down at once.
-func (r *Router) startOver(d *dispatch) bool {
-	usual := d.batch.alone * d.batch.Group.stretch.quantile(0.75, 4)
-	rest := (d.shareAt-d.sent)*(1-d.share)/d.share - (r.now - d.shareAt)
-	lost := r.notesEvery > 0 && r.now-max(d.sent, d.noteAt)-(r.still-d.still) > notesMissed*r.notesEvery
-	slow := d.share > 0 && rest > restartGain*usual && d.batch.Group.Effect == Repeatable
-	silent := d.engine.asideUntil > r.now && d.engine.signAt < d.sent
-	return r.now+usual < d.batch.limitAt && (lost || slow || silent)
+// shouldRestart reports whether a dispatch is to be canceled for another one: a fresh start would be far quicker (a bad
+// query plan, a slow engine), its updates have stopped (the answer was lost), or its engine is ejected. Drawback: work
+// is lost when all engines slow down at once.
+func (r *Router) shouldRestart(attempt *dispatch) bool {
+	usual := attempt.batch.timeAlone * attempt.batch.Group.stretch.quantile(0.75, 4)
+	remaining := (attempt.progressAt-attempt.sentAt)*(1-attempt.progress)/attempt.progress - (r.now - attempt.progressAt)
+	lost := r.updateInterval > 0 && r.now-max(attempt.sentAt, attempt.lastUpdateAt)-(r.totalPause-attempt.pausedBefore) >
+		missedUpdates*r.updateInterval
+	slow := attempt.progress > 0 && remaining > restartGain*usual && attempt.batch.Group.Idempotency == Idempotent
+	silent := attempt.engine.ejectedUntil > r.now && attempt.engine.lastSeenAt < attempt.sentAt
+	return r.now+usual < attempt.batch.deadline && (lost || slow || silent)
 }
 
-// copyDue: it takes longer than the quantile that its route names, so another engine may well answer sooner.
-// Work done twice is no help to a fleet that is full, or reduced. It hurts where all engines are slow at
-// once: the share bounds that.
-func (r *Router) copyDue(d *dispatch) bool {
-	b := d.batch
-	return b.Route.MayCopy(r.now) && r.mayCopy && b.Group.Effect == Repeatable && b.Out == 1 && !b.Streams &&
-		!d.cancel && r.level.quiet() && r.load < copyLoad && !slices.Contains(r.held, b) &&
-		r.now-d.sent-(r.still-d.still) > b.alone*b.Group.stretch.quantile(b.Route.Copies.After, 8)
+// shouldHedge reports whether a second copy of a batch is to be sent: the first has taken longer than the quantile that
+// its route names, so another engine may well answer sooner. No copies are sent while the fleet is full or at a level of
+// reduced service, as they add work. Drawback: all are copied where all engines are slow at once; the route's share of
+// copies bounds that.
+func (r *Router) shouldHedge(attempt *dispatch) bool {
+	b := attempt.batch
+	return b.Route.MayCopy(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 && !b.Streaming &&
+		!attempt.cancelRequested && r.reduced.isZero() && r.load < maxHedgeLoad && !slices.Contains(r.queue, b) &&
+		r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Copies.After, 8)
 }
 
-// release is the design's ordinary path: which batch leaves next, where to, and whether the gate lets it.
-func (r *Router) release() (*Batch, *Engine) {
-	for tries := 0; r.now >= r.gateAt && tries < mostTries; tries++ {
-		b := r.pick()
+// nextDispatch returns the batch to dispatch next and its engine, or nil while the gate is closed or nothing fits. A batch
+// passes the gate if the score of its engine is below the admission threshold, and otherwise with a chance of threshold
+// over score.
+func (r *Router) nextDispatch() (*Batch, *Engine) {
+	for tries := 0; r.now >= r.gateOpensAt && tries < maxPlacementTries; tries++ {
+		b := r.pickBatch()
 		if b == nil {
 			break
 		}
-		e, figure := r.place(b)
-		if r.lack != nil && (e == nil || r.least < figure) {
-			b.wants, b.wantAt = true, cmp.Or(b.wantAt, r.now)
-			if b.redrawAt = b.wantAt + r.parts.Want(r.now, r.lack.start(), b.likely); r.now < b.redrawAt {
+		e, score := r.placeBatch(b)
+		if r.quotaLackingEngine != nil && (e == nil || r.quotaLackingScore < score) {
+			b.wantsQuota, b.quotaWantedAt = true, cmp.Or(b.quotaWantedAt, r.now)
+			b.reconsiderAt = b.quotaWantedAt + r.quota.Want(r.now, r.quotaLackingEngine.startID(), b.likelyWork)
+			if r.now < b.reconsiderAt {
 				continue
 			}
 		}
 		if e == nil {
-			b.redrawAt = r.now + redrawLeast
+			b.reconsiderAt = r.now + minGateDelay
 			continue
 		}
-		if figure < r.mark || r.draw() < r.mark/figure {
+		if score < r.admissionThreshold || r.randomFloat() < r.admissionThreshold/score {
 			return b, e
 		}
-		// The page lets the batch redraw; with many held a crowd walks through, so the whole gateway waits.
-		r.gateAt = r.now + redrawLeast + (redrawMost-redrawLeast)*r.draw()
+		// The whole router waits, not just this batch: if each batch drew by itself, many of a long queue would pass.
+		r.gateOpensAt = r.now + minGateDelay + (maxGateDelay-minGateDelay)*r.randomFloat()
 	}
 	return nil, nil
 }
 
-// pick: the smallest demand past twice the threshold; else, of many slow, the most slowed; else the smallest.
-func (r *Router) pick() *Batch {
+// pickBatch returns the queued batch to dispatch next. Slowdown is the time since arrival plus the time alone, over the
+// time alone; its threshold is 1/(1-load). First comes the batch of smallest demand whose slowdown is above twice the
+// threshold. Otherwise, if more than maxSlowBatches are above the threshold, it is the most slowed of them; otherwise
+// the batch of smallest demand.
+func (r *Router) pickBatch() *Batch {
 	threshold := 1 / (1 - r.load)
 	var first, worst *Batch
-	slow, most := 0, 0.0
-	for _, b := range r.held {
-		if b.redrawAt > r.now || !r.turn(b) || len(b.dispatches) > 0 && (!r.again(b) || r.rationed && r.spent() ||
-			!b.Route.Ready(r.now) || !r.all.Ready(r.now)) || !b.Route.Room(r.now) {
+	slowCount, maxSlowdown := 0, 0.0
+	for _, b := range r.queue {
+		if b.reconsiderAt > r.now || !r.isNextOfKey(b) ||
+			len(b.dispatches) > 0 && (!r.mayDispatch(b) || r.limitRetries && r.retriesExhausted() ||
+				!b.Route.Ready(r.now) || !r.retryBudget.Ready(r.now)) || !b.Route.Room(r.now) {
 			continue
 		}
 		first = cmp.Or(first, b)
-		slowdown := (r.now - b.taken + b.alone) / max(b.alone, 1e-3)
+		slowdown := (r.now - b.receivedAt + b.timeAlone) / max(b.timeAlone, 1e-3)
 		if slowdown > 2*threshold {
 			return b
 		}
 		if slowdown > threshold {
-			if slow++; slowdown >= most {
-				worst, most = b, slowdown
+			if slowCount++; slowdown >= maxSlowdown {
+				worst, maxSlowdown = b, slowdown
 			}
 		}
 	}
-	if slow > slowLimit {
+	if slowCount > maxSlowBatches {
 		return worst
 	}
 	return first
 }
 
-// turn tells whether the key's earlier batches are over, have all their outcomes, and the key has rested.
-func (r *Router) turn(b *Batch) bool {
-	l := b.lane
-	return l.line[0] == b && l.out == b.Out && (r.now >= l.restTo || l.restBy == b)
+// isNextOfKey reports whether all earlier batches of the key are done, none of their dispatches is in flight, and the
+// rest time after an uncertain outcome is over.
+func (r *Router) isNextOfKey(b *Batch) bool {
+	l := b.keyQueue
+	return l.batches[0] == b && l.inFlight == b.InFlight && (r.now >= l.restUntil || l.restExempt == b)
 }
 
-// place gives the engine with the lowest figure among those the batch may go to, and the one without a part.
-func (r *Router) place(b *Batch) (best *Engine, figure float64) {
-	r.lack = nil
-	others := len(b.dispatches) > 0 && slices.ContainsFunc(r.engines, func(e *Engine) bool {
-		return e.asideUntil == 0 && e.by[b.Group].asideUntil == 0 && !b.refusedBy(e) && r.allowed(b, e) &&
-			r.room(b, e)
+// placeBatch returns the engine with the lowest score (threads per core, with bonuses and penalties) of those that may
+// take the batch. It sets quotaLackingEngine to the best engine that only lacks quota, or nil.
+func (r *Router) placeBatch(batch *Batch) (best *Engine, bestScore float64) {
+	r.quotaLackingEngine = nil
+	preferOthers := len(batch.dispatches) > 0 && slices.ContainsFunc(r.engines, func(engine *Engine) bool {
+		return engine.ejectedUntil == 0 && engine.groupHealth[batch.Group].ejectedUntil == 0 && !batch.refusedBy(engine) &&
+			r.allowed(batch, engine) && r.hasQuota(batch, engine)
 	})
-	for _, e := range r.engines {
-		room := r.room(b, e)
-		if !room && !r.moved || !r.allowed(b, e) || others && b.refusedBy(e) || !r.fit(b, e) {
+	for _, engine := range r.engines {
+		hasQuota := r.hasQuota(batch, engine)
+		if !hasQuota && !r.quotaOnDemand || !r.allowed(batch, engine) || preferOthers && batch.refusedBy(engine) ||
+			!r.canAccept(batch, engine) {
 			continue
 		}
-		f := r.filled(e).threads
-		if g := b.Group; g.Load || g.Waits {
-			// A load holds its data set on its engine; what waits for it stands still there with its memory.
-			if slices.ContainsFunc(e.outs, func(d *dispatch) bool {
-				return d.batch.Tables == b.Tables && (d.batch.Group.Load || g.Load && d.batch.Group.Waits)
+		score := r.estimateLoad(engine).threads
+		if g := batch.Group; g.LocksDataSet || g.WaitsForLock {
+			// A load locks its data set on its engine; a batch that waits for the lock keeps its memory meanwhile.
+			if slices.ContainsFunc(engine.inFlight, func(d *dispatch) bool {
+				return d.batch.DataSet == batch.DataSet &&
+					(d.batch.Group.LocksDataSet || g.LocksDataSet && d.batch.Group.WaitsForLock)
 			}) {
-				f += blocked
+				score += lockedDataPenalty
 			}
-		} else if (r.routers <= 1 || r.fresh(e) || r.now < e.othersTo) &&
-			shares.Mix(math.Float64bits(b.Tables)>>24+1, uint64(e.ID))*float64(len(r.engines)) < homes {
-			f -= homeBonus
-		} else if r.now < e.othersTo && r.draw()*float64(len(r.engines)) >= looked {
-			f += passed
+		} else if (r.routerCount <= 1 || r.hasFreshReport(engine) || r.now < engine.othersValidUntil) &&
+			shares.Mix(math.Float64bits(batch.DataSet)>>24+1, uint64(engine.ID))*float64(len(r.engines)) < warmDataEngines {
+			score -= warmDataBonus
+		} else if r.now < engine.othersValidUntil && r.randomFloat()*float64(len(r.engines)) >= sampledEngines {
+			score += unsampledPenalty
 		}
-		h := e.by[b.Group]
-		f += failCost * h.bad / (h.good + h.bad + 4)
-		if room && (best == nil || f < figure) {
-			best, figure = e, f
-		} else if !room && (r.lack == nil || f < r.least) {
-			r.lack, r.least = e, f
+		h := engine.groupHealth[batch.Group]
+		score += failurePenalty * h.failures / (h.successes + h.failures + 4)
+		if hasQuota && (best == nil || score < bestScore) {
+			best, bestScore = engine, score
+		} else if !hasQuota && (r.quotaLackingEngine == nil || score < r.quotaLackingScore) {
+			r.quotaLackingEngine, r.quotaLackingScore = engine, score
 		}
 	}
-	return best, figure
+	return best, bestScore
 }
 
-// refusedBy: its word was no. On an engine that takes one batch at a time a connection, silence counts too:
-// no check tells there which of the two is silent, and three dispatches went to one silent engine. Elsewhere
-// that was no gain (brno-klima-later 0.873 to 0.870). It hurts where only the one was slow.
+// refusedBy reports whether a dispatch of the batch was rejected or failed with an error at the engine. On an engine that
+// takes one batch at a time per connection a time-out counts as well: no check can tell there whether the engine or the
+// batch is silent, and three dispatches went to one silent engine. Elsewhere counting time-outs was no gain
+// (brno-klima-later 0.873 to 0.870). Drawback: the engine is avoided also where only that one batch was slow.
 func (b *Batch) refusedBy(e *Engine) bool {
 	return slices.ContainsFunc(b.dispatches, func(d *dispatch) bool {
-		return d.engine == e && d.ended && (d.end == TurnedAway || d.end == Errored || d.end == TimedOut && e.Alone)
+		return d.engine == e && d.ended &&
+			(d.outcome == Rejected || d.outcome == Errored || d.outcome == TimedOut && e.OneBatchPerConnection)
 	})
 }
 
-// allowed: what the rules say, at every dispatch.
+// allowed reports whether the placement rules let a batch go to an engine: its phase, the route and the group's zones and
+// kinds, and for a batch that may have run the scope of its deduplication.
 func (r *Router) allowed(b *Batch, e *Engine) bool {
-	g, at := b.Group, b.bound
+	g, at := b.Group, b.mayHaveRunOn
 	return e.Phase == Ready && b.Route.Goes(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
 		(g.Kinds == nil || slices.Contains(g.Kinds, e.Kind)) &&
-		(at == nil || g.Effect != Referenced || (g.Scope != WithinZone || e.Zone == at.Zone) &&
-			(g.Scope != WithinCell || e.Cell == at.Cell))
+		(at == nil || g.Idempotency != Deduplicated || (g.DedupScope != WithinZone || e.Zone == at.Zone) &&
+			(g.DedupScope != WithinCell || e.Cell == at.Cell))
 }
 
-// room: what a cold engine bears is divided among all routers, by a fixed division or by talk.
-func (r *Router) room(b *Batch, e *Engine) bool {
-	return !r.cold(e) || !r.leaving && r.parts.Room(r.now, e.start(), b.likely)
+// hasQuota reports whether this router may send the batch to the engine. The work that a cold engine can take is divided
+// among all routers, either by a fixed division or by a quota coordinator.
+func (r *Router) hasQuota(b *Batch, e *Engine) bool {
+	return !r.inSlowStart(e) || !r.stopping && r.quota.Room(r.now, e.startID(), b.likelyWork)
 }
 
-// cold tells whether an engine may still be slow after its start. The time of the start is another machine's
-// and may be off by hours, so it only tells one start from another: slow start runs on our clock, from when
-// the start was first heard of.
-func (r *Router) cold(e *Engine) bool {
-	return e.StartedAt != 0 && r.now < e.startHeardAt+r.coldTime
+// inSlowStart reports whether an engine is cold, that is, may still be slow after its start. The start time comes from
+// another machine's clock, which may be off by hours, so it only distinguishes one start from another: slow start is
+// measured by this router's clock, from when the start was first reported.
+func (r *Router) inSlowStart(e *Engine) bool {
+	return e.StartedAt != 0 && r.now < e.startReceivedAt+r.slowStartTime
 }
 
-// fit: bounds, health and memory. An engine set aside is tried with one batch at a time once its time has
-// come, or at once while most are set aside: nearly all failing is more likely the network's doing, or ours.
-func (r *Router) fit(b *Batch, e *Engine) bool {
-	here := func(d *dispatch) bool { // where a copy may not go
-		return !d.ended && (d.engine == e || b.Route.OtherZone() && d.engine.Zone == e.Zone)
-	}
-	if b.Out > 0 && slices.ContainsFunc(b.dispatches, here) || !b.Route.RoomAt(e.outOf(b)) ||
-		len(b.dispatches) > 0 && !e.Further.May(r.now) || // what has failed elsewhere must not fall on one
-		e.Limit != nil && float64(len(e.outs)) >= e.Limit.Limit() {
+// canAccept reports whether concurrency limits, retry budget, health and memory of an engine let it take a batch. An
+// ejected engine is tried with one batch at a time once its ejection time is over, or at once while most engines are
+// ejected: if nearly all fail, the cause is more likely the network or this router.
+func (r *Router) canAccept(batch *Batch, engine *Engine) bool {
+	conflicts := func(d *dispatch) bool { // a copy must not go to the engine, or the zone, of the first dispatch
+		return !d.ended && (d.engine == engine || batch.Route.OtherZone() && d.engine.Zone == engine.Zone)
+	}
+	if batch.InFlight > 0 && slices.ContainsFunc(batch.dispatches, conflicts) ||
+		!batch.Route.RoomAt(engine.countSharing(batch)) ||
+		len(batch.dispatches) > 0 && !engine.RetryBudget.May(r.now) || // retries must not all go to one engine
+		engine.ConcurrencyLimit != nil && float64(len(engine.inFlight)) >= engine.ConcurrencyLimit.Limit() {
 		return false
 	}
-	for _, h := range []*health{&e.health, e.by[b.Group]} {
-		all := h == &e.health
-		trial := func(d *dispatch) bool { return d.sent >= h.asideAt && (all || d.batch.Group == b.Group) }
-		if h.asideUntil > 0 && (r.now < h.asideUntil && !r.shaken || slices.ContainsFunc(e.outs, trial)) {
+	for _, h := range []*health{&engine.health, engine.groupHealth[batch.Group]} {
+		wholeEngine := h == &engine.health
+		isTrial := func(d *dispatch) bool {
+			return d.sentAt >= h.ejectedAt && (wholeEngine || d.batch.Group == batch.Group)
+		}
+		if h.ejectedUntil > 0 && (r.now < h.ejectedUntil && !r.mostEjected || slices.ContainsFunc(engine.inFlight, isTrial)) {
 			return false
 		}
 	}
-	// A small batch may go where a heavy one may not: it needs room for some of its like, of which routers
-	// that act alike send one each, but never more than the share that counts as full leaves free.
-	need := min(b.memory*memorySpare, r.largestGrant*e.memory)
-	full := blindFull + (memoryFull-blindFull)*r.sight
-	room := min(max(memoryRoom, roomSpare+r.alike)*need, need+(1-full)*e.memory)
-	return need <= 0 || r.filled(e).memory*e.memory+room <= e.memory
+	// There must be room for some batches of the same need, as each router that acts on the same report may send one, but
+	// for no more than the share of memory beyond the limit. So a small batch may go where a heavy one may not.
+	need := min(batch.memoryNeed*memoryMargin, r.maxGrantShare*engine.memory)
+	usable := unreportedMemoryLimit + (memoryLimit-unreportedMemoryLimit)*r.reportedShare
+	room := min(max(minSimilarRoom, extraSimilarRoom+r.similarRouters)*need, need+(1-usable)*engine.memory)
+	return need <= 0 || r.estimateLoad(engine).memory*engine.memory+room <= engine.memory
 }
 
-func (r *Router) fresh(e *Engine) bool {
-	return e.told.batches > 0 && r.now < e.reportAt+reportStale
+// hasFreshReport reports whether an engine's last report is still believed.
+func (r *Router) hasFreshReport(e *Engine) bool {
+	return e.reported.batches > 0 && r.now < e.reportAt+reportLifetime
 }
 
-// filled: an engine's threads a core and share of memory spoken for, by whom ever. One router of hundreds
-// sees next to nothing of the rest, so reports are pooled over fleet and time; an old one leans to the pool,
-// no one counts as fuller. What was sent since a report counts once for each router that likely acts on its
-// like, or all meet on one. It hurts where one engine fills much faster than the fleet.
-func (r *Router) filled(e *Engine) amount {
-	var own, since amount
-	for _, d := range e.outs {
-		own = own.add(d.takes, 1)
-		if d.sent > e.reportAt-reportLag {
-			since = since.add(d.takes, r.alike)
+// estimateLoad returns an engine's threads per core and share of memory in use, by all routers. One router of hundreds
+// sees nearly nothing of the others' batches, so reports are averaged over the fleet and over time: an engine's estimate
+// moves towards the average as its report ages, and an engine without a report counts as fuller. What this router sent
+// since a report counts once for each router that probably acts on a similar report; otherwise all would choose the same
+// engine. Drawback: an engine that fills much faster than the fleet is underestimated.
+func (r *Router) estimateLoad(engine *Engine) resources {
+	var ownLoad, sinceReport resources
+	for _, d := range engine.inFlight {
+		ownLoad = ownLoad.add(d.resources, 1)
+		if d.sentAt > engine.reportAt-reportDelay {
+			sinceReport = sinceReport.add(d.resources, r.similarRouters)
 		}
 	}
-	own, since = own.per(e), since.per(e)
-	if r.now < e.othersTo { // what all have out is told, but for what has come in the meantime
-		return own.add(e.others, 1)
+	ownLoad, sinceReport = ownLoad.perEngine(engine), sinceReport.perEngine(engine)
+	if r.now < engine.othersValidUntil { // the other routers report what they have in flight
+		return ownLoad.add(engine.othersLoad, 1)
 	}
-	all, others := amount{}.add(own, r.alike), 1-1/r.routers
+	fleetLike, othersShare := resources{}.add(ownLoad, r.similarRouters), 1-1/r.routerCount
 	switch {
-	case r.fresh(e) && e.report.Memory < 0:
-		own.memory = all.memory
-	case r.fresh(e) && e.report.Held < 0: // reports that lack both are never believed
-		own.threads = all.threads
-	case r.fresh(e):
-	case r.cold(e): // only the few that share its budget send there, each like us
-		return amount{}.add(own, r.sharers)
-	case r.sight == 0:
-		return all.add(r.common, others)
+	case r.hasFreshReport(engine) && engine.report.Memory < 0:
+		ownLoad.memory = fleetLike.memory
+	case r.hasFreshReport(engine) && engine.report.InFlight < 0: // a report that lacks both is never fresh
+		ownLoad.threads = fleetLike.threads
+	case r.hasFreshReport(engine):
+	case r.inSlowStart(engine): // only the routers that share its quota send there, each about as much as this one
+		return resources{}.add(ownLoad, r.quotaSharers)
+	case r.reportedShare == 0:
+		return fleetLike.add(r.averageLoad, othersShare)
 	default:
-		return all.add(amount{0, blindThreads * r.common.threads, blindMemory * r.common.memory}, others)
+		return fleetLike.add(resources{0, unreportedThreadFactor * r.averageLoad.threads,
+			unreportedMemoryFactor * r.averageLoad.memory}, othersShare)
 	}
-	old := (r.now - e.reportAt) / reportStale
-	sum := since.add(e.told, 1-old).add(r.common, old)
-	return amount{0, max(own.threads, sum.threads), max(own.memory, sum.memory)}
+	age := (r.now - engine.reportAt) / reportLifetime
+	sum := sinceReport.add(engine.reported, 1-age).add(r.averageLoad, age)
+	return resources{0, max(ownLoad.threads, sum.threads), max(ownLoad.memory, sum.memory)}
 }
 
-func (r *Router) send(b *Batch, e *Engine) Decision {
-	r.unhold(b)
-	if len(b.dispatches) > 0 {
-		r.furthers = append(r.furthers, r.now)
-		b.Route.Again(r.now)
-		r.all.Again(r.now)
-		e.Further.Again(r.now)
+// send records a dispatch of the batch to the engine and returns the decision for it. If the engine takes grants or
+// priorities, a Terms decision comes first and the Dispatch follows.
+func (r *Router) send(batch *Batch, engine *Engine) Decision {
+	r.dequeue(batch)
+	if len(batch.dispatches) > 0 {
+		r.retries = append(r.retries, r.now)
+		batch.Route.Again(r.now)
+		r.retryBudget.Again(r.now)
+		engine.RetryBudget.Again(r.now)
 	} else {
-		e.Further.Took(r.now)
-	}
-	if b.Out > 0 {
-		b.Route.Copied(r.now)
-	}
-	b.Route.Uses(r.now, 1, 0)
-	d := &dispatch{batch: b, engine: e, number: len(b.dispatches), sent: r.now, still: r.still,
-		takes: amount{1, b.Group.Threads, min(b.memory*memorySpare, r.largestGrant*e.memory)}}
-	b.dispatches = append(b.dispatches, d)
-	e.outs = append(e.outs, d)
-	b.Out++
-	b.lane.out++
-	if r.cold(e) {
-		r.parts.Spend(r.now, e.start(), b.likely)
-	}
-	wait := b.limitAt - r.now
-	g, again := b.Group, b.Group.Effect == Repeatable || b.Group.Effect == Referenced && e.Alone
-	if again && len(b.dispatches) < r.tries(b) {
-		own := overdue*b.alone*g.stretch.quantile(0.98, 16) + 0.2
-		if early := b.endAt - r.now - r.needs(b) - sweepEvery; early > b.alone*g.stretch.quantile(0.9, 8) {
-			own = min(own, early) // else a lost answer leaves no time for another try
-		}
-		// Nothing can be asked beside a batch on an engine that takes one at a time a connection, so a time-out
-		// alone tells there of a lost answer to a referenced one. It hurts where such a batch was only slow: its
-		// repeat costs a dispatch, and is answered once the first has ended.
-		inTime := g.Effect == Repeatable || own+1 < g.Window && r.harmless(b, own+1)
-		if r.now+own+2*b.alone < b.limitAt && inTime {
-			wait = own
-		}
-	}
-	if b.Group.Effect != OnceOnly { // a time-out would only lose its answer
-		wait = b.Route.Within(wait)
-	}
-	out := Decision{Kind: Dispatch, Batch: b, Engine: e, Number: d.number, Wait: wait}
-	if g.Effect == Referenced && b.bound != nil { // engines forget what ran, also while a connection comes up
-		out.By = b.repeatBy()
+		engine.RetryBudget.Took(r.now)
+	}
+	if batch.InFlight > 0 {
+		batch.Route.Copied(r.now)
+	}
+	batch.Route.Uses(r.now, 1, 0)
+	attempt := &dispatch{
+		batch:        batch,
+		engine:       engine,
+		number:       len(batch.dispatches),
+		sentAt:       r.now,
+		pausedBefore: r.totalPause,
+		resources:    resources{1, batch.Group.Threads, min(batch.memoryNeed*memoryMargin, r.maxGrantShare*engine.memory)},
+	}
+	batch.dispatches = append(batch.dispatches, attempt)
+	engine.inFlight = append(engine.inFlight, attempt)
+	batch.InFlight++
+	batch.keyQueue.inFlight++
+	if r.inSlowStart(engine) {
+		r.quota.Spend(r.now, engine.startID(), batch.likelyWork)
+	}
+	wait := batch.deadline - r.now
+	group, mayRepeat := batch.Group, batch.Group.Idempotency == Idempotent ||
+		batch.Group.Idempotency == Deduplicated && engine.OneBatchPerConnection
+	if mayRepeat && len(batch.dispatches) < r.maxTries(batch) {
+		timeout := overdueFactor*batch.timeAlone*group.stretch.quantile(0.98, 16) + 0.2
+		if latestUseful := batch.usefulUntil - r.now - r.timeNeeded(batch) - sweepInterval; latestUseful >
+			batch.timeAlone*group.stretch.quantile(0.9, 8) {
+			timeout = min(timeout, latestUseful) // otherwise a lost answer leaves no time for a retry
+		}
+		// On an engine that takes one batch at a time per connection nothing else can be asked there meanwhile, so only a
+		// time-out shows that the answer to a deduplicated batch was lost. Drawback: where such a batch was only slow, its
+		// retry costs a dispatch and is answered once the first has ended.
+		inTime := group.Idempotency == Idempotent || timeout+1 < group.DedupWindow && r.safeToRetry(batch, timeout+1)
+		if r.now+timeout+2*batch.timeAlone < batch.deadline && inTime {
+			wait = timeout
+		}
+	}
+	if batch.Group.Idempotency != AtMostOnce { // such a batch can't be retried, so a time-out would only lose its answer
+		wait = batch.Route.Within(wait)
+	}
+	decision := Decision{Kind: Dispatch, Batch: batch, Engine: engine, Number: attempt.number, Wait: wait}
+	if group.Idempotency == Deduplicated && batch.mayHaveRunOn != nil {
+		// Engines may forget the deduplication mark while a connection is being established.
+		decision.SendBefore = batch.dedupDeadline()
 	}
 	if !r.grants && !r.priorities {
-		return out
+		return decision
 	}
-	terms := Decision{Kind: Terms, Batch: b, Priority: 1}
+	terms := Decision{Kind: Terms, Batch: batch, Priority: 1}
 	if r.grants {
-		terms.Memory = min(d.takes.memory*r.generous, r.largestGrant*e.memory)
+		terms.Memory = min(attempt.resources.memory*r.grantFactor, r.maxGrantShare*engine.memory)
 	}
 	if r.priorities {
-		doublings := math.Log2(max(2*b.demand/max(r.meanDemand, 1e-6), 0.25)) // 3 under half the mean
+		doublings := math.Log2(max(2*batch.demand/max(r.meanDemand, 1e-6), 0.25)) // gives priority 3 below half the mean demand
 		terms.Priority = min(max(3-int(math.Ceil(doublings/2)), 0), 3)
 	}
-	r.next = append(r.next, out)
+	r.pending = append(r.pending, decision)
 	return terms
 }
 
-// probe gives the engine whose load is to be asked for, within what a probe is worth.
-func (r *Router) probe() *Engine {
+// nextProbe returns the engine to probe for its load next, or nil while the credit for probes is too small or none is due.
+func (r *Router) nextProbe() *Engine {
 	if !r.mayProbe || r.probeCredit < r.probeCost() {
 		return nil
 	}
 	var oldest *Engine
 	for _, e := range r.engines {
-		due := e.Phase == Ready && !e.probing && r.now > e.probedAt+probeRest
-		// A cold one comes last: what goes there is bounded by its budget, whatever its load.
-		if last := r.cold(e); due && (oldest == nil || r.cold(oldest) && !last ||
-			r.cold(oldest) == last && e.probedAt < oldest.probedAt) {
+		due := e.Phase == Ready && !e.probing && r.now > e.probedAt+minProbeInterval
+		// Cold engines come last: what is sent there is bounded by their quota, whatever their load.
+		if cold := r.inSlowStart(e); due && (oldest == nil || r.inSlowStart(oldest) && !cold ||
+			r.inSlowStart(oldest) == cold && e.probedAt < oldest.probedAt) {
 			oldest = e
 		}
 	}
