--- a/brain/brain.go
+++ b/brain/brain.go
@@ -142,17 +142,17 @@
 		r.lanes[b.Key] = b.lane
 	}
 	first := len(b.lane.line) == 0 && b.lane.out == 0 // one behind another of its key might end out of order
-	bound := b.Route.Comes(r.now)
-	if b.Shed = first && bound == limits.Wait && r.shed(b); b.Shed || first && bound != limits.Wait {
+	bound := b.Route.ActionOnArrival(r.now)
+	if b.Shed = first && bound == limits.QueueBatch && r.shed(b); b.Shed || first && bound != limits.QueueBatch {
 		out := r.giveUp(b)
-		if bound == limits.Refuse {
+		if bound == limits.FailBatch {
 			out = Decision{Kind: Fail, Batch: b}
 		}
 		r.next = append(r.next, out)
 		return
 	}
-	b.Route.Took(r.now)
-	r.all.Took(r.now)
+	b.Route.CountBatch(r.now)
+	r.all.CountBatch(r.now)
 	b.lane.line, r.takes = append(b.lane.line, b), append(r.takes, r.now)
 	r.probeCredit = min(r.probeCredit+1, 8*r.probeCost())
 	r.hold(b)
@@ -168,7 +168,7 @@
 }
 
 func (r *Router) tries(b *Batch) int {
-	most := b.Route.Most(r.most)
+	most := b.Route.DispatchLimit(r.most)
 	if r.level.Further != 0 {
 		most = min(most, 1+max(r.level.Further, 0))
 	}
@@ -180,13 +180,13 @@
 func (r *Router) hold(b *Batch) {
 	i := sort.Search(len(r.held), func(i int) bool { return r.held[i].demand > b.demand })
 	r.held = slices.Insert(r.held, i, b)
-	b.Route.Uses(r.now, 0, 1)
+	b.Route.CountUsage(r.now, 0, 1)
 }
 
 func (r *Router) unhold(b *Batch) {
 	n := len(r.held)
 	r.held = without(r.held, b)
-	b.Route.Uses(r.now, 0, len(r.held)-n)
+	b.Route.CountUsage(r.now, 0, len(r.held)-n)
 }
 
 func (r *Router) Left(b *Batch) {
@@ -203,9 +203,9 @@
 	d, e := b.dispatches[no], b.dispatches[no].engine
 	d.ended, d.end, e.outs = true, end, without(e.outs, d)
 	b.Out, b.lane.out = b.Out-1, b.lane.out-1
-	b.Route.Uses(r.now, -1, 0)
+	b.Route.CountUsage(r.now, -1, 0)
 	if e.Limit != nil && end != Withdrawn && end != NotSent {
-		e.Limit.Ended(d.sample(r.now, took, work))
+		e.Limit.Observe(d.sample(r.now, took, work))
 	}
 	r.heard(e, rep)
 	doubt := end == TimedOut || end == Broken || end == Withdrawn || end == Unconfirmed
@@ -238,7 +238,7 @@
 		}
 	} else if r.unhold(b); !b.Over && b.Out == 0 {
 		if b.Route != nil {
-			b.wants, b.redrawAt = false, r.now+b.Route.Rest(r.draw())
+			b.wants, b.redrawAt = false, r.now+b.Route.JitteredRetryDelay(r.draw())
 		}
 		r.hold(b)
 		r.sweepAt = r.now
@@ -466,7 +466,7 @@
 	// back into the same trouble. It hurts where the trouble ends the next moment.
 	return !b.unconfirmed && len(b.dispatches) < r.tries(b) && r.harmless(b, r.tick) &&
 		(b.Out == 0 || r.load < copyLoad) &&
-		(len(b.dispatches) == 0 || b.Route.May(r.now) && r.all.May(r.now))
+		(len(b.dispatches) == 0 || b.Route.MayRetrySoon(r.now) && r.all.MayRetrySoon(r.now))
 }
 
 // harmless: nothing ran, or a repeat may run so much later.
@@ -523,7 +523,7 @@
 				late++
 			}
 			repeat := g.Effect == Repeatable || g.Effect == Referenced && r.now+1 < d.sent+g.Window
-			repeat = repeat && len(d.batch.dispatches) < r.tries(d.batch) && d.batch.Route.May(r.now) && !d.batch.Over
+			repeat = repeat && len(d.batch.dispatches) < r.tries(d.batch) && d.batch.Route.MayRetrySoon(r.now) && !d.batch.Over
 			if r.mayCancel && !d.cancel && repeat && r.startOver(d) {
 				d.cancel = true
 				r.next = append(r.next, Decision{Kind: Cancel, Batch: d.batch, Number: d.number})
@@ -585,9 +585,9 @@
 // once: the share bounds that.
 func (r *Router) copyDue(d *dispatch) bool {
 	b := d.batch
-	return b.Route.MayCopy(r.now) && r.mayCopy && b.Group.Effect == Repeatable && b.Out == 1 && !b.Streams &&
+	return b.Route.MayHedge(r.now) && r.mayCopy && b.Group.Effect == Repeatable && b.Out == 1 && !b.Streams &&
 		!d.cancel && r.level.quiet() && r.load < copyLoad && !slices.Contains(r.held, b) &&
-		r.now-d.sent-(r.still-d.still) > b.alone*b.Group.stretch.quantile(b.Route.Copies.After, 8)
+		r.now-d.sent-(r.still-d.still) > b.alone*b.Group.stretch.quantile(b.Route.Hedging.AfterQuantile, 8)
 }
 
 // release is the design's ordinary path: which batch leaves next, where to, and whether the gate lets it.
@@ -624,7 +624,7 @@
 	slow, most := 0, 0.0
 	for _, b := range r.held {
 		if b.redrawAt > r.now || !r.turn(b) || len(b.dispatches) > 0 && (!r.again(b) || r.rationed && r.spent() ||
-			!b.Route.Ready(r.now) || !r.all.Ready(r.now)) || !b.Route.Room(r.now) {
+			!b.Route.MayRetryNow(r.now) || !r.all.MayRetryNow(r.now)) || !b.Route.HasCapacity(r.now) {
 			continue
 		}
 		first = cmp.Or(first, b)
@@ -699,7 +699,7 @@
 // allowed: what the rules say, at every dispatch.
 func (r *Router) allowed(b *Batch, e *Engine) bool {
 	g, at := b.Group, b.bound
-	return e.Phase == Ready && b.Route.Goes(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
+	return e.Phase == Ready && b.Route.AllowsEngineKind(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
 		(g.Kinds == nil || slices.Contains(g.Kinds, e.Kind)) &&
 		(at == nil || g.Effect != Referenced || (g.Scope != WithinZone || e.Zone == at.Zone) &&
 			(g.Scope != WithinCell || e.Cell == at.Cell))
@@ -721,10 +721,10 @@
 // come, or at once while most are set aside: nearly all failing is more likely the network's doing, or ours.
 func (r *Router) fit(b *Batch, e *Engine) bool {
 	here := func(d *dispatch) bool { // where a copy may not go
-		return !d.ended && (d.engine == e || b.Route.OtherZone() && d.engine.Zone == e.Zone)
+		return !d.ended && (d.engine == e || b.Route.HedgesToOtherZone() && d.engine.Zone == e.Zone)
 	}
-	if b.Out > 0 && slices.ContainsFunc(b.dispatches, here) || !b.Route.RoomAt(e.outOf(b)) ||
-		len(b.dispatches) > 0 && !e.Further.May(r.now) || // what has failed elsewhere must not fall on one
+	if b.Out > 0 && slices.ContainsFunc(b.dispatches, here) || !b.Route.HasEngineCapacity(e.outOf(b)) ||
+		len(b.dispatches) > 0 && !e.Further.MayRetrySoon(r.now) || // what has failed elsewhere must not fall on one
 		e.Limit != nil && float64(len(e.outs)) >= e.Limit.Limit() {
 		return false
 	}
@@ -786,16 +786,16 @@
 	r.unhold(b)
 	if len(b.dispatches) > 0 {
 		r.furthers = append(r.furthers, r.now)
-		b.Route.Again(r.now)
-		r.all.Again(r.now)
-		e.Further.Again(r.now)
+		b.Route.CountRetry(r.now)
+		r.all.CountRetry(r.now)
+		e.Further.CountRetry(r.now)
 	} else {
-		e.Further.Took(r.now)
+		e.Further.CountBatch(r.now)
 	}
 	if b.Out > 0 {
-		b.Route.Copied(r.now)
+		b.Route.CountHedge(r.now)
 	}
-	b.Route.Uses(r.now, 1, 0)
+	b.Route.CountUsage(r.now, 1, 0)
 	d := &dispatch{batch: b, engine: e, number: len(b.dispatches), sent: r.now, still: r.still,
 		takes: amount{1, b.Group.Threads, min(b.memory*memorySpare, r.largestGrant*e.memory)}}
 	b.dispatches = append(b.dispatches, d)
@@ -821,7 +821,7 @@
 		}
 	}
 	if b.Group.Effect != OnceOnly { // a time-out would only lose its answer
-		wait = b.Route.Within(wait)
+		wait = b.Route.CapTimeout(wait)
 	}
 	out := Decision{Kind: Dispatch, Batch: b, Engine: e, Number: d.number, Wait: wait}
 	if g.Effect == Referenced && b.bound != nil { // engines forget what ran, also while a connection comes up
--- a/brain/figures.go
+++ b/brain/figures.go
@@ -37,7 +37,7 @@
 // outOf counts dispatches out at an engine that count against the same bound as a batch's route.
 func (e *Engine) outOf(b *Batch) (n int) {
 	for _, d := range e.outs {
-		if b.Route.Shares(d.batch.Route) {
+		if b.Route.SharesLimitWith(d.batch.Route) {
 			n++
 		}
 	}
@@ -56,7 +56,7 @@
 		alone = work / d.batch.Group.Threads
 	}
 	bad := d.end == TimedOut || d.end == Broken || d.end == TurnedAway || d.end == Errored || d.end == Unconnected
-	return limits.Sample{Now: now, Took: took, Alone: alone, Out: len(d.engine.outs) + 1, Bad: bad}
+	return limits.Sample{Now: now, Elapsed: took, Unloaded: alone, InFlight: len(d.engine.outs) + 1, Failed: bad}
 }
 
 func (a amount) add(b amount, times float64) amount {
--- a/brain/routes_test.go
+++ b/brain/routes_test.go
@@ -10,12 +10,12 @@
 )
 
 // copying gives a world whose look-ups have a route with second copies, and some of them taken already.
-func copying(t *testing.T, edit func(*Settings, *limits.Copies)) (*host, []*Engine, *limits.Route) {
+func copying(t *testing.T, edit func(*Settings, *limits.HedgePolicy)) (*host, []*Engine, *limits.Route) {
 	s := settings(lookups())
 	s.MayCancel, s.MayCopy = true, true
-	r := &limits.Route{Name: "r", Copies: &limits.Copies{After: 0.9, Share: 0.2}}
+	r := &limits.Route{Name: "r", Hedging: &limits.HedgePolicy{AfterQuantile: 0.9, MaxRatio: 0.2}}
 	if edit != nil {
-		edit(&s, r.Copies)
+		edit(&s, r.Hedging)
 	}
 	limits.NewTable([]*limits.Route{r})
 	h, list := newHost(t, s, 3)
@@ -79,13 +79,13 @@
 }
 
 func TestNoSecondCopyWhereItCouldDoHarm(t *testing.T) {
-	for name, edit := range map[string]func(*Settings, *limits.Copies){
-		"the platform forbids them": func(s *Settings, _ *limits.Copies) { s.MayCopy = false },
-		"referenced":                func(s *Settings, _ *limits.Copies) { s.Groups[0].Effect, s.Groups[0].Window = Referenced, 60 },
-		"once-only":                 func(s *Settings, _ *limits.Copies) { s.Groups[0].Effect = OnceOnly },
-		"no dispatch left":          func(s *Settings, _ *limits.Copies) { s.MostDispatches = 1 },
-		"no budget":                 func(s *Settings, _ *limits.Copies) { s.Rationed, s.FurtherWindow = true, 10 },
-		"the share is spent":        func(_ *Settings, c *limits.Copies) { c.Share = 0.05 },
+	for name, edit := range map[string]func(*Settings, *limits.HedgePolicy){
+		"the platform forbids them": func(s *Settings, _ *limits.HedgePolicy) { s.MayCopy = false },
+		"referenced":                func(s *Settings, _ *limits.HedgePolicy) { s.Groups[0].Effect, s.Groups[0].Window = Referenced, 60 },
+		"once-only":                 func(s *Settings, _ *limits.HedgePolicy) { s.Groups[0].Effect = OnceOnly },
+		"no dispatch left":          func(s *Settings, _ *limits.HedgePolicy) { s.MostDispatches = 1 },
+		"no budget":                 func(s *Settings, _ *limits.HedgePolicy) { s.Rationed, s.FurtherWindow = true, 10 },
+		"the share is spent":        func(_ *Settings, c *limits.HedgePolicy) { c.MaxRatio = 0.05 },
 	} {
 		h, _, r := copying(t, edit)
 		b := h.take(func(b *Batch) { b.Cost, b.Route = 0.02, r })
@@ -116,7 +116,7 @@
 }
 
 func TestACopyKeepsToAnotherZoneAndOffADrainedEngine(t *testing.T) {
-	h, list, r := copying(t, func(_ *Settings, c *limits.Copies) { c.Zone = true })
+	h, list, r := copying(t, func(_ *Settings, c *limits.HedgePolicy) { c.OtherZone = true })
 	for _, e := range list {
 		e.Zone = 0
 	}
@@ -142,9 +142,9 @@
 }
 
 func TestAConcurrencyHoldsBackPushesBackOrErrs(t *testing.T) {
-	for bound, want := range map[limits.Bound][3]int{limits.Wait: {2, 0, 0}, limits.PushBack: {2, 1, 0}, limits.Refuse: {2, 0, 1}} {
+	for bound, want := range map[limits.LimitAction][3]int{limits.QueueBatch: {2, 0, 0}, limits.RejectBatch: {2, 1, 0}, limits.FailBatch: {2, 0, 1}} {
 		h, _ := newHost(t, settings(lookups()), 3)
-		r := &limits.Route{Name: "r", Concurrency: &limits.Concurrency{Name: "c", Fleet: 2, AtBound: bound}}
+		r := &limits.Route{Name: "r", Concurrency: &limits.ConcurrencyLimit{Name: "c", PerRouter: 2, OnLimit: bound}}
 		limits.NewTable([]*limits.Route{r})
 		var all []*Batch
 		for range 3 {
@@ -153,7 +153,7 @@
 		assert.Equal(t, want, [3]int{len(h.of(Dispatch, nil)), len(h.of(PushBack, nil)), len(h.of(Fail, nil))}, bound.String())
 		h.end(all[0], Returned)
 		h.pass(0.3)
-		assert.Len(t, h.of(Dispatch, all[2]), map[limits.Bound]int{limits.Wait: 1}[bound], bound.String())
+		assert.Len(t, h.of(Dispatch, all[2]), map[limits.LimitAction]int{limits.QueueBatch: 1}[bound], bound.String())
 		free := h.take(nil)
 		assert.Len(t, h.of(Dispatch, free), 1, "others are not held up")
 	}
@@ -161,7 +161,7 @@
 
 func TestAConcurrencyAtOneEngineSendsElsewhere(t *testing.T) {
 	h, list := newHost(t, settings(lookups()), 3)
-	r := &limits.Route{Name: "r", Concurrency: &limits.Concurrency{Name: "c", Engine: 1}}
+	r := &limits.Route{Name: "r", Concurrency: &limits.ConcurrencyLimit{Name: "c", PerEngine: 1}}
 	limits.NewTable([]*limits.Route{r})
 	for range 4 {
 		h.take(func(b *Batch) { b.Route = r })
@@ -178,8 +178,8 @@
 	told  []limits.Sample
 }
 
-func (f *fixed) Limit() float64        { return f.limit }
-func (f *fixed) Ended(s limits.Sample) { f.told = append(f.told, s) }
+func (f *fixed) Limit() float64          { return f.limit }
+func (f *fixed) Observe(s limits.Sample) { f.told = append(f.told, s) }
 
 func TestAnAdaptiveLimitBoundsItsEngineAndIsToldOfEnds(t *testing.T) {
 	h, list := newHost(t, settings(lookups()), 2)
@@ -196,7 +196,7 @@
 		if len(b.dispatches) > 0 && b.dispatches[0].engine == list[0] {
 			h.end(b, Returned)
 			require.Len(t, one.told, 1)
-			assert.Equal(t, limits.Sample{Now: h.now, Took: h.now - 100, Alone: 0.1, Out: 1}, one.told[0])
+			assert.Equal(t, limits.Sample{Now: h.now, Elapsed: h.now - 100, Unloaded: 0.1, InFlight: 1}, one.told[0])
 			break
 		}
 	}
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -50,7 +50,7 @@
 }
 
 // Budget brings the operators' budget of further dispatches of all batches; nil: none.
-func (r *Router) Budget(all *limits.Budget) { r.all = all }
+func (r *Router) Budget(all *limits.RetryBudget) { r.all = all }
 
 // Until is when a batch must have its final answer, by the module's clock in seconds.
 func (b *Batch) Until() float64 { return b.limitAt }
--- a/brain/types.go
+++ b/brain/types.go
@@ -116,9 +116,9 @@
 	Cell      int
 	Kind      int
 	Zone      int
-	Alone     bool            // it takes one batch at a time on a connection
-	Limit     limits.Adaptive // of what is out there; nil: none
-	Further   *limits.Budget  // of further dispatches there; nil: none
+	Alone     bool                 // it takes one batch at a time on a connection
+	Limit     limits.AdaptiveLimit // of what is out there; nil: none
+	Further   *limits.RetryBudget  // of further dispatches there; nil: none
 
 	engineState
 }
@@ -336,5 +336,5 @@
 	probeCredit    float64
 	wakeAt         float64
 	level          Reduced
-	all            *limits.Budget // of further dispatches of all batches; nil: none
+	all            *limits.RetryBudget // of further dispatches of all batches; nil: none
 }
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -31,7 +31,7 @@
 	Rules   assign.Rules
 	Engines []engines.Settings
 	Routes  *limits.Table    // of limits
-	Limits  limits.Set       // all that is told of limits
+	Limits  limits.Config    // all that is told of limits
 	Status  string           // where the status page listens; empty: nowhere
 	Levels  *levels.Settings // of reduced service; nil: none
 	Fleet   *fleet.Settings  // other routers; nil: there is no talk
@@ -87,10 +87,10 @@
 	} else {
 		out.Shares = f.ShareSections.Prove(c, "", nil)
 	}
-	out.Levels, out.LevelsOver = f.LevelSections.Prove(c)
-	out.Limits = f.LimitSections.Prove(c)
+	out.Levels, out.LevelsOver = f.LevelSections.Validate(c)
+	out.Limits = f.LimitSections.Validate(c)
 	if out.Shares == nil {
-		for _, key := range f.LimitSections.Divided() {
+		for _, key := range f.LimitSections.FleetWideKeys() {
 			c.Found(key, "all routers divide it, for which they have to talk: [fleet] and [shares] have to be there")
 		}
 	}
@@ -105,12 +105,12 @@
 // rule. All that is found is told.
 func (i *Installation) Against(path string, s settings.Settings) error {
 	errs := []error{i.Groups(path, s.GroupNames())}
-	p := limits.Platform{Known: true, Dispatches: max(s.MostDispatches, 1), Clients: s.Clients, Rationed: s.Rationed, Free: s.FreeFurther,
-		Share: s.FurtherShare, Window: s.FurtherWindow, Copies: s.MayCopy, Kinds: s.Kinds}
-	i.Routes.Resolve(s.Kinds)
+	p := limits.Platform{Known: true, MaxDispatches: max(s.MostDispatches, 1), Clients: s.Clients, RetriesLimited: s.Rationed, FreeRetries: s.FreeFurther,
+		RetryRatio: s.FurtherShare, RetryWindow: s.FurtherWindow, AllowsHedging: s.MayCopy, EngineKinds: s.Kinds}
+	i.Routes.ResolveEngineKinds(s.Kinds)
 	for _, g := range s.Groups {
 		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == brain.Repeatable, Referenced: g.Effect == brain.Referenced,
-			Limit: g.Limit, Window: g.Window, Kinds: g.Kinds})
+			TimeLimit: g.Limit, DedupWindow: g.Window, EngineKinds: g.Kinds})
 	}
 	for _, f := range limits.Check(i.Limits, p) {
 		errs = append(errs, fmt.Errorf("%s: %s", i.where(path, f.Line), f.Text))
@@ -132,7 +132,7 @@
 	}
 	i.Rules.GroupsOf(check)
 	if i.Levels != nil {
-		i.Levels.GroupsOf(check)
+		i.Levels.ForEachGroup(check)
 	}
 	return errors.Join(errs...)
 }
