--- a/internal/emulator/routes_test.go
+++ b/internal/emulator/routes_test.go
@@ -43,7 +43,7 @@
 			if !rapid.Bool().Draw(t, "there") {
 				continue
 			}
-			r := &limits.Route{Name: string(rune('a' + i)), Match: limits.Fields{Group: group}, MaxDispatches: rapid.IntRange(0, 3).Draw(t, "dispatches"),
+			r := &limits.Route{Name: string(rune('a' + i)), Pattern: limits.Fields{Group: group}, MaxDispatches: rapid.IntRange(0, 3).Draw(t, "dispatches"),
 				Timeout: seconds("time-out"), RetryDelay: seconds("pause"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}
 			if len(budgets) > 0 {
 				r.Budget = rapid.SampledFrom(budgets).Draw(t, "budget")
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -166,7 +166,7 @@
 			one.Adaptive = limits.AdaptiveSettings{Kind: v.Adaptive, Initial: v.Limit}
 		}
 		if found := limits.Check(limits.Config{Adaptive: one.Adaptive}, limits.Platform{}); len(found) > 0 {
-			return nil, fmt.Errorf("%s: variant %q: %s", path, v.Name, found[0].Text)
+			return nil, fmt.Errorf("%s: variant %q: %s", path, v.Name, found[0].Message)
 		}
 		e.Variants = append(e.Variants, one)
 	}
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -96,7 +96,7 @@
 	}
 	out.Routes = limits.NewTable(out.Limits.Routes)
 	for _, found := range limits.Check(out.Limits, limits.Platform{}) {
-		c.errs = append(c.errs, fmt.Errorf("%s: %s", s.where(found.Line), found.Text))
+		c.errs = append(c.errs, fmt.Errorf("%s: %s", s.where(found.Line), found.Message))
 	}
 	return out, errors.Join(c.errs...)
 }
@@ -113,7 +113,7 @@
 			TimeLimit: g.Limit, DedupWindow: g.Window, EngineKinds: g.Kinds})
 	}
 	for _, f := range limits.Check(i.Limits, p) {
-		errs = append(errs, fmt.Errorf("%s: %s", i.where(path, f.Line), f.Text))
+		errs = append(errs, fmt.Errorf("%s: %s", i.where(path, f.Line), f.Message))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/limits/bounds_test.go
+++ b/internal/limits/bounds_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestRoutesThatShareABoundEachHaveTheirPartAndLeaveNoneUnused(t *testing.T) {
+func TestRoutesShareConcurrencyLimitFairly(t *testing.T) {
 	c := &ConcurrencyLimit{Name: "c", PerRouter: 4}
 	a, b := &Route{Name: "a", Concurrency: c}, &Route{Name: "b", Concurrency: c}
 	NewTable([]*Route{a, b})
@@ -26,7 +26,7 @@
 }
 
 // However routes come and go, no more is out than the bound, and none is kept out while there is room for it alone.
-func TestABoundIsNeverPassedNorLeftUnused(t *testing.T) {
+func TestConcurrencyLimitIsNeitherExceededNorLeftUnused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &ConcurrencyLimit{Name: "c", PerRouter: rapid.IntRange(1, 6).Draw(t, "fleet")}
 		routes := []*Route{{Name: "a", Concurrency: c}, {Name: "b", Concurrency: c}, {Name: "c", Concurrency: c}}
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestALoweredBoundCountsWhatIsOutFromBefore(t *testing.T) {
+func TestLoweredLimitCountsDispatchesFromBeforeReload(t *testing.T) {
 	old := &Route{Name: "a", Concurrency: &ConcurrencyLimit{Name: "c", PerRouter: 4}, Budget: &RetryBudget{Name: "b", FreeRetries: 1, Window: 10}}
 	before := NewTable([]*Route{old})
 	for range 3 {
@@ -82,7 +82,7 @@
 	assert.True(t, other.Routes[0].MayRetrySoon(100.5), "another window is another budget")
 }
 
-func TestAShareOfCopiesIsKept(t *testing.T) {
+func TestHedgesStayWithinTheirRatio(t *testing.T) {
 	r := &Route{Hedging: &HedgePolicy{AfterQuantile: 0.9, MaxRatio: 0.1}}
 	sent := 0
 	for i := range 1000 {
@@ -99,7 +99,7 @@
 
 // An engine that takes so much longer the more is out beyond its cores: the limit finds about what it can do,
 // gives way when it gets slower, and comes back.
-func TestAdaptiveLimitsFollowAnEngineThatGetsSlowerAndBack(t *testing.T) {
+func TestAdaptiveLimitFollowsEngineSpeed(t *testing.T) {
 	for _, kind := range []string{"aimd"} {
 		a := AdaptiveSettings{Kind: kind}.New()
 		now := 0.0
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestAnAdaptiveLimitStaysInItsBoundsWhateverComes(t *testing.T) {
+func TestAdaptiveLimitStaysWithinMinAndMax(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := AdaptiveSettings{Kind: "aimd", Min: 2, Max: 20}
 		a := s.New()
@@ -142,7 +142,7 @@
 }
 
 // An idle engine's limit does not grow: it would bound nothing when the crowd comes.
-func TestWhatDoesNotBindDoesNotRise(t *testing.T) {
+func TestUnusedAdaptiveLimitDoesNotRise(t *testing.T) {
 	for kind := range AdaptiveKinds {
 		a := AdaptiveSettings{Kind: kind}.New()
 		for i := range 2000 {
@@ -157,7 +157,7 @@
 	c := &ConcurrencyLimit{Name: "c", PerRouter: 1 << 20, PerEngine: 8}
 	budget := &RetryBudget{Name: "b", FreeRetries: 1e6, Window: 10}
 	for i := range 1000 {
-		routes = append(routes, &Route{Name: string(rune(i)), Match: Fields{Group: "report", Client: string(rune('a' + i))}, Budget: budget,
+		routes = append(routes, &Route{Name: string(rune(i)), Pattern: Fields{Group: "report", Client: string(rune('a' + i))}, Budget: budget,
 			Hedging: &HedgePolicy{AfterQuantile: 0.9, MaxRatio: 0.05}})
 	}
 	routes[500].Concurrency = c
--- a/internal/limits/check.go
+++ b/internal/limits/check.go
@@ -36,8 +36,8 @@
 
 // Finding is something by which a set of routes could break a rule, or could do nothing.
 type Finding struct {
-	Line int
-	Text string
+	Line    int
+	Message string
 }
 
 const (
@@ -148,9 +148,9 @@
 		}
 		names[r.Name] = true
 		for _, o := range routes[:i] {
-			if o.specificity() == r.specificity() && canBothMatch(o.Match, r.Match) {
+			if o.specificity() == r.specificity() && canBothMatch(o.Pattern, r.Pattern) {
 				out = append(out, Finding{r.Line, fmt.Sprintf("route %q: it is as exact as route %q (line %d), and a batch could match both: %s, and %s",
-					r.Name, o.Name, o.Line, r.Match, o.Match)})
+					r.Name, o.Name, o.Line, r.Pattern, o.Pattern)})
 				break
 			}
 		}
@@ -178,15 +178,15 @@
 	if !inRange(r.RetryDelay, 0, maxSeconds) || !inRange(r.Jitter, 0, 1) {
 		found("its pause must be from 0 to %ds, and the jitter a share from 0 to 1", maxSeconds)
 	}
-	if c := r.Match.Protocol; c != "" && !slices.ContainsFunc(Protocols, func(one string) bool { return matchWildcard(c, one) }) {
+	if c := r.Pattern.Protocol; c != "" && !slices.ContainsFunc(Protocols, func(one string) bool { return matchWildcard(c, one) }) {
 		found("it can never match: there is no protocol %q; there are %s", c, strings.Join(Protocols, " and "))
 	}
-	if c := r.Match.DataSet; c != "" && !hasWildcard(c) {
+	if c := r.Pattern.DataSet; c != "" && !hasWildcard(c) {
 		if n, err := strconv.Atoi(c); err != nil || n < 0 || strconv.Itoa(n) != c {
 			found("it can never match: %q is not the number of a data set", c)
 		}
 	}
-	if (r.Match.Login != "" || r.Match.Application != "") && r.Match.Protocol == "frames" {
+	if (r.Pattern.Login != "" || r.Pattern.Application != "") && r.Pattern.Protocol == "frames" {
 		found("it can never match: frames tell no login and no application")
 	}
 	if c := r.Hedging; c != nil {
@@ -227,16 +227,16 @@
 	}
 	groups := 0
 	for _, g := range p.Groups {
-		if r.Match.Group != "" && !matchWildcard(r.Match.Group, g.Name) {
+		if r.Pattern.Group != "" && !matchWildcard(r.Pattern.Group, g.Name) {
 			continue
 		}
 		groups++
 		out = append(out, r.checkGroup(g, p)...)
 	}
 	if groups == 0 {
-		found("it can never match: there is no service group %q", r.Match.Group)
+		found("it can never match: there is no service group %q", r.Pattern.Group)
 	}
-	if c := r.Match.Client; c != "" && !slices.ContainsFunc(p.Clients, func(one string) bool { return matchWildcard(c, one) }) {
+	if c := r.Pattern.Client; c != "" && !slices.ContainsFunc(p.Clients, func(one string) bool { return matchWildcard(c, one) }) {
 		found("it can never match: there is no client %q", c)
 	}
 	return out
--- a/internal/limits/concurrency.go
+++ b/internal/limits/concurrency.go
@@ -50,7 +50,7 @@
 		if out > 0 {
 			p.Spend(now, float64(out))
 		} else if out < 0 {
-			p.Freed(now, float64(-out))
+			p.Release(now, float64(-out))
 		}
 	}
 }
@@ -65,10 +65,10 @@
 		return true
 	}
 	p := r.Concurrency.Quota
-	if p == nil || p.Room(now, 1) {
+	if p == nil || p.CanSpend(now, 1) {
 		return p != nil
 	}
-	p.Want(now, 1)
+	p.Request(now, 1)
 	return false
 }
 
@@ -130,7 +130,7 @@
 	if c.PerRouter > 0 && (c.usage.inFlight+c.usage.queued >= c.PerRouter || !r.hasLocalCapacity()) {
 		return c.OnLimit
 	}
-	if p := c.Quota; c.FleetWide > 0 && (p == nil || !p.Room(now, 1) && !p.Hopes(now, 1)) {
+	if p := c.Quota; c.FleetWide > 0 && (p == nil || !p.CanSpend(now, 1) && !p.MayGrantSoon(now, 1)) {
 		return c.OnLimit
 	}
 	return QueueBatch
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -29,7 +29,7 @@
 // Route is an operator's. What is 0 is not set.
 type Route struct {
 	Name          string
-	Match         Fields       // empty: any; * stands for anything
+	Pattern       Fields       // empty: any; * stands for anything
 	MaxDispatches int          // at most
 	Timeout       float64      // seconds of one dispatch
 	RetryDelay    float64      // seconds between them,
@@ -61,15 +61,15 @@
 // Quota is what this router has of something that the fleet divides among its routers. Times are seconds.
 type Quota interface {
 	// Room tells whether so much may be used now.
-	Room(now, amount float64) bool
+	CanSpend(now, amount float64) bool
 	// Spend counts it.
 	Spend(now, amount float64)
 	// Want tells that so much is wanted for which there is no room.
-	Want(now, amount float64)
+	Request(now, amount float64)
 	// Hopes tells whether what is wanted may come within a moment.
-	Hopes(now, amount float64) bool
+	MayGrantSoon(now, amount float64) bool
 	// Freed tells that what was held no longer is.
-	Freed(now, amount float64)
+	Release(now, amount float64)
 }
 
 // CopyUnspent gives one of the same size of which nothing is spent; nil for none.
@@ -197,7 +197,7 @@
 
 // MayRetrySoon tells whether there is room for one more, or may be within a moment.
 func (b *RetryBudget) MayRetrySoon(now float64) bool {
-	return b == nil || b.localAllows(now) || b.Quota != nil && (b.Quota.Room(now, 1) || b.Quota.Hopes(now, 1))
+	return b == nil || b.localAllows(now) || b.Quota != nil && (b.Quota.CanSpend(now, 1) || b.Quota.MayGrantSoon(now, 1))
 }
 
 // MayRetryNow tells whether there is room now. What is missing is wanted by that: it is asked for a batch that would leave.
@@ -208,10 +208,10 @@
 	if b.Quota == nil {
 		return false
 	}
-	if b.Quota.Room(now, 1) {
+	if b.Quota.CanSpend(now, 1) {
 		return true
 	}
-	b.Quota.Want(now, 1)
+	b.Quota.Request(now, 1)
 	return false
 }
 
@@ -244,7 +244,7 @@
 
 // specificity ranks routes: first how many fields are told as they are, then how many by pattern.
 func (r *Route) specificity() (rank int) {
-	for _, p := range r.Match.values() {
+	for _, p := range r.Pattern.values() {
 		switch {
 		case p == "":
 		case hasWildcard(p):
@@ -312,7 +312,7 @@
 		s := fieldSet{specificity: r.specificity()}
 		var key [fieldCount]string
 		pattern := false
-		for i, p := range r.Match.values() {
+		for i, p := range r.Pattern.values() {
 			if s.exact[i] = p != "" && !hasWildcard(p); s.exact[i] {
 				key[i] = p
 			}
@@ -353,7 +353,7 @@
 		}
 	next:
 		for _, r := range s.wildcardRoutes {
-			for k, p := range r.Match.values() {
+			for k, p := range r.Pattern.values() {
 				if p != "" && !matchWildcard(p, all[k]) {
 					continue next
 				}
@@ -370,16 +370,16 @@
 	if found == nil {
 		return "no route matches: the platform's limits hold alone"
 	}
-	out := fmt.Sprintf("route %q (line %d): it matches on %s, and none that does is more exact", found.Name, found.Line, found.Match.String())
+	out := fmt.Sprintf("route %q (line %d): it matches on %s, and none that does is more exact", found.Name, found.Line, found.Pattern.String())
 	var others []string
 	all := f.values()
 	for _, r := range t.Routes {
 		ok := r != found
-		for k, p := range r.Match.values() {
+		for k, p := range r.Pattern.values() {
 			ok = ok && (p == "" || matchWildcard(p, all[k]))
 		}
 		if ok {
-			others = append(others, fmt.Sprintf("%q on %s", r.Name, r.Match.String()))
+			others = append(others, fmt.Sprintf("%q on %s", r.Name, r.Pattern.String()))
 		}
 	}
 	if len(others) > 0 {
@@ -457,7 +457,7 @@
 		if r.EngineKinds != nil {
 			engines = strings.Join(r.EngineKinds, ",")
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Line, r.Match, most, or(r.Timeout), or(r.RetryDelay), budget,
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Line, r.Pattern, most, or(r.Timeout), or(r.RetryDelay), budget,
 			copies, concurrency, result, engines)
 	}
 	return w.Flush()
--- a/internal/limits/section.go
+++ b/internal/limits/section.go
@@ -96,7 +96,7 @@
 	for i, r := range f.Route {
 		at := fmt.Sprintf("route[%d]", i)
 		one := &Route{Name: r.Name, Line: c.Line(at), Jitter: r.Jitter, Budget: budgets[r.Budget],
-			Match: Fields{Group: r.Group, Client: r.Client, Login: r.Login, Application: r.Application, Protocol: r.Protocol, DataSet: r.DataSet}}
+			Pattern: Fields{Group: r.Group, Client: r.Client, Login: r.Login, Application: r.Application, Protocol: r.Protocol, DataSet: r.DataSet}}
 		one.Timeout, one.RetryDelay = c.Seconds(at+".time-out", r.Timeout, 3600), c.Seconds(at+".pause", r.Pause, 3600)
 		if r.Dispatches != nil {
 			if one.MaxDispatches = *r.Dispatches; one.MaxDispatches == 0 {
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -20,7 +20,7 @@
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{bursar}
 	s.Listen, s.Keepers, s.Firm = m.Listen, []string{bursar}, 0
 	h.tell(TalkSet{Settings: m, Shares: &s})
-	route.Name, route.Match = "r", limits.Fields{Group: "lookup"}
+	route.Name, route.Pattern = "r", limits.Fields{Group: "lookup"}
 	h.tell(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
 	h.pass(1)
 	return h
