--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,5 +1,9 @@
-// Package limits has the operators' limits by route: which route a batch takes, whether a set of routes could break a
-// rule, and the budgets of further dispatches that routes have. It is pure: no input or output, no clock, no chance.
+// Package limits implements the limits that operators set per route: it selects the route of a batch, checks whether a set
+// of routes could break one of the router's rules, and keeps the retry budgets, hedge ratios and concurrency limits of
+// routes.
+//
+// The package does no input or output and reads neither a clock nor a random source: callers pass the time, in seconds, and
+// random draws. Nothing in it is safe for concurrent use. A nil *Route, *RetryBudget or *Table limits nothing.
 package limits
 
 import (
@@ -11,68 +15,69 @@
 	"text/tabwriter"
 )
 
-// Fields are what routes match on.
+// Fields are the properties of a batch that routes match on. In a batch they hold values, in a route patterns.
 type Fields struct {
 	Group, Client, Login, Application, Protocol string
-	DataSet                                     string // its number; empty: none
+	DataSet                                     string // the data set's number; empty: none
 }
 
+// fieldCount is the number of strings in Fields.
 const fieldCount = 6
 
 func (f *Fields) values() [fieldCount]string {
 	return [fieldCount]string{f.Group, f.Client, f.Login, f.Application, f.Protocol, f.DataSet}
 }
 
-// FieldNames are their names in settings.
+// FieldNames are the names of the fields in settings, in the order of Fields.
 var FieldNames = [fieldCount]string{"group", "client", "login", "application", "protocol", "data-set"}
 
-// Route is an operator's. What is 0 is not set.
+// Route holds the limits that an operator sets for the batches that match a pattern. A number that is 0 is not set.
 type Route struct {
 	Name          string
-	Pattern       Fields       // empty: any; * stands for anything
-	MaxDispatches int          // at most
-	Timeout       float64      // seconds of one dispatch
-	RetryDelay    float64      // seconds between them,
-	Jitter        float64      // give or take this share
-	Budget        *RetryBudget // of further dispatches; routes may share one
-	Line          int          // in the file, for what is found
-
-	Hedging        *HedgePolicy      // nil: none
-	Concurrency    *ConcurrencyLimit // nil: no bound; routes may share one
-	MaxResultBytes float64           // bytes
-	EngineKinds    []string          // of the engines that its batches may go to; nil: any
-	engineKindIDs  []int             // the same by the platform's numbers; Resolve fills them in
-	usage          *usage
-}
-
-// RetryBudget is what may be spent on further dispatches: a free few, and a share of the batches taken, in a window.
+	Pattern       Fields       // an empty field matches anything; * stands for any text
+	MaxDispatches int          // per batch, including the first
+	Timeout       float64      // of one dispatch, in seconds
+	RetryDelay    float64      // pause between two dispatches of a batch, in seconds
+	Jitter        float64      // random variation of RetryDelay in both directions, as a fraction of it
+	Budget        *RetryBudget // nil: no limit; routes may share one
+	Line          int          // in the settings file, for findings
+
+	Hedging        *HedgePolicy      // nil: no hedging
+	Concurrency    *ConcurrencyLimit // nil: no limit; routes may share one
+	MaxResultBytes float64
+	EngineKinds    []string // kinds of engine that its batches may go to; nil: any
+	engineKindIDs  []int    // EngineKinds as the platform numbers them; set by ResolveEngineKinds
+	usage          *usage   // of this route alone; NewTable sets it where Concurrency is set
+}
+
+// RetryBudget limits retries within a sliding window: to a fixed number plus a fraction of the batches taken.
 type RetryBudget struct {
 	Name        string
-	FreeRetries float64
-	RetryRatio  float64
+	FreeRetries float64 // retries allowed per window however few batches are taken
+	RetryRatio  float64 // retries allowed per batch taken, 0 to 1
 	Window      float64 // seconds
-	FleetWide   bool    // the free ones are for all routers together: they come by the purse alone
-	Quota       Quota   // nil: there is nobody to divide them with, and there are none
-	Line        int
+	FleetWide   bool    // FreeRetries is the total of all routers; this router gets its part from Quota alone
+	Quota       Quota   // this router's part of a fleet-wide FreeRetries; nil: it has no part
+	Line        int     // in the settings file, for findings
 
 	batches, retries windowCounter
 }
 
-// Quota is what this router has of something that the fleet divides among its routers. Times are seconds.
+// Quota is this router's part of an amount that all routers of the fleet divide among themselves. Times are in seconds.
 type Quota interface {
-	// Room tells whether so much may be used now.
+	// CanSpend reports whether amount may be used now.
 	CanSpend(now, amount float64) bool
-	// Spend counts it.
+	// Spend counts amount as used.
 	Spend(now, amount float64)
-	// Want tells that so much is wanted for which there is no room.
+	// Request asks the fleet for amount, which this router needs and does not have.
 	Request(now, amount float64)
-	// Hopes tells whether what is wanted may come within a moment.
+	// MayGrantSoon reports whether it is worth waiting a moment for a request of amount to be granted.
 	MayGrantSoon(now, amount float64) bool
-	// Freed tells that what was held no longer is.
+	// Release returns amount that was spent and is no longer in use.
 	Release(now, amount float64)
 }
 
-// CopyUnspent gives one of the same size of which nothing is spent; nil for none.
+// CopyUnspent returns a budget of the same size of which nothing is spent, without a quota. It returns nil for nil.
 func (b *RetryBudget) CopyUnspent() *RetryBudget {
 	if b == nil {
 		return nil
@@ -80,48 +85,50 @@
 	return &RetryBudget{Name: b.Name, FreeRetries: b.FreeRetries, RetryRatio: b.RetryRatio, Window: b.Window, FleetWide: b.FleetWide, Line: b.Line}
 }
 
-// CarryOver goes on with what an older one has spent, unless its window is another.
+// CarryOver takes over the counts of an older budget. A budget with another window starts from zero instead.
 func (b *RetryBudget) CarryOver(old *RetryBudget) {
 	if b != nil && old != nil && old.Window == b.Window {
 		b.batches, b.retries = old.batches, old.retries
 	}
 }
 
-// windowCounter counts what happened in a window, in slots of a tenth of it: as good as a list of times, at a fixed cost.
+// windowCounter counts events within a sliding window, in slots of a tenth of it. That serves as well as a list of times
+// and costs a fixed amount of memory.
 type windowCounter struct {
 	slots   [10]float64
-	current int64
+	current int64 // number of the slot that is filled now, counted from time 0
 	started bool
 }
 
-func (r *windowCounter) advance(now, window float64) {
-	slot := int64(math.Floor(now / window * float64(len(r.slots))))
-	if !r.started {
-		r.started, r.current = true, slot
+// advance clears the slots that have left the window. If the clock steps back, counting goes on in the current slot.
+func (c *windowCounter) advance(now, window float64) {
+	slot := int64(math.Floor(now / window * float64(len(c.slots))))
+	if !c.started {
+		c.started, c.current = true, slot
 	}
-	if slot-r.current >= int64(len(r.slots)) {
-		r.slots, r.current = [10]float64{}, slot
+	if slot-c.current >= int64(len(c.slots)) {
+		c.slots, c.current = [10]float64{}, slot
 	}
-	for r.current < slot { // a clock that steps back stays in its slot
-		r.current++
-		r.slots[r.current%int64(len(r.slots))] = 0
+	for c.current < slot {
+		c.current++
+		c.slots[c.current%int64(len(c.slots))] = 0
 	}
 }
 
-func (r *windowCounter) add(now, window float64) {
-	r.advance(now, window)
-	r.slots[r.current%int64(len(r.slots))]++
+func (c *windowCounter) add(now, window float64) {
+	c.advance(now, window)
+	c.slots[c.current%int64(len(c.slots))]++
 }
 
-func (r *windowCounter) sum(now, window float64) (out float64) {
-	r.advance(now, window)
-	for _, n := range r.slots {
-		out += n
+func (c *windowCounter) sum(now, window float64) (sum float64) {
+	c.advance(now, window)
+	for _, n := range c.slots {
+		sum += n
 	}
-	return out
+	return sum
 }
 
-// CountBatch counts a batch.
+// CountBatch counts a batch taken under the route, from which retry budget and hedge ratio are computed.
 func (r *Route) CountBatch(now float64) {
 	if r == nil {
 		return
@@ -132,12 +139,12 @@
 	}
 }
 
-// AllowsEngineKind tells whether its batches may go to engines of a kind.
+// AllowsEngineKind reports whether the route's batches may go to engines of a kind, given by the platform's number.
 func (r *Route) AllowsEngineKind(kind int) bool {
 	return r == nil || r.engineKindIDs == nil || slices.Contains(r.engineKindIDs, kind)
 }
 
-// ResolveEngineKinds finds the numbers of the kinds of engine that routes name.
+// ResolveEngineKinds translates the names of engine kinds in all routes to their indexes in kinds, the platform's list.
 func (t *Table) ResolveEngineKinds(kinds []string) {
 	for _, r := range t.Routes {
 		r.engineKindIDs = nil
@@ -149,32 +156,32 @@
 	}
 }
 
-// AllowsResult tells whether a result of so many bytes is within what the route lets through.
+// AllowsResult reports whether a result of this size may be returned.
 func (r *Route) AllowsResult(bytes int) bool {
 	return r == nil || r.MaxResultBytes == 0 || float64(bytes) <= r.MaxResultBytes
 }
 
-// CountRetry counts a further dispatch.
+// CountRetry counts a retry against the route's budget.
 func (r *Route) CountRetry(now float64) {
 	if r != nil {
 		r.Budget.CountRetry(now)
 	}
 }
 
-// MayRetrySoon tells whether the budget has room for one more further dispatch, or may have within a moment.
+// MayRetrySoon reports whether the budget allows a retry now or may do so within a moment.
 func (r *Route) MayRetrySoon(now float64) bool { return r == nil || r.Budget.MayRetrySoon(now) }
 
-// MayRetryNow tells whether it has now.
+// MayRetryNow reports whether the budget allows a retry now. If it does not, it requests a part of a fleet-wide budget.
 func (r *Route) MayRetryNow(now float64) bool { return r == nil || r.Budget.MayRetryNow(now) }
 
-// CountBatch counts what the budget's share is of. A budget that is not there bounds nothing.
+// CountBatch counts a batch, which raises the budget by RetryRatio for the length of its window.
 func (b *RetryBudget) CountBatch(now float64) {
 	if b != nil {
 		b.batches.add(now, b.Window)
 	}
 }
 
-// CountRetry counts a further dispatch: against what is this router's own, if that has room.
+// CountRetry counts a retry: against the router's own part of the budget if that allows it, else against the quota.
 func (b *RetryBudget) CountRetry(now float64) {
 	if b == nil {
 		return
@@ -186,7 +193,8 @@
 	b.retries.add(now, b.Window)
 }
 
-// localAllows: what this router has by itself bears one more. Where the fleet divides the free ones that is the share alone.
+// localAllows reports whether the part of the budget that needs no quota allows one more retry. In a fleet-wide budget that
+// part is RetryRatio alone.
 func (b *RetryBudget) localAllows(now float64) bool {
 	free := b.FreeRetries
 	if b.FleetWide {
@@ -195,12 +203,13 @@
 	return b.retries.sum(now, b.Window)+1 <= free+b.RetryRatio*b.batches.sum(now, b.Window)
 }
 
-// MayRetrySoon tells whether there is room for one more, or may be within a moment.
+// MayRetrySoon reports whether one more retry is allowed now or may be allowed within a moment.
 func (b *RetryBudget) MayRetrySoon(now float64) bool {
 	return b == nil || b.localAllows(now) || b.Quota != nil && (b.Quota.CanSpend(now, 1) || b.Quota.MayGrantSoon(now, 1))
 }
 
-// MayRetryNow tells whether there is room now. What is missing is wanted by that: it is asked for a batch that would leave.
+// MayRetryNow reports whether one more retry is allowed now. Callers ask it only for a batch that is ready to be sent, so
+// where a quota lacks the retry MayRetryNow also requests it from the fleet.
 func (b *RetryBudget) MayRetryNow(now float64) bool {
 	if b == nil || b.localAllows(now) {
 		return true
@@ -215,23 +224,23 @@
 	return false
 }
 
-// DispatchLimit gives how many dispatches a batch may have, of those that the platform allows.
-func (r *Route) DispatchLimit(platform int) int {
+// DispatchLimit returns how many dispatches a batch may have: the route's limit, but never more than the platform's.
+func (r *Route) DispatchLimit(platformLimit int) int {
 	if r == nil || r.MaxDispatches == 0 {
-		return platform
+		return platformLimit
 	}
-	return min(r.MaxDispatches, platform)
+	return min(r.MaxDispatches, platformLimit)
 }
 
-// CapTimeout shortens the time that a dispatch has.
-func (r *Route) CapTimeout(wait float64) float64 {
+// CapTimeout returns timeout, in seconds, or the route's own timeout if that is shorter.
+func (r *Route) CapTimeout(timeout float64) float64 {
 	if r == nil || r.Timeout == 0 {
-		return wait
+		return timeout
 	}
-	return min(wait, r.Timeout)
+	return min(timeout, r.Timeout)
 }
 
-// JitteredRetryDelay gives the pause before the next dispatch, by a draw from 0 to 1.
+// JitteredRetryDelay returns the pause in seconds before the next dispatch. draw is a random number from 0 to 1.
 func (r *Route) JitteredRetryDelay(draw float64) float64 {
 	if r == nil {
 		return 0
@@ -239,10 +248,10 @@
 	return r.RetryDelay * (1 + r.Jitter*(2*draw-1))
 }
 
-// hasWildcard tells whether a pattern has a star.
+// hasWildcard reports whether a pattern contains *.
 func hasWildcard(pattern string) bool { return strings.IndexByte(pattern, '*') >= 0 }
 
-// specificity ranks routes: first how many fields are told as they are, then how many by pattern.
+// specificity ranks routes: by the number of fields given exactly, then by the number given with a wildcard.
 func (r *Route) specificity() (rank int) {
 	for _, p := range r.Pattern.values() {
 		switch {
@@ -256,20 +265,21 @@
 	return rank
 }
 
-// matchWildcard a pattern with any number of stars, without an allocation.
+// matchWildcard reports whether text matches a pattern in which each * stands for any text, also for none. It does not
+// allocate.
 func matchWildcard(pattern, text string) bool {
-	star, back := -1, 0
+	star, resume := -1, 0 // the last * seen, and how far in text it has been extended
 	p, t := 0, 0
 	for t < len(text) {
 		switch {
 		case p < len(pattern) && pattern[p] == '*':
-			star, back = p, t
+			star, resume = p, t
 			p++
 		case p < len(pattern) && pattern[p] == text[t]:
 			p, t = p+1, t+1
 		case star >= 0:
-			back++
-			p, t = star+1, back
+			resume++
+			p, t = star+1, resume
 		default:
 			return false
 		}
@@ -280,21 +290,22 @@
 	return p == len(pattern)
 }
 
-// Table finds the route of a batch. Routes of the same exact fields are in one map, so that a thousand of them cost as
-// many look-ups as there are sets of fields; those with patterns are tried in turn.
+// Table finds the route of a batch. Routes that give the same fields exactly share one map, so that finding one among a
+// thousand routes takes one look-up for each combination of fields. Routes with wildcards are tried in turn.
 type Table struct {
-	Routes    []*Route   // in the file's order
-	fieldSets []fieldSet // the most exact first
+	Routes    []*Route   // in the order of the settings file
+	fieldSets []fieldSet // the most specific first
 }
 
+// fieldSet holds the routes that have the same specificity and give the same fields exactly.
 type fieldSet struct {
 	specificity    int
-	exact          [fieldCount]bool
-	exactRoutes    map[[fieldCount]string]*Route
+	exact          [fieldCount]bool              // which fields are given exactly
+	exactRoutes    map[[fieldCount]string]*Route // by the values of the exact fields; the others are empty
 	wildcardRoutes []*Route
 }
 
-// NewTable makes one. Routes of which two are equally exact are found by Check.
+// NewTable builds a table. It does not detect two equally specific routes that match the same batch; Check does.
 func NewTable(routes []*Route) *Table {
 	t := &Table{Routes: routes}
 	for _, r := range routes {
@@ -311,41 +322,41 @@
 		}
 		s := fieldSet{specificity: r.specificity()}
 		var key [fieldCount]string
-		pattern := false
+		wildcard := false
 		for i, p := range r.Pattern.values() {
 			if s.exact[i] = p != "" && !hasWildcard(p); s.exact[i] {
 				key[i] = p
 			}
-			pattern = pattern || hasWildcard(p)
+			wildcard = wildcard || hasWildcard(p)
 		}
-		at := slices.IndexFunc(t.fieldSets, func(o fieldSet) bool { return o.specificity == s.specificity && o.exact == s.exact })
-		if at < 0 {
+		index := slices.IndexFunc(t.fieldSets, func(o fieldSet) bool { return o.specificity == s.specificity && o.exact == s.exact })
+		if index < 0 {
 			s.exactRoutes = map[[fieldCount]string]*Route{}
 			t.fieldSets = append(t.fieldSets, s)
-			at = len(t.fieldSets) - 1
+			index = len(t.fieldSets) - 1
 		}
-		if pattern {
-			t.fieldSets[at].wildcardRoutes = append(t.fieldSets[at].wildcardRoutes, r)
-		} else if t.fieldSets[at].exactRoutes[key] == nil {
-			t.fieldSets[at].exactRoutes[key] = r
+		if wildcard {
+			t.fieldSets[index].wildcardRoutes = append(t.fieldSets[index].wildcardRoutes, r)
+		} else if t.fieldSets[index].exactRoutes[key] == nil {
+			t.fieldSets[index].exactRoutes[key] = r
 		}
 	}
 	slices.SortStableFunc(t.fieldSets, func(a, b fieldSet) int { return b.specificity - a.specificity })
 	return t
 }
 
-// Find gives the most exact route that matches; nil: none does. It allocates nothing.
+// Find returns the most specific route that matches, or nil if none does. It does not allocate.
 func (t *Table) Find(f *Fields) *Route {
 	if t == nil {
 		return nil
 	}
-	all := f.values()
+	values := f.values()
 	for i := range t.fieldSets {
 		s := &t.fieldSets[i]
 		var key [fieldCount]string
 		for k, exact := range s.exact {
 			if exact {
-				key[k] = all[k]
+				key[k] = values[k]
 			}
 		}
 		if r := s.exactRoutes[key]; r != nil {
@@ -354,7 +365,7 @@
 	next:
 		for _, r := range s.wildcardRoutes {
 			for k, p := range r.Pattern.values() {
-				if p != "" && !matchWildcard(p, all[k]) {
+				if p != "" && !matchWildcard(p, values[k]) {
 					continue next
 				}
 			}
@@ -364,7 +375,7 @@
 	return nil
 }
 
-// Explain says which route a batch takes, and which others match it and are less exact.
+// Explain describes which route a batch takes, and which less specific routes match it too.
 func (t *Table) Explain(f *Fields) string {
 	found := t.Find(f)
 	if found == nil {
@@ -372,13 +383,13 @@
 	}
 	out := fmt.Sprintf("route %q (line %d): it matches on %s, and none that does is more exact", found.Name, found.Line, found.Pattern.String())
 	var others []string
-	all := f.values()
+	values := f.values()
 	for _, r := range t.Routes {
-		ok := r != found
+		matches := r != found
 		for k, p := range r.Pattern.values() {
-			ok = ok && (p == "" || matchWildcard(p, all[k]))
+			matches = matches && (p == "" || matchWildcard(p, values[k]))
 		}
-		if ok {
+		if matches {
 			others = append(others, fmt.Sprintf("%q on %s", r.Name, r.Pattern.String()))
 		}
 	}
@@ -388,6 +399,7 @@
 	return out
 }
 
+// String formats the fields as ParseFields reads them, or as "anything" if all are empty.
 func (f Fields) String() string {
 	var out []string
 	for i, p := range f.values() {
@@ -401,36 +413,37 @@
 	return strings.Join(out, " ")
 }
 
-// ParseFields reads fields as name=value with blanks between them.
+// ParseFields reads fields written as name=value, separated by white space. A name that is unknown or there twice is an
+// error.
 func ParseFields(text string) (f Fields, err error) {
-	into := [fieldCount]*string{&f.Group, &f.Client, &f.Login, &f.Application, &f.Protocol, &f.DataSet}
-	for _, one := range strings.Fields(text) {
-		name, value, ok := strings.Cut(one, "=")
+	targets := [fieldCount]*string{&f.Group, &f.Client, &f.Login, &f.Application, &f.Protocol, &f.DataSet}
+	for _, word := range strings.Fields(text) {
+		name, value, ok := strings.Cut(word, "=")
 		i := slices.Index(FieldNames[:], name)
-		if !ok || i < 0 || *into[i] != "" {
-			return f, fmt.Errorf("%q is not name=value, or is there twice; the names are %s", one, strings.Join(FieldNames[:], ", "))
+		if !ok || i < 0 || *targets[i] != "" {
+			return f, fmt.Errorf("%q is not name=value, or is there twice; the names are %s", word, strings.Join(FieldNames[:], ", "))
 		}
-		*into[i] = value
+		*targets[i] = value
 	}
 	return f, nil
 }
 
-// Print writes the routes as they are tried, the most exact first.
+// Print writes the routes as a table for operators, the most specific first.
 func (t *Table) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "route\tline\tmatches\tdispatches\ttime-out\tpause\tbudget\tcopies\tconcurrency\tresult\tengines")
-	or := func(v float64) string {
+	formatSeconds := func(v float64) string {
 		if v == 0 {
 			return "-"
 		}
 		return fmt.Sprintf("%gs", v)
 	}
-	all := slices.Clone(t.Routes)
-	slices.SortStableFunc(all, func(a, b *Route) int { return b.specificity() - a.specificity() })
-	for _, r := range all {
-		most, budget := "-", "-"
+	sorted := slices.Clone(t.Routes)
+	slices.SortStableFunc(sorted, func(a, b *Route) int { return b.specificity() - a.specificity() })
+	for _, r := range sorted {
+		dispatches, budget := "-", "-"
 		if r.MaxDispatches > 0 {
-			most = fmt.Sprint(r.MaxDispatches)
+			dispatches = fmt.Sprint(r.MaxDispatches)
 		}
 		if b := r.Budget; b != nil {
 			budget = fmt.Sprintf("%s: %g and %g%% in %gs", b.Name, b.FreeRetries, 100*b.RetryRatio, b.Window)
@@ -438,11 +451,11 @@
 				budget = fmt.Sprintf("%s: %g of all routers and %g%% in %gs", b.Name, b.FreeRetries, 100*b.RetryRatio, b.Window)
 			}
 		}
-		copies, concurrency, result, engines := "-", "-", "-", "any"
+		hedging, concurrency, result, engines := "-", "-", "-", "any"
 		if c := r.Hedging; c != nil {
-			copies = fmt.Sprintf("%g%% past %g%%", 100*c.MaxRatio, 100*c.AfterQuantile)
+			hedging = fmt.Sprintf("%g%% past %g%%", 100*c.MaxRatio, 100*c.AfterQuantile)
 			if c.OtherZone {
-				copies += ", other zone"
+				hedging += ", other zone"
 			}
 		}
 		if c := r.Concurrency; c != nil {
@@ -457,34 +470,35 @@
 		if r.EngineKinds != nil {
 			engines = strings.Join(r.EngineKinds, ",")
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Line, r.Pattern, most, or(r.Timeout), or(r.RetryDelay), budget,
-			copies, concurrency, result, engines)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Line, r.Pattern, dispatches, formatSeconds(r.Timeout),
+			formatSeconds(r.RetryDelay), budget, hedging, concurrency, result, engines)
 	}
 	return w.Flush()
 }
 
-// CopyUnspent makes a table of the same routes of which nothing has been spent, for another router.
+// CopyUnspent returns a table of the same routes with all counts at zero, for another router. Routes that share a budget or
+// a concurrency limit share its copy.
 func (t *Table) CopyUnspent() *Table {
 	budgets, concurrencies := map[*RetryBudget]*RetryBudget{}, map[*ConcurrencyLimit]*ConcurrencyLimit{}
 	routes := make([]*Route, len(t.Routes))
 	for i, r := range t.Routes {
-		one := *r
+		route := *r
 		if b := r.Budget; b != nil {
 			if budgets[b] == nil {
 				budgets[b] = b.CopyUnspent()
 			}
-			one.Budget = budgets[b]
+			route.Budget = budgets[b]
 		}
 		if c := r.Concurrency; c != nil {
 			if concurrencies[c] == nil {
 				concurrencies[c] = &ConcurrencyLimit{Name: c.Name, PerEngine: c.PerEngine, PerRouter: c.PerRouter, FleetWide: c.FleetWide, OnLimit: c.OnLimit, Line: c.Line}
 			}
-			one.Concurrency, one.usage = concurrencies[c], nil
+			route.Concurrency, route.usage = concurrencies[c], nil
 		}
 		if c := r.Hedging; c != nil {
-			one.Hedging = &HedgePolicy{AfterQuantile: c.AfterQuantile, MaxRatio: c.MaxRatio, OtherZone: c.OtherZone}
+			route.Hedging = &HedgePolicy{AfterQuantile: c.AfterQuantile, MaxRatio: c.MaxRatio, OtherZone: c.OtherZone}
 		}
-		routes[i] = &one
+		routes[i] = &route
 	}
 	return NewTable(routes)
 }
