--- a/internal/limits/adaptive.go
+++ b/internal/limits/adaptive.go
@@ -1,25 +1,25 @@
 package limits
 
-// AdaptiveLimit is a bound on what this router has out at one engine, learned from how dispatches end there. It only bounds: the
-// ordinary path decides below it.
+// AdaptiveLimit limits how many dispatches this router has in flight at one engine, and learns the limit from how they end
+// there. It is an upper limit only: below it, routing decides as it does without one.
 type AdaptiveLimit interface {
-	// Limit is how many may be out.
+	// Limit returns how many dispatches may be in flight.
 	Limit() float64
-	// Ended tells of one that has ended.
+	// Observe takes in a dispatch that has ended.
 	Observe(Sample)
 }
 
-// Sample is what a router sees of a dispatch that has ended.
+// Sample describes a dispatch that has ended, as its router saw it.
 type Sample struct {
-	Now      float64 // seconds
+	Now      float64 // time of the end, in seconds
 	Elapsed  float64 // seconds from dispatch to end
-	Unloaded float64 // seconds that it needs with an engine to itself, by its work if that was told, else as estimated
-	InFlight int     // dispatches out at that engine, with this one
-	Failed   bool    // no answer in time, turned away, broken or errored
+	Unloaded float64 // seconds that it needs on an otherwise idle engine, by its work if that was reported, else estimated
+	InFlight int     // dispatches in flight at that engine, including this one
+	Failed   bool    // no answer in time, rejected, connection broken, or answered with an error
 }
 
-// AdaptiveKinds are the names in settings, and how each is made. docs/limits.md has what a gradient and a target of the
-// queue's time did beside them.
+// AdaptiveKinds maps the names of the algorithms in settings to their constructors. docs/limits.md tells how a gradient
+// algorithm and one with a target for queueing time compared with them.
 var AdaptiveKinds = map[string]func(AdaptiveSettings) AdaptiveLimit{
 	"fixed": func(s AdaptiveSettings) AdaptiveLimit { return fixedLimit(s.withDefaults().Initial) },
 	"aimd": func(s AdaptiveSettings) AdaptiveLimit {
@@ -27,17 +27,17 @@
 	},
 }
 
-// AdaptiveSettings are those of any kind; 0 is the usual value.
+// AdaptiveSettings configure an adaptive limit of any kind. A number that is 0 stands for its default.
 type AdaptiveSettings struct {
-	Kind              string  // empty: none
-	Min, Max, Initial float64 // dispatches out
-	MaxSlowdown       float64 // times its time alone that a batch may take before the engine counts as full
+	Kind              string  // a key of AdaptiveKinds; empty: no adaptive limit
+	Min, Max, Initial float64 // dispatches in flight
+	MaxSlowdown       float64 // the engine counts as overloaded if a dispatch takes more than this times its unloaded time
 }
 
 func (s AdaptiveSettings) withDefaults() AdaptiveSettings {
-	set := func(v *float64, usual float64) {
+	set := func(v *float64, byDefault float64) {
 		if *v == 0 {
-			*v = usual
+			*v = byDefault
 		}
 	}
 	set(&s.Min, 1)
@@ -47,7 +47,7 @@
 	return s
 }
 
-// New makes one for one engine; nil: there is none.
+// New makes the limit for one engine; nil if Kind is empty.
 func (s AdaptiveSettings) New() AdaptiveLimit {
 	if s.Kind == "" {
 		return nil
@@ -57,36 +57,37 @@
 
 func (s *AdaptiveSettings) clamp(v float64) float64 { return min(max(v, s.Min), s.Max) }
 
-// slowdown is how much longer it took than alone; what is over in no time tells of nothing.
+// slowdown is the elapsed time as a multiple of the unloaded time. An unloaded time below a millisecond counts as one, since
+// the ratio says nothing for dispatches that short.
 func (s Sample) slowdown() float64 { return s.Elapsed / max(s.Unloaded, 1e-3) }
 
-// fixedLimit learns nothing: the yardstick of the others, and for engines that are known well.
+// fixedLimit never changes. It is the baseline for the other kinds, and serves engines whose capacity is known.
 type fixedLimit float64
 
 func (f fixedLimit) Limit() float64 { return float64(f) }
 func (fixedLimit) Observe(Sample)   {}
 
-// aimd adds one for each limit's worth of good ends, and takes a tenth off once for each time that dispatches take
-// (additive increase, multiplicative decrease: Chiu and Jain, 1989). It rises only while it binds, or an idle hour would
-// let it grow to a bound that bounds nothing.
+// aimd is additive increase, multiplicative decrease (Chiu and Jain, 1989). It adds one for each limit's worth of dispatches
+// that end well, and takes a tenth off at most once in the time that a dispatch takes. It rises only while the limit is in
+// use: otherwise it would grow during an idle hour until it limited nothing.
 type aimd struct {
 	settings       AdaptiveSettings
 	limit          float64
-	nextDecreaseAt float64 // no further decrease until then: what was sent before the last one tells nothing new
+	nextDecreaseAt float64 // in seconds; until then the dispatches that end were sent before the last decrease
 }
 
 const (
 	decreaseFactor = 0.9
-	minUtilization = 0.5 // share of the limit that has to be out for it to rise
+	minUtilization = 0.5 // fraction of the limit that has to be in flight for the limit to rise
 )
 
 func (a *aimd) Limit() float64 { return a.limit }
 
 func (a *aimd) Observe(s Sample) {
-	switch full := s.Failed || s.slowdown() > a.settings.MaxSlowdown; {
-	case full && s.Now >= a.nextDecreaseAt:
+	switch overloaded := s.Failed || s.slowdown() > a.settings.MaxSlowdown; {
+	case overloaded && s.Now >= a.nextDecreaseAt:
 		a.limit, a.nextDecreaseAt = a.settings.clamp(a.limit*decreaseFactor), s.Now+max(s.Elapsed, 1e-3)
-	case !full && float64(s.InFlight) >= minUtilization*a.limit:
+	case !overloaded && float64(s.InFlight) >= minUtilization*a.limit:
 		a.limit = a.settings.clamp(a.limit + 1/a.limit)
 	}
 }
--- a/internal/limits/concurrency.go
+++ b/internal/limits/concurrency.go
@@ -1,62 +1,66 @@
 package limits
 
-// LimitAction says what happens to a batch that comes while its route has all out that it may have.
+// LimitAction says what happens to a batch that arrives while its route has reached its concurrency limit.
 type LimitAction uint8
 
-// The three ways.
 const (
-	QueueBatch LimitAction = iota // it is held until there is room, or its time is over
+	// QueueBatch queues the batch until the limit allows it or its time limit ends.
+	QueueBatch LimitAction = iota
+	// RejectBatch rejects the batch, so that its client may try it again later.
 	RejectBatch
-	FailBatch // it is errored
+	// FailBatch answers the batch with an error that is final.
+	FailBatch
 )
 
-// LimitActionNames are their names in settings.
+// LimitActionNames are the names of the actions in settings, in the order of the constants.
 var LimitActionNames = [...]string{"wait", "push back", "error"}
 
-func (b LimitAction) String() string { return LimitActionNames[b] }
+func (a LimitAction) String() string { return LimitActionNames[a] }
 
-// ConcurrencyLimit is how many dispatches routes may have out at a time; routes that name the same one share it.
+// ConcurrencyLimit limits how many dispatches may be in flight at a time. Routes that name the same limit share it.
 type ConcurrencyLimit struct {
 	Name      string
-	PerEngine int // at one engine; 0: no bound
-	PerRouter int // in all, from this router; 0: no bound
-	FleetWide int // in all, from all routers together; 0: no bound
-	OnLimit   LimitAction
-	Quota     Quota // of the routers' bound; nil: there is nobody to divide it with, and nothing goes out under it
-	Line      int
+	PerEngine int         // dispatches at one engine; 0: no limit
+	PerRouter int         // dispatches of this router to all engines; 0: no limit
+	FleetWide int         // dispatches of all routers together; 0: no limit
+	OnLimit   LimitAction // for batches that arrive when PerRouter or FleetWide is reached
+	Quota     Quota       // this router's part of FleetWide; nil: it has none, and may send nothing if FleetWide is set
+	Line      int         // in the settings file, for findings
 
 	usage  *usage
-	routes []*Route // that share it; NewTable fills them in
+	routes []*Route // that share the limit; NewTable fills them in
 }
 
-// usage is what is out and held under a route or a concurrency. A reload hands it on to what has the same name, so that
-// what was taken before counts against a bound that was lowered meanwhile.
+// usage counts the dispatches in flight and the batches queued under a route or a concurrency limit. A reload of settings
+// hands it on to the route or limit of the same name, so that dispatches from before count against a limit that the reload
+// lowered.
 type usage struct{ inFlight, queued int }
 
-func (u *usage) add(out, held int) {
+func (u *usage) add(inFlight, queued int) {
 	if u != nil {
-		u.inFlight, u.queued = max(u.inFlight+out, 0), max(u.queued+held, 0)
+		u.inFlight, u.queued = max(u.inFlight+inFlight, 0), max(u.queued+queued, 0)
 	}
 }
 
-// CountUsage counts dispatches that go out or end, and batches that begin or cease to be held.
-func (r *Route) CountUsage(now float64, out, held int) {
+// CountUsage changes the number of dispatches in flight and of batches queued under the route's concurrency limit by the
+// given amounts, which may be negative.
+func (r *Route) CountUsage(now float64, inFlight, queued int) {
 	if r == nil || r.Concurrency == nil {
 		return
 	}
-	r.usage.add(out, held)
-	r.Concurrency.usage.add(out, held)
-	if p := r.Concurrency.Quota; p != nil {
-		if out > 0 {
-			p.Spend(now, float64(out))
-		} else if out < 0 {
-			p.Release(now, float64(-out))
+	r.usage.add(inFlight, queued)
+	r.Concurrency.usage.add(inFlight, queued)
+	if q := r.Concurrency.Quota; q != nil {
+		if inFlight > 0 {
+			q.Spend(now, float64(inFlight))
+		} else if inFlight < 0 {
+			q.Release(now, float64(-inFlight))
 		}
 	}
 }
 
-// HasCapacity tells whether one more of the route's batches may go out, by what this router may have out and by what all may. What is
-// missing of that is wanted by it.
+// HasCapacity reports whether one more dispatch of the route fits within the limits of this router and of the fleet. Where
+// only the fleet-wide quota lacks it, HasCapacity requests it from the fleet.
 func (r *Route) HasCapacity(now float64) bool {
 	if !r.hasLocalCapacity() {
 		return false
@@ -64,16 +68,17 @@
 	if r == nil || r.Concurrency == nil || r.Concurrency.FleetWide == 0 {
 		return true
 	}
-	p := r.Concurrency.Quota
-	if p == nil || p.CanSpend(now, 1) {
-		return p != nil
+	q := r.Concurrency.Quota
+	if q == nil || q.CanSpend(now, 1) {
+		return q != nil
 	}
-	p.Request(now, 1)
+	q.Request(now, 1)
 	return false
 }
 
-// hasLocalCapacity is the bound of this router alone. Where routes share, each has an even part of the bound for itself, and beyond it
-// takes what no other that is below its own part has a batch for.
+// hasLocalCapacity reports whether one more dispatch fits within the limit of this router alone. Routes that share the limit
+// are each entitled to an equal share of it. A route may exceed its share unless another route that is below its own share
+// has a batch queued.
 func (r *Route) hasLocalCapacity() bool {
 	if r == nil || r.Concurrency == nil || r.Concurrency.PerRouter == 0 {
 		return true
@@ -85,32 +90,33 @@
 	case len(c.routes) < 2:
 		return true
 	}
-	wanting := 0 // routes that have anything out or held
-	for _, o := range c.routes {
-		if o == r || o.usage.inFlight+o.usage.queued > 0 {
-			wanting++
+	active := 0 // routes with dispatches in flight or batches queued, and this one
+	for _, other := range c.routes {
+		if other == r || other.usage.inFlight+other.usage.queued > 0 {
+			active++
 		}
 	}
-	part := float64(c.PerRouter) / float64(max(wanting, 1))
-	if float64(r.usage.inFlight) < part {
+	fairShare := float64(c.PerRouter) / float64(max(active, 1))
+	if float64(r.usage.inFlight) < fairShare {
 		return true
 	}
-	for _, o := range c.routes {
-		if o != r && o.usage.queued > 0 && float64(o.usage.inFlight) < part {
+	for _, other := range c.routes {
+		if other != r && other.usage.queued > 0 && float64(other.usage.inFlight) < fairShare {
 			return false
 		}
 	}
 	return true
 }
 
-// HasEngineCapacity tells the same of one engine, at which so many of the concurrency are out.
-func (r *Route) HasEngineCapacity(out int) bool {
-	return r == nil || r.Concurrency == nil || r.Concurrency.PerEngine == 0 || out < r.Concurrency.PerEngine
+// HasEngineCapacity reports whether one more dispatch fits within the limit for one engine, at which inFlight dispatches
+// count against the route's concurrency limit already.
+func (r *Route) HasEngineCapacity(inFlight int) bool {
+	return r == nil || r.Concurrency == nil || r.Concurrency.PerEngine == 0 || inFlight < r.Concurrency.PerEngine
 }
 
-// SharesLimitWith tells whether two routes count against one bound.
-func (r *Route) SharesLimitWith(o *Route) bool {
-	return r != nil && o != nil && r.Concurrency != nil && r.Concurrency.usage == o.concurrencyUsage()
+// SharesLimitWith reports whether two routes count against the same concurrency limit.
+func (r *Route) SharesLimitWith(other *Route) bool {
+	return r != nil && other != nil && r.Concurrency != nil && r.Concurrency.usage == other.concurrencyUsage()
 }
 
 func (r *Route) concurrencyUsage() *usage {
@@ -120,8 +126,10 @@
 	return r.Concurrency.usage
 }
 
-// ActionOnArrival says what happens to a batch that comes now. What is held goes first, so it counts as taken room. By the bound of all
-// routers it is turned away once others have waited in vain for a part: who comes first waits for an exchange.
+// ActionOnArrival returns what happens to a batch that arrives now; QueueBatch if the limit is not reached. Batches that are
+// queued are sent first, so they count as in flight here. The fleet-wide limit rejects or fails a batch only if a request to
+// the fleet is not expected to be granted soon, because others have waited for one in vain: the first batch waits for the
+// answer to its request.
 func (r *Route) ActionOnArrival(now float64) LimitAction {
 	if r == nil || r.Concurrency == nil || r.Concurrency.OnLimit == QueueBatch {
 		return QueueBatch
@@ -130,35 +138,36 @@
 	if c.PerRouter > 0 && (c.usage.inFlight+c.usage.queued >= c.PerRouter || !r.hasLocalCapacity()) {
 		return c.OnLimit
 	}
-	if p := c.Quota; c.FleetWide > 0 && (p == nil || !p.CanSpend(now, 1) && !p.MayGrantSoon(now, 1)) {
+	if q := c.Quota; c.FleetWide > 0 && (q == nil || !q.CanSpend(now, 1) && !q.MayGrantSoon(now, 1)) {
 		return c.OnLimit
 	}
 	return QueueBatch
 }
 
-// CarryOver goes on with what an older table has spent and has out, by the names of budgets, routes and concurrencies: a
-// reload is no way round a budget. What has left the file, or has another window, begins anew.
+// CarryOver takes over the counts of an older table, by the names of budgets, routes and concurrency limits, so that a reload
+// of settings does not refill a budget. Whatever is not in the older table, and a budget with another window, starts from
+// zero.
 func (t *Table) CarryOver(old *Table) {
 	if old == nil {
 		return
 	}
-	budgets, uses, routes := map[string]*RetryBudget{}, map[string]*usage{}, map[string]*Route{}
+	oldBudgets, oldUsages, oldRoutes := map[string]*RetryBudget{}, map[string]*usage{}, map[string]*Route{}
 	for _, r := range old.Routes {
-		routes[r.Name] = r
+		oldRoutes[r.Name] = r
 		if r.Budget != nil {
-			budgets[r.Budget.Name] = r.Budget
+			oldBudgets[r.Budget.Name] = r.Budget
 		}
 		if r.Concurrency != nil {
-			uses[r.Concurrency.Name] = r.Concurrency.usage
+			oldUsages[r.Concurrency.Name] = r.Concurrency.usage
 		}
 	}
 	done := map[*RetryBudget]bool{}
 	for _, r := range t.Routes {
 		if b := r.Budget; b != nil && !done[b] {
 			done[b] = true
-			b.CarryOver(budgets[b.Name])
+			b.CarryOver(oldBudgets[b.Name])
 		}
-		if o := routes[r.Name]; o != nil {
+		if o := oldRoutes[r.Name]; o != nil {
 			if r.Concurrency != nil && o.Concurrency != nil && r.Concurrency.Name == o.Concurrency.Name {
 				r.usage = o.usage
 			}
@@ -166,8 +175,8 @@
 				r.Hedging.batches, r.Hedging.hedges = o.Hedging.batches, o.Hedging.hedges
 			}
 		}
-		if c := r.Concurrency; c != nil && uses[c.Name] != nil {
-			c.usage = uses[c.Name]
+		if c := r.Concurrency; c != nil && oldUsages[c.Name] != nil {
+			c.usage = oldUsages[c.Name]
 		}
 	}
 }
--- a/internal/limits/copies.go
+++ b/internal/limits/copies.go
@@ -1,30 +1,31 @@
 package limits
 
-// HedgePolicy are second dispatches of a route's batches, sent while the first is still out. The tail of what a group takes is
-// often one engine's, and another would long have answered ("The Tail at Scale", Dean and Barroso, 2013: hedged requests).
+// HedgePolicy says when a route's batches get a hedge: a second dispatch to another engine while the first is in flight. The
+// slowest answers of a service group are often due to one engine, where another would have answered long before (hedged
+// requests: Dean and Barroso, "The Tail at Scale", 2013).
 type HedgePolicy struct {
-	AfterQuantile float64 // quantile of how far the group's batches took longer than alone, past which a copy is sent
-	MaxRatio      float64 // of the batches taken, at most
-	OtherZone     bool    // only to another zone than the first's
+	AfterQuantile float64 // a hedge is sent once a batch is slower, relative to its unloaded time, than this quantile of its group
+	MaxRatio      float64 // hedges as a fraction of the batches taken, at most
+	OtherZone     bool    // hedges go only to engines of another zone than the first dispatch
 
 	batches, hedges windowCounter
 }
 
-// hedgeWindow is the time in seconds over which the share is counted.
+// hedgeWindow is the window, in seconds, over which MaxRatio is computed.
 const hedgeWindow = 10
 
-// MayHedge tells whether the share has room for a second copy. There is no free one: few batches give none, which
-// costs a quiet route its copies and keeps them from being most of a trickle.
+// MayHedge reports whether MaxRatio allows one more hedge. There is no minimum, unlike in a retry budget: a route with few
+// batches gets no hedges, so that hedges never become most of its load.
 func (r *Route) MayHedge(now float64) bool {
 	if r == nil || r.Hedging == nil {
 		return false
 	}
-	c := r.Hedging
-	return c.hedges.sum(now, hedgeWindow)+1 <= c.MaxRatio*c.batches.sum(now, hedgeWindow)
+	h := r.Hedging
+	return h.hedges.sum(now, hedgeWindow)+1 <= h.MaxRatio*h.batches.sum(now, hedgeWindow)
 }
 
-// HedgesToOtherZone: its second copies go to another zone than the first.
+// HedgesToOtherZone reports whether hedges may go only to another zone than the first dispatch.
 func (r *Route) HedgesToOtherZone() bool { return r != nil && r.Hedging != nil && r.Hedging.OtherZone }
 
-// CountHedge counts one.
+// CountHedge counts a hedge. The route must have a hedge policy.
 func (r *Route) CountHedge(now float64) { r.Hedging.hedges.add(now, hedgeWindow) }
