--- a/internal/levels/section.go
+++ b/internal/levels/section.go
@@ -46,7 +46,7 @@
 
 // Validate gives the levels that the sections tell, nil for none, and the time in seconds over which what they are entered by
 // fades. What is left out has a usual value.
-func (f *LevelSections) Validate(c findings.To) (s *Settings, over float64) {
+func (f *LevelSections) Validate(report findings.To) (s *Settings, over float64) {
 	if f.Levels == nil && len(f.Level) == 0 {
 		return nil, 0
 	}
@@ -58,9 +58,9 @@
 				*into = v
 			}
 		}
-		set(&over, c.Seconds("levels.over", l.Over, 600))
-		set(&s.TrialStepTime, c.Seconds("levels.step-time", l.StepTime, 3600))
-		set(&s.MaxTrialDelay, c.Seconds("levels.most-delay", l.MostDelay, maxSeconds))
+		set(&over, report.Seconds("levels.over", l.Over, 600))
+		set(&s.TrialStepTime, report.Seconds("levels.step-time", l.StepTime, 3600))
+		set(&s.MaxTrialDelay, report.Seconds("levels.most-delay", l.MostDelay, maxSeconds))
 		set(&s.BackoffFactor, l.Backoff)
 		set(&s.Spread, l.Spread)
 		if l.Steps != 0 {
@@ -69,48 +69,48 @@
 		if l.Turns != 0 {
 			s.MaxTransitionsPerMinute = l.Turns
 		}
-		c.Within("levels.steps", float64(s.TrialSteps), 1, 100)
-		c.Within("levels.turns-a-minute", float64(s.MaxTransitionsPerMinute), 1, 60)
-		c.Within("levels.backoff", s.BackoffFactor, 1, 100)
-		c.Within("levels.spread", s.Spread, 0, 0.9)
+		report.Within("levels.steps", float64(s.TrialSteps), 1, 100)
+		report.Within("levels.turns-a-minute", float64(s.MaxTransitionsPerMinute), 1, 60)
+		report.Within("levels.backoff", s.BackoffFactor, 1, 100)
+		report.Within("levels.spread", s.Spread, 0, 0.9)
 	}
 	names := map[string]bool{Normal: true}
 	for i, l := range f.Level {
 		at := fmt.Sprintf("level[%d]", i)
 		if l.Name == "" || names[l.Name] {
-			c.Found(at+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Normal)
+			report.Found(at+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Normal)
 		}
 		names[l.Name] = true
-		one := Level{Name: l.Name, MinDuration: c.Seconds(at+".least", l.Least, maxSeconds)}
+		one := Level{Name: l.Name, MinDuration: report.Seconds(at+".least", l.Least, maxSeconds)}
 		one.Actions = Actions{AdmitRatio: l.Keep, MinUtilityRate: l.LeastGain, ProbeRatio: l.Probes, GiveUpFactor: l.Early}
 		if one.MinDuration == 0 {
 			one.MinDuration = 30
 		}
 		if l.Further != nil {
-			c.Within(at+".further", float64(*l.Further), 0, 2)
+			report.Within(at+".further", float64(*l.Further), 0, 2)
 			if one.MaxRetries = *l.Further; one.MaxRetries == 0 {
 				one.MaxRetries = -1
 			}
 		}
 		for group, keep := range l.Keep {
-			c.Within(at+".keep."+group, keep, 0, 1)
+			report.Within(at+".keep."+group, keep, 0, 1)
 		}
-		c.Within(at+".probes", l.Probes, 0, 1)
-		c.Within(at+".least-gain", l.LeastGain, 0, 1e9)
+		report.Within(at+".probes", l.Probes, 0, 1)
+		report.Within(at+".least-gain", l.LeastGain, 0, 1e9)
 		if l.Early != 0 {
-			c.Within(at+".early", l.Early, 1, 100)
+			report.Within(at+".early", l.Early, 1, 100)
 		}
-		one.Enter, one.Exit = parseConditions(c, at+".enter", l.Enter), parseConditions(c, at+".exit", l.Exit)
+		one.Enter, one.Exit = parseConditions(report, at+".enter", l.Enter), parseConditions(report, at+".exit", l.Exit)
 		if len(one.Enter) == 0 && s.ForcedLevel != l.Name {
-			c.Found(at, "without a condition to enter it is never entered")
+			report.Found(at, "without a condition to enter it is never entered")
 		}
 		if len(one.Exit) == 0 {
-			c.Found(at, "without a condition to leave it is left at once")
+			report.Found(at, "without a condition to leave it is left at once")
 		}
 		for _, in := range one.Enter {
 			for _, leave := range one.Exit {
 				if in.Measure == leave.Measure && in.Below == leave.Below && len(one.Exit) == 1 {
-					c.Found(at, "it is left by the very condition that it is entered by: %s", in)
+					report.Found(at, "it is left by the very condition that it is entered by: %s", in)
 				}
 			}
 		}
@@ -118,30 +118,30 @@
 	}
 	for _, name := range append([]string{s.ForcedLevel}, s.ForbiddenLevels...) {
 		if name != "" && !names[name] {
-			c.Found("levels", "there is no level %q to hold or forbid", name)
+			report.Found("levels", "there is no level %q to hold or forbid", name)
 		}
 	}
 	return s, over
 }
 
-func parseConditions(c findings.To, at string, list []condition) (out []Condition) {
+func parseConditions(report findings.To, at string, list []condition) (out []Condition) {
 	for i, one := range list {
 		key := fmt.Sprintf("%s[%d]", at, i)
 		m, known := MeasureByName(one.Measure)
 		if !known {
-			c.Found(key, "%q is no measure; there are %s", one.Measure, strings.Join(MeasureNames[:], ", "))
+			report.Found(key, "%q is no measure; there are %s", one.Measure, strings.Join(MeasureNames[:], ", "))
 		}
 		if (one.Above == nil) == (one.Below == nil) {
-			c.Found(key, "a condition has either above or below")
+			report.Found(key, "a condition has either above or below")
 			continue
 		}
-		l := Condition{Measure: m, Below: one.Below != nil, MinDuration: c.Seconds(key, one.For, 3600)}
+		l := Condition{Measure: m, Below: one.Below != nil, MinDuration: report.Seconds(key, one.For, 3600)}
 		if l.Below {
 			l.Threshold = *one.Below
 		} else {
 			l.Threshold = *one.Above
 		}
-		c.Within(key, l.Threshold, 0, 1e6)
+		report.Within(key, l.Threshold, 0, 1e6)
 		out = append(out, l)
 	}
 	return out
--- a/internal/limits/check.go
+++ b/internal/limits/check.go
@@ -9,65 +9,67 @@
 	"strings"
 )
 
-// Platform is what the platform's settings say, against which routes are proven. The zero value is a platform that is not
-// known: what is wrong on any is still found.
+// Platform holds the settings of the platform that limits are checked against. The zero value stands for an unknown platform:
+// Check then finds only what is wrong on every platform.
 type Platform struct {
 	Known          bool
-	MaxDispatches  int
-	AllowsHedging  bool // it allows second copies
+	MaxDispatches  int  // per batch, including the first
+	AllowsHedging  bool // batches may have hedges
 	EngineKinds    []string
 	Groups         []Group
 	Clients        []string
-	RetriesLimited bool // further dispatches have a budget:
-	FreeRetries    float64
-	RetryRatio     float64
-	RetryWindow    float64
+	RetriesLimited bool    // the platform has a retry budget, which the next three fields describe
+	FreeRetries    float64 // retries per window however few batches are taken
+	RetryRatio     float64 // retries per batch taken, 0 to 1
+	RetryWindow    float64 // seconds
 }
 
-// Group is a service group as far as limits go.
+// Group holds the properties of a service group that limits are checked against. A group whose batches are neither
+// Repeatable nor Referenced never has them sent again.
 type Group struct {
 	Name        string
-	Repeatable  bool
-	Referenced  bool
-	TimeLimit   float64 // seconds
-	DedupWindow float64 // of the engines' memory of repeats
-	EngineKinds []int   // of engines that it is placed on; nil: any
+	Repeatable  bool    // running a batch twice has the same effect as running it once
+	Referenced  bool    // engines drop repeats of a batch, which they recognise by its reference
+	TimeLimit   float64 // seconds that clients wait
+	DedupWindow float64 // seconds for which engines remember a batch to drop its repeats
+	EngineKinds []int   // indexes in Platform.EngineKinds that the group is placed on; nil: any
 }
 
-// Finding is something by which a set of routes could break a rule, or could do nothing.
+// Finding is an error in the limits: by it they could break one of the router's rules, or have no effect.
 type Finding struct {
-	Line    int
+	Line    int // in the settings file
 	Message string
 }
 
 const (
-	// MaxDispatches is what no platform lets a batch have more of (rule 2).
+	// MaxDispatches is the largest number of dispatches that any platform allows a batch (rule 2).
 	MaxDispatches = 3
 
-	maxSeconds       = 3600
+	maxSeconds       = 3600 // for every time in these settings
 	maxFreeRetries   = 1e6
-	minWindow        = 0.1
-	minHedgeQuantile = 0.5 // quantile: earlier, and half of all batches would be copied
+	minWindow        = 0.1 // seconds
+	minHedgeQuantile = 0.5 // with a lower quantile more than half of all batches would be hedged
 	maxHedgeQuantile = 0.999
-	maxHedgeRatio    = 0.5 // of second copies
+	maxHedgeRatio    = 0.5
 	maxInFlight      = 1e6
 	minResultBytes   = 1 << 10
 )
 
-// Protocols are those that routes may name.
+// Protocols are the client protocols that routes may name.
 var Protocols = []string{"frames", "tds"}
 
-// Config is what a file holds of limits.
+// Config holds all limits of a settings file.
 type Config struct {
-	Routes                    []*Route
-	Budgets                   []*RetryBudget
-	ConcurrencyLimits         []*ConcurrencyLimit
-	Adaptive                  AdaptiveSettings
-	AdaptiveLine              int
-	AllRetries, EngineRetries *RetryBudget // of further dispatches of all batches, and to each engine; nil: none
+	Routes            []*Route
+	Budgets           []*RetryBudget
+	ConcurrencyLimits []*ConcurrencyLimit
+	Adaptive          AdaptiveSettings
+	AdaptiveLine      int          // line of Adaptive in the settings file
+	AllRetries        *RetryBudget // of all batches; nil: no limit
+	EngineRetries     *RetryBudget // to each engine; nil: no limit
 }
 
-// check finds what is wrong with a bound of its own.
+// check finds errors in one concurrency limit.
 func (c *ConcurrencyLimit) check() (out []Finding) {
 	found := func(format string, args ...any) {
 		out = append(out, Finding{c.Line, fmt.Sprintf("concurrency %q: ", c.Name) + fmt.Sprintf(format, args...)})
@@ -90,7 +92,7 @@
 	return out
 }
 
-// check finds what is wrong with adaptive limits.
+// check finds errors in the settings of adaptive limits. line is where they stand in the settings file.
 func (s AdaptiveSettings) check(line int) (out []Finding) {
 	found := func(format string, args ...any) {
 		out = append(out, Finding{line, "adaptive: " + fmt.Sprintf(format, args...)})
@@ -101,28 +103,28 @@
 	if AdaptiveKinds[s.Kind] == nil {
 		found("%q is no kind; there are %s", s.Kind, strings.Join(slices.Sorted(maps.Keys(AdaptiveKinds)), ", "))
 	}
-	u := s.withDefaults()
-	if !inRange(u.Min, 1, maxInFlight) || !inRange(u.Max, u.Min, maxInFlight) || !inRange(u.Initial, u.Min, u.Max) {
-		found("least, first and most must be from 1 to %g and in that order, not %g, %g and %g", maxInFlight, u.Min, u.Initial, u.Max)
+	full := s.withDefaults()
+	if !inRange(full.Min, 1, maxInFlight) || !inRange(full.Max, full.Min, maxInFlight) || !inRange(full.Initial, full.Min, full.Max) {
+		found("least, first and most must be from 1 to %g and in that order, not %g, %g and %g", maxInFlight, full.Min, full.Initial, full.Max)
 	}
-	if !inRange(u.MaxSlowdown, 1.1, 100) {
-		found("stretch must be from 1.1 to 100 times the time alone, not %g", u.MaxSlowdown)
+	if !inRange(full.MaxSlowdown, 1.1, 100) {
+		found("stretch must be from 1.1 to 100 times the time alone, not %g", full.MaxSlowdown)
 	}
 	return out
 }
 
-// Check finds all that is wrong with a set, each as a sentence.
-func Check(set Config, p Platform) (out []Finding) {
-	routes, budgets := set.Routes, slices.Clone(set.Budgets)
-	for _, b := range []*RetryBudget{set.AllRetries, set.EngineRetries} {
+// Check returns all errors in the limits of a file, sorted by line, each as a sentence for operators.
+func Check(config Config, p Platform) (out []Finding) {
+	routes, budgets := config.Routes, slices.Clone(config.Budgets)
+	for _, b := range []*RetryBudget{config.AllRetries, config.EngineRetries} {
 		if b != nil {
 			budgets = append(budgets, b)
 		}
 	}
-	for _, c := range set.ConcurrencyLimits {
+	for _, c := range config.ConcurrencyLimits {
 		out = append(out, c.check()...)
 	}
-	out = append(out, set.Adaptive.check(set.AdaptiveLine)...)
+	out = append(out, config.Adaptive.check(config.AdaptiveLine)...)
 	for _, b := range budgets {
 		found := func(format string, args ...any) {
 			out = append(out, Finding{b.Line, fmt.Sprintf("budget %q: ", b.Name) + fmt.Sprintf(format, args...)})
@@ -136,7 +138,8 @@
 		if b.FleetWide && b.FreeRetries < 1 {
 			found("fleet says that all routers divide the free ones, and %g is none", b.FreeRetries)
 		}
-		if p.RetriesLimited && (b.FreeRetries > p.FreeRetries && !b.FleetWide || b.RetryRatio > p.RetryRatio) { // all routers' are bounded by each one's besides
+		// The free retries of a fleet-wide budget may exceed the platform's, which limits each router's part besides.
+		if p.RetriesLimited && (b.FreeRetries > p.FreeRetries && !b.FleetWide || b.RetryRatio > p.RetryRatio) {
 			found("rule 7: it gives more further dispatches than the platform's budget (%g and a share of %g)", p.FreeRetries, p.RetryRatio)
 		}
 	}
@@ -147,10 +150,10 @@
 			out = append(out, Finding{r.Line, fmt.Sprintf("route %q: it needs a name that no other has", r.Name)})
 		}
 		names[r.Name] = true
-		for _, o := range routes[:i] {
-			if o.specificity() == r.specificity() && canBothMatch(o.Pattern, r.Pattern) {
+		for _, earlier := range routes[:i] {
+			if earlier.specificity() == r.specificity() && canBothMatch(earlier.Pattern, r.Pattern) {
 				out = append(out, Finding{r.Line, fmt.Sprintf("route %q: it is as exact as route %q (line %d), and a batch could match both: %s, and %s",
-					r.Name, o.Name, o.Line, r.Pattern, o.Pattern)})
+					r.Name, earlier.Name, earlier.Line, r.Pattern, earlier.Pattern)})
 				break
 			}
 		}
@@ -161,16 +164,17 @@
 
 func inRange(v, least, most float64) bool { return v >= least && v <= most && !math.IsNaN(v) }
 
+// check finds errors in one route.
 func (r *Route) check(p Platform) (out []Finding) {
 	found := func(format string, args ...any) {
 		out = append(out, Finding{r.Line, fmt.Sprintf("route %q: ", r.Name) + fmt.Sprintf(format, args...)})
 	}
-	most := MaxDispatches
+	maxDispatches := MaxDispatches
 	if p.Known {
-		most = min(most, p.MaxDispatches)
+		maxDispatches = min(maxDispatches, p.MaxDispatches)
 	}
-	if r.MaxDispatches < 0 || r.MaxDispatches > most {
-		found("rule 2: %d dispatches, and a batch may have from 1 to %d", r.MaxDispatches, most)
+	if r.MaxDispatches < 0 || r.MaxDispatches > maxDispatches {
+		found("rule 2: %d dispatches, and a batch may have from 1 to %d", r.MaxDispatches, maxDispatches)
 	}
 	if !inRange(r.Timeout, 0, maxSeconds) {
 		found("its time-out must be from 0 to %ds", maxSeconds)
@@ -178,23 +182,23 @@
 	if !inRange(r.RetryDelay, 0, maxSeconds) || !inRange(r.Jitter, 0, 1) {
 		found("its pause must be from 0 to %ds, and the jitter a share from 0 to 1", maxSeconds)
 	}
-	if c := r.Pattern.Protocol; c != "" && !slices.ContainsFunc(Protocols, func(one string) bool { return matchWildcard(c, one) }) {
-		found("it can never match: there is no protocol %q; there are %s", c, strings.Join(Protocols, " and "))
+	if protocol := r.Pattern.Protocol; protocol != "" && !slices.ContainsFunc(Protocols, func(known string) bool { return matchWildcard(protocol, known) }) {
+		found("it can never match: there is no protocol %q; there are %s", protocol, strings.Join(Protocols, " and "))
 	}
-	if c := r.Pattern.DataSet; c != "" && !hasWildcard(c) {
-		if n, err := strconv.Atoi(c); err != nil || n < 0 || strconv.Itoa(n) != c {
-			found("it can never match: %q is not the number of a data set", c)
+	if number := r.Pattern.DataSet; number != "" && !hasWildcard(number) {
+		if n, err := strconv.Atoi(number); err != nil || n < 0 || strconv.Itoa(n) != number {
+			found("it can never match: %q is not the number of a data set", number)
 		}
 	}
 	if (r.Pattern.Login != "" || r.Pattern.Application != "") && r.Pattern.Protocol == "frames" {
 		found("it can never match: frames tell no login and no application")
 	}
-	if c := r.Hedging; c != nil {
-		if !inRange(c.AfterQuantile, minHedgeQuantile, maxHedgeQuantile) {
-			found("copies are sent after a quantile from %g to %g, not %g", minHedgeQuantile, maxHedgeQuantile, c.AfterQuantile)
+	if h := r.Hedging; h != nil {
+		if !inRange(h.AfterQuantile, minHedgeQuantile, maxHedgeQuantile) {
+			found("copies are sent after a quantile from %g to %g, not %g", minHedgeQuantile, maxHedgeQuantile, h.AfterQuantile)
 		}
-		if !(c.MaxRatio > 0) || !inRange(c.MaxRatio, 0, maxHedgeRatio) {
-			found("the share of second copies must be above 0 and at most %g (0.05 is one in twenty), not %g", maxHedgeRatio, c.MaxRatio)
+		if !(h.MaxRatio > 0) || !inRange(h.MaxRatio, 0, maxHedgeRatio) {
+			found("the share of second copies must be above 0 and at most %g (0.05 is one in twenty), not %g", maxHedgeRatio, h.MaxRatio)
 		}
 		if r.MaxDispatches == 1 {
 			found("rule 2: a second copy is a second dispatch, and it allows one")
@@ -203,9 +207,9 @@
 	if r.MaxResultBytes != 0 && !inRange(r.MaxResultBytes, minResultBytes, math.MaxInt32) {
 		found("a result must be allowed from %d bytes to 2GB", minResultBytes)
 	}
-	for i, k := range r.EngineKinds {
-		if k == "" || slices.Contains(r.EngineKinds[:i], k) {
-			found("the kind of engine %q is empty or there twice", k)
+	for i, kind := range r.EngineKinds {
+		if kind == "" || slices.Contains(r.EngineKinds[:i], kind) {
+			found("the kind of engine %q is empty or there twice", kind)
 		}
 	}
 	if r.EngineKinds != nil && len(r.EngineKinds) == 0 {
@@ -217,32 +221,32 @@
 	if r.Hedging != nil && !p.AllowsHedging {
 		found("rule 2: the platform allows no second copies")
 	}
-	if c := r.Hedging; c != nil && p.RetriesLimited && c.MaxRatio > p.RetryRatio {
-		found("rule 7: second copies are further dispatches, and a share of %g is above the platform's budget (%g and a share of %g)", c.MaxRatio, p.FreeRetries, p.RetryRatio)
+	if h := r.Hedging; h != nil && p.RetriesLimited && h.MaxRatio > p.RetryRatio {
+		found("rule 7: second copies are further dispatches, and a share of %g is above the platform's budget (%g and a share of %g)", h.MaxRatio, p.FreeRetries, p.RetryRatio)
 	}
-	for _, k := range r.EngineKinds {
-		if !slices.Contains(p.EngineKinds, k) {
-			found("there is no kind of engine %q; the platform has %s", k, strings.Join(p.EngineKinds, ", "))
+	for _, kind := range r.EngineKinds {
+		if !slices.Contains(p.EngineKinds, kind) {
+			found("there is no kind of engine %q; the platform has %s", kind, strings.Join(p.EngineKinds, ", "))
 		}
 	}
-	groups := 0
+	matchingGroups := 0
 	for _, g := range p.Groups {
 		if r.Pattern.Group != "" && !matchWildcard(r.Pattern.Group, g.Name) {
 			continue
 		}
-		groups++
+		matchingGroups++
 		out = append(out, r.checkGroup(g, p)...)
 	}
-	if groups == 0 {
+	if matchingGroups == 0 {
 		found("it can never match: there is no service group %q", r.Pattern.Group)
 	}
-	if c := r.Pattern.Client; c != "" && !slices.ContainsFunc(p.Clients, func(one string) bool { return matchWildcard(c, one) }) {
-		found("it can never match: there is no client %q", c)
+	if client := r.Pattern.Client; client != "" && !slices.ContainsFunc(p.Clients, func(known string) bool { return matchWildcard(client, known) }) {
+		found("it can never match: there is no client %q", client)
 	}
 	return out
 }
 
-// checkGroup proves a route for one group.
+// checkGroup finds errors that a route has for the batches of one service group.
 func (r *Route) checkGroup(g Group, p Platform) (out []Finding) {
 	found := func(format string, args ...any) {
 		out = append(out, Finding{r.Line, fmt.Sprintf("route %q, group %q: ", r.Name, g.Name) + fmt.Sprintf(format, args...)})
@@ -258,28 +262,27 @@
 	}) {
 		found("rule 6: none of the kinds of engine that it names is one on which the group is placed, so its batches could go nowhere")
 	}
-	most := r.DispatchLimit(p.MaxDispatches)
-	longest := r.RetryDelay * (1 + r.Jitter)
+	dispatches := r.DispatchLimit(p.MaxDispatches)
+	maxDelay := r.RetryDelay * (1 + r.Jitter)
 	if r.Timeout > 0 && !g.Repeatable && !g.Referenced {
 		found("rule 2: a time-out of a once-only batch only loses its answer, for it can't be sent again")
 	}
 	if r.Timeout > 0 {
-		if all := float64(most)*r.Timeout + float64(most-1)*longest; all > g.TimeLimit {
-			found("rule 1: %d time-outs of %gs with the pauses between them take %gs, and clients wait %gs", most, r.Timeout, all, g.TimeLimit)
-		} else if g.Referenced && all > g.DedupWindow {
-			found("rule 2: %d time-outs of %gs with the pauses take %gs, and engines remember repeats for %gs", most, r.Timeout, all, g.DedupWindow)
+		if total := float64(dispatches)*r.Timeout + float64(dispatches-1)*maxDelay; total > g.TimeLimit {
+			found("rule 1: %d time-outs of %gs with the pauses between them take %gs, and clients wait %gs", dispatches, r.Timeout, total, g.TimeLimit)
+		} else if g.Referenced && total > g.DedupWindow {
+			found("rule 2: %d time-outs of %gs with the pauses take %gs, and engines remember repeats for %gs", dispatches, r.Timeout, total, g.DedupWindow)
 		}
 	}
-	if longest >= g.TimeLimit && most > 1 {
-		found("rule 1: a pause of up to %gs leaves no time for another dispatch in %gs", longest, g.TimeLimit)
-	} else if g.Referenced && longest >= g.DedupWindow && most > 1 {
-		found("rule 2: a pause of up to %gs outlasts the %gs for which engines remember repeats", longest, g.DedupWindow)
+	if maxDelay >= g.TimeLimit && dispatches > 1 {
+		found("rule 1: a pause of up to %gs leaves no time for another dispatch in %gs", maxDelay, g.TimeLimit)
+	} else if g.Referenced && maxDelay >= g.DedupWindow && dispatches > 1 {
+		found("rule 2: a pause of up to %gs outlasts the %gs for which engines remember repeats", maxDelay, g.DedupWindow)
 	}
 	return out
 }
 
-// canBothMatch tells whether a batch could match both. Two patterns are taken to overlap unless their plain beginnings or
-// ends differ: rather one error too many than a route that wins by chance.
+// canBothMatch reports whether a batch could match the patterns of both a and b.
 func canBothMatch(a, b Fields) bool {
 	bs := b.values()
 	for i, x := range a.values() {
@@ -290,6 +293,9 @@
 	return true
 }
 
+// patternsOverlap reports whether a text could match both patterns. Two patterns with wildcards count as overlapping unless
+// the parts before their first or after their last * differ. That may report a conflict that cannot arise, which is better
+// than a route that is chosen by its place in the file.
 func patternsOverlap(x, y string) bool {
 	switch {
 	case x == "" || y == "":
--- a/internal/limits/section.go
+++ b/internal/limits/section.go
@@ -8,13 +8,13 @@
 	"pitchfield/internal/findings"
 )
 
-// LimitSections are [[budget]], [further], [[route]], [[concurrency]] and [adaptive] of an operator's settings.
+// LimitSections are the sections [[budget]], [further], [[route]], [[concurrency]] and [adaptive] of the settings file.
 type LimitSections struct {
 	Budget []struct {
 		Name string `toml:"name"`
 		budget
 	} `toml:"budget"`
-	Further *struct { // dispatches, of all batches and to each engine
+	Further *struct { // budgets of further dispatches (retries): of all batches, and to each engine
 		All    *budget `toml:"all"`
 		Engine *budget `toml:"engine"`
 	} `toml:"further"`
@@ -56,6 +56,7 @@
 	} `toml:"adaptive"`
 }
 
+// budget holds the keys that [[budget]] and [further] have in common.
 type budget struct {
 	Free   float64 `toml:"free"`
 	Share  float64 `toml:"share"`
@@ -63,73 +64,74 @@
 	Fleet  bool    `toml:"fleet"`
 }
 
-// Validate gives all  Whether they could break a rule is found against the platform's settings, by Check.
-func (f *LimitSections) Validate(c findings.To) (out Config) {
+// Validate reads the sections and reports what is wrong with their values. Whether the limits could break one of the router's
+// rules depends on the platform's settings, and is found by Check.
+func (f *LimitSections) Validate(report findings.To) (out Config) {
 	budgets := map[string]*RetryBudget{}
 	for i, b := range f.Budget {
-		at := fmt.Sprintf("budget[%d]", i)
-		one := parseBudget(c, at, b.Name, &b.budget)
+		key := fmt.Sprintf("budget[%d]", i)
+		parsed := parseBudget(report, key, b.Name, &b.budget)
 		if b.Name == "" || budgets[b.Name] != nil {
-			c.Found(at+".name", "%q is empty or there twice", b.Name)
+			report.Found(key+".name", "%q is empty or there twice", b.Name)
 		}
-		budgets[b.Name] = one
-		out.Budgets = append(out.Budgets, one)
+		budgets[b.Name] = parsed
+		out.Budgets = append(out.Budgets, parsed)
 	}
 	if f.Further != nil {
-		out.AllRetries, out.EngineRetries = parseBudget(c, "further.all", "further.all", f.Further.All), parseBudget(c, "further.engine", "further.engine", f.Further.Engine)
+		out.AllRetries, out.EngineRetries = parseBudget(report, "further.all", "further.all", f.Further.All), parseBudget(report, "further.engine", "further.engine", f.Further.Engine)
 		if out.AllRetries == nil && out.EngineRetries == nil {
-			c.Found("further", "it has neither all nor engine")
+			report.Found("further", "it has neither all nor engine")
 		}
 		if out.EngineRetries != nil && out.EngineRetries.FleetWide {
-			c.Found("further.engine.fleet", "to one engine each router has a budget of its own; further.all and [[budget]] may be of all routers")
+			report.Found("further.engine.fleet", "to one engine each router has a budget of its own; further.all and [[budget]] may be of all routers")
 		}
 	}
-	concurrencies := f.parseConcurrencyLimits(c, &out)
+	concurrencies := f.parseConcurrencyLimits(report, &out)
 	if a := f.Adaptive; a != nil {
-		out.AdaptiveLine = c.Line("adaptive")
+		out.AdaptiveLine = report.Line("adaptive")
 		out.Adaptive = AdaptiveSettings{Kind: a.Kind, Min: a.Least, Max: a.Most, Initial: a.First, MaxSlowdown: a.Stretch}
 		if a.Kind == "" {
-			c.Found("adaptive.kind", "it has to be there")
+			report.Found("adaptive.kind", "it has to be there")
 		}
 	}
-	var all []*Route
+	var routes []*Route
 	for i, r := range f.Route {
-		at := fmt.Sprintf("route[%d]", i)
-		one := &Route{Name: r.Name, Line: c.Line(at), Jitter: r.Jitter, Budget: budgets[r.Budget],
+		key := fmt.Sprintf("route[%d]", i)
+		route := &Route{Name: r.Name, Line: report.Line(key), Jitter: r.Jitter, Budget: budgets[r.Budget],
 			Pattern: Fields{Group: r.Group, Client: r.Client, Login: r.Login, Application: r.Application, Protocol: r.Protocol, DataSet: r.DataSet}}
-		one.Timeout, one.RetryDelay = c.Seconds(at+".time-out", r.Timeout, 3600), c.Seconds(at+".pause", r.Pause, 3600)
+		route.Timeout, route.RetryDelay = report.Seconds(key+".time-out", r.Timeout, 3600), report.Seconds(key+".pause", r.Pause, 3600)
 		if r.Dispatches != nil {
-			if one.MaxDispatches = *r.Dispatches; one.MaxDispatches == 0 {
-				c.Found(at+".dispatches", "rule 1: a batch without a dispatch can't be answered; leave it out for the platform's number")
+			if route.MaxDispatches = *r.Dispatches; route.MaxDispatches == 0 {
+				report.Found(key+".dispatches", "rule 1: a batch without a dispatch can't be answered; leave it out for the platform's number")
 			}
 		}
-		if r.Budget != "" && one.Budget == nil {
-			c.Found(at+".budget", "there is no budget %q", r.Budget)
+		if r.Budget != "" && route.Budget == nil {
+			report.Found(key+".budget", "there is no budget %q", r.Budget)
 		}
-		if one.Concurrency = concurrencies[r.Concurrency]; r.Concurrency != "" && one.Concurrency == nil {
-			c.Found(at+".concurrency", "there is no concurrency %q", r.Concurrency)
+		if route.Concurrency = concurrencies[r.Concurrency]; r.Concurrency != "" && route.Concurrency == nil {
+			report.Found(key+".concurrency", "there is no concurrency %q", r.Concurrency)
 		}
 		if r.Copies != nil {
-			one.Hedging = &HedgePolicy{AfterQuantile: r.Copies.After, MaxRatio: r.Copies.Share}
+			route.Hedging = &HedgePolicy{AfterQuantile: r.Copies.After, MaxRatio: r.Copies.Share}
 			switch r.Copies.To {
 			case "", "engine":
 			case "zone":
-				one.Hedging.OtherZone = true
+				route.Hedging.OtherZone = true
 			default:
-				c.Found(at+".copies.to", "%q is neither engine nor zone", r.Copies.To)
+				report.Found(key+".copies.to", "%q is neither engine nor zone", r.Copies.To)
 			}
 		}
 		if r.MostResult != "" {
-			one.MaxResultBytes = c.Megabytes(at+".most-result", r.MostResult) * (1 << 20)
+			route.MaxResultBytes = report.Megabytes(key+".most-result", r.MostResult) * (1 << 20)
 		}
-		one.EngineKinds = r.Engines
-		all = append(all, one)
+		route.EngineKinds = r.Engines
+		routes = append(routes, route)
 	}
-	out.Routes = all
+	out.Routes = routes
 	return out
 }
 
-// FleetWideKeys gives the keys of what all routers divide, for which they have to talk.
+// FleetWideKeys returns the keys of the limits that all routers divide among themselves, which needs peer messaging.
 func (f *LimitSections) FleetWideKeys() (keys []string) {
 	for i, b := range f.Budget {
 		if b.Fleet {
@@ -147,46 +149,46 @@
 	return keys
 }
 
-// budget reads one; nil for none.
-func parseBudget(c findings.To, at, name string, b *budget) *RetryBudget {
+// parseBudget reads the budget at a key. It returns nil if there is none.
+func parseBudget(report findings.To, key, name string, b *budget) *RetryBudget {
 	if b == nil {
 		return nil
 	}
-	one := &RetryBudget{Name: name, FreeRetries: b.Free, RetryRatio: b.Share, Window: c.Seconds(at+".window", b.Window, 3600), FleetWide: b.Fleet, Line: c.Line(at)}
-	if one.Window == 0 {
-		one.Window = 10
+	parsed := &RetryBudget{Name: name, FreeRetries: b.Free, RetryRatio: b.Share, Window: report.Seconds(key+".window", b.Window, 3600), FleetWide: b.Fleet, Line: report.Line(key)}
+	if parsed.Window == 0 {
+		parsed.Window = 10
 	}
-	return one
+	return parsed
 }
 
-// parseConcurrencyLimits reads bounds of what is out, by name.
-func (f *LimitSections) parseConcurrencyLimits(c findings.To, out *Config) map[string]*ConcurrencyLimit {
-	all := map[string]*ConcurrencyLimit{}
-	for i, one := range f.Concurrency {
-		at := fmt.Sprintf("concurrency[%d]", i)
-		made := &ConcurrencyLimit{Name: one.Name, Line: c.Line(at)}
-		for key, set := range map[string]struct {
-			into *int
-			v    *int
-		}{"engine": {&made.PerEngine, one.Engine}, "fleet": {&made.PerRouter, one.Fleet}, "routers": {&made.FleetWide, one.Routers}} {
-			if set.v != nil {
-				if *set.into = *set.v; *set.v == 0 {
-					c.Found(at+"."+key, "rule 1: with none out no batch can be answered; leave it out for no bound")
+// parseConcurrencyLimits reads the concurrency limits into out, and returns them by name.
+func (f *LimitSections) parseConcurrencyLimits(report findings.To, out *Config) map[string]*ConcurrencyLimit {
+	byName := map[string]*ConcurrencyLimit{}
+	for i, limit := range f.Concurrency {
+		key := fmt.Sprintf("concurrency[%d]", i)
+		parsed := &ConcurrencyLimit{Name: limit.Name, Line: report.Line(key)}
+		for name, number := range map[string]struct {
+			target *int
+			value  *int
+		}{"engine": {&parsed.PerEngine, limit.Engine}, "fleet": {&parsed.PerRouter, limit.Fleet}, "routers": {&parsed.FleetWide, limit.Routers}} {
+			if number.value != nil {
+				if *number.target = *number.value; *number.value == 0 {
+					report.Found(key+"."+name, "rule 1: with none out no batch can be answered; leave it out for no bound")
 				}
 			}
 		}
-		if one.AtBound != "" {
-			if n := slices.Index(LimitActionNames[:], one.AtBound); n >= 0 {
-				made.OnLimit = LimitAction(n)
+		if limit.AtBound != "" {
+			if n := slices.Index(LimitActionNames[:], limit.AtBound); n >= 0 {
+				parsed.OnLimit = LimitAction(n)
 			} else {
-				c.Found(at+".at-bound", "%q is none of %s", one.AtBound, strings.Join(LimitActionNames[:], ", "))
+				report.Found(key+".at-bound", "%q is none of %s", limit.AtBound, strings.Join(LimitActionNames[:], ", "))
 			}
 		}
-		if one.Name == "" || all[one.Name] != nil {
-			c.Found(at+".name", "%q is empty or there twice", one.Name)
+		if limit.Name == "" || byName[limit.Name] != nil {
+			report.Found(key+".name", "%q is empty or there twice", limit.Name)
 		}
-		all[one.Name] = made
-		out.ConcurrencyLimits = append(out.ConcurrencyLimits, made)
+		byName[limit.Name] = parsed
+		out.ConcurrencyLimits = append(out.ConcurrencyLimits, parsed)
 	}
-	return all
+	return byName
 }
