--- a/internal/limits/bounds_test.go
+++ b/internal/limits/bounds_test.go
@@ -12,52 +12,53 @@
 	c := &ConcurrencyLimit{Name: "c", PerRouter: 4}
 	a, b := &Route{Name: "a", Concurrency: c}, &Route{Name: "b", Concurrency: c}
 	NewTable([]*Route{a, b})
-	for range 4 { // alone, one has it all
+	for range 4 { // alone, a route may use the whole limit
 		require.True(t, a.HasCapacity(0))
 		a.CountUsage(0, 1, 0)
 	}
 	assert.False(t, a.HasCapacity(0))
-	b.CountUsage(0, 0, 1) // the other comes: what ends goes to it first
+	b.CountUsage(0, 0, 1) // once the other route has a batch queued, freed capacity goes to it first
 	a.CountUsage(0, -1, 0)
 	assert.False(t, a.HasCapacity(0))
 	assert.True(t, b.HasCapacity(0))
 	b.CountUsage(0, 1, -1)
-	assert.False(t, b.HasCapacity(0), "four are out")
+	assert.False(t, b.HasCapacity(0), "four are in flight")
 }
 
-// However routes come and go, no more is out than the bound, and none is kept out while there is room for it alone.
+// Under any order of arrivals, dispatches and ends, no more dispatches are in flight than the limit allows, and some route
+// with queued batches may send as long as the limit is not reached.
 func TestConcurrencyLimitIsNeitherExceededNorLeftUnused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &ConcurrencyLimit{Name: "c", PerRouter: rapid.IntRange(1, 6).Draw(t, "fleet")}
 		routes := []*Route{{Name: "a", Concurrency: c}, {Name: "b", Concurrency: c}, {Name: "c", Concurrency: c}}
 		NewTable(routes)
-		out, held := [3]int{}, [3]int{}
+		inFlight, queued := [3]int{}, [3]int{}
 		for range 200 {
 			i := rapid.IntRange(0, 2).Draw(t, "route")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				held[i]++
+				queued[i]++
 				routes[i].CountUsage(0, 0, 1)
 			case 1:
-				if held[i] > 0 && routes[i].HasCapacity(0) {
-					held[i]--
-					out[i]++
+				if queued[i] > 0 && routes[i].HasCapacity(0) {
+					queued[i]--
+					inFlight[i]++
 					routes[i].CountUsage(0, 1, -1)
 				}
 			case 2:
-				if out[i] > 0 {
-					out[i]--
+				if inFlight[i] > 0 {
+					inFlight[i]--
 					routes[i].CountUsage(0, -1, 0)
 				}
 			}
-			sum, waits, room := 0, false, false
+			total, anyQueued, anyMaySend := 0, false, false
 			for k, r := range routes {
-				sum += out[k]
-				waits = waits || held[k] > 0
-				room = room || held[k] > 0 && r.HasCapacity(0)
+				total += inFlight[k]
+				anyQueued = anyQueued || queued[k] > 0
+				anyMaySend = anyMaySend || queued[k] > 0 && r.HasCapacity(0)
 			}
-			require.LessOrEqual(t, sum, c.PerRouter)
-			require.Equal(t, waits && sum < c.PerRouter, room, "with room, one of those that wait may go")
+			require.LessOrEqual(t, total, c.PerRouter)
+			require.Equal(t, anyQueued && total < c.PerRouter, anyMaySend, "below the limit, one of the queued batches may be sent")
 		}
 	})
 }
@@ -73,13 +74,13 @@
 	after := NewTable([]*Route{next})
 	after.CarryOver(before)
 	assert.False(t, next.HasCapacity(0))
-	assert.False(t, next.MayRetrySoon(100.5), "a reload is no way round a budget")
+	assert.False(t, next.MayRetrySoon(100.5), "a reload does not refill a budget")
 	old.CountUsage(0, -1, 0)
 	old.CountUsage(0, -1, 0)
 	assert.True(t, next.HasCapacity(0))
 	other := NewTable([]*Route{{Name: "a", Budget: &RetryBudget{Name: "b", FreeRetries: 1, Window: 20}}})
 	other.CarryOver(after)
-	assert.True(t, other.Routes[0].MayRetrySoon(100.5), "another window is another budget")
+	assert.True(t, other.Routes[0].MayRetrySoon(100.5), "a budget with another window starts from zero")
 }
 
 func TestHedgesStayWithinTheirRatio(t *testing.T) {
@@ -97,32 +98,32 @@
 	assert.False(t, (*Route)(nil).MayHedge(1))
 }
 
-// An engine that takes so much longer the more is out beyond its cores: the limit finds about what it can do,
-// gives way when it gets slower, and comes back.
+// The simulated engine gets slower in proportion once more dispatches are in flight than it has cores. The limit must settle
+// near the number of cores, fall when cores are lost, and rise again when they return.
 func TestAdaptiveLimitFollowsEngineSpeed(t *testing.T) {
 	for _, kind := range []string{"aimd"} {
-		a := AdaptiveSettings{Kind: kind}.New()
+		limit := AdaptiveSettings{Kind: kind}.New()
 		now := 0.0
-		play := func(cores float64, rounds int) {
+		simulate := func(cores float64, rounds int) {
 			for range rounds {
-				out := int(a.Limit())
-				took := 0.1 * max(1, float64(out)/cores)
-				for range out {
-					now += took / float64(out)
-					a.Observe(Sample{Now: now, Elapsed: took, Unloaded: 0.1, InFlight: out})
+				inFlight := int(limit.Limit())
+				elapsed := 0.1 * max(1, float64(inFlight)/cores)
+				for range inFlight {
+					now += elapsed / float64(inFlight)
+					limit.Observe(Sample{Now: now, Elapsed: elapsed, Unloaded: 0.1, InFlight: inFlight})
 				}
 			}
 		}
-		play(16, 400)
-		wide := a.Limit()
-		assert.Greater(t, wide, 16.0, kind)
-		assert.Less(t, wide, 90.0, kind)
-		play(4, 400)
-		narrow := a.Limit()
-		assert.Less(t, narrow, 0.6*wide, kind)
-		assert.GreaterOrEqual(t, narrow, 3.0, kind)
-		play(16, 800)
-		assert.Greater(t, a.Limit(), 1.3*narrow, kind)
+		simulate(16, 400)
+		with16Cores := limit.Limit()
+		assert.Greater(t, with16Cores, 16.0, kind)
+		assert.Less(t, with16Cores, 90.0, kind)
+		simulate(4, 400)
+		with4Cores := limit.Limit()
+		assert.Less(t, with4Cores, 0.6*with16Cores, kind)
+		assert.GreaterOrEqual(t, with4Cores, 3.0, kind)
+		simulate(16, 800)
+		assert.Greater(t, limit.Limit(), 1.3*with4Cores, kind)
 	}
 }
 
@@ -141,7 +142,7 @@
 	})
 }
 
-// An idle engine's limit does not grow: it would bound nothing when the crowd comes.
+// The limit of an idle engine must not grow: it would no longer limit anything when load returns.
 func TestUnusedAdaptiveLimitDoesNotRise(t *testing.T) {
 	for kind := range AdaptiveKinds {
 		a := AdaptiveSettings{Kind: kind}.New()
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -89,18 +89,18 @@
 func TestRetryBudgetIsSharedAndRefills(t *testing.T) {
 	b := &RetryBudget{FreeRetries: 2, RetryRatio: 0.1, Window: 10}
 	one, two := &Route{Budget: b}, &Route{Budget: b}
-	spent := 0
+	retries := 0
 	for now := 100.0; now < 109; now += 0.1 {
 		one.CountBatch(now)
 		if two.MayRetrySoon(now) {
 			two.CountRetry(now)
-			spent++
+			retries++
 		}
 	}
-	assert.InDelta(t, 2+9, spent, 1.1)
+	assert.InDelta(t, 2+9, retries, 1.1)
 	assert.False(t, one.MayRetrySoon(109))
-	assert.True(t, one.MayRetrySoon(130), "what was spent is long ago")
-	assert.True(t, one.MayRetrySoon(90), "a clock that steps back breaks nothing")
+	assert.True(t, one.MayRetrySoon(130), "the retries have left the window")
+	assert.True(t, one.MayRetrySoon(90), "a clock that steps back does no harm")
 	assert.True(t, (*Route)(nil).MayRetrySoon(0))
 	assert.Equal(t, []any{2, 3, 0.5, 1.0}, []any{(&Route{MaxDispatches: 2}).DispatchLimit(3), (*Route)(nil).DispatchLimit(3), (&Route{Timeout: 0.5}).CapTimeout(1), (&Route{}).CapTimeout(1)})
 }
