--- a/internal/levels/levels.go
+++ b/internal/levels/levels.go
@@ -1,8 +1,12 @@
-// Package levels decides at which level of reduced service a router is, and why. It is pure: measures and the time come
-// in, the level and its reason go out. What a level refuses is decided by the module.
+// Package levels implements load shedding levels: it decides at which level of reduced service a router runs, and why. Which
+// batches a level sheds is decided by package brain.
 //
-// A level is entered when one of its conditions has held for long enough, and left by trial: the share that it sheds is
-// let back in steps, and if the load can't be borne the level holds again, for longer each time.
+// A level is entered once one of its conditions has been met for long enough. It is left by a trial, which admits the load
+// that the level sheds step by step. If the load proves too high, the level applies in full again, and the delay before the
+// next trial grows.
+//
+// The package does no input or output and reads no clock: callers pass measurements and the time in seconds. Nothing in it is
+// safe for concurrent use.
 package levels
 
 import (
@@ -12,121 +16,127 @@
 	"strings"
 )
 
-// Measure is one of the things that conditions speak of. All are what a router sees by itself.
+// Measure is a quantity that conditions compare with a threshold. A router computes all measures from what it sees itself,
+// without other routers.
 type Measure uint8
 
-// The measures.
 const (
-	Served         Measure = iota // utility answered within goal, of the utility of what ended: 0 to 1; shed batches don't count
-	QueueDelay                    // seconds: the work held, by the work finished each second
-	Rejected                      // share of the batches that ended that were pushed back, but not by a level: 0 to 1
-	UnreadyEngines                // share of the listed engines that are cold, drained or set aside: 0 to 1
-	OfferedLoad                   // work that comes, by the work finished: 1 is what is just borne
+	// Served is the utility answered within its goal, as a fraction of the utility of all batches that ended. Shed batches
+	// don't count.
+	Served Measure = iota
+	// QueueDelay is the queued work divided by the work finished per second, in seconds.
+	QueueDelay
+	// Rejected is the fraction of ended batches that were rejected for another reason than a level.
+	Rejected
+	// UnreadyEngines is the fraction of the listed engines that are cold, drained or ejected.
+	UnreadyEngines
+	// OfferedLoad is the work that arrives divided by the work finished. Above 1 the queue grows.
+	OfferedLoad
 	measureCount
 )
 
-// MeasureNames are the measures' names in settings and lines.
+// MeasureNames are the names of the measures in settings, status and logs, in the order of the constants.
 var MeasureNames = [measureCount]string{"served", "wait", "pushed-back", "unready", "offered"}
 
 func (m Measure) String() string { return MeasureNames[m] }
 
-// MeasureByName gives the measure of a name.
+// MeasureByName returns the measure with the given name, and whether there is one.
 func MeasureByName(name string) (Measure, bool) {
 	i := slices.Index(MeasureNames[:], name)
 	return Measure(max(i, 0)), i >= 0
 }
 
-// MeasureValues are their values at a look.
+// MeasureValues holds the value of each measure at one time.
 type MeasureValues [measureCount]float64
 
-// Condition holds while a measure is above, or below, a value.
+// Condition is met while a measure is above, or below, a threshold.
 type Condition struct {
 	Measure     Measure
-	Below       bool
+	Below       bool // met below the threshold, not above it
 	Threshold   float64
-	MinDuration float64 // seconds that it must hold
+	MinDuration float64 // seconds for which it must be met without a break
 }
 
 func (c Condition) String() string {
-	word := "above"
+	comparison := "above"
 	if c.Below {
-		word = "below"
+		comparison = "below"
 	}
-	return fmt.Sprintf("%s %s %g for %gs", c.Measure, word, c.Threshold, c.MinDuration)
+	return fmt.Sprintf("%s %s %g for %gs", c.Measure, comparison, c.Threshold, c.MinDuration)
 }
 
-func (c Condition) isMet(x MeasureValues) bool {
+func (c Condition) isMet(values MeasureValues) bool {
 	if c.Below {
-		return x[c.Measure] < c.Threshold
+		return values[c.Measure] < c.Threshold
 	}
-	return x[c.Measure] > c.Threshold
+	return values[c.Measure] > c.Threshold
 }
 
-// Actions is what a level does.
+// Actions is how a level reduces service.
 type Actions struct {
-	AdmitRatio     map[string]float64 // share of a service group's batches that is still taken
-	MinUtilityRate float64            // utility for a second of work that a batch must promise
-	MaxRetries     int                // dispatches after the first, at most; below 0: none; 0: as settings say
-	ProbeRatio     float64            // share of the probes; 0: all
-	GiveUpFactor   float64            // a batch is given up when so many times its time is not left; 0: once
+	AdmitRatio     map[string]float64 // fraction of batches still admitted, by service group; a group not in it: all
+	MinUtilityRate float64            // batches with less utility per second of work are shed
+	MaxRetries     int                // per batch; negative: none; 0: as other settings say
+	ProbeRatio     float64            // fraction of the usual probes that is still sent; 0: all
+	GiveUpFactor   float64            // a queued batch is given up once less than this times its expected time is left; 0: 1
 }
 
-// Level is one of them.
+// Level is a level of reduced service.
 type Level struct {
 	Name        string
-	Enter       []Condition // any of them
-	Exit        []Condition // all of them, for a trial to begin
-	MinDuration float64     // seconds in it before a trial
+	Enter       []Condition // any one enters the level
+	Exit        []Condition // all of them have to be met for a trial to start
+	MinDuration float64     // seconds in the level before a trial
 	Actions
 }
 
-// Settings are an operator's.
+// Settings configure a Machine.
 type Settings struct {
-	Levels                  []Level // in order, the mildest first; before them stands the usual service
-	TrialSteps              int     // of a trial
-	TrialStepTime           float64 // seconds of each
-	BackoffFactor           float64 // a relapse multiplies the time to the next trial by this,
-	MaxTrialDelay           float64 // up to so many seconds
-	MaxTransitionsPerMinute int     // transitions in a minute, at most
-	Spread                  float64 // times differ by up to this share from router to router
-	ForcedLevel             string  // the level to be in whatever the measures say; empty: none
-	ForbiddenLevels         []string
+	Levels                  []Level  // the mildest first; normal service, before them, is not in the list
+	TrialSteps              int      // steps of a trial
+	TrialStepTime           float64  // seconds of each step
+	BackoffFactor           float64  // a relapse multiplies the delay before the next trial by this
+	MaxTrialDelay           float64  // upper limit of that delay, in seconds
+	MaxTransitionsPerMinute int      // 0 or less: no limit
+	Spread                  float64  // durations differ between routers by up to this fraction in both directions
+	ForcedLevel             string   // the level to be in regardless of measures; empty: none
+	ForbiddenLevels         []string // names of levels that must not be entered
 }
 
-// Normal is the name of the level that changes nothing.
+// Normal is the name of the level of service without any reduction.
 const Normal = "usual"
 
-// State is where a machine is.
+// State is the level that applies now.
 type State struct {
-	Level   int // 0: usual
+	Level   int // 0: normal service; n: Settings.Levels[n-1]
 	Name    string
-	Reason  string
-	Since   float64
-	Step    int // of a trial; 0: none
-	Actions Actions
+	Reason  string  // why the machine is at this level or trial step, for logs and status
+	Since   float64 // time in seconds at which the level was entered or had its last relapse
+	Step    int     // step of the trial, from 1; 0: no trial
+	Actions Actions // with the reduction that a trial has lifted taken off
 }
 
-// Machine is the state. It changes in Look and Change alone.
+// Machine is the state machine of the levels. Only Update and Reconfigure change its state. Times are in seconds.
 type Machine struct {
 	settings   Settings
-	timeFactor float64 // of own times
-	now        float64
+	timeFactor float64 // all durations are multiplied by it, see Settings.Spread
+	now        float64 // time of the last Update
 
-	level, step   int
+	level, step   int // as in State
 	since         float64
 	stepStartedAt float64
-	trialDelay    float64 // until the next trial, from since on
+	trialDelay    float64 // least time from since to the next trial
 	relapses      int
-	hasLeftLevel  bool // a level was left, and
-	leftAt        float64
+	hasLeftLevel  bool    // a trial has ended a level before,
+	leftAt        float64 // last at this time
 	reason        string
-	enterMetSince [][]float64 // since when a condition of a level to enter holds; NaN: it does not
-	exitMetSince  [][]float64
-	transitions   []float64 // times of the last transitions
+	enterMetSince [][]float64 // by level and condition, the time since when it has been met; NaN: it is not met
+	exitMetSince  [][]float64 // the same for the conditions to exit
+	transitions   []float64   // times of the transitions of the last minute
 }
 
-// New starts a machine at the usual level. Seat, from 0 to 1, is this router's place among them: it spreads the times of
-// routers that see the same, so that they don't turn in step.
+// New starts a machine in normal service. position, from 0 to 1, is this router's place among all routers. It spreads the
+// durations, so that routers that measure the same do not change levels at the same time.
 func New(s Settings, position, now float64) *Machine {
 	m := &Machine{now: now}
 	m.timeFactor = 1 + s.Spread*(2*min(max(position, 0), 1)-1)
@@ -144,6 +154,7 @@
 	}
 }
 
+// neverMet returns the times since when n conditions have been met, for conditions that are not met.
 func neverMet(n int) []float64 {
 	out := make([]float64, n)
 	for i := range out {
@@ -152,7 +163,9 @@
 	return out
 }
 
-// Reconfigure brings other settings. A level of the same name is kept, with what is left of it; else it is the usual one.
+// Reconfigure replaces the settings. The machine stays at its level, and in its trial, if the new settings have a level of the
+// same name; otherwise it returns to normal service. If the level is forbidden now, the machine enters the nearest milder
+// level that is allowed.
 func (m *Machine) Reconfigure(s Settings) State {
 	name := m.levelName()
 	m.setSettings(s)
@@ -182,7 +195,7 @@
 	return level > 0 && slices.Contains(m.settings.ForbiddenLevels, m.settings.Levels[level-1].Name)
 }
 
-// nearestAllowed gives the next level downwards that may be entered.
+// nearestAllowed returns level, or if it is forbidden the nearest milder level that is not.
 func (m *Machine) nearestAllowed(level int) int {
 	for level > 0 && m.isForbidden(level) {
 		level--
@@ -198,25 +211,27 @@
 	}
 }
 
-// Update takes the measures at a time. Changed: the level is another than before, or its trial took a step.
-func (m *Machine) Update(now float64, x MeasureValues) (s State, changed bool) {
-	if now <= m.now { // a clock that stands still, or goes back, proves nothing
+// Update evaluates the conditions with the measures at a time, and moves to another level or trial step if they ask for it.
+// changed reports whether it did. A call whose time is not later than the previous one does nothing.
+func (m *Machine) Update(now float64, values MeasureValues) (s State, changed bool) {
+	if now <= m.now {
 		return m.State(), false
 	}
 	m.now = now
 	level, step := m.level, m.step
 	for i, l := range m.settings.Levels {
-		updateMetSince(m.enterMetSince[i], l.Enter, x, now)
-		updateMetSince(m.exitMetSince[i], l.Exit, x, now)
+		updateMetSince(m.enterMetSince[i], l.Enter, values, now)
+		updateMetSince(m.exitMetSince[i], l.Exit, values, now)
 	}
-	m.decide(x)
+	m.decide(values)
 	return m.State(), level != m.level || step != m.step
 }
 
-func updateMetSince(since []float64, list []Condition, x MeasureValues, now float64) {
-	for i, c := range list {
+// updateMetSince updates the times since when conditions have been met.
+func updateMetSince(since []float64, conditions []Condition, values MeasureValues, now float64) {
+	for i, c := range conditions {
 		switch {
-		case !c.isMet(x):
+		case !c.isMet(values):
 			since[i] = math.NaN()
 		case math.IsNaN(since[i]):
 			since[i] = now
@@ -224,14 +239,15 @@
 	}
 }
 
-// mayTransition: transitions are few in any minute, whatever the load does. Relief may come late for it; flapping would cost
-// more, and all that a level sheds is pushed back harmlessly.
+// mayTransition reports whether the limit on transitions per minute allows one more. The limit may delay a level that would
+// relieve the router, but flapping would cost more, and the batches that a level sheds are rejected without harm.
 func (m *Machine) mayTransition() bool {
 	m.transitions = slices.DeleteFunc(m.transitions, func(at float64) bool { return at <= m.now-60 })
 	return m.settings.MaxTransitionsPerMinute <= 0 || len(m.transitions) < m.settings.MaxTransitionsPerMinute
 }
 
-func (m *Machine) decide(x MeasureValues) {
+// decide enters the forced level, enters the most severe level whose conditions are met, or starts or advances a trial.
+func (m *Machine) decide(values MeasureValues) {
 	s := &m.settings
 	if s.ForcedLevel != "" {
 		for i, l := range s.Levels {
@@ -245,9 +261,9 @@
 		return
 	}
 	for to := len(s.Levels); to > m.level; to-- {
-		if why := m.enterReason(to-1, x); why != "" && !m.isForbidden(to) {
+		if reason := m.enterReason(to-1, values); reason != "" && !m.isForbidden(to) {
 			if m.mayTransition() {
-				m.escalate(to, why)
+				m.escalate(to, reason)
 			}
 			return
 		}
@@ -256,7 +272,7 @@
 		return
 	}
 	if m.step > 0 {
-		m.advanceTrial(x)
+		m.advanceTrial(values)
 		return
 	}
 	l := s.Levels[m.level-1]
@@ -264,41 +280,43 @@
 		return
 	}
 	for i, c := range l.Exit {
-		if at := m.exitMetSince[m.level-1][i]; math.IsNaN(at) || m.now-at < c.MinDuration*m.timeFactor {
+		if since := m.exitMetSince[m.level-1][i]; math.IsNaN(since) || m.now-since < c.MinDuration*m.timeFactor {
 			return
 		}
 	}
-	m.step, m.stepStartedAt, m.reason = 1, m.now, "trial: "+describeConditions(l.Exit, x)
-	m.enterMetSince[m.level-1] = neverMet(len(l.Enter)) // what was before the trial says nothing of it
+	m.step, m.stepStartedAt, m.reason = 1, m.now, "trial: "+describeConditions(l.Exit, values)
+	m.enterMetSince[m.level-1] = neverMet(len(l.Enter)) // time before the trial must not count towards a relapse
 }
 
-// escalate enters a level further up. Soon after one was left, that was too early: the next trial waits longer, as after a
-// relapse. Else a load that stays where a level is entered would turn as often as turns are allowed.
-func (m *Machine) escalate(to int, why string) {
+// escalate enters a more severe level. If a level was left only a short time ago, it was left too early, so the delay before
+// the next trial grows as after a relapse. Otherwise a load that stays near the threshold would cause as many transitions as
+// the limit per minute allows.
+func (m *Machine) escalate(to int, reason string) {
 	s := &m.settings
-	least := s.Levels[to-1].MinDuration
-	if soon := max(soonFactor*least, 2*m.trialDelay); m.hasLeftLevel && m.now-m.leftAt < soon {
-		m.extendTrialDelay(least)
+	minDuration := s.Levels[to-1].MinDuration
+	if recent := max(recentFactor*minDuration, 2*m.trialDelay); m.hasLeftLevel && m.now-m.leftAt < recent {
+		m.extendTrialDelay(minDuration)
 	} else {
 		m.trialDelay, m.relapses = 0, 0
 	}
-	m.enterLevel(to, m.now, why)
+	m.enterLevel(to, m.now, reason)
 }
 
-// soonFactor is how many times a level's least time counts as soon.
-const soonFactor = 3
+// recentFactor times a level's MinDuration is the time for which leaving a level counts as recent.
+const recentFactor = 3
 
-// extendTrialDelay makes the time to the next trial longer.
-func (m *Machine) extendTrialDelay(least float64) {
+// extendTrialDelay multiplies the delay before the next trial. minDuration is that of the level, a lower limit of the delay.
+func (m *Machine) extendTrialDelay(minDuration float64) {
 	m.relapses++
-	m.trialDelay = min(max(m.trialDelay, least)*max(m.settings.BackoffFactor, 1), max(m.settings.MaxTrialDelay, least))
+	m.trialDelay = min(max(m.trialDelay, minDuration)*max(m.settings.BackoffFactor, 1), max(m.settings.MaxTrialDelay, minDuration))
 }
 
-// advanceTrial lets load back step by step. A relapse ends it, and the next one comes later.
-func (m *Machine) advanceTrial(x MeasureValues) {
+// advanceTrial moves a trial on to its next step when that is due, and leaves the level after the last one. If a condition to
+// enter the level is met meanwhile, the trial ends with a relapse, and the next one comes later.
+func (m *Machine) advanceTrial(values MeasureValues) {
 	s := &m.settings
-	if why := m.enterReason(m.level-1, x); why != "" {
-		m.step, m.since, m.reason = 0, m.now, "relapse: "+why
+	if reason := m.enterReason(m.level-1, values); reason != "" {
+		m.step, m.since, m.reason = 0, m.now, "relapse: "+reason
 		m.extendTrialDelay(s.Levels[m.level-1].MinDuration)
 		return
 	}
@@ -311,30 +329,33 @@
 	}
 	m.step = max(s.TrialSteps, 1)
 	if m.mayTransition() {
-		m.enterLevel(m.nearestAllowed(m.level-1), m.now, "the load is borne")
+		m.enterLevel(m.nearestAllowed(m.level-1), m.now, "trial succeeded")
 		m.hasLeftLevel, m.leftAt = true, m.now
 	}
 }
 
-// enterReason says which condition of a level holds for long enough; empty: none.
-func (m *Machine) enterReason(level int, x MeasureValues) string {
-	for i, c := range m.settings.Levels[level].Enter {
-		if at := m.enterMetSince[level][i]; !math.IsNaN(at) && m.now-at >= c.MinDuration*m.timeFactor {
-			return fmt.Sprintf("%s (%.3g)", c, x[c.Measure])
+// enterReason describes the first condition that has been met for long enough to enter Settings.Levels[index]; empty if there
+// is none.
+func (m *Machine) enterReason(index int, values MeasureValues) string {
+	for i, c := range m.settings.Levels[index].Enter {
+		if since := m.enterMetSince[index][i]; !math.IsNaN(since) && m.now-since >= c.MinDuration*m.timeFactor {
+			return fmt.Sprintf("%s (%.3g)", c, values[c.Measure])
 		}
 	}
 	return ""
 }
 
-func describeConditions(list []Condition, x MeasureValues) string {
+// describeConditions lists conditions with the present values of their measures.
+func describeConditions(conditions []Condition, values MeasureValues) string {
 	var out []string
-	for _, c := range list {
-		out = append(out, fmt.Sprintf("%s (%.3g)", c, x[c.Measure]))
+	for _, c := range conditions {
+		out = append(out, fmt.Sprintf("%s (%.3g)", c, values[c.Measure]))
 	}
 	return strings.Join(out, ", ")
 }
 
-// State tells where the machine is, and what that does now: amid a trial between this level and the next one down.
+// State returns the level that applies now. During a trial its actions lie between those of the level and of the level that
+// follows if the trial succeeds.
 func (m *Machine) State() State {
 	out := State{Level: m.level, Name: m.levelName(), Reason: m.reason, Since: m.since, Step: m.step}
 	if m.level == 0 {
@@ -344,29 +365,29 @@
 	if m.step == 0 {
 		return out
 	}
-	var below Actions
-	if to := m.nearestAllowed(m.level - 1); to > 0 {
-		below = m.settings.Levels[to-1].Actions
+	var milder Actions
+	if next := m.nearestAllowed(m.level - 1); next > 0 {
+		milder = m.settings.Levels[next-1].Actions
 	}
-	out.Actions = interpolate(out.Actions, below, float64(m.step)/float64(max(m.settings.TrialSteps, 1)+1))
+	out.Actions = interpolate(out.Actions, milder, float64(m.step)/float64(max(m.settings.TrialSteps, 1)+1))
 	return out
 }
 
-// interpolate goes part of the way from one to another.
-func interpolate(from, to Actions, part float64) Actions {
+// interpolate returns from with its admit ratios and its utility rate moved towards those of to; fraction is 0 to 1.
+func interpolate(from, to Actions, fraction float64) Actions {
 	out := from
 	out.AdmitRatio = map[string]float64{}
-	share := func(d Actions, group string) float64 {
-		if v, ok := d.AdmitRatio[group]; ok {
+	ratio := func(a Actions, group string) float64 {
+		if v, ok := a.AdmitRatio[group]; ok {
 			return v
 		}
 		return 1
 	}
-	for _, d := range []Actions{from, to} {
-		for g := range d.AdmitRatio {
-			out.AdmitRatio[g] = share(from, g) + part*(share(to, g)-share(from, g))
+	for _, a := range []Actions{from, to} {
+		for g := range a.AdmitRatio {
+			out.AdmitRatio[g] = ratio(from, g) + fraction*(ratio(to, g)-ratio(from, g))
 		}
 	}
-	out.MinUtilityRate += part * (to.MinUtilityRate - from.MinUtilityRate)
+	out.MinUtilityRate += fraction * (to.MinUtilityRate - from.MinUtilityRate)
 	return out
 }
