--- a/internal/levels/gauge.go
+++ b/internal/levels/gauge.go
@@ -2,84 +2,92 @@
 
 import "math"
 
-// Gauge makes measures of what a router sees. Sums fade with a time, so that what is long ago counts little. Work is
-// uneven, a few batches hold most of it, and it is finished some time after it came: its sums fade more slowly, and say
-// nothing at first.
+// Gauge computes the measures from what a router sees. Its sums decay exponentially, so that recent events count most. Sums of
+// work decay more slowly, because work is spread unevenly (a few batches make up most of it) and is finished some time after
+// it arrived; for the same reason OfferedLoad is not computed at first.
 type Gauge struct {
-	timeConstant float64 // seconds after which a sum counts 1/e
-	now, start   float64
+	timeConstant float64 // seconds in which a sum decays to 1/e
+	now, start   float64 // seconds
 
-	utilityEnded, utilityInGoal   float64 // utility of what ended, and of what was answered within its goal
-	batchesEnded, batchesRejected float64 // batches
-	workArrived, workFinished     float64 // seconds of work
-	workQueued                    float64
-	engines, unreadyEngines       int
+	utilityEnded    float64 // utility of the batches that ended
+	utilityInGoal   float64 // utility of those that were answered within their goal
+	batchesEnded    float64
+	batchesRejected float64
+	workArrived     float64 // seconds of work
+	workFinished    float64 // seconds of work
+	workQueued      float64 // seconds of work, now
+	engines         int
+	unreadyEngines  int
 }
 
-// NewGauge starts one.
-func NewGauge(over, now float64) *Gauge {
-	return &Gauge{timeConstant: max(over, 0.1), now: now, start: now}
+// NewGauge returns a gauge whose sums decay with a time constant in seconds, at least 0.1. now is the time in seconds.
+func NewGauge(timeConstant, now float64) *Gauge {
+	return &Gauge{timeConstant: max(timeConstant, 0.1), now: now, start: now}
 }
 
+// workTimeFactor is the time constant of the sums of work, as a multiple of that of the other sums.
 const workTimeFactor = 2
 
-// Advance brings the time.
+// Advance lets the sums decay up to a time in seconds.
 func (g *Gauge) Advance(now float64) {
 	if now <= g.now {
 		return
 	}
-	fade, slow := math.Exp((g.now-now)/g.timeConstant), math.Exp((g.now-now)/(workTimeFactor*g.timeConstant))
+	decay, workDecay := math.Exp((g.now-now)/g.timeConstant), math.Exp((g.now-now)/(workTimeFactor*g.timeConstant))
 	g.now = now
 	for _, sum := range []*float64{&g.utilityEnded, &g.utilityInGoal, &g.batchesEnded, &g.batchesRejected} {
-		*sum *= fade
+		*sum *= decay
 	}
-	g.workArrived, g.workFinished = g.workArrived*slow, g.workFinished*slow
+	g.workArrived, g.workFinished = g.workArrived*workDecay, g.workFinished*workDecay
 }
 
-// BatchArrived is a batch that was taken and not shed, with the work it is held to need.
+// BatchArrived counts a batch that was admitted, with the seconds of work that it is expected to need.
 func (g *Gauge) BatchArrived(work float64) { g.workArrived += work }
 
-// BatchEnded is a batch that ended. Shed ones don't count: that they are refused is no news.
-func (g *Gauge) BatchEnded(utility float64, inGoal, pushedBack bool) {
+// BatchEnded counts a batch that ended. It must not be called for shed batches: the measures show what a level achieves, not
+// what it refuses.
+func (g *Gauge) BatchEnded(utility float64, inGoal, rejected bool) {
 	g.utilityEnded += utility
 	g.batchesEnded++
 	if inGoal {
 		g.utilityInGoal += utility
 	}
-	if pushedBack {
+	if rejected {
 		g.batchesRejected++
 	}
 }
 
-// WorkFinished is work that an engine has done for a batch.
+// WorkFinished counts seconds of work that an engine has done for a batch.
 func (g *Gauge) WorkFinished(work float64) { g.workFinished += work }
 
-// SetCurrent is what is held now, and how many of the listed engines are not to be counted on.
-func (g *Gauge) SetCurrent(work float64, engines, unready int) {
-	g.workQueued, g.engines, g.unreadyEngines = work, engines, unready
+// SetCurrent sets the seconds of work that are queued now, the number of listed engines, and how many of these are cold,
+// drained or ejected.
+func (g *Gauge) SetCurrent(queuedWork float64, engines, unready int) {
+	g.workQueued, g.engines, g.unreadyEngines = queuedWork, engines, unready
 }
 
-// Values gives them. Where nothing came, all is well.
-func (g *Gauge) Values() (x MeasureValues) {
-	x[Served], x[OfferedLoad] = 1, 1
-	// A ratio outlives what it was made of, since both sides of it fade alike: less than half a batch says ever less.
-	says := min(g.batchesEnded/0.5, 1)
+// Values returns the measures. A measure without data has the value of an idle, healthy router.
+func (g *Gauge) Values() (values MeasureValues) {
+	values[Served], values[OfferedLoad] = 1, 1
+	// Numerator and denominator decay alike, so a ratio would stay as it is long after its data is out of date. Once less than
+	// half a batch is left in the sums, the ratio is given less and less weight.
+	weight := min(g.batchesEnded/0.5, 1)
 	if g.utilityEnded > 1e-9 {
-		x[Served] = 1 - says*(1-g.utilityInGoal/g.utilityEnded)
+		values[Served] = 1 - weight*(1-g.utilityInGoal/g.utilityEnded)
 	}
 	if g.batchesEnded > 1e-9 {
-		x[Rejected] = says * g.batchesRejected / g.batchesEnded
+		values[Rejected] = weight * g.batchesRejected / g.batchesEnded
 	}
 	if g.workFinished > 1e-6 {
-		x[QueueDelay] = g.workQueued / (g.workFinished / (workTimeFactor * g.timeConstant))
+		values[QueueDelay] = g.workQueued / (g.workFinished / (workTimeFactor * g.timeConstant))
 		if g.now > g.start+2*workTimeFactor*g.timeConstant {
-			x[OfferedLoad] = g.workArrived / g.workFinished
+			values[OfferedLoad] = g.workArrived / g.workFinished
 		}
 	} else if g.workQueued > 0 {
-		x[QueueDelay] = g.timeConstant
+		values[QueueDelay] = g.timeConstant
 	}
 	if g.engines > 0 {
-		x[UnreadyEngines] = float64(g.unreadyEngines) / float64(g.engines)
+		values[UnreadyEngines] = float64(g.unreadyEngines) / float64(g.engines)
 	}
-	return x
+	return values
 }
--- a/internal/levels/levels.go
+++ b/internal/levels/levels.go
@@ -21,14 +21,14 @@
 type Measure uint8
 
 const (
-	// Served is the utility answered within its goal, as a fraction of the utility of all batches that ended. Shed batches
-	// don't count.
+	// Served is the utility answered within its goal, as a fraction (0 to 1) of the utility of all batches that ended. Shed
+	// batches don't count.
 	Served Measure = iota
 	// QueueDelay is the queued work divided by the work finished per second, in seconds.
 	QueueDelay
-	// Rejected is the fraction of ended batches that were rejected for another reason than a level.
+	// Rejected is the fraction (0 to 1) of ended batches that were rejected for another reason than a level.
 	Rejected
-	// UnreadyEngines is the fraction of the listed engines that are cold, drained or ejected.
+	// UnreadyEngines is the fraction (0 to 1) of the listed engines that are cold, drained or ejected.
 	UnreadyEngines
 	// OfferedLoad is the work that arrives divided by the work finished. Above 1 the queue grows.
 	OfferedLoad
--- a/internal/levels/levels_test.go
+++ b/internal/levels/levels_test.go
@@ -17,7 +17,7 @@
 		{Name: "hard", Enter: below(0.6, 2), Exit: above, MinDuration: 20, Actions: Actions{AdmitRatio: map[string]float64{"report": 0}, MinUtilityRate: 2}}}}
 }
 
-// simulatedLoad is a load that can be borne up to 1: what is kept of it says how it is served.
+// simulatedLoad drives a machine with simulated time. Each test says how well the load is served at a time and in a state.
 type simulatedLoad struct {
 	*Machine
 	now             float64
@@ -50,7 +50,7 @@
 	assert.Equal(t, Normal, f.State().Name)
 	f.run(0.5, constant(0.97))
 	f.run(2.5, constant(0.8))
-	assert.Equal(t, Normal, f.State().Name, "it did not hold throughout")
+	assert.Equal(t, Normal, f.State().Name, "the condition was not met without a break")
 	f.run(1.5, constant(0.8))
 	s := f.State()
 	assert.Equal(t, "mild", s.Name)
@@ -60,30 +60,30 @@
 	assert.Equal(t, "hard", f.State().Name)
 	g := newSimulatedLoad(settings())
 	g.run(3, constant(0.4))
-	assert.Equal(t, "hard", g.State().Name, "at once, past the mild one")
+	assert.Equal(t, "hard", g.State().Name, "entered directly, without the mild level first")
 	assert.Len(t, g.transitionTimes, 1)
 }
 
 func TestTrialAdvancesInStepsAndRelapseDelaysTheNext(t *testing.T) {
 	f := newSimulatedLoad(settings())
 	f.run(4, constant(0.8))
-	bears := func(_ float64, s State) float64 { // all is well until load comes back
+	overloadedInTrial := func(_ float64, s State) float64 { // the service is good until a trial admits more load
 		if s.Step > 0 {
 			return 0.7
 		}
 		return 1
 	}
 	began := f.now
-	f.run(20, bears)
+	f.run(20, overloadedInTrial)
 	assert.Equal(t, 1, f.State().Step)
 	assert.InDelta(t, 0.5+0.5/3, f.State().Actions.AdmitRatio["report"], 1e-9, "a step of the way")
-	f.run(4, bears)
+	f.run(4, overloadedInTrial)
 	assert.Zero(t, f.State().Step)
 	assert.Contains(t, f.State().Reason, "relapse")
 	first := f.now - began
 	began = f.now
 	for f.State().Step == 0 {
-		f.run(0.5, bears)
+		f.run(0.5, overloadedInTrial)
 	}
 	assert.Greater(t, f.now-began, 1.5*first)
 	f.run(30, constant(1))
@@ -91,7 +91,8 @@
 	assert.Nil(t, f.State().Actions.AdmitRatio)
 }
 
-// A load that swings round a threshold, at any period, and one that stays on it.
+// Load 1 is the most that is served in full. A load that oscillates around a threshold, with any period, and one that stays
+// at the threshold must not cause more transitions than the settings allow in a minute.
 func TestTransitionsAreRateLimited(t *testing.T) {
 	for _, swing := range []float64{0, 0.05, 0.1, 0.3} {
 		for _, period := range []float64{1, 2, 5, 10, 30, 60, 120} {
@@ -121,9 +122,9 @@
 	f.run(5, constant(1))
 	assert.Equal(t, "hard", f.State().Name)
 	f.run(200, constant(1))
-	assert.Equal(t, "hard", f.State().Name, "whatever the measures say")
+	assert.Equal(t, "hard", f.State().Name, "regardless of the measures")
 	s.ForcedLevel, s.ForbiddenLevels = "", []string{"hard"}
-	assert.Equal(t, "mild", f.Reconfigure(s).Name, "the next one down")
+	assert.Equal(t, "mild", f.Reconfigure(s).Name, "the next milder level")
 	f.run(100, constant(0.3))
 	assert.Equal(t, "mild", f.State().Name)
 	s.ForcedLevel = Normal
@@ -140,7 +141,7 @@
 	assert.Equal(t, 0.1, f.Reconfigure(s).Actions.AdmitRatio["report"])
 	assert.Equal(t, "hard", f.State().Name)
 	s.Levels = s.Levels[:1]
-	assert.Equal(t, Normal, f.Reconfigure(s).Name, "it is gone")
+	assert.Equal(t, Normal, f.Reconfigure(s).Name, "the level no longer exists")
 }
 
 func TestStoppedClockChangesNothing(t *testing.T) {
@@ -174,7 +175,7 @@
 func TestMeasuresFadeOverTime(t *testing.T) {
 	g := NewGauge(5, 0)
 	x := g.Values()
-	assert.Equal(t, []float64{1, 0, 0, 1}, []float64{x[Served], x[QueueDelay], x[Rejected], x[OfferedLoad]}, "nothing came: all is well")
+	assert.Equal(t, []float64{1, 0, 0, 1}, []float64{x[Served], x[QueueDelay], x[Rejected], x[OfferedLoad]}, "without data the measures are those of a healthy router")
 	for now := 0.0; now < 60; now += 0.1 {
 		g.Advance(now)
 		g.BatchArrived(2)
--- a/internal/levels/section.go
+++ b/internal/levels/section.go
@@ -9,7 +9,7 @@
 	"pitchfield/internal/findings"
 )
 
-// LevelSections are [levels] and [[level]] of an operator's settings.
+// LevelSections are the sections [levels] and [[level]] of the settings file.
 type LevelSections struct {
 	Levels *struct {
 		Over      string   `toml:"over"`
@@ -35,6 +35,7 @@
 	} `toml:"level"`
 }
 
+// condition has either Above or Below.
 type condition struct {
 	Measure string   `toml:"measure"`
 	Above   *float64 `toml:"above"`
@@ -42,23 +43,24 @@
 	For     string   `toml:"for"`
 }
 
+// maxSeconds is the longest delay before a trial and the longest time in a level that settings may ask for.
 const maxSeconds = 24 * 3600
 
-// Validate gives the levels that the sections tell, nil for none, and the time in seconds over which what they are entered by
-// fades. What is left out has a usual value.
-func (f *LevelSections) Validate(report findings.To) (s *Settings, over float64) {
+// Validate reads the sections and reports what is wrong with their values. It returns nil if the file has neither section, and
+// else the settings, with defaults for whatever is left out, and the time constant for NewGauge in seconds.
+func (f *LevelSections) Validate(report findings.To) (s *Settings, timeConstant float64) {
 	if f.Levels == nil && len(f.Level) == 0 {
 		return nil, 0
 	}
-	s, over = &Settings{TrialSteps: 4, TrialStepTime: 5, BackoffFactor: 2, MaxTrialDelay: 300, MaxTransitionsPerMinute: 2, Spread: 0.3}, 5
+	s, timeConstant = &Settings{TrialSteps: 4, TrialStepTime: 5, BackoffFactor: 2, MaxTrialDelay: 300, MaxTransitionsPerMinute: 2, Spread: 0.3}, 5
 	if l := f.Levels; l != nil {
 		s.ForcedLevel, s.ForbiddenLevels = l.Hold, l.Forbid
-		set := func(into *float64, v float64) {
+		set := func(target *float64, v float64) {
 			if v != 0 {
-				*into = v
+				*target = v
 			}
 		}
-		set(&over, report.Seconds("levels.over", l.Over, 600))
+		set(&timeConstant, report.Seconds("levels.over", l.Over, 600))
 		set(&s.TrialStepTime, report.Seconds("levels.step-time", l.StepTime, 3600))
 		set(&s.MaxTrialDelay, report.Seconds("levels.most-delay", l.MostDelay, maxSeconds))
 		set(&s.BackoffFactor, l.Backoff)
@@ -76,78 +78,79 @@
 	}
 	names := map[string]bool{Normal: true}
 	for i, l := range f.Level {
-		at := fmt.Sprintf("level[%d]", i)
+		key := fmt.Sprintf("level[%d]", i)
 		if l.Name == "" || names[l.Name] {
-			report.Found(at+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Normal)
+			report.Found(key+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Normal)
 		}
 		names[l.Name] = true
-		one := Level{Name: l.Name, MinDuration: report.Seconds(at+".least", l.Least, maxSeconds)}
-		one.Actions = Actions{AdmitRatio: l.Keep, MinUtilityRate: l.LeastGain, ProbeRatio: l.Probes, GiveUpFactor: l.Early}
-		if one.MinDuration == 0 {
-			one.MinDuration = 30
+		level := Level{Name: l.Name, MinDuration: report.Seconds(key+".least", l.Least, maxSeconds)}
+		level.Actions = Actions{AdmitRatio: l.Keep, MinUtilityRate: l.LeastGain, ProbeRatio: l.Probes, GiveUpFactor: l.Early}
+		if level.MinDuration == 0 {
+			level.MinDuration = 30
 		}
 		if l.Further != nil {
-			report.Within(at+".further", float64(*l.Further), 0, 2)
-			if one.MaxRetries = *l.Further; one.MaxRetries == 0 {
-				one.MaxRetries = -1
+			report.Within(key+".further", float64(*l.Further), 0, 2)
+			if level.MaxRetries = *l.Further; level.MaxRetries == 0 {
+				level.MaxRetries = -1
 			}
 		}
-		for group, keep := range l.Keep {
-			report.Within(at+".keep."+group, keep, 0, 1)
+		for group, ratio := range l.Keep {
+			report.Within(key+".keep."+group, ratio, 0, 1)
 		}
-		report.Within(at+".probes", l.Probes, 0, 1)
-		report.Within(at+".least-gain", l.LeastGain, 0, 1e9)
+		report.Within(key+".probes", l.Probes, 0, 1)
+		report.Within(key+".least-gain", l.LeastGain, 0, 1e9)
 		if l.Early != 0 {
-			report.Within(at+".early", l.Early, 1, 100)
+			report.Within(key+".early", l.Early, 1, 100)
 		}
-		one.Enter, one.Exit = parseConditions(report, at+".enter", l.Enter), parseConditions(report, at+".exit", l.Exit)
-		if len(one.Enter) == 0 && s.ForcedLevel != l.Name {
-			report.Found(at, "without a condition to enter it is never entered")
+		level.Enter, level.Exit = parseConditions(report, key+".enter", l.Enter), parseConditions(report, key+".exit", l.Exit)
+		if len(level.Enter) == 0 && s.ForcedLevel != l.Name {
+			report.Found(key, "without a condition to enter it is never entered")
 		}
-		if len(one.Exit) == 0 {
-			report.Found(at, "without a condition to leave it is left at once")
+		if len(level.Exit) == 0 {
+			report.Found(key, "without a condition to leave it is left at once")
 		}
-		for _, in := range one.Enter {
-			for _, leave := range one.Exit {
-				if in.Measure == leave.Measure && in.Below == leave.Below && len(one.Exit) == 1 {
-					report.Found(at, "it is left by the very condition that it is entered by: %s", in)
+		for _, enter := range level.Enter {
+			for _, exit := range level.Exit {
+				if enter.Measure == exit.Measure && enter.Below == exit.Below && len(level.Exit) == 1 {
+					report.Found(key, "it is left by the very condition that it is entered by: %s", enter)
 				}
 			}
 		}
-		s.Levels = append(s.Levels, one)
+		s.Levels = append(s.Levels, level)
 	}
 	for _, name := range append([]string{s.ForcedLevel}, s.ForbiddenLevels...) {
 		if name != "" && !names[name] {
 			report.Found("levels", "there is no level %q to hold or forbid", name)
 		}
 	}
-	return s, over
+	return s, timeConstant
 }
 
-func parseConditions(report findings.To, at string, list []condition) (out []Condition) {
-	for i, one := range list {
-		key := fmt.Sprintf("%s[%d]", at, i)
-		m, known := MeasureByName(one.Measure)
+// parseConditions reads the conditions listed under a key.
+func parseConditions(report findings.To, listKey string, list []condition) (out []Condition) {
+	for i, c := range list {
+		key := fmt.Sprintf("%s[%d]", listKey, i)
+		m, known := MeasureByName(c.Measure)
 		if !known {
-			report.Found(key, "%q is no measure; there are %s", one.Measure, strings.Join(MeasureNames[:], ", "))
+			report.Found(key, "%q is no measure; there are %s", c.Measure, strings.Join(MeasureNames[:], ", "))
 		}
-		if (one.Above == nil) == (one.Below == nil) {
+		if (c.Above == nil) == (c.Below == nil) {
 			report.Found(key, "a condition has either above or below")
 			continue
 		}
-		l := Condition{Measure: m, Below: one.Below != nil, MinDuration: report.Seconds(key, one.For, 3600)}
-		if l.Below {
-			l.Threshold = *one.Below
+		parsed := Condition{Measure: m, Below: c.Below != nil, MinDuration: report.Seconds(key, c.For, 3600)}
+		if parsed.Below {
+			parsed.Threshold = *c.Below
 		} else {
-			l.Threshold = *one.Above
+			parsed.Threshold = *c.Above
 		}
-		report.Within(key, l.Threshold, 0, 1e6)
-		out = append(out, l)
+		report.Within(key, parsed.Threshold, 0, 1e6)
+		out = append(out, parsed)
 	}
 	return out
 }
 
-// ForEachGroup gives the service groups that levels keep a share of, each with the key that it stands under.
+// ForEachGroup calls each for every service group that a level has an admit ratio for, with the group's key in the settings.
 func (s *Settings) ForEachGroup(each func(key, group string)) {
 	for n, l := range s.Levels {
 		for _, group := range slices.Sorted(maps.Keys(l.AdmitRatio)) {
