--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -105,12 +105,12 @@
 // rule. All that is found is told.
 func (i *Installation) Against(path string, s settings.Settings) error {
 	errs := []error{i.Groups(path, s.GroupNames())}
-	p := limits.Platform{Known: true, MaxDispatches: max(s.MostDispatches, 1), Clients: s.Clients, RetriesLimited: s.Rationed, FreeRetries: s.FreeFurther,
-		RetryRatio: s.FurtherShare, RetryWindow: s.FurtherWindow, AllowsHedging: s.MayCopy, EngineKinds: s.Kinds}
+	p := limits.Platform{Known: true, MaxDispatches: max(s.MaxDispatches, 1), Clients: s.Clients, RetriesLimited: s.LimitRetries, FreeRetries: s.FreeRetries,
+		RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, AllowsHedging: s.MayHedge, EngineKinds: s.Kinds}
 	i.Routes.ResolveEngineKinds(s.Kinds)
 	for _, g := range s.Groups {
-		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == brain.Repeatable, Referenced: g.Effect == brain.Referenced,
-			TimeLimit: g.Limit, DedupWindow: g.Window, EngineKinds: g.Kinds})
+		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Idempotency == brain.Idempotent, Referenced: g.Idempotency == brain.Deduplicated,
+			TimeLimit: g.Limit, DedupWindow: g.DedupWindow, EngineKinds: g.Kinds})
 	}
 	for _, f := range limits.Check(i.Limits, p) {
 		errs = append(errs, fmt.Errorf("%s: %s", i.where(path, f.Line), f.Message))
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -57,7 +57,7 @@
 	Shed                       int
 	Measures                   levels.MeasureValues
 	Batches, Clients, Stopping int
-	Seen                       brain.Seen
+	Seen                       brain.Stats
 }
 
 func (r *Router) setLevels(e LevelsSet) {
@@ -76,16 +76,16 @@
 	if after := r.level.machine.Reconfigure(e.Levels); after.Name != before.Name {
 		r.levelChanged(after, levels.MeasureValues{})
 	} else {
-		r.brain.Reduce(r.reduced(after.Actions))
+		r.brain.SetReducedService(r.reduced(after.Actions))
 	}
 }
 
 // lookAtLevel takes the measures, and has the module follow where the level is another than before.
 func (r *Router) lookAtLevel() {
 	r.timers.add(r.now+levelEvery, levelCheck{})
-	seen := r.brain.Seen()
+	seen := r.brain.Stats()
 	r.level.gauge.Advance(r.now)
-	r.level.gauge.SetCurrent(seen.HeldWork, seen.Engines, seen.Cold+seen.Aside+seen.Drained)
+	r.level.gauge.SetCurrent(seen.QueuedWork, seen.Engines, seen.Cold+seen.Ejected+seen.Draining)
 	x := r.level.gauge.Values()
 	state, changed := r.level.machine.Update(r.now, x)
 	if changed {
@@ -106,19 +106,19 @@
 		fields = append(fields, name, x[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.Reduce(r.reduced(s.Actions))
+	r.brain.SetReducedService(r.reduced(s.Actions))
 }
 
 // reduced words a level for the module. A group that has a second one for what has no mark is shed with it.
-func (r *Router) reduced(d levels.Actions) brain.Reduced {
-	out := brain.Reduced{LeastGain: d.MinUtilityRate, Further: d.MaxRetries, Probes: d.ProbeRatio, Early: d.GiveUpFactor}
+func (r *Router) reduced(d levels.Actions) brain.ReducedService {
+	out := brain.ReducedService{MinUtilityPerSecond: d.MinUtilityRate, MaxRetries: d.MaxRetries, ProbeShare: d.ProbeRatio, GiveUpFactor: d.GiveUpFactor}
 	for name, keep := range d.AdmitRatio {
-		if out.Keep == nil {
-			out.Keep = map[*brain.ServiceGroup]float64{}
+		if out.KeepShare == nil {
+			out.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
 		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarked[name]} {
 			if g != nil {
-				out.Keep[g] = keep
+				out.KeepShare[g] = keep
 			}
 		}
 	}
