--- a/internal/levels/gauge.go
+++ b/internal/levels/gauge.go
@@ -2,82 +2,92 @@
 
 import "math"
 
-// Gauge makes measures of what a router sees. Sums fade with a time, so that what is long ago counts little. Work is
-// uneven, a few batches hold most of it, and it is finished some time after it came: its sums fade more slowly, and say
-// nothing at first.
+// Gauge computes the measures from what a router sees. Its sums decay exponentially, so that recent events count most. Sums of
+// work decay more slowly, because work is spread unevenly (a few batches make up most of it) and is finished some time after
+// it arrived; for the same reason OfferedLoad is not computed at first.
 type Gauge struct {
-	over      float64 // seconds after which a sum counts 1/e
-	at, start float64
+	timeConstant float64 // seconds in which a sum decays to 1/e
+	now, start   float64 // seconds
 
-	asked, inGoal        float64 // utility of what ended, and of what was answered within its goal
-	ended, pushed        float64 // batches
-	came, finished       float64 // seconds of work
-	held                 float64
-	engines, unreadyOnes int
+	utilityEnded    float64 // utility of the batches that ended
+	utilityInGoal   float64 // utility of those that were answered within their goal
+	batchesEnded    float64
+	batchesRejected float64
+	workArrived     float64 // seconds of work
+	workFinished    float64 // seconds of work
+	workQueued      float64 // seconds of work, now
+	engines         int
+	unreadyEngines  int
 }
 
-// NewGauge starts one.
-func NewGauge(over, now float64) *Gauge { return &Gauge{over: max(over, 0.1), at: now, start: now} }
+// NewGauge returns a gauge whose sums decay with a time constant in seconds, at least 0.1. now is the time in seconds.
+func NewGauge(timeConstant, now float64) *Gauge {
+	return &Gauge{timeConstant: max(timeConstant, 0.1), now: now, start: now}
+}
 
-const workFade = 2
+// workTimeFactor is the time constant of the sums of work, as a multiple of that of the other sums.
+const workTimeFactor = 2
 
-// Clock brings the time.
-func (g *Gauge) Clock(now float64) {
-	if now <= g.at {
+// Advance lets the sums decay up to a time in seconds.
+func (g *Gauge) Advance(now float64) {
+	if now <= g.now {
 		return
 	}
-	fade, slow := math.Exp((g.at-now)/g.over), math.Exp((g.at-now)/(workFade*g.over))
-	g.at = now
-	for _, sum := range []*float64{&g.asked, &g.inGoal, &g.ended, &g.pushed} {
-		*sum *= fade
+	decay, workDecay := math.Exp((g.now-now)/g.timeConstant), math.Exp((g.now-now)/(workTimeFactor*g.timeConstant))
+	g.now = now
+	for _, sum := range []*float64{&g.utilityEnded, &g.utilityInGoal, &g.batchesEnded, &g.batchesRejected} {
+		*sum *= decay
 	}
-	g.came, g.finished = g.came*slow, g.finished*slow
+	g.workArrived, g.workFinished = g.workArrived*workDecay, g.workFinished*workDecay
 }
 
-// Came is a batch that was taken and not shed, with the work it is held to need.
-func (g *Gauge) Came(work float64) { g.came += work }
+// BatchArrived counts a batch that was admitted, with the seconds of work that it is expected to need.
+func (g *Gauge) BatchArrived(work float64) { g.workArrived += work }
 
-// Ended is a batch that ended. Shed ones don't count: that they are refused is no news.
-func (g *Gauge) Ended(utility float64, inGoal, pushedBack bool) {
-	g.asked += utility
-	g.ended++
+// BatchEnded counts a batch that ended. It must not be called for shed batches: the measures show what a level achieves, not
+// what it refuses.
+func (g *Gauge) BatchEnded(utility float64, inGoal, rejected bool) {
+	g.utilityEnded += utility
+	g.batchesEnded++
 	if inGoal {
-		g.inGoal += utility
+		g.utilityInGoal += utility
 	}
-	if pushedBack {
-		g.pushed++
+	if rejected {
+		g.batchesRejected++
 	}
 }
 
-// Finished is work that an engine has done for a batch.
-func (g *Gauge) Finished(work float64) { g.finished += work }
+// WorkFinished counts seconds of work that an engine has done for a batch.
+func (g *Gauge) WorkFinished(work float64) { g.workFinished += work }
 
-// Holds is what is held now, and how many of the listed engines are not to be counted on.
-func (g *Gauge) Holds(work float64, engines, unready int) {
-	g.held, g.engines, g.unreadyOnes = work, engines, unready
+// SetCurrent sets the seconds of work that are queued now, the number of listed engines, and how many of these are cold,
+// drained or ejected.
+func (g *Gauge) SetCurrent(queuedWork float64, engines, unready int) {
+	g.workQueued, g.engines, g.unreadyEngines = queuedWork, engines, unready
 }
 
-// Measures gives them. Where nothing came, all is well.
-func (g *Gauge) Measures() (x Measures) {
-	x[Served], x[Offered] = 1, 1
-	// A ratio outlives what it was made of, since both sides of it fade alike: less than half a batch says ever less.
-	says := min(g.ended/0.5, 1)
-	if g.asked > 1e-9 {
-		x[Served] = 1 - says*(1-g.inGoal/g.asked)
+// Values returns the measures. A measure without data has the value of an idle, healthy router.
+func (g *Gauge) Values() (values MeasureValues) {
+	values[Served], values[OfferedLoad] = 1, 1
+	// Numerator and denominator decay alike, so a ratio would stay as it is long after its data is out of date. Once less than
+	// half a batch is left in the sums, the ratio is given less and less weight.
+	weight := min(g.batchesEnded/0.5, 1)
+	if g.utilityEnded > 1e-9 {
+		values[Served] = 1 - weight*(1-g.utilityInGoal/g.utilityEnded)
 	}
-	if g.ended > 1e-9 {
-		x[PushedBack] = says * g.pushed / g.ended
+	if g.batchesEnded > 1e-9 {
+		values[Rejected] = weight * g.batchesRejected / g.batchesEnded
 	}
-	if g.finished > 1e-6 {
-		x[Wait] = g.held / (g.finished / (workFade * g.over))
-		if g.at > g.start+2*workFade*g.over {
-			x[Offered] = g.came / g.finished
+	if g.workFinished > 1e-6 {
+		values[QueueDelay] = g.workQueued / (g.workFinished / (workTimeFactor * g.timeConstant))
+		if g.now > g.start+2*workTimeFactor*g.timeConstant {
+			values[OfferedLoad] = g.workArrived / g.workFinished
 		}
-	} else if g.held > 0 {
-		x[Wait] = g.over
+	} else if g.workQueued > 0 {
+		values[QueueDelay] = g.timeConstant
 	}
 	if g.engines > 0 {
-		x[Unready] = float64(g.unreadyOnes) / float64(g.engines)
+		values[UnreadyEngines] = float64(g.unreadyEngines) / float64(g.engines)
 	}
-	return x
+	return values
 }
