--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -8,19 +8,19 @@
 	"pitchfield/internal/traffic"
 )
 
-// levelEvery is how often the measures are looked at, in seconds.
-const levelEvery = 0.5
+// levelInterval is how often the measures are looked at, in seconds.
+const levelInterval = 0.5
 
 type levelCheck struct{}
 
-// level is what the router keeps for levels of reduced service. Without settings for them it does nothing.
-type level struct {
+// serviceLevel is what the router keeps for levels of reduced service. Without settings for them it does nothing.
+type serviceLevel struct {
 	machine *levels.Machine
 	gauge   *levels.Gauge
 	shed    int // batches that a level has refused
 }
 
-func (l *level) came(b *batch) {
+func (l *serviceLevel) batchArrived(b *batch) {
 	if l.gauge == nil {
 		return
 	}
@@ -31,7 +31,7 @@
 	}
 }
 
-func (l *level) answered(b *batch, code traffic.Code, now float64) {
+func (l *serviceLevel) batchAnswered(b *batch, code traffic.Code, now float64) {
 	if l.gauge == nil || b.Shed {
 		return
 	}
@@ -40,7 +40,7 @@
 	l.gauge.Ended(b.Group.Utility, code == traffic.Returned && now-b.takenAt <= goal, code == traffic.PushedBack)
 }
 
-func (l *level) finished(work, now float64) {
+func (l *serviceLevel) workFinished(work, now float64) {
 	if l.gauge != nil {
 		l.gauge.Clock(now)
 		l.gauge.Finished(work)
@@ -69,27 +69,27 @@
 			seat = float64(r.settings.Settings.Index) / float64(n-1)
 		}
 		r.level.machine = levels.New(e.Levels, seat, r.now)
-		r.timers.add(r.now+levelEvery, levelCheck{})
+		r.timers.add(r.now+levelInterval, levelCheck{})
 		return
 	}
 	before := r.level.machine.State()
 	if after := r.level.machine.Change(e.Levels); after.Name != before.Name {
-		r.levelChanged(after, levels.Measures{})
+		r.applyLevel(after, levels.Measures{})
 	} else {
-		r.brain.Reduce(r.reduced(after.Does))
+		r.brain.Reduce(r.reducedService(after.Does))
 	}
 }
 
-// lookAtLevel takes the measures, and has the module follow where the level is another than before.
-func (r *Router) lookAtLevel() {
-	r.timers.add(r.now+levelEvery, levelCheck{})
+// updateLevel takes the measures, and has the module follow where the level is another than before.
+func (r *Router) updateLevel() {
+	r.timers.add(r.now+levelInterval, levelCheck{})
 	seen := r.brain.Seen()
 	r.level.gauge.Clock(r.now)
 	r.level.gauge.Holds(seen.HeldWork, seen.Engines, seen.Cold+seen.Aside+seen.Drained)
 	x := r.level.gauge.Measures()
 	state, changed := r.level.machine.Look(r.now, x)
 	if changed {
-		r.levelChanged(state, x)
+		r.applyLevel(state, x)
 	}
 	stopping := 0
 	if r.stopAt > 0 {
@@ -100,17 +100,17 @@
 		Stopping: stopping, Seen: seen}})
 }
 
-func (r *Router) levelChanged(s levels.State, x levels.Measures) {
+func (r *Router) applyLevel(s levels.State, x levels.Measures) {
 	fields := []any{"level", s.Name, "number", s.Level, "step", s.Step, "reason", s.Reason, "shed", r.level.shed}
 	for m, name := range levels.Names {
 		fields = append(fields, name, x[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.Reduce(r.reduced(s.Does))
+	r.brain.Reduce(r.reducedService(s.Does))
 }
 
-// reduced words a level for the module. A group that has a second one for what has no mark is shed with it.
-func (r *Router) reduced(d levels.Does) brain.Reduced {
+// reducedService words a level for the module. A group that has a second one for what has no mark is shed with it.
+func (r *Router) reducedService(d levels.Does) brain.Reduced {
 	out := brain.Reduced{LeastGain: d.LeastGain, Further: d.Further, Probes: d.Probes, Early: d.Early}
 	for name, keep := range d.Keep {
 		if out.Keep == nil {
