--- a/internal/router/end.go
+++ b/internal/router/end.go
@@ -2,29 +2,30 @@
 
 import "pitchfield/brain"
 
-// CloseReason is how a connection ended, or how it failed to come up. There is no other way.
+// CloseReason is why a connection to a client or an engine ended, or why it was never established. Every connection ends with
+// exactly one of these reasons.
 type CloseReason uint8
 
-// The ends.
+// The close reasons. "Local" means that this router closed the connection.
 const (
-	DialRefused         CloseReason = iota // nobody listens there
-	DialTimedOut                           // it did not come up in time
-	NoDescriptors                          // we may hold no more sockets
-	NoAddress                              // the list names no address
-	ClosedByPeer                           // in order
-	ResetByPeer                            // by its process, its machine or something on the way
-	Unreachable                            // an error that only our side knows of: no word of the peer in time, or no way there
-	BadInput                               // what came can't be read
-	PeerNotReading                         // the peer does not read what we write
-	BufferLimitExceeded                    // what is not whole yet takes too much
-	ClosedIdle                             // by us, with nothing open on it
-	FrameTimedOut                          // by us, with no whole frame in time
-	Crowded                                // by us, to make room
-	ClosedSuspect                          // by us, silent past a time limit
-	StaleAddress                           // by us: its engine is no longer there
-	CancelTimedOut                         // by us: what was given up on it did not end in time
-	LoginRefused                           // the engine does not let us in
-	RouterStopped                          // this router ends
+	DialRefused         CloseReason = iota // the address refused the connection
+	DialTimedOut                           // the connection was not established in time
+	NoDescriptors                          // local: the limit of open sockets is reached
+	NoAddress                              // local: the engine list has no address for this engine
+	ClosedByPeer                           // orderly close by the peer
+	ResetByPeer                            // reset by the peer process, its machine or the network between
+	Unreachable                            // error seen on this side only: nothing received from the peer in time, or no route to it
+	BadInput                               // local: the received bytes can't be parsed
+	PeerNotReading                         // local: the peer does not read what this router writes
+	BufferLimitExceeded                    // local: a message that is not complete yet takes too much memory
+	ClosedIdle                             // local: no request or dispatch is open on the connection
+	FrameTimedOut                          // local: no complete frame arrived in time
+	Crowded                                // local: closed to free a descriptor
+	ClosedSuspect                          // local: nothing was received past a time limit
+	StaleAddress                           // local: the engine has left this address or the list
+	CancelTimedOut                         // local: the engine did not confirm a cancellation in time
+	LoginRefused                           // the engine refused the login
+	RouterStopped                          // local: this router stops
 	closeReasonCount
 )
 
@@ -34,14 +35,16 @@
 
 func (e CloseReason) String() string { return closeReasonNames[e] }
 
-// isLocal tells an end that this router has made from one that its peer or the network has.
+// isLocal reports whether this router ended the connection, rather than its peer or the network.
 func (e CloseReason) isLocal() bool { return e >= BadInput || e == NoDescriptors || e == NoAddress }
 
-// ByPeer tells an end that the peer has made, and so knows of: it has given up all that was open there.
+// ByPeer reports whether the peer ended the connection. The peer then knows of the end, and has given up everything that was
+// open on the connection.
 func (e CloseReason) ByPeer() bool { return e == ClosedByPeer || e == ResetByPeer }
 
-// outcomesByReason is the one table from an end to what the module is told of a dispatch that was open on the connection.
-// Written: some of its bytes may have left, and from then on nothing proves that it never ran.
+// outcomesByReason maps a close reason to the outcome that is reported to the decision module for a dispatch that was open on
+// the connection. A dispatch counts as written as soon as some of its bytes may have left; from then on nothing proves that it
+// never ran.
 var outcomesByReason = [closeReasonCount]struct{ written, unwritten brain.Ending }{
 	DialRefused:         {brain.Broken, brain.Unconnected},
 	DialTimedOut:        {brain.Broken, brain.Unconnected},
