--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -9,9 +9,10 @@
 	"pitchfield/internal/traffic"
 )
 
+// stopCheck is the timer value at which finishStop has to be called.
 type stopCheck struct{}
 
-// stop: nothing new is asked for, but all that still comes is taken and answered.
+// stop begins the shutdown: clients are asked to send no more batches, but batches that still arrive are accepted and answered.
 func (r *Router) stop() {
 	if r.stopAt > 0 {
 		return
@@ -31,29 +32,31 @@
 	r.timers.add(r.killAt, stopCheck{})
 }
 
+// finishStop exits once every batch is answered and no client is in the middle of a frame, or at the latest at killAt.
 func (r *Router) finishStop() {
 	if r.stopAt == 0 || r.exited || r.now < r.stopAt+quietStop {
 		return
 	}
-	waiting, half := 0, 0
+	waiting, partial := 0, 0
 	for _, b := range r.batches {
 		if b.client != nil {
 			waiting++
 		}
 	}
 	for _, c := range r.clients {
-		// Its last bytes are on their way, and with the last of them it is ours. This covers slow writers and pieces;
-		// it hurts where somebody only ever sends half a frame: the stop takes two seconds longer.
+		// The rest of the frame is probably on its way, and a complete frame must be answered. This covers slow writers and
+		// frames that arrive in pieces. The cost: a client that never completes its frame delays the stop by two seconds.
 		if c.half > 0 && r.now-c.half < silentTime {
-			half++
+			partial++
 		}
 	}
-	if waiting+half > 0 && r.now < r.killAt {
+	if waiting+partial > 0 && r.now < r.killAt {
 		return
 	}
-	// What the kill finds unanswered is lost, and the module has had all the time there was.
-	last := slices.SortedFunc(maps.Values(r.batches), func(a, b *batch) int { return cmp.Compare(a.ID, b.ID) })
-	for _, b := range last {
+	// Batches that are unanswered when the process is killed would be lost, so they are answered now: a batch that is safe to
+	// retry is rejected, any other gets an error.
+	unanswered := slices.SortedFunc(maps.Values(r.batches), func(a, b *batch) int { return cmp.Compare(a.ID, b.ID) })
+	for _, b := range unanswered {
 		if b.client == nil {
 			continue
 		}
