--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -5,42 +5,44 @@
 	"pitchfield/internal/traffic"
 )
 
-// Where second copies are forbidden a request must not have two attempts out, and an attempt is out until its engine has ended it or
-// has read that it is given up. That word travels on the connection of the attempt, with that connection's delay and unread bytes; a
-// further attempt may travel on another one. So it waits for a proof that the first has ended:
+// Where hedging is forbidden, a request must not have two attempts outstanding at once. An attempt is outstanding until its engine
+// has ended it or has read its cancellation. The cancellation travels on the connection of the attempt, behind that connection's
+// delay and unread bytes, while a retry may travel faster on another connection. So a retry waits for a proof that the first
+// attempt has ended:
 //
 //   - any final answer to the attempt;
-//   - the engine's answer to a command that was written after the word on the same connection: a page of the result in RESP, the
-//     acknowledged attention in TDS;
-//   - the end of the connection by its engine, which gives up all that was open on it.
+//   - the engine's answer to a command that was written after the cancellation on the same connection: a page of the result in
+//     RESP, the acknowledged attention in TDS;
+//   - the close of the connection by the engine, which ends everything that was open on it.
 //
-// An end of the connection that we have made, or that only our side knows of, proves nothing. Without a proof in time the request
-// gets no further attempt but its final answer.
+// A close by this router, or one that only this side knows of, proves nothing. Without a proof in time the request is not retried
+// but gets its final answer.
 
-// cancelConfirmTimeout is how long an engine may take to show that it has read that an attempt is given up, in seconds.
+// cancelConfirmTimeout is how long an engine may take to show that it has read a cancellation, in seconds.
 const cancelConfirmTimeout = 1.0
 
-// confirmationPage is asked for to have an answer: an engine that has given a request up says that it knows no such page.
+// confirmationPage is the page that is requested after a cancellation to get an answer: an engine that has cancelled the request
+// replies that it knows no such page.
 const confirmationPage = 1
 
-// cancelConfirmDue is due when a withdrawal must be confirmed.
+// cancelConfirmDue is the timer value at which the cancellation of a dispatch must have been confirmed.
 type cancelConfirmDue struct{ *dispatch }
 
-// needsCancelConfirmation tells whether the end of a dispatch has to be proven before the module hears of it. Where nothing is sent again
-// whatever comes of it, the final answer need not wait.
+// needsCancelConfirmation reports whether the end of a dispatch has to be proven before it is reported to the decision module. Where
+// the batch is never sent again, whatever the outcome, its final answer need not wait for the proof.
 func (r *Router) needsCancelConfirmation(d *dispatch) bool {
 	return !r.settings.Settings.MayCopy && d.batch.client != nil && d.batch.Group.Effect != brain.OnceOnly && !d.streams
 }
 
-// cancelAttempt tells an engine that a dispatch is given up, and keeps it open until the engine has shown that it has read that. It
-// reports whether there is time for that.
-func (r *Router) cancelAttempt(d *dispatch, how brain.Ending) bool {
+// cancelAttempt sends a cancellation and keeps the dispatch open until the engine has shown that it has read it; the dispatch then
+// ends with the given ending. It returns false, having done nothing, if the connection is not up or there is no time left to wait.
+func (r *Router) cancelAttempt(d *dispatch, ending brain.Ending) bool {
 	by := min(r.now+cancelConfirmTimeout, d.batch.Until())
 	if by <= r.now || !d.line.Up {
 		return false
 	}
 	l := d.line
-	d.withdrawn, d.withdrawnAs = true, how
+	d.withdrawn, d.withdrawnAs = true, ending
 	r.timers.stop(d.timer)
 	r.timers.stop(d.paging)
 	d.timer = r.timers.add(by, cancelConfirmDue{d})
@@ -54,8 +56,8 @@
 	return true
 }
 
-// handleReplyAfterCancel takes what an engine says of a dispatch that is given up, where that proves its end. All else is taken as ever: a
-// result that was on its way still is the answer.
+// handleReplyAfterCancel ends a cancelled dispatch if the reply proves that the engine has ended it, and reports whether it does.
+// Any other reply is processed as usual: a result that was already on its way is still the answer.
 func (r *Router) handleReplyAfterCancel(d *dispatch, reply *traffic.Reply) (proven bool) {
 	switch {
 	case reply.Word == traffic.Broke, reply.Word == traffic.More && d.pages == nil:
@@ -66,16 +68,17 @@
 	return false
 }
 
-// confirmCancellations: an engine that takes one batch at a time has ended what was given up on a connection.
+// confirmCancellations ends the cancelled dispatches of a connection that carries one batch at a time, after its engine has shown
+// that it has ended them.
 func (r *Router) confirmCancellations(l *line) {
-	for _, what := range l.Opens() {
-		if d, is := what.(*dispatch); is && d.withdrawn {
+	for _, open := range l.Opens() {
+		if d, is := open.(*dispatch); is && d.withdrawn {
 			r.finishCancellation(d, d.withdrawnAs)
 		}
 	}
 }
 
-// cancelConfirmExpired: nothing has shown in time that a dispatch has ended.
+// cancelConfirmExpired ends a cancelled dispatch as unconfirmed, since nothing has shown in time that the engine has ended it.
 func (r *Router) cancelConfirmExpired(d *dispatch) {
 	if d.ended {
 		return
@@ -90,18 +93,18 @@
 	}
 }
 
-// finishCancellation tells the module of the end of a dispatch that was given up.
-func (r *Router) finishCancellation(d *dispatch, how brain.Ending) {
+// finishCancellation reports the end of a cancelled dispatch to the decision module and closes it on its connection.
+func (r *Router) finishCancellation(d *dispatch, ending brain.Ending) {
 	l := d.line
-	r.ended(d, how, d.report)
+	r.ended(d, ending, d.report)
 	l.Close(d.batch.id, true, r.now)
 	r.rest(l)
 }
 
-// endingAfterClose is how a dispatch ends whose bytes may have left and whose connection has ended.
-func (r *Router) endingAfterClose(d *dispatch, end CloseReason) brain.Ending {
-	if r.needsCancelConfirmation(d) && !d.answered && !end.ByPeer() {
+// endingAfterClose returns the ending of a dispatch whose connection has ended after some of its bytes may have left.
+func (r *Router) endingAfterClose(d *dispatch, reason CloseReason) brain.Ending {
+	if r.needsCancelConfirmation(d) && !d.answered && !reason.ByPeer() {
 		return brain.Unconfirmed
 	}
-	return outcomesByReason[end].written
+	return outcomesByReason[reason].written
 }
