--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -7,17 +7,19 @@
 	"pitchfield/internal/traffic"
 )
 
+// probe is a health check of an engine, or of one connection to it, that is due an answer.
 type probe struct {
 	engine *engine
 	conn   *line
-	tag    string
+	tag    string // identifies the probe on its connection
 	ended  bool
 }
 
+// sendProbe sends a probe to an engine for the decision module.
 func (r *Router) sendProbe(e *engine) {
 	p := &probe{engine: e, tag: tag(r.number())}
 	var l *line
-	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // its answer tells of the connection too
+	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // the answer also shows that this connection works
 		l = r.connections[c.Number]
 	} else {
 		l, _ = r.pick(e, p.tag)
@@ -33,17 +35,19 @@
 	r.send(l, p)
 }
 
+// finishProbe ends a probe: ok if the engine answered that it is fit, late if no answer came in time. The load report counts only
+// where the probe is ok.
 func (r *Router) finishProbe(p *probe, ok bool, load *brain.Report, late bool) {
 	if p.ended {
 		return
 	}
 	p.ended = true
-	p.conn.queue = slices.DeleteFunc(p.conn.queue, func(w any) bool { return w == any(p) })
+	p.conn.queue = slices.DeleteFunc(p.conn.queue, func(queued any) bool { return queued == any(p) })
 	if !ok {
 		load = nil
 	}
 	r.log(Debug, "probed", "engine", p.engine.name, "ok", ok, "load", load)
-	if p.conn.check != p { // that one is ours
+	if p.conn.check != p { // the decision module asked for it; a connection's check is the router's own
 		r.brain.Probed(&p.engine.Engine, ok, load)
 	} else {
 		p.conn.check = nil
