--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -8,18 +8,20 @@
 	"pitchfield/internal/traffic"
 )
 
-// levelInterval is how often the measures are looked at, in seconds.
+// levelInterval is how often the level of service is reevaluated, in seconds.
 const levelInterval = 0.5
 
+// levelCheck is the timer value at which the level is reevaluated.
 type levelCheck struct{}
 
-// serviceLevel is what the router keeps for levels of reduced service. Without settings for them it does nothing.
+// serviceLevel holds the state for levels of reduced service. Without settings for levels its fields are nil and it does nothing.
 type serviceLevel struct {
 	machine *levels.Machine
 	gauge   *levels.Gauge
-	shed    int // batches that a level has refused
+	shed    int // batches that a level has rejected since the start
 }
 
+// batchArrived counts a batch that was accepted, or shed by the current level.
 func (l *serviceLevel) batchArrived(b *batch) {
 	if l.gauge == nil {
 		return
@@ -31,6 +33,8 @@
 	}
 }
 
+// batchAnswered counts the final answer of a batch, and whether it came within the goal of its service group. Batches that a level
+// shed don't count.
 func (l *serviceLevel) batchAnswered(b *batch, code traffic.Code, now float64) {
 	if l.gauge == nil || b.Shed {
 		return
@@ -40,6 +44,7 @@
 	l.gauge.Ended(b.Group.Utility, code == traffic.Returned && now-b.takenAt <= goal, code == traffic.PushedBack)
 }
 
+// workFinished counts work that an engine has finished, in thread-seconds.
 func (l *serviceLevel) workFinished(work, now float64) {
 	if l.gauge != nil {
 		l.gauge.Clock(now)
@@ -47,23 +52,28 @@
 	}
 }
 
-// Status is how a router stands.
+// Status is a snapshot of a router's state for its status page.
 type Status struct {
-	Name                       string
-	Now                        float64
-	Level, Reason              string
-	Since                      float64
-	Step                       int
-	Shed                       int
-	Measures                   levels.Measures
-	Batches, Clients, Stopping int
-	Seen                       brain.Seen
+	Name      string
+	Now       float64         // time of the snapshot, in seconds
+	Level     string          // name of the level of service
+	Reason    string          // why this level is in force
+	Since     float64         // when it was entered
+	Step      int             // step of the trial to leave it; 0: no trial
+	Shed      int             // batches that levels have rejected since the start
+	Measures  levels.Measures // what levels are decided by
+	Batches   int             // batches without a final answer, or with an outstanding dispatch
+	Clients   int             // client connections
+	Stopping  int             // 1 while the router stops, else 0
+	Decisions brain.Seen      // state of the decision module
 }
 
+// setLevels applies new settings for the levels of reduced service. The first ones start the state machine; later ones keep the
+// level that is in force where they still define it.
 func (r *Router) setLevels(e LevelsSet) {
 	if r.level.machine == nil {
 		r.level.gauge = levels.NewGauge(e.Over, r.now)
-		// Routers that are not told their number draw their place.
+		// A router whose index is not configured draws its place among the routers at random.
 		seat := rand.New(rand.NewPCG(r.settings.Seed, 3)).Float64()
 		if n := r.settings.Settings.Routers; n > 1 && r.settings.Settings.Index >= 0 {
 			seat = float64(r.settings.Settings.Index) / float64(n-1)
@@ -80,47 +90,49 @@
 	}
 }
 
-// updateLevel takes the measures, and has the module follow where the level is another than before.
+// updateLevel reads the measures, applies the level if it has changed, and reports the router's status.
 func (r *Router) updateLevel() {
 	r.timers.add(r.now+levelInterval, levelCheck{})
-	seen := r.brain.Seen()
+	decisions := r.brain.Seen()
 	r.level.gauge.Clock(r.now)
-	r.level.gauge.Holds(seen.HeldWork, seen.Engines, seen.Cold+seen.Aside+seen.Drained)
-	x := r.level.gauge.Measures()
-	state, changed := r.level.machine.Look(r.now, x)
+	r.level.gauge.Holds(decisions.HeldWork, decisions.Engines, decisions.Cold+decisions.Aside+decisions.Drained)
+	measures := r.level.gauge.Measures()
+	state, changed := r.level.machine.Look(r.now, measures)
 	if changed {
-		r.applyLevel(state, x)
+		r.applyLevel(state, measures)
 	}
 	stopping := 0
 	if r.stopAt > 0 {
 		stopping = 1
 	}
 	r.do(Tell{Status{Name: r.settings.Name, Now: r.now, Level: state.Name, Reason: state.Reason, Since: state.Since,
-		Step: state.Step, Shed: r.level.shed, Measures: x, Batches: len(r.batches), Clients: len(r.clients),
-		Stopping: stopping, Seen: seen}})
+		Step: state.Step, Shed: r.level.shed, Measures: measures, Batches: len(r.batches), Clients: len(r.clients),
+		Stopping: stopping, Decisions: decisions}})
 }
 
-func (r *Router) applyLevel(s levels.State, x levels.Measures) {
-	fields := []any{"level", s.Name, "number", s.Level, "step", s.Step, "reason", s.Reason, "shed", r.level.shed}
+// applyLevel logs a change of level, with the measures that led to it, and passes its restrictions to the decision module.
+func (r *Router) applyLevel(state levels.State, measures levels.Measures) {
+	fields := []any{"level", state.Name, "number", state.Level, "step", state.Step, "reason", state.Reason, "shed", r.level.shed}
 	for m, name := range levels.Names {
-		fields = append(fields, name, x[m])
+		fields = append(fields, name, measures[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.Reduce(r.reducedService(s.Does))
+	r.brain.Reduce(r.reducedService(state.Does))
 }
 
-// reducedService words a level for the module. A group that has a second one for what has no mark is shed with it.
-func (r *Router) reducedService(d levels.Does) brain.Reduced {
-	out := brain.Reduced{LeastGain: d.LeastGain, Further: d.Further, Probes: d.Probes, Early: d.Early}
-	for name, keep := range d.Keep {
-		if out.Keep == nil {
-			out.Keep = map[*brain.ServiceGroup]float64{}
+// reducedService translates a level's restrictions for the decision module. A group that has a second group of the same name, for
+// batches without a mark, is shed together with it.
+func (r *Router) reducedService(restrictions levels.Does) brain.Reduced {
+	reduced := brain.Reduced{LeastGain: restrictions.LeastGain, Further: restrictions.Further, Probes: restrictions.Probes, Early: restrictions.Early}
+	for name, keep := range restrictions.Keep {
+		if reduced.Keep == nil {
+			reduced.Keep = map[*brain.ServiceGroup]float64{}
 		}
 		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarked[name]} {
 			if g != nil {
-				out.Keep[g] = keep
+				reduced.Keep[g] = keep
 			}
 		}
 	}
-	return out
+	return reduced
 }
