--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -5,30 +5,34 @@
 	"pitchfield/internal/shares"
 )
 
-// fleet is what the router knows of the others of its fleet. It is there only where an installation wants talk.
+// fleet holds what the router knows of the other routers of its fleet. It exists only where peer messaging is configured.
 type fleet struct {
 	machine       *membership.Machine
-	timer         *timer
-	timerAt       float64 // of the timer
-	sent          int     // messages sent,
-	received      int     // and taken in
-	settledCount  int     // routers that are taken to be there, and
-	reportedCount int     // the number that the module was told
+	timer         *timer  // wakes the machine
+	timerAt       float64 // when the timer is due
+	sent          int     // peer messages sent since the start
+	received      int     // peer messages received since the start
+	settledCount  int     // routers that are assumed to be in the fleet
+	reportedCount int     // number of routers that the decision module was last given
 }
 
+// membershipDue is the timer value at which the membership machine wants to be woken.
 type membershipDue struct{}
 
+// fleetReportDue is the timer value at which the next FleetStatus is due.
 type fleetReportDue struct{}
 
-const fleetReportInterval = 1.0 // between two words to who looks on
+// fleetReportInterval is the time between two reports of the fleet's status, in seconds.
+const fleetReportInterval = 1.0
 
-// startPeerMessaging begins to talk. A reload changes nothing of it: who this router is and where it listens counts from its start.
+// startPeerMessaging starts membership and, where configured, quotas and load reports. Later calls, as after a reload, change nothing:
+// the identity and the listening address of a router are fixed when it starts.
 func (r *Router) startPeerMessaging(e TalkSet) {
 	if r.members != nil {
 		return
 	}
-	told := r.settings.Settings.Routers
-	r.members = &fleet{machine: membership.New(e.Settings, r.settings.Seed, r.now), settledCount: told, reportedCount: told}
+	configured := r.settings.Settings.Routers
+	r.members = &fleet{machine: membership.New(e.Settings, r.settings.Seed, r.now), settledCount: configured, reportedCount: configured}
 	r.log(Info, "talk", "listen", e.Settings.Listen, "seeds", e.Settings.Seeds, "start", e.Settings.Self.Start)
 	r.flushMembership()
 	r.timers.add(r.now, fleetReportDue{})
@@ -40,6 +44,7 @@
 	}
 }
 
+// receivePeerMessage processes a message from another router of the fleet, with the quota message and the load report in it.
 func (r *Router) receivePeerMessage(e TalkCame) {
 	if r.members == nil {
 		return
@@ -55,24 +60,25 @@
 	}
 }
 
+// wakeMembership lets the membership machine do what is due.
 func (r *Router) wakeMembership() {
 	r.members.machine.Wake(r.now)
 	r.flushMembership()
 }
 
-// flushMembership does what the machine asks for, and sets its next time.
+// flushMembership sends the messages and logs the notes that the membership machine has produced, and sets its next timer.
 func (r *Router) flushMembership() {
 	m := r.members
-	for _, s := range m.machine.Sends() {
+	for _, send := range m.machine.Sends() {
 		m.sent++
-		r.do(Talk{s.To, s.Message, nil, nil})
+		r.do(Talk{send.To, send.Message, nil, nil})
 	}
-	for _, n := range m.machine.Notes() {
+	for _, note := range m.machine.Notes() {
 		level := Info
-		if n.Loud {
+		if note.Loud {
 			level = Warn
 		}
-		r.log(level, n.Text, n.Fields...)
+		r.log(level, note.Text, note.Fields...)
 	}
 	r.updateFleetSize()
 	if at := m.machine.At(); at != m.timerAt || m.timer == nil || m.timer.index < 0 {
@@ -84,11 +90,12 @@
 	}
 }
 
+// farFuture is a time from which on no timer is set, in seconds.
 const farFuture = 1e15
 
-// updateFleetSize tells the module how many routers there are. Only a settled view is taken at its word; while it is not, the larger
-// of what was last settled and what is there now holds, and alone what the settings tell: to take too many for acting alike
-// spreads batches more than need be, too few lets all of them meet on one engine.
+// updateFleetSize gives the decision module the number of routers. A settled view counts as it is. While the view is not settled,
+// the larger of the last settled number and the current one counts, and a router that is alone uses the configured number:
+// assuming too many routers spreads batches more than necessary, assuming too few lets all routers pick the same engine.
 func (r *Router) updateFleetSize() {
 	m := r.members
 	switch n := m.machine.Count(); m.machine.Certainty() {
@@ -108,18 +115,18 @@
 	}
 }
 
-// reportFleet tells how it stands, for whoever asks.
+// reportFleet emits the fleet's status for the status page, and schedules the next report.
 func (r *Router) reportFleet() {
 	m := r.members
 	r.timers.add(r.now+fleetReportInterval, fleetReportDue{})
-	told := FleetStatus{Name: r.settings.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Sent: m.sent, Received: m.received}
+	status := FleetStatus{Name: r.settings.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Sent: m.sent, Received: m.received}
 	if r.parts != nil {
-		told.Shares = r.parts.machine.State(r.now)
+		status.Shares = r.parts.machine.State(r.now)
 	}
-	r.do(TellMembers{told})
+	r.do(TellMembers{status})
 }
 
-// leaveFleet says to the others that this router goes, with its last breath.
+// leaveFleet tells the other routers that this one is leaving. It is called when the router exits.
 func (r *Router) leaveFleet() {
 	if r.parts != nil {
 		r.parts.machine.Leave(r.now)
@@ -131,12 +138,13 @@
 	}
 }
 
-// FleetStatus is how a router's knowledge of its fleet stands.
+// FleetStatus is a snapshot of what a router knows of its fleet.
 type FleetStatus struct {
-	Name           string
-	Now            float64
-	View           membership.View
-	Known          []membership.Known
-	Sent, Received int           // messages since the start
-	Shares         *shares.State // nil: nothing is divided by talk
+	Name     string
+	Now      float64            // time of the snapshot, in seconds
+	View     membership.View    // the current members
+	Known    []membership.Known // every member that is known, including those that are gone
+	Sent     int                // peer messages sent since the start
+	Received int                // peer messages received since the start
+	Shares   *shares.State      // state of the quotas; nil: no quotas are shared by peer messaging
 }
