--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -8,22 +8,25 @@
 	"pitchfield/internal/news"
 )
 
-// loadReports is what this router knows of what the others have out. It is there only where an installation wants it.
+// loadReports holds what this router knows of the load that the other routers have outstanding at the engines. It exists only where
+// load reports are configured.
 type loadReports struct {
 	machine    *news.Machine
-	viewHash   uint64 // number of the view that it goes by
-	staleAfter float64
+	viewHash   uint64  // hash of the membership view that the machine uses; 0: none
+	staleAfter float64 // seconds after which a report no longer counts
 }
 
+// loadReportDue is the timer value at which the next load report is due.
 type loadReportDue struct{}
 
+// startLoadReports begins to exchange load reports with the other routers.
 func (r *Router) startLoadReports(s *news.Settings, name string) {
 	r.news = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
 	r.log(Info, "news", "every", s.Every)
 	r.timers.add(r.now+s.Every, loadReportDue{})
 }
 
-// sendLoadReport tells what is out of this router now.
+// sendLoadReport reports the load that this router has outstanding at each engine, and schedules the next report.
 func (r *Router) sendLoadReport() {
 	n := r.news
 	r.updateReportMembers()
@@ -39,8 +42,8 @@
 	r.applyReportedLoads()
 }
 
-// updateReportMembers brings who is there. Where that is cut off, or another has this router's name, what is told is of a part of the
-// fleet, and nothing of it is believed.
+// updateReportMembers gives the machine the current members. While this router is cut off, or another router has its name, reports
+// cover only a part of the fleet, so the machine gets no members and ignores all reports.
 func (r *Router) updateReportMembers() {
 	n, m := r.news, r.members.machine
 	switch c := m.Certainty(); {
@@ -50,13 +53,14 @@
 	case n.viewHash != m.Hash():
 		n.viewHash = m.Hash()
 		var all []news.Member
-		for _, o := range m.View().Members {
-			all = append(all, news.Member{Name: o.Name, Address: o.Address})
+		for _, member := range m.View().Members {
+			all = append(all, news.Member{Name: member.Name, Address: member.Address})
 		}
 		n.machine.View(all)
 	}
 }
 
+// receiveLoadReport processes a load report that another router has sent from an address.
 func (r *Router) receiveLoadReport(from string, m *news.Message) {
 	if r.news.machine.Heard(r.now, from, m) {
 		r.applyReportedLoads()
@@ -64,7 +68,7 @@
 	r.flushLoadReports()
 }
 
-// applyReportedLoads brings to the module what the others have out.
+// applyReportedLoads gives the decision module the load that the other routers have outstanding at each engine.
 func (r *Router) applyReportedLoads() {
 	loads, age, known := r.news.machine.Others(r.now)
 	if !known {
@@ -72,20 +76,22 @@
 	}
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
-			l := loads[engineInstance(e)]
-			r.brain.Others(&e.Engine, l.Threads, l.Memory, r.now+r.news.staleAfter-age)
+			load := loads[engineInstance(e)]
+			r.brain.Others(&e.Engine, load.Threads, load.Memory, r.now+r.news.staleAfter-age)
 		}
 	}
 }
 
+// flushLoadReports sends the messages that the load report machine has produced.
 func (r *Router) flushLoadReports() {
-	for _, s := range r.news.machine.Sends() {
+	for _, send := range r.news.machine.Sends() {
 		r.members.sent++
-		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), nil, &said})
+		message := send.Message
+		r.do(Talk{send.To, r.members.machine.Envelope(), nil, &message})
 	}
 }
 
+// engineInstance identifies one start of an engine: a restarted engine is another instance.
 func engineInstance(e *engine) news.Of {
 	return news.Of{Engine: e.Engine.ID, Start: math.Float64bits(e.StartedAt)}
 }
