--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -8,17 +8,18 @@
 	"pitchfield/internal/traffic"
 )
 
-// quotas is what this router has of budgets that the fleet divides among its routers. It is there only where an installation
-// wants it.
+// quotas holds this router's part of the budgets that are divided among the routers of the fleet. It exists only where this is
+// configured.
 type quotas struct {
 	machine *shares.Machine
-	timer   *timer
-	timerAt float64 // of the timer
+	timer   *timer  // wakes the machine
+	timerAt float64 // when the timer is due
 }
 
+// quotasDue is the timer value at which the quota machine wants to be woken.
 type quotasDue struct{}
 
-// startQuotas puts the division that moves in place of the fixed one.
+// startQuotas replaces the fixed division of the fleet's budgets by one that follows demand.
 func (r *Router) startQuotas(s *shares.Settings, self shares.ID) {
 	r.parts = &quotas{machine: shares.New(*s, self, r.brain.Fixed(), r.now)}
 	r.brain.Divide(r.parts.machine)
@@ -26,7 +27,8 @@
 	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
 }
 
-// setQuotaLeases gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
+// setQuotaLeases gives each fleet-wide limit its quota lease. A batch counts against a concurrency limit for at most the longest
+// time limit of all service groups, so that is how long its credit may stay in use.
 func (r *Router) setQuotaLeases() {
 	if r.parts == nil || r.routes == nil {
 		return
@@ -36,15 +38,15 @@
 		longest = max(longest, g.Limit)
 	}
 	m := r.parts.machine
-	further := func(b *limits.Budget, name string) {
+	setRetryLease := func(b *limits.Budget, name string) {
 		if b != nil && b.Fleet {
 			b.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.Free, Rest: b.Window})
 		}
 	}
-	further(r.ofAll, "further.all")
+	setRetryLease(r.ofAll, "further.all")
 	for _, route := range r.routes.Routes {
 		if b := route.Budget; b != nil {
-			further(b, "budget "+b.Name)
+			setRetryLease(b, "budget "+b.Name)
 		}
 		if c := route.Concurrency; c != nil && c.Routers > 0 {
 			c.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.Routers), Rest: longest})
@@ -52,16 +54,16 @@
 	}
 }
 
-// updateQuotas asks for what the module has wanted, and lets it look again where something came. What is for oneself comes at
-// once, so there may be more than one round.
+// updateQuotas requests the credits that the decision module has asked for, and lets it decide again when credits arrive. Messages
+// to this router itself are delivered at once, so several rounds may be needed; four at most are run in one turn.
 func (r *Router) updateQuotas() {
-	p := r.parts
+	q := r.parts
 	for range 4 {
-		if !p.machine.Wanted() && r.now < p.machine.At() {
+		if !q.machine.Wanted() && r.now < q.machine.At() {
 			break
 		}
-		p.machine.Wake(r.now)
-		if !p.machine.Came() {
+		q.machine.Wake(r.now)
+		if !q.machine.Came() {
 			break
 		}
 		r.brain.Granted()
@@ -70,44 +72,45 @@
 	r.flushQuotas()
 }
 
-// flushQuotas does what the machine asks for, and sets its next time.
+// flushQuotas sends the messages and logs the notes that the quota machine has produced, and sets its next timer.
 func (r *Router) flushQuotas() {
-	p := r.parts
-	for _, s := range p.machine.Sends() {
+	q := r.parts
+	for _, send := range q.machine.Sends() {
 		r.members.sent++
-		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), &said, nil})
+		message := send.Message
+		r.do(Talk{send.To, r.members.machine.Envelope(), &message, nil})
 	}
-	for _, n := range p.machine.Notes() {
+	for _, note := range q.machine.Notes() {
 		level := Info
-		if n.Loud {
+		if note.Loud {
 			level = Warn
 		}
-		r.log(level, n.Text, n.Fields...)
+		r.log(level, note.Text, note.Fields...)
 	}
-	if at := p.machine.At(); at != p.timerAt || p.timer == nil || p.timer.index < 0 {
-		r.timers.stop(p.timer)
-		p.timer, p.timerAt = nil, at
+	if at := q.machine.At(); at != q.timerAt || q.timer == nil || q.timer.index < 0 {
+		r.timers.stop(q.timer)
+		q.timer, q.timerAt = nil, at
 		if at < farFuture {
-			p.timer = r.timers.add(at, quotasDue{})
+			q.timer = r.timers.add(at, quotasDue{})
 		}
 	}
 }
 
-// receiveQuotaMessage takes in what another router says of shares.
-func (r *Router) receiveQuotaMessage(m *shares.Message) {
-	p := r.parts
-	if p == nil {
+// receiveQuotaMessage processes a quota message of another router, and lets the decision module decide again if credits came with it.
+func (r *Router) receiveQuotaMessage(message *shares.Message) {
+	q := r.parts
+	if q == nil {
 		return
 	}
-	p.machine.Heard(r.now, m)
-	if p.machine.Came() {
+	q.machine.Heard(r.now, message)
+	if q.machine.Came() {
 		r.brain.Granted()
 	}
 	r.flushQuotas()
 }
 
-// writeDeadline is when the dispatch that the module has just decided has to be on its way.
+// writeDeadline returns the time by which the dispatch that the decision module has just decided must be written: when the credits
+// it spends end. It is infinite where nothing that ends was spent.
 func (r *Router) writeDeadline() float64 {
 	if r.parts == nil {
 		return math.Inf(1)
@@ -115,7 +118,8 @@
 	return r.parts.machine.Ends()
 }
 
-// dispatchOrder words a dispatch.
+// request returns the dispatch as it is sent to its engine. The engine may take the time that is left until the dispatch ends, but
+// at least 1 ms.
 func (d *dispatch) request(now float64) *traffic.Dispatch {
 	b := d.batch
 	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
