--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -13,9 +13,10 @@
 	"pitchfield/internal/traffic"
 )
 
-// What comes between two lines: each story brings an event in the moment in which it does most harm.
+// The tests of this file deliver an event at the moment at which it does the most harm, such as a drain while a connection is being
+// established, or a batch during shutdown.
 
-// adoptList answers as the name service does, question by question, until a list is in force: one that is new has to be told more
+// adoptList answers the router's queries as the name service does, until the list is in force: a new list has to be reported more
 // than once.
 func (h *host) adoptList(serial uint32, engines ...directory.Engine) {
 	h.t.Helper()
@@ -26,54 +27,56 @@
 		}
 		h.advance(0.006)
 	}
-	require.Fail(h.t, "never in force", "serial %d", serial)
+	require.Fail(h.t, "list is never adopted", "serial %d", serial)
 }
 
+// exited reports whether the router has exited.
 func (h *host) exited() bool {
-	for _, what := range h.emitted {
-		if _, is := what.(Exit); is {
+	for _, effect := range h.emitted {
+		if _, is := effect.(Exit); is {
 			return true
 		}
 	}
 	return false
 }
 
+// countEffects returns the number of effects so far that match.
 func (h *host) countEffects(match func(Effect) bool) (n int) {
-	for _, what := range h.emitted {
-		if match(what) {
+	for _, effect := range h.emitted {
+		if match(effect) {
 			n++
 		}
 	}
 	return n
 }
 
-// What was never sent is harmless to send again, and another router may have the time for it. The error that it got
-// promises nothing, and the module went on sending it while the last bytes were written.
+// A batch that was never sent is safe to retry, and another router may still have the time for it. At shutdown it used to get an
+// error, which does not say that a retry is safe, and it could still be sent to an engine while the last bytes were written.
 func TestQueuedBatchIsRejectedAtShutdownAndNotSentLater(t *testing.T) {
-	h := newHostWith(t, strings.ReplaceAll(testSettings, `"on-time-ms":4000,"deadline-ms":9000`, `"on-time-ms":20000,"deadline-ms":30000`)) // no engine at all
+	h := newHostWith(t, strings.ReplaceAll(testSettings, `"on-time-ms":4000,"deadline-ms":9000`, `"on-time-ms":20000,"deadline-ms":30000`)) // without any engine
 	stream, _ := h.sendBatch("upload", 30000)
 	h.deliver(StopAsked{})
 	h.advance(3.3)
-	require.Empty(t, h.answers, "the module has not given it up yet")
+	require.Empty(t, h.answers, "the decision module has not given up yet")
 	h.advance(0.2)
 	assert.Equal(t, answerRejected+"\x01\x01w\x03\x00500", h.answers[stream])
 	require.True(t, h.exited())
-	for range 3 { // more than a list has to be told to be in force
+	for range 3 { // more often than a list has to be reported to be in force
 		h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 2, Engines: []directory.Engine{eastEngine("s-1")}}})
 		h.advance(0.1)
 	}
-	assert.Empty(t, h.dials, "its client has its final answer")
+	assert.Empty(t, h.dials, "not sent: its client has its final answer")
 }
 
 func TestOutstandingBatchIsRejectedAtShutdownOnlyIfSafeToRetry(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
-	once, _ := h.sendBatch("upload", 9000)
-	again, _ := h.sendBatch("lookup", 8000)
+	uploadStream, _ := h.sendBatch("upload", 9000)
+	lookupStream, _ := h.sendBatch("lookup", 8000)
 	h.connectLast()
 	h.deliver(StopAsked{})
 	h.advance(3.5)
-	assert.Equal(t, answerFailed, h.answers[once], "it may have run")
-	assert.True(t, strings.HasPrefix(h.answers[again], answerRejected), "%q", h.answers[again])
+	assert.Equal(t, answerFailed, h.answers[uploadStream], "it may have run")
+	assert.True(t, strings.HasPrefix(h.answers[lookupStream], answerRejected), "%q", h.answers[lookupStream])
 	assert.True(t, h.exited())
 }
 
@@ -85,7 +88,7 @@
 	h.sendBatch("lookup", 2000)
 	h.advance(0.3)
 	assert.Empty(t, h.dials)
-	assert.Empty(t, h.answers, "its client comes again elsewhere: it crossed the shutdown")
+	assert.Empty(t, h.answers, "its client retries at another router: the batch crossed the shutdown")
 }
 
 func TestStopWaitsForPartialFrame(t *testing.T) {
@@ -94,7 +97,7 @@
 	h.advance(0.6)
 	h.deliver(ClientBegan{1})
 	h.advance(1)
-	assert.False(t, h.exited(), "somebody is writing")
+	assert.False(t, h.exited(), "a client is in the middle of a frame")
 	stream, id := h.sendBatch("lookup", 1000)
 	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
@@ -109,23 +112,23 @@
 	assert.True(t, h.exited())
 }
 
-// A connection may take longer to come up than a drain may still be sent to.
+// Establishing a connection may take longer than the time for which a draining engine still accepts new dispatches.
 func TestDrainRecallsDispatchesWaitingForConnection(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	stream, id := h.sendBatch("upload", 5000)
 	require.Len(t, h.dials, 1)
-	leaving := eastEngine("s-1")
-	leaving.Draining = true
-	told := h.now
-	h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 2, Engines: []directory.Engine{leaving, eastEngine("s-2")}}})
-	assert.Empty(t, h.connections, "it is taken back with the first answer")
+	draining := eastEngine("s-1")
+	draining.Draining = true
+	reportedAt := h.now
+	h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 2, Engines: []directory.Engine{draining, eastEngine("s-2")}}})
+	assert.Empty(t, h.connections, "the dispatch is recalled with the first answer")
 	h.advance(0.006)
-	h.adoptList(2, leaving, eastEngine("s-2"))
-	for len(h.dials) < 2 && h.now < told+1 {
+	h.adoptList(2, draining, eastEngine("s-2"))
+	for len(h.dials) < 2 && h.now < reportedAt+1 {
 		h.advance(0.001)
 	}
-	require.Len(t, h.dials, 2, "it never ran, and goes elsewhere")
-	assert.Less(t, h.now-told, 0.06, "once the new engine is confirmed and the module looks again")
+	require.Len(t, h.dials, 2, "it never ran, and is sent to another engine")
+	assert.Less(t, h.now-reportedAt, 0.06, "once the new engine is confirmed and the decision module decides again")
 	h.deliver(EngineOpened{h.dials[0].Connection})
 	assert.Zero(t, h.fetchCount(id))
 	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
@@ -139,11 +142,11 @@
 		_, id := h.sendBatch("upload", 5000)
 		require.Len(t, h.dials, 1)
 		first := h.connections[h.dials[0].Connection].engine
-		leaving := eastEngine(first.name)
-		leaving.Draining = true
+		draining := eastEngine(first.name)
+		draining.Draining = true
 		other := map[string]string{"s-1": "s-2", "s-2": "s-1"}[first.name]
-		h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: serial, Engines: []directory.Engine{leaving, eastEngine(other)}}})
-		require.Len(t, h.dials, 2, "serial %d: it never ran, and goes elsewhere at once", serial)
+		h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: serial, Engines: []directory.Engine{draining, eastEngine(other)}}})
+		require.Len(t, h.dials, 2, "serial %d: it never ran, and is sent to another engine at once", serial)
 		h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
 		for range 3 {
 			h.sendBatch("lookup", 2000)
@@ -154,24 +157,24 @@
 	}
 }
 
-// A request that waits for its engine to read is still ours.
+// A request that waits for its engine to read earlier bytes has not been written, so it can still be recalled.
 func TestUnreadRequestIsRecalledOnDrainAndClientCancel(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	stream, id := h.sendBatch("upload", 5000)
 	c := h.connectLast()
 	h.deliver(OrderRefused{Connection: c, ID: id, Why: OrderUnread})
-	_, left := h.sendBatch("upload", 5000)
-	require.Equal(t, 1, h.fetchCount(id), "refused: the loop has not written it")
-	require.Zero(t, h.fetchCount(left), "it waits for the same connection")
+	_, cancelled := h.sendBatch("upload", 5000)
+	require.Equal(t, 1, h.fetchCount(id), "refused: the event loop has not written it")
+	require.Zero(t, h.fetchCount(cancelled), "it waits for the same connection")
 	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream + 1}})
-	leaving := eastEngine("s-1")
-	leaving.Draining = true
-	h.adoptList(2, leaving, eastEngine("s-2"))
+	draining := eastEngine("s-1")
+	draining.Draining = true
+	h.adoptList(2, draining, eastEngine("s-2"))
 	h.deliver(EngineRead{c})
 	h.advance(0.05)
 	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream], "it never ran there")
-	assert.Zero(t, h.fetchCount(left))
+	assert.Zero(t, h.fetchCount(cancelled))
 }
 
 func TestUnreadRequestIsSentOnceEngineReads(t *testing.T) {
@@ -192,14 +195,15 @@
 	h := newHost(t, eastEngine("s-1"))
 	stream, id := h.sendBatch("upload", 5000)
 	c := h.connectLast()
-	leaving := eastEngine("s-1")
-	leaving.Draining = true
-	h.adoptList(2, leaving, eastEngine("s-2"))
+	draining := eastEngine("s-1")
+	draining.Draining = true
+	h.adoptList(2, draining, eastEngine("s-2"))
 	h.engineReply(c, id, "DONE", "sheets=2", "a\t2\t3\n")
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
-	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\n", h.answers[stream], "its pages are not new work")
+	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\n", h.answers[stream], "requests for its pages are not new work")
 }
 
+// dedupSettings has a service group "load" whose repeated batches the engines drop for 150 ms.
 const dedupSettings = `{"grades":[
  {"name":"lookup","on-time-ms":800,"deadline-ms":4000,"idempotency":"idempotent","worth":1},
  {"name":"load","on-time-ms":4000,"deadline-ms":9000,"idempotency":"deduplicated","group":"all","window-ms":150,"worth":6}],
@@ -207,23 +211,23 @@
  "limits":{"attempts-cap":3,"dial-timeout-ms":250,"idle-close-ms":15000,"multiplex":2,"retry-after":true,
  "max-retry-after-ms":500},"feedback":{"how":"none"},"balancers":1,"index":0,"tick-ms":5}`
 
-// Engines drop repeats for a time that runs from the first dispatch: a repeat that waits for its connection past that would
-// run a second time.
+// Engines drop repeated batches for a time (the deduplication window) that starts with the first dispatch. A retry that waits for its
+// connection past the end of the window would run a second time.
 func TestRetryIsNotWrittenAfterDeduplicationWindow(t *testing.T) {
-	for _, late := range []float64{0.05, 0.2} {
+	for _, delay := range []float64{0.05, 0.2} {
 		h := newHostWith(t, dedupSettings, eastEngine("s-1"), eastEngine("s-2"))
 		const id = "00000000000000f1"
 		h.sendRequest(1, 1, id, "c", "load", "d", "5000", "k", strings.Repeat("a", 32))
 		h.deliver(EngineEnded{h.connectLast(), ResetByPeer})
-		require.Len(t, h.dials, 2, "within the window it goes again")
-		h.advance(late)
+		require.Len(t, h.dials, 2, "retried within the window")
+		h.advance(delay)
 		h.connectLast()
-		if late < 0.15 {
+		if delay < 0.15 {
 			assert.Equal(t, 2, h.fetchCount(id))
 			continue
 		}
 		assert.Equal(t, 1, h.fetchCount(id))
-		assert.Equal(t, answerFailed, h.answers[1], "it may have run, and can't be sent again")
+		assert.Equal(t, answerFailed, h.answers[1], "it may have run, and can't be retried")
 	}
 }
 
@@ -237,7 +241,7 @@
 	assert.Contains(t, h.written[c], "done\r\n$16\r\n"+id)
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	h.advance(2)
-	assert.Equal(t, 2, strings.Count(h.written[c], "more\r\n"), "nothing is asked for again")
+	assert.Equal(t, 2, strings.Count(h.written[c], "more\r\n"), "no page is requested again")
 	assert.Empty(t, h.answers)
 	assert.Zero(t, h.pool.Used())
 }
@@ -248,21 +252,21 @@
 		h.emitted = nil
 		h.deliver(ClientSaid{1, traffic.AskReady{Stream: 7}})
 		return h.countEffects(func(e Effect) bool {
-			told, is := e.(TellClient)
-			return is && told.What == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
+			sent, is := e.(TellClient)
+			return is && sent.What == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
 		}) == 1
 	}
-	assert.False(t, ready(), "all that came would be turned away")
+	assert.False(t, ready(), "without engines every batch would be rejected")
 	h.adoptList(2, eastEngine("s-1"))
 	assert.True(t, ready())
 	h.deliver(StopAsked{})
 	assert.False(t, ready())
 }
 
-// Bytes that can't be read end a connection, and what was asked for on it before was taken. It gets its final answer, which is
-// never a result: such clients are served nothing.
+// Malformed input closes the connection of a client. Batches that were accepted on the connection before still get their final
+// answer, which is an error and never a result: such a client is not served.
 func TestMalformedInputAfterBatchStillAnswersBatch(t *testing.T) {
-	for name, rubbish := range map[string]func(h *host) Event{
+	for name, malformed := range map[string]func(h *host) Event{
 		"bytes that are no frame":  func(*host) Event { return ClientSpoilt{2} },
 		"a frame of no known type": func(h *host) Event { return h.clientFrame(2, standin.Frame(77, 5, nil, "")) },
 		"a stream that is taken": func(h *host) Event {
@@ -273,7 +277,7 @@
 		h.deliver(h.clientOpenedEvent(2))
 		h.sendRequest(2, 1, "00000000000000aa", "c", "upload", "d", "3000")
 		c := h.connectLast()
-		h.deliver(rubbish(h))
+		h.deliver(malformed(h))
 		assert.Equal(t, answerFailed, h.answers[1], name)
 		assert.Equal(t, answerFailed, h.answers[0], name)
 		assert.NotContains(t, h.clients, uint64(2), name)
@@ -284,29 +288,29 @@
 	}
 }
 
-// A socket whose answers have ceased for good, where a new one would be heard.
+// A socket may stop receiving answers for good where a new socket would receive them.
 func TestSilentNameServiceIsQueriedFromAnotherPort(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
-	moves := func() int {
+	portChanges := func() int {
 		return h.countEffects(func(e Effect) bool { at, is := e.(AskAt); return is && at.Resolver == "127.0.0.1:2" })
 	}
 	lines := func(text string) int {
 		return h.countEffects(func(e Effect) bool { l, is := e.(Log); return is && strings.Contains(l.Text, text) })
 	}
 	h.advance(0.9)
-	assert.Zero(t, moves(), "an answer or two may be lost")
+	assert.Zero(t, portChanges(), "one or two answers may be lost")
 	h.advance(2.3)
-	assert.Equal(t, 3, moves())
+	assert.Equal(t, 3, portChanges())
 	assert.Equal(t, 1, lines("silent"))
 	h.adoptList(2, eastEngine("s-2"))
 	assert.Equal(t, 1, lines("heard again"))
 	assert.Contains(t, h.engines, "s-2")
-	before := moves()
+	before := portChanges()
 	for range 30 {
 		h.advance(0.1)
 		h.adoptList(2, eastEngine("s-2"))
 	}
-	assert.Equal(t, before, moves())
+	assert.Equal(t, before, portChanges())
 }
 
 func TestDispatchWaitingForConnectionIsReleasedWhenClientLeaves(t *testing.T) {
@@ -314,24 +318,25 @@
 	_, id := h.sendBatch("upload", 5000)
 	require.Equal(t, 1, h.engines["s-1"].out)
 	h.deliver(ClientEnded{1, ClosedByPeer})
-	assert.Zero(t, h.engines["s-1"].out, "its room is free at once")
+	assert.Zero(t, h.engines["s-1"].out, "its capacity is free at once")
 	assert.Empty(t, h.batches)
 	h.connectLast()
 	assert.Zero(t, h.fetchCount(id))
 }
 
-// What clients have not read yet has until just before the kill may come, however early all is answered.
+// Answers that clients have not read yet may be written until just before the process may be killed, however early the last batch
+// is answered.
 func TestExitLeavesTimeForUnreadAnswers(t *testing.T) {
 	h := newHost(t, eastEngine("s-1")) // the longest time limit is 9 s, which counts as 3
 	h.deliver(StopAsked{})
-	stopped := h.now
+	stoppedAt := h.now
 	h.advance(1)
-	for _, what := range h.emitted {
-		if e, is := what.(Exit); is {
-			assert.Greater(t, e.By, stopped+3.5)
-			assert.Less(t, e.By, stopped+3.7, "the kill")
+	for _, effect := range h.emitted {
+		if e, is := effect.(Exit); is {
+			assert.Greater(t, e.By, stoppedAt+3.5)
+			assert.Less(t, e.By, stoppedAt+3.7, "before the process may be killed")
 			return
 		}
 	}
-	assert.Fail(t, "it has not ended")
+	assert.Fail(t, "the router has not exited")
 }
