--- a/internal/router/withdrawal_test.go
+++ b/internal/router/withdrawal_test.go
@@ -11,24 +11,25 @@
 	"pitchfield/internal/standin"
 )
 
-// newHostWithCancelledAttempt gives a request whose only attempt was just given up, where second copies are forbidden. Its second engine is there.
+// newHostWithCancelledAttempt returns a router that may not hedge, with a request whose only attempt was just cancelled. A second
+// engine is ready for a retry.
 func newHostWithCancelledAttempt(t *testing.T) (h *host, stream uint32, id string, line uint64) {
 	other := eastEngine("s-2")
 	other.Address = "10.0.0.2:80"
 	patient := strings.Replace(testSettings, `"on-time-ms":800,`, `"on-time-ms":3000,`, 1)
 	h = newHostWith(t, strings.Replace(patient, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-probe":true,`, 1), eastEngine("s-1"), other)
 	stream, id = 1, "00000000000000f1"
-	fields := []string{"c", "lookup", "i", id, "d", "4000", "h", "20"} // so little work that it is overdue soon
+	fields := []string{"c", "lookup", "i", id, "d", "4000", "h", "20"} // so little work that the attempt is soon overdue
 	h.deliver(h.clientFrame(1, standin.Frame(clients.Ask, stream, fields, "SELECT 1 FROM a_3.b")))
 	line = h.connectLast()
 	for !strings.Contains(h.written[line], "abort\r\n$16\r\n"+id) {
-		require.Less(t, h.now, 104.0, "it is never given up")
+		require.Less(t, h.now, 104.0, "the attempt is never cancelled")
 		h.advance(0.01)
 	}
 	return h, stream, id, line
 }
 
-// connectAll lets all dials come up.
+// connectAll establishes all connections that are being dialled.
 func (h *host) connectAll() {
 	for _, d := range h.dials {
 		if l := h.connections[d.Connection]; l != nil && !l.Up {
@@ -37,7 +38,7 @@
 	}
 }
 
-// advancePastRetry lets time pass in which a further attempt would leave: the gate's longest rest, and some more.
+// advancePastRetry lets enough time pass for a retry to be sent: the longest pause of the admission gate, and some more.
 func (h *host) advancePastRetry() {
 	for range 10 {
 		h.advance(0.05)
@@ -45,10 +46,10 @@
 	}
 }
 
-// Issue 53: the word that gives an attempt up may be read late, and a further attempt beside the first would be a second copy.
+// Issue 53: the engine may read a cancellation late, so a retry that is sent meanwhile would run at the same time as the first attempt.
 func TestNoRetryBeforeCancelledAttemptIsConfirmed(t *testing.T) {
 	h, stream, id, line := newHostWithCancelledAttempt(t)
-	assert.Contains(t, h.written[line], "more\r\n$16\r\n"+id, "its answer shows that the engine has read what was written before")
+	assert.Contains(t, h.written[line], "more\r\n$16\r\n"+id, "the answer to it shows that the engine has read what was written before")
 	h.advancePastRetry()
 	assert.Equal(t, 1, h.fetchCount(id))
 	h.engineReply(line, id, "BROKE", "-", "")
@@ -80,21 +81,23 @@
 	}
 }
 
-// Without a proof in time nothing is sent beside it: the request has its final answer, and not as late as its limit.
+// Without a proof in time that the first attempt has ended, the request is not retried: it gets its final answer, well before its time
+// limit.
 func TestUnconfirmedCancellationEndsTheRequest(t *testing.T) {
 	h, stream, id, _ := newHostWithCancelledAttempt(t)
-	began := h.now
+	cancelledAt := h.now
 	for len(h.answers) == 0 {
 		h.advance(0.01)
 		h.connectAll()
 	}
 	assert.True(t, strings.HasPrefix(h.answers[stream], answerRejected), "%q", h.answers[stream])
-	assert.InDelta(t, cancelConfirmTimeout, h.now-began, 0.1)
+	assert.InDelta(t, cancelConfirmTimeout, h.now-cancelledAt, 0.1)
 	h.advancePastRetry()
 	assert.Equal(t, 1, h.fetchCount(id))
 }
 
-// What would have broken an invariant is not decided anew until its time is over: it was, with a line of log for each.
+// A request whose dispatch would have broken an invariant used to be decided again and again until its time was over, with a log line
+// each time.
 func TestRequestRefusedByGuardIsAnswered(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	stream, id := h.sendBatch("lookup", 4000)
