--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -11,13 +11,13 @@
 	"pitchfield/internal/traffic"
 )
 
-// newHostWithHedge gives a batch of which two copies are out, with the connection and the engine's number of each.
+// newHostWithHedge returns a router with a hedged batch: two dispatches of it are outstanding, on the two connections returned.
 func newHostWithHedge(t *testing.T) (h *host, stream uint32, id string, lines [2]uint64) {
 	other := eastEngine("s-2")
 	other.Address = "10.0.0.2:80"
 	h = newHostWith(t, strings.Replace(testSettings, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-duplicate":true,`, 1), eastEngine("s-1"), other)
 	h.deliver(RoutesSet{Routes: limits.NewTable([]*limits.Route{{Name: "r", Match: limits.Fields{Group: "lookup"}, Copies: &limits.Copies{After: 0.9, Share: 0.2}}})})
-	rise := func() {
+	connectAll := func() {
 		for _, d := range h.dials {
 			if l := h.connections[d.Connection]; l != nil && !l.Up {
 				h.deliver(EngineOpened{d.Connection})
@@ -26,7 +26,7 @@
 	}
 	for range 20 {
 		_, id := h.sendBatch("lookup", 4000)
-		rise()
+		connectAll()
 		h.advance(0.02)
 		for number, text := range h.written {
 			if h.connections[number] != nil && strings.Contains(text, id) {
@@ -38,14 +38,14 @@
 	stream, id = h.sendBatch("lookup", 4000)
 	for n := 0; n < 2; h.advance(0.02) {
 		n = 0
-		rise()
+		connectAll()
 		for _, d := range h.dials {
 			if h.connections[d.Connection] != nil && strings.Contains(h.written[d.Connection], id) {
 				lines[n] = d.Connection
 				n++
 			}
 		}
-		require.Less(t, h.now, 110.0, "a copy goes beside the first")
+		require.Less(t, h.now, 110.0, "no hedged dispatch is sent")
 	}
 	return h, stream, id, lines
 }
@@ -58,7 +58,7 @@
 		assert.Contains(t, h.written[lines[1-first]], "abort\r\n$16\r\n"+id)
 		assert.NotContains(t, h.written[lines[first]], "abort\r\n$16\r\n"+id)
 		h.engineReply(lines[1-first], id, "DONE", "sheets=3", "y\t2\t3\n")
-		assert.Empty(t, h.batches, "what crosses the giving up changes nothing")
+		assert.Empty(t, h.batches, "a reply that crosses the cancellation changes nothing")
 	}
 }
 
@@ -81,7 +81,7 @@
 
 		h, stream, id, lines = newHostWithHedge(t)
 		h.deliver(EngineEnded{lines[first], ResetByPeer}, h.engineReplyEvent(lines[1-first], id, "DONE", "sheets=1", "x\t2\t3\n"))
-		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream], "in one turn too")
+		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream], "also when both events come in one turn")
 	}
 }
 
@@ -100,7 +100,7 @@
 	assert.Empty(t, h.batches)
 }
 
-// Rows of one copy that go out end the other: what of it comes later can't be passed on beside them.
+// Once rows of one dispatch are sent to the client, the other dispatch is cancelled: its rows can't be mixed with them.
 func TestStreamingHedgedDispatchCancelsTheOther(t *testing.T) {
 	h, _, id, _ := newHostWithHedge(t)
 	b := h.open[id]
@@ -109,5 +109,5 @@
 	assert.True(t, b.Streams)
 	assert.Same(t, b.dispatches[1], b.streaming())
 	h.deliver(EngineEnded{b.dispatches[1].line.Number, ResetByPeer})
-	assert.Empty(t, h.batches, "the result is cut, and nothing is sent again")
+	assert.Empty(t, h.batches, "the result is cut off, and the batch is not retried")
 }
