--- a/internal/router/withdrawal_test.go
+++ b/internal/router/withdrawal_test.go
@@ -13,7 +13,7 @@
 
 // newHostWithCancelledAttempt returns a router that may not hedge, with a request whose only attempt was just cancelled. A second
 // engine is ready for a retry.
-func newHostWithCancelledAttempt(t *testing.T) (h *host, stream uint32, id string, line uint64) {
+func newHostWithCancelledAttempt(t *testing.T) (h *host, stream uint32, id string, connection uint64) {
 	other := eastEngine("s-2")
 	other.Address = "10.0.0.2:80"
 	patient := strings.Replace(testSettings, `"on-time-ms":800,`, `"on-time-ms":3000,`, 1)
@@ -21,12 +21,12 @@
 	stream, id = 1, "00000000000000f1"
 	fields := []string{"c", "lookup", "i", id, "d", "4000", "h", "20"} // so little work that the attempt is soon overdue
 	h.deliver(h.clientFrame(1, standin.Frame(clients.Ask, stream, fields, "SELECT 1 FROM a_3.b")))
-	line = h.connectLast()
-	for !strings.Contains(h.written[line], "abort\r\n$16\r\n"+id) {
+	connection = h.connectLast()
+	for !strings.Contains(h.written[connection], "abort\r\n$16\r\n"+id) {
 		require.Less(t, h.now, 104.0, "the attempt is never cancelled")
 		h.advance(0.01)
 	}
-	return h, stream, id, line
+	return h, stream, id, connection
 }
 
 // connectAll establishes all connections that are being dialled.
@@ -38,7 +38,8 @@
 	}
 }
 
-// advancePastRetry lets enough time pass for a retry to be sent: the longest pause of the admission gate, and some more.
+// advancePastRetry lets enough time pass for a retry to be sent: the longest pause of the decision
+// module's admission gate, and some more.
 func (h *host) advancePastRetry() {
 	for range 10 {
 		h.advance(0.05)
@@ -48,29 +49,29 @@
 
 // Issue 53: the engine may read a cancellation late, so a retry that is sent meanwhile would run at the same time as the first attempt.
 func TestNoRetryBeforeCancelledAttemptIsConfirmed(t *testing.T) {
-	h, stream, id, line := newHostWithCancelledAttempt(t)
-	assert.Contains(t, h.written[line], "more\r\n$16\r\n"+id, "the answer to it shows that the engine has read what was written before")
+	h, stream, id, connection := newHostWithCancelledAttempt(t)
+	assert.Contains(t, h.written[connection], "more\r\n$16\r\n"+id, "the answer to it shows that the engine has read what was written before")
 	h.advancePastRetry()
 	assert.Equal(t, 1, h.fetchCount(id))
-	h.engineReply(line, id, "BROKE", "-", "")
+	h.engineReply(connection, id, "BROKE", "-", "")
 	h.advancePastRetry()
 	require.Equal(t, 2, h.fetchCount(id))
 	assert.NotContains(t, h.answers, stream)
 }
 
 func TestResultOfCancelledAttemptIsTheAnswer(t *testing.T) {
-	h, stream, id, line := newHostWithCancelledAttempt(t)
-	h.engineReply(line, id, "DONE", "sheets=1", "a\t2\t3\n")
+	h, stream, id, connection := newHostWithCancelledAttempt(t)
+	h.engineReply(connection, id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
-	h.engineReply(line, id, "BROKE", "-", "")
+	h.engineReply(connection, id, "BROKE", "-", "")
 	h.advancePastRetry()
 	assert.Equal(t, 1, h.fetchCount(id))
 }
 
 func TestCloseByEngineConfirmsCancellation(t *testing.T) {
 	for _, end := range []CloseReason{ClosedByPeer, ResetByPeer, Unreachable} {
-		h, stream, id, line := newHostWithCancelledAttempt(t)
-		h.deliver(EngineEnded{line, end})
+		h, stream, id, connection := newHostWithCancelledAttempt(t)
+		h.deliver(EngineEnded{connection, end})
 		h.advancePastRetry()
 		if end == Unreachable {
 			assert.Equal(t, 1, h.fetchCount(id), end)
@@ -101,8 +102,8 @@
 func TestRequestRefusedByGuardIsAnswered(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	stream, id := h.sendBatch("lookup", 4000)
-	line := h.connectLast()
-	h.deliver(OrderRefused{line, id, OrderInvalid})
+	connection := h.connectLast()
+	h.deliver(OrderRefused{connection, id, OrderInvalid})
 	assert.Equal(t, answerFailed, h.answers[stream][:2])
 	h.advancePastRetry()
 	assert.Equal(t, 1, h.fetchCount(id))
