--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -12,7 +12,7 @@
 )
 
 // newHostWithHedge returns a router with a hedged batch: two dispatches of it are outstanding, on the two connections returned.
-func newHostWithHedge(t *testing.T) (h *host, stream uint32, id string, lines [2]uint64) {
+func newHostWithHedge(t *testing.T) (h *host, stream uint32, id string, connections [2]uint64) {
 	other := eastEngine("s-2")
 	other.Address = "10.0.0.2:80"
 	h = newHostWith(t, strings.Replace(testSettings, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-duplicate":true,`, 1), eastEngine("s-1"), other)
@@ -41,30 +41,30 @@
 		connectAll()
 		for _, d := range h.dials {
 			if h.connections[d.Connection] != nil && strings.Contains(h.written[d.Connection], id) {
-				lines[n] = d.Connection
+				connections[n] = d.Connection
 				n++
 			}
 		}
 		require.Less(t, h.now, 110.0, "no hedged dispatch is sent")
 	}
-	return h, stream, id, lines
+	return h, stream, id, connections
 }
 
 func TestFirstHedgedAnswerWinsAndOtherDispatchIsCancelled(t *testing.T) {
 	for first := range 2 {
-		h, stream, id, lines := newHostWithHedge(t)
-		h.engineReply(lines[first], id, "DONE", "sheets=1", "x\t2\t3\n")
+		h, stream, id, connections := newHostWithHedge(t)
+		h.engineReply(connections[first], id, "DONE", "sheets=1", "x\t2\t3\n")
 		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
-		assert.Contains(t, h.written[lines[1-first]], "abort\r\n$16\r\n"+id)
-		assert.NotContains(t, h.written[lines[first]], "abort\r\n$16\r\n"+id)
-		h.engineReply(lines[1-first], id, "DONE", "sheets=3", "y\t2\t3\n")
+		assert.Contains(t, h.written[connections[1-first]], "abort\r\n$16\r\n"+id)
+		assert.NotContains(t, h.written[connections[first]], "abort\r\n$16\r\n"+id)
+		h.engineReply(connections[1-first], id, "DONE", "sheets=3", "y\t2\t3\n")
 		assert.Empty(t, h.batches, "a reply that crosses the cancellation changes nothing")
 	}
 }
 
 func TestBothHedgedDispatchesAnswerInOneTurn(t *testing.T) {
-	h, stream, id, lines := newHostWithHedge(t)
-	h.deliver(h.engineReplyEvent(lines[0], id, "DONE", "sheets=1", "x\t2\t3\n"), h.engineReplyEvent(lines[1], id, "DONE", "sheets=2", "y\t2\t3\n"))
+	h, stream, id, connections := newHostWithHedge(t)
+	h.deliver(h.engineReplyEvent(connections[0], id, "DONE", "sheets=1", "x\t2\t3\n"), h.engineReplyEvent(connections[1], id, "DONE", "sheets=2", "y\t2\t3\n"))
 	assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
 	h.advance(0.5)
 	assert.Empty(t, h.batches)
@@ -73,30 +73,30 @@
 
 func TestRejectedOrBrokenHedgedDispatchLeavesTheOther(t *testing.T) {
 	for first := range 2 {
-		h, stream, id, lines := newHostWithHedge(t)
-		h.engineReply(lines[first], id, "WAIT", "-", "")
+		h, stream, id, connections := newHostWithHedge(t)
+		h.engineReply(connections[first], id, "WAIT", "-", "")
 		assert.NotContains(t, h.answers, stream)
-		h.engineReply(lines[1-first], id, "DONE", "sheets=1", "x\t2\t3\n")
+		h.engineReply(connections[1-first], id, "DONE", "sheets=1", "x\t2\t3\n")
 		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
 
-		h, stream, id, lines = newHostWithHedge(t)
-		h.deliver(EngineEnded{lines[first], ResetByPeer}, h.engineReplyEvent(lines[1-first], id, "DONE", "sheets=1", "x\t2\t3\n"))
+		h, stream, id, connections = newHostWithHedge(t)
+		h.deliver(EngineEnded{connections[first], ResetByPeer}, h.engineReplyEvent(connections[1-first], id, "DONE", "sheets=1", "x\t2\t3\n"))
 		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream], "also when both events come in one turn")
 	}
 }
 
 func TestReloadOrClientCancelWhileHedged(t *testing.T) {
-	h, stream, id, lines := newHostWithHedge(t)
+	h, stream, id, connections := newHostWithHedge(t)
 	h.deliver(RoutesSet{Routes: limits.NewTable(nil)})
-	h.engineReply(lines[1], id, "DONE", "sheets=1", "x\t2\t3\n")
+	h.engineReply(connections[1], id, "DONE", "sheets=1", "x\t2\t3\n")
 	assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
-	assert.Contains(t, h.written[lines[0]], "abort\r\n$16\r\n"+id)
+	assert.Contains(t, h.written[connections[0]], "abort\r\n$16\r\n"+id)
 
-	h, stream, id, lines = newHostWithHedge(t)
+	h, stream, id, connections = newHostWithHedge(t)
 	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream}})
-	h.engineReply(lines[0], id, "DONE", "sheets=1", "x\t2\t3\n")
+	h.engineReply(connections[0], id, "DONE", "sheets=1", "x\t2\t3\n")
 	assert.NotContains(t, h.answers, stream)
-	h.engineReply(lines[1], id, "DONE", "sheets=1", "x\t2\t3\n")
+	h.engineReply(connections[1], id, "DONE", "sheets=1", "x\t2\t3\n")
 	assert.Empty(t, h.batches)
 }
 
