--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -15,9 +15,11 @@
 	"pitchfield/internal/standin"
 )
 
+// coordinatorAddress is the peer address of the quota coordinator, which the tests play.
 const coordinatorAddress = "10.9.0.2:7500"
 
-// newQuotaHost is a router of a fleet of 24 with one engine, which has just started, and a bursar elsewhere.
+// newQuotaHost returns a router of a fleet of 24. It has one engine, which has just started, and the quota coordinator is another
+// router.
 func newQuotaHost(t *testing.T) *host {
 	e := eastEngine("s-1")
 	e.StartedAt = 97
@@ -31,7 +33,7 @@
 	return h
 }
 
-// sendHeavyBatch asks for a batch of two seconds of work.
+// sendHeavyBatch sends a batch of two seconds of work, and returns its stream and id.
 func (h *host) sendHeavyBatch() (uint32, string) {
 	h.lastID++
 	id := strconv.Itoa(1000000000000000 + h.lastID)
@@ -39,48 +41,49 @@
 	return uint32(h.lastID), id
 }
 
-// lastCreditRequest gives the last asking that went to the bursar.
-func (h *host) lastCreditRequest() (out *shares.Item) {
-	for _, what := range h.emitted {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask && w.To == coordinatorAddress {
+// lastCreditRequest returns the last request for a credit that was sent to the coordinator; nil: none.
+func (h *host) lastCreditRequest() (request *shares.Item) {
+	for _, effect := range h.emitted {
+		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask && w.To == coordinatorAddress {
 			for _, i := range w.Shares.Items {
 				if !i.Done {
-					out = &i
+					request = &i
 				}
 			}
 		}
 	}
-	return out
+	return request
 }
 
-func (h *host) grantCredit(i *shares.Item, lease float64) {
+// grantCredit delivers the coordinator's grant for a credit request, with a lease in seconds.
+func (h *host) grantCredit(request *shares.Item, lease float64) {
 	roll := uint32(0)
-	for _, what := range h.emitted {
-		if w, is := what.(Talk); is && w.Shares != nil {
+	for _, effect := range h.emitted {
+		if w, is := effect.(Talk); is && w.Shares != nil {
 			roll = w.Shares.Roll
 		}
 	}
 	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: coordinatorAddress}
 	h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.Reply, Roll: roll,
-		To: 1, From: shares.ID{Name: "other", Start: 1}, At: coordinatorAddress, Bursar: coordinatorAddress, Items: []shares.Item{{Number: i.Number, Try: i.Try, Key: i.Key, Amount: i.Amount, Lease: lease}}}})
+		To: 1, From: shares.ID{Name: "other", Start: 1}, At: coordinatorAddress, Bursar: coordinatorAddress, Items: []shares.Item{{Number: request.Number, Try: request.Try, Key: request.Key, Amount: request.Amount, Lease: lease}}}})
 }
 
 func TestHeavyBatchReachesColdEngineWithCredit(t *testing.T) {
 	h := newQuotaHost(t)
 	stream, id := h.sendHeavyBatch()
-	assert.Empty(t, h.dials, "it fits no part of 24")
-	i := h.lastCreditRequest()
-	require.NotNil(t, i, "it is asked for at once")
-	assert.GreaterOrEqual(t, i.Amount, 2.0)
-	h.grantCredit(i, 1)
-	line := h.connectLast()
+	assert.Empty(t, h.dials, "too heavy for one of 24 equal parts")
+	request := h.lastCreditRequest()
+	require.NotNil(t, request, "a credit is requested at once")
+	assert.GreaterOrEqual(t, request.Amount, 2.0)
+	h.grantCredit(request, 1)
+	connection := h.connectLast()
 	assert.Equal(t, 1, h.fetchCount(id))
-	for _, what := range h.emitted {
-		if w, is := what.(OrderEngine); is {
-			assert.Less(t, w.By, h.now+1, "what is by a credit says until when")
+	for _, effect := range h.emitted {
+		if w, is := effect.(OrderEngine); is {
+			assert.Less(t, w.By, h.now+1, "a dispatch that spends a credit must be written before the credit ends")
 		}
 	}
-	h.engineReply(line, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
+	h.engineReply(connection, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 }
 
@@ -89,7 +92,7 @@
 	stream, id := h.sendHeavyBatch()
 	h.grantCredit(h.lastCreditRequest(), 1)
 	number := h.dials[0].Connection
-	h.deliver(EngineOpened{number}, OrderRefused{Connection: number, ID: id, Why: OrderLate}) // the loop found that its time had come
+	h.deliver(EngineOpened{number}, OrderRefused{Connection: number, ID: id, Why: OrderLate}) // the event loop found that its write deadline had passed
 	require.NotContains(t, h.answers, stream)
 	assert.Zero(t, h.connections[number].Opened())
 	first := h.lastCreditRequest().Number
@@ -105,7 +108,7 @@
 	h := newQuotaHost(t)
 	_, id := h.sendHeavyBatch()
 	h.grantCredit(h.lastCreditRequest(), 1)
-	h.now += 0.15 // longer than it may take until it is written
+	h.now += 0.15 // longer than a dispatch with this credit may take until it is written
 	h.connectLast()
 	assert.Zero(t, h.fetchCount(id))
 }
@@ -114,14 +117,14 @@
 	h := newQuotaHost(t)
 	stream, _ := h.sendHeavyBatch()
 	h.advance(9)
-	assert.Equal(t, answerRejected[0], h.answers[stream][0], "the bursar says nothing")
+	assert.Equal(t, answerRejected[0], h.answers[stream][0], "the coordinator does not reply")
 }
 
-// A router that nobody tells of others has no timer of theirs: it wakes for its questions alone, twice each at the most.
+// A router without peer messaging has no timers for it: it wakes only for its queries to the name service, at most twice for each.
 func TestNoExtraWakeupsWithoutPeerMessaging(t *testing.T) {
-	wakes := func(set bool) (n int) {
+	wakeups := func(messaging bool) (n int) {
 		h := newHost(t, eastEngine("s-1"))
-		if set {
+		if messaging {
 			h.deliver(TalkSet{Settings: membership.Defaults()})
 		}
 		h.emitted = nil
@@ -129,18 +132,18 @@
 			h.now, h.nextTimer = max(h.nextTimer, h.now), 1e9
 			h.deliver(TimerFired{})
 		}
-		if !set {
+		if !messaging {
 			assert.Nil(t, h.members)
 			assert.Nil(t, h.parts)
 			assert.LessOrEqual(t, n, 2*len(h.queries)+2)
-			for _, what := range h.emitted {
-				if w, is := what.(OrderEngine); is {
+			for _, effect := range h.emitted {
+				if w, is := effect.(OrderEngine); is {
 					assert.True(t, math.IsInf(w.By, 1))
 				}
 			}
 		}
 		return n
 	}
-	off, on := wakes(false), wakes(true)
+	off, on := wakeups(false), wakeups(true)
 	assert.Greater(t, on, off)
 }
