--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -11,7 +11,8 @@
 	"pitchfield/internal/shares"
 )
 
-// newFleetLimitHost is a router whose look-ups go by limits of all routers, before two warm engines and a bursar elsewhere.
+// newFleetLimitHost returns a router with two engines past their cold start. Its lookup batches are subject to the limits of the
+// given route, which hold for the whole fleet, and the quota coordinator is another router.
 func newFleetLimitHost(t *testing.T, route limits.Route) *host {
 	other := eastEngine("s-2")
 	other.Address = "10.0.0.2:80"
@@ -26,11 +27,11 @@
 	return h
 }
 
-// returnedAmount gives what was last told of a credit that is done; below 0: nothing.
+// returnedAmount returns the amount that was last reported to the coordinator as used of a finished credit; below 0: not reported.
 func (h *host) returnedAmount(number uint64) (amount float64) {
 	amount = -1
-	for _, what := range h.emitted {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask {
+	for _, effect := range h.emitted {
+		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask {
 			for _, i := range w.Shares.Items {
 				if i.Done && i.Number == number {
 					amount = i.Amount
@@ -45,26 +46,26 @@
 	h := newFleetLimitHost(t, limits.Route{Concurrency: &limits.Concurrency{Name: "few", Routers: 2}})
 	stream, id := h.sendBatch("lookup", 4000)
 	assert.Empty(t, h.dials)
-	i := h.lastCreditRequest()
-	require.NotNil(t, i)
-	assert.Equal(t, shares.Concurrency, i.Key.Kind)
-	assert.InDelta(t, 1, i.Amount, 0)
-	assert.Greater(t, i.Rest, 9.0, "what is out lasts as long as the longest time limit")
-	h.grantCredit(i, 1)
-	line := h.connectLast()
-	h.advance(1.5) // the credit ends, and its batch is still out
-	assert.InDelta(t, 1, h.returnedAmount(i.Number), 0)
-	h.engineReply(line, id, "DONE", "sheets=1,toil=200", "a\t2\t3\n")
+	request := h.lastCreditRequest()
+	require.NotNil(t, request)
+	assert.Equal(t, shares.Concurrency, request.Key.Kind)
+	assert.InDelta(t, 1, request.Amount, 0)
+	assert.Greater(t, request.Rest, 9.0, "an outstanding batch may last as long as the longest time limit")
+	h.grantCredit(request, 1)
+	connection := h.connectLast()
+	h.advance(1.5) // the credit ends while its batch is still outstanding
+	assert.InDelta(t, 1, h.returnedAmount(request.Number), 0)
+	h.engineReply(connection, id, "DONE", "sheets=1,toil=200", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	h.advance(0.5)
-	assert.Zero(t, h.returnedAmount(i.Number), "now it counts nowhere")
+	assert.Zero(t, h.returnedAmount(request.Number), "the finished batch no longer counts")
 	assert.Zero(t, h.routes.Routes[0].Concurrency.Purse.(*shares.Purse).Out())
 
 	h.sendBatch("lookup", 4000)
 	next := h.lastCreditRequest()
-	require.Greater(t, next.Number, i.Number)
+	require.Greater(t, next.Number, request.Number)
 	h.grantCredit(next, 1)
-	_, third := h.sendBatch("lookup", 4000) // beyond its part, and nobody answers
+	_, third := h.sendBatch("lookup", 4000) // beyond the granted credit, and the coordinator does not reply
 	h.advance(0.4)
 	assert.Zero(t, h.fetchCount(third))
 }
@@ -74,37 +75,37 @@
 	first, _ := h.sendBatch("lookup", 4000)
 	h.advance(0.1)
 	second, _ := h.sendBatch("lookup", 4000)
-	assert.NotContains(t, h.answers, first, "it waits for a part")
+	assert.NotContains(t, h.answers, first, "it waits for a credit")
 	require.Contains(t, h.answers, second)
 	assert.Equal(t, answerRejected, h.answers[second][:1])
 }
 
 func TestRetryUsesFleetRetryBudget(t *testing.T) {
 	budget := limits.Budget{Name: "b", Free: 4, Window: 10, Fleet: true}
-	for _, given := range []bool{true, false} {
+	for _, granted := range []bool{true, false} {
 		b := budget
 		h := newFleetLimitHost(t, limits.Route{Budget: &b})
 		stream, id := h.sendBatch("lookup", 4000)
-		line := h.connectLast()
-		assert.Nil(t, h.lastCreditRequest(), "the first dispatch is none of it")
-		h.engineReply(line, id, "WAIT", "", "")
+		connection := h.connectLast()
+		assert.Nil(t, h.lastCreditRequest(), "the first dispatch does not count against the retry budget")
+		h.engineReply(connection, id, "WAIT", "", "")
 		require.NotContains(t, h.answers, stream)
-		i := h.lastCreditRequest()
-		require.NotNil(t, i)
-		assert.Equal(t, shares.Further, i.Key.Kind)
-		if !given { // it is answered soon, and not at its limit
+		request := h.lastCreditRequest()
+		require.NotNil(t, request)
+		assert.Equal(t, shares.Further, request.Key.Kind)
+		if !granted { // the batch is answered soon, not at its time limit
 			h.advance(0.2)
 			require.Contains(t, h.answers, stream)
 			assert.Equal(t, answerRejected, h.answers[stream][:1])
 			continue
 		}
-		h.grantCredit(i, 1)
+		h.grantCredit(request, 1)
 		h.advance(0.05)
 		for _, d := range h.dials[1:] {
 			h.deliver(EngineOpened{d.Connection})
 		}
 		assert.Equal(t, 2, h.fetchCount(id))
 		h.advance(0.5)
-		assert.InDelta(t, 1, h.returnedAmount(i.Number), 0, "what was used counts for a window")
+		assert.InDelta(t, 1, h.returnedAmount(request.Number), 0, "a used credit counts for the budget's window")
 	}
 }
