--- a/internal/router/levels_test.go
+++ b/internal/router/levels_test.go
@@ -10,6 +10,7 @@
 	"pitchfield/internal/levels"
 )
 
+// shedLookups returns settings with one level, "no lookups", that rejects all lookup batches. hold names a level to stay in, if any.
 func shedLookups(hold string) LevelsSet {
 	return LevelsSet{Over: 2, Levels: levels.Settings{Steps: 1, StepTime: 1, Hold: hold, Levels: []levels.Level{{Name: "no lookups", Least: 5,
 		Enter: []levels.Condition{{Measure: levels.PushedBack, Value: 0.5, For: 1}},
@@ -17,17 +18,18 @@
 		Does:  levels.Does{Keep: map[string]float64{"lookup": 0}}}}}}
 }
 
-func (h *host) logLines(text string) (out []Log) {
-	for _, what := range h.emitted {
-		if l, is := what.(Log); is && l.Text == text {
-			out = append(out, l)
+// logLines returns the log lines with a text.
+func (h *host) logLines(text string) (lines []Log) {
+	for _, effect := range h.emitted {
+		if l, is := effect.(Log); is && l.Text == text {
+			lines = append(lines, l)
 		}
 	}
-	return out
+	return lines
 }
 
 func TestLevelShedsOnEntryAndLogsEachTransitionOnce(t *testing.T) {
-	h := newHost(t) // without an engine all is pushed back
+	h := newHost(t) // without an engine every batch is rejected
 	h.deliver(shedLookups(""))
 	for range 10 {
 		h.sendBatch("lookup", 500)
@@ -39,12 +41,12 @@
 	assert.Contains(t, line.Fields, "pushed-back")
 	h.deliver(h.clientOpenedEvent(2))
 	h.sendRequest(2, 901, "00000000000000ee")
-	assert.Equal(t, answerRejected, h.answers[901][:1], "at once")
-	assert.True(t, strings.HasSuffix(h.answers[901], "500"), "with the time to come back")
+	assert.Equal(t, answerRejected, h.answers[901][:1], "rejected at once")
+	assert.True(t, strings.HasSuffix(h.answers[901], "500"), "with the time after which to retry")
 	h.sendRequest(2, 902, "00000000000000ef", "c", "upload")
 	assert.NotContains(t, h.answers, uint32(902))
 	h.advance(12)
-	assert.Equal(t, "usual", h.level.machine.State().Name, "nothing came, so the trial went well")
+	assert.Equal(t, "usual", h.level.machine.State().Name, "no batch came, so the trial succeeded")
 }
 
 func TestReloadKeepsLevelAndOperatorCanHoldOne(t *testing.T) {
@@ -62,8 +64,8 @@
 	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	var last Status
-	for _, what := range h.emitted {
-		if s, is := what.(Tell); is {
+	for _, effect := range h.emitted {
+		if s, is := effect.(Tell); is {
 			last = s.Status
 		}
 	}
