--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -27,7 +27,8 @@
 	return h
 }
 
-// returnedAmount returns the amount that was last reported to the coordinator as used of a finished credit; below 0: not reported.
+// returnedAmount returns the amount that was last reported to the coordinator as still counted for a finished credit; below 0: not
+// reported.
 func (h *host) returnedAmount(number uint64) (amount float64) {
 	amount = -1
 	for _, effect := range h.emitted {
