--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -24,53 +24,57 @@
 	"pitchfield/internal/traffic"
 )
 
-const pathGroups = `{"grades":[
+// pathSettings has one service group, "lookup", whose batches are safe to retry.
+const pathSettings = `{"grades":[
  {"name":"lookup","on-time-ms":800,"deadline-ms":4000,"idempotency":"idempotent","worth":1}],
  "specifics":{"cores-by-kind":[8],"memory-by-kind-mb":[16000],"dop":[1]},"dcs":["east"],"flavors":["std"],
  "limits":{"attempts-cap":3,"dial-timeout-ms":250,"idle-close-ms":15000,"multiplex":8},"balancers":1,"index":0,"tick-ms":5}`
 
-// path is the way of a batch through all of internal but the sockets: bytes of a client in, bytes to an engine out, its
-// bytes in, bytes to the client out.
+// path runs batches through the protocols and the router without sockets: bytes from a client go in, bytes to an engine come out,
+// the engine's bytes go in, and bytes to the client come out.
 type path struct {
 	*router.Router
-	t        testing.TB
-	pool     *buffers.Pool
-	now      float64
-	client   traffic.Client
-	engine   traffic.Engine
-	speaks   *traffic.EngineProtocol
-	cin, ein *buffers.Chain
-	out      *buffers.Chain
-	answers  int
+	t              testing.TB
+	pool           *buffers.Pool
+	now            float64 // seconds
+	client         traffic.Client
+	engine         traffic.Engine
+	engineProtocol *traffic.EngineProtocol
+	clientInput    *buffers.Chain
+	engineInput    *buffers.Chain
+	output         *buffers.Chain // to either side; released after each step
+	answers        int            // batches answered with a result
 }
 
+// newPath returns a path with one client and one engine, which speak the given protocols.
 func newPath(t testing.TB, front func(*buffers.Pool) *traffic.ClientProtocol, back func(*buffers.Pool) *traffic.EngineProtocol) *path {
-	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + pathGroups + `}`))
+	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + pathSettings + `}`))
 	require.NoError(t, err)
 	c.Known = directory.List{Serial: 1, Engines: []directory.Engine{{ID: "s-1", Address: "10.0.0.1:80", Zone: "east", Kind: "std", Weight: 1}}}
 	p := &path{t: t, pool: &buffers.Pool{Keep: 64}, now: 100}
-	p.cin, p.ein, p.out = p.pool.Chain(), p.pool.Chain(), p.pool.Chain()
-	speaks, clientSpeaks := back(p.pool), front(p.pool)
-	p.speaks, p.client = speaks, clientSpeaks.New()
-	p.Router = router.New(c, func(directory.Engine) *traffic.EngineProtocol { return speaks }, p.pool, p.now)
-	p.tell(router.ClientOpened{Client: 1, Speaks: clientSpeaks})
+	p.clientInput, p.engineInput, p.output = p.pool.Chain(), p.pool.Chain(), p.pool.Chain()
+	engineProtocol, clientProtocol := back(p.pool), front(p.pool)
+	p.engineProtocol, p.client = engineProtocol, clientProtocol.New()
+	p.Router = router.New(c, func(directory.Engine) *traffic.EngineProtocol { return engineProtocol }, p.pool, p.now)
+	p.deliver(router.ClientOpened{Client: 1, Speaks: clientProtocol})
 	return p
 }
 
-func (p *path) tell(e router.Event) {
-	for _, what := range p.Reduce(p.now, e) {
-		switch w := what.(type) {
+// deliver passes an event to the router and carries out its effects.
+func (p *path) deliver(e router.Event) {
+	for _, effect := range p.Reduce(p.now, e) {
+		switch w := effect.(type) {
 		case router.TellClient:
-			p.client.Tell(p.out, w.What)
+			p.client.Tell(p.output, w.What)
 			if a, is := w.What.(*traffic.Answer); is {
 				require.Equal(p.t, traffic.Returned, a.Code, a.Why)
 				p.answers++
 				rows.Release(a.Rows)
 			}
-			p.out.Release()
+			p.output.Release()
 		case router.OrderEngine:
-			p.engine.Order(p.out, w.What)
-			p.out.Release()
+			p.engine.Order(p.output, w.What)
+			p.output.Release()
 		case router.Release:
 			w.Chain.Release()
 		case router.Talk:
@@ -78,60 +82,66 @@
 			require.NoError(p.t, err)
 		case router.Dial:
 			if p.engine == nil {
-				p.engine = p.speaks.New()
+				p.engine = p.engineProtocol.New()
 				defer p.opened(w.Connection)
 			}
 		}
 	}
 }
 
+// opened lets a connection to the engine come up.
 func (p *path) opened(number uint64) {
-	if p.engine.Open(p.out) {
-		p.tell(router.EngineOpened{Connection: number})
+	if p.engine.Open(p.output) {
+		p.deliver(router.EngineOpened{Connection: number})
 	}
-	p.out.Release()
+	p.output.Release()
 }
 
+// fromClient processes bytes that the client has sent, as one turn of the event loop.
 func (p *path) fromClient(b []byte) {
-	p.cin.Write(b)
+	p.clientInput.Write(b)
 	for {
-		said, err := p.client.Read(p.cin, p.out)
+		said, err := p.client.Read(p.clientInput, p.output)
 		if v, is := said.(*traffic.Verify); is {
-			said, err = v.Done(nil, p.out)
+			said, err = v.Done(nil, p.output)
 		}
 		require.NoError(p.t, err)
 		if said == nil {
 			break
 		}
-		p.tell(router.ClientSaid{Client: 1, Said: said})
+		p.deliver(router.ClientSaid{Client: 1, Said: said})
 	}
-	p.out.Release()
-	p.tell(router.TurnEnded{})
+	p.output.Release()
+	p.deliver(router.TurnEnded{})
 }
 
+// fromEngine processes bytes that the engine has sent, as one turn of the event loop.
 func (p *path) fromEngine(b []byte) {
-	p.ein.Write(b)
+	p.engineInput.Write(b)
 	for {
-		reply, err := p.engine.Read(p.ein, p.out)
+		reply, err := p.engine.Read(p.engineInput, p.output)
 		require.NoError(p.t, err)
 		if reply == nil {
 			break
 		}
 		if reply.Word == traffic.Up {
-			p.tell(router.EngineOpened{Connection: 1})
+			p.deliver(router.EngineOpened{Connection: 1})
 		} else {
-			p.tell(router.EngineSaid{Connection: 1, Reply: reply})
+			p.deliver(router.EngineSaid{Connection: 1, Reply: reply})
 		}
 	}
-	p.out.Release()
-	p.tell(router.TurnEnded{})
+	p.output.Release()
+	p.deliver(router.TurnEnded{})
 	p.now += 0.001
 }
 
+// pathRows is the number of rows in a result.
 const pathRows = 20
 
+// pathLine is one row of a result: three columns.
 var pathLine = strings.Repeat("x", 20) + "\t" + strings.Repeat("y", 20) + "\t" + strings.Repeat("z", 20) + "\n"
 
+// framesPath returns a path with the frames protocol for the client and RESP for the engine, and a function that runs one batch.
 func framesPath(t testing.TB) (*path, func(n int)) {
 	p := newPath(t, clients.Protocol, func(*buffers.Pool) *traffic.EngineProtocol { return engines.Protocol() })
 	page := strings.Repeat(pathLine, pathRows)
@@ -142,14 +152,14 @@
 	}
 }
 
-// tdsBytes gives what a client sends, before and with a batch, and what an engine answers.
+// tdsBytes returns the bytes that a TDS client sends to log in and with a batch, and the bytes that an engine answers to each.
 func tdsBytes(t testing.TB) (prelogin, login, batch, greeting, welcome, result []byte) {
 	pool := &buffers.Pool{}
 	access := &tds.Access{Pool: pool, User: "ann", Password: "p", Packet: 4096}
 	client, server, out, back := access.Engine(), (&tds.Front{Pool: pool, Admit: func(string, string) (string, error) { return "", nil },
 		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "lookup"}} }}).Session(), pool.Chain(), pool.Chain()
-	step := func() (there, here []byte) {
-		there = out.Bytes()
+	step := func() (sent, received []byte) {
+		sent = out.Bytes()
 		said, err := server.Read(out, back)
 		if v, is := said.(*traffic.Verify); is {
 			_, err = v.Done(nil, back)
@@ -167,10 +177,10 @@
 			}
 			server.Tell(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 		}
-		here = back.Bytes()
+		received = back.Bytes()
 		_, err = client.Read(back, out)
 		require.NoError(t, err)
-		return there, here
+		return sent, received
 	}
 	client.Open(out)
 	prelogin, greeting = step()
@@ -180,12 +190,14 @@
 	return prelogin, login, batch, greeting, welcome, result
 }
 
+// tdsFront returns the TDS protocol for clients, with every batch in the group "lookup".
 func tdsFront(pool *buffers.Pool) *traffic.ClientProtocol {
 	rules := &assign.Rules{Default: &assign.Terms{Group: "lookup", Limit: 2}}
 	f := &tds.Front{Pool: pool, Admit: func(string, string) (string, error) { return "", nil }, Rules: func() *assign.Rules { return rules }}
 	return f.Protocol(600)
 }
 
+// tdsPath returns a path with TDS on both sides, and a function that runs one batch.
 func tdsPath(t testing.TB) (*path, func(n int)) {
 	prelogin, login, batch, greeting, welcome, result := tdsBytes(t)
 	p := newPath(t, tdsFront, func(pool *buffers.Pool) *traffic.EngineProtocol {
@@ -205,84 +217,85 @@
 	}
 }
 
-func TestThePathOfABatchIsWholeInBothProtocols(t *testing.T) {
-	for _, make := range []func(testing.TB) (*path, func(int)){framesPath, tdsPath} {
-		p, one := make(t)
+func TestBatchPathInBothProtocols(t *testing.T) {
+	for _, newProtocolPath := range []func(testing.TB) (*path, func(int)){framesPath, tdsPath} {
+		p, runBatch := newProtocolPath(t)
 		for n := range 50 {
-			one(n)
+			runBatch(n)
 		}
 		require.Equal(t, 50, p.answers)
-		require.Zero(t, p.pool.Used(), "nothing is kept")
+		require.Zero(t, p.pool.Used(), "no buffers are kept")
 	}
 }
 
+// BenchmarkPath measures one batch from the client's bytes to the answer's bytes.
 func BenchmarkPath(b *testing.B) {
-	for name, make := range map[string]func(testing.TB) (*path, func(int)){"frames": framesPath, "tds": tdsPath} {
+	for name, newProtocolPath := range map[string]func(testing.TB) (*path, func(int)){"frames": framesPath, "tds": tdsPath} {
 		b.Run(name, func(b *testing.B) {
-			_, one := make(b)
-			one(0)
+			_, runBatch := newProtocolPath(b)
+			runBatch(0)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
-				one(n + 1)
+				runBatch(n + 1)
 			}
 		})
 	}
 }
 
-// BenchmarkTalk is the path of frames in a fleet of 300, at a thousand batches a second, with what talk takes in that time: eight
-// packets a second each way are worded and read, and the machine's timer is kept.
+// BenchmarkTalk measures the frames path in a fleet of 300 routers at a thousand batches a second, with the cost of peer messaging in
+// that time: eight packets a second are encoded and decoded in each direction, and the membership timer is kept.
 func BenchmarkTalk(b *testing.B) {
 	member := func(i int) membership.Member {
 		return membership.Member{ID: membership.ID{Name: fmt.Sprint("n", i), Start: 1}, Address: fmt.Sprintf("10.0.%d.%d:7500", i/250, 1+i%250)}
 	}
 	for _, name := range []string{"off", "talk", "shares"} {
-		talks := name != "off"
+		messaging := name != "off"
 		b.Run(name, func(b *testing.B) {
-			p, one := framesPath(b)
-			one(0)
-			if talks {
+			p, runBatch := framesPath(b)
+			runBatch(0)
+			if messaging {
 				s := membership.Defaults()
 				s.Self, s.Listen, s.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{"10.0.0.1:7500"}
-				set := router.TalkSet{Settings: s}
+				event := router.TalkSet{Settings: s}
 				if name == "shares" {
-					own := shares.Defaults()
-					own.Listen, own.Keepers = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
-					set.Shares = &own
+					quotas := shares.Defaults()
+					quotas.Listen, quotas.Keepers = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
+					event.Shares = &quotas
 				}
-				p.tell(set)
+				p.deliver(event)
 				for i := range 300 {
-					p.tell(router.TalkCame{Message: &membership.Message{Kind: membership.Tell, From: member(i)}})
+					p.deliver(router.TalkCame{Message: &membership.Message{Kind: membership.Tell, From: member(i)}})
 				}
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
-				one(n + 1)
-				if talks && n%125 == 0 {
+				runBatch(n + 1)
+				if messaging && n%125 == 0 {
 					data, err := talk.Encode("fleet", &talk.Message{Message: membership.Message{Kind: membership.Ping, From: member(n % 300), Number: uint32(n)}})
 					require.NoError(b, err)
 					message, err := talk.Decode("fleet", data)
 					require.NoError(b, err)
-					p.tell(router.TalkCame{Message: &message.Message})
-					p.tell(router.TimerFired{})
+					p.deliver(router.TalkCame{Message: &message.Message})
+					p.deliver(router.TimerFired{})
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkIdleSession tells the bytes that a session holds between batches.
+// BenchmarkIdleSession measures the heap bytes that a TDS client session holds between batches.
 func BenchmarkIdleSession(b *testing.B) {
 	prelogin, login, batch, _, _, _ := tdsBytes(b)
 	pool := &buffers.Pool{Keep: 64}
 	protocol := tdsFront(pool)
 	in, out := pool.Chain(), pool.Chain()
-	all := make([]traffic.Client, b.N)
+	sessions := make([]traffic.Client, b.N)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for i := range all {
+	for i := range sessions {
 		s := protocol.New()
 		for _, bytes := range [][]byte{prelogin, login, batch} {
 			in.Write(bytes)
@@ -297,10 +310,10 @@
 			}
 			out.Release()
 		}
-		all[i] = s
+		sessions[i] = s
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(b.N), "held-B/session")
-	runtime.KeepAlive(all)
+	runtime.KeepAlive(sessions)
 }
