--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -123,7 +123,8 @@
 // reducedService translates a level's restrictions for the decision module. A group that has a second group of the same name, for
 // batches without a mark, is shed together with it.
 func (r *Router) reducedService(restrictions levels.Does) brain.Reduced {
-	reduced := brain.Reduced{LeastGain: restrictions.LeastGain, Further: restrictions.Further, Probes: restrictions.Probes, Early: restrictions.Early}
+	reduced := brain.Reduced{LeastGain: restrictions.LeastGain, Further: restrictions.Further, Probes: restrictions.Probes,
+		Early: restrictions.Early}
 	for name, keep := range restrictions.Keep {
 		if reduced.Keep == nil {
 			reduced.Keep = map[*brain.ServiceGroup]float64{}
