--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -65,7 +65,7 @@
 	Batches   int             // batches without a final answer, or with an outstanding dispatch
 	Clients   int             // client connections
 	Stopping  int             // 1 while the router stops, else 0
-	Decisions brain.Seen      // state of the decision module
+	Decisions brain.Stats     // state of the decision module
 }
 
 // setLevels applies new settings for the levels of reduced service. The first ones start the state machine; later ones keep the
@@ -86,16 +86,16 @@
 	if after := r.level.machine.Change(e.Levels); after.Name != before.Name {
 		r.applyLevel(after, levels.Measures{})
 	} else {
-		r.brain.Reduce(r.reducedService(after.Does))
+		r.brain.SetReducedService(r.reducedService(after.Does))
 	}
 }
 
 // updateLevel reads the measures, applies the level if it has changed, and reports the router's status.
 func (r *Router) updateLevel() {
 	r.timers.add(r.now+levelInterval, levelCheck{})
-	decisions := r.brain.Seen()
+	decisions := r.brain.Stats()
 	r.level.gauge.Clock(r.now)
-	r.level.gauge.Holds(decisions.HeldWork, decisions.Engines, decisions.Cold+decisions.Aside+decisions.Drained)
+	r.level.gauge.Holds(decisions.QueuedWork, decisions.Engines, decisions.Cold+decisions.Ejected+decisions.Draining)
 	measures := r.level.gauge.Measures()
 	state, changed := r.level.machine.Look(r.now, measures)
 	if changed {
@@ -117,21 +117,21 @@
 		fields = append(fields, name, measures[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.Reduce(r.reducedService(state.Does))
+	r.brain.SetReducedService(r.reducedService(state.Does))
 }
 
 // reducedService translates a level's restrictions for the decision module. A group that has a second group of the same name, for
 // batches without a mark, is shed together with it.
-func (r *Router) reducedService(restrictions levels.Does) brain.Reduced {
-	reduced := brain.Reduced{LeastGain: restrictions.LeastGain, Further: restrictions.Further, Probes: restrictions.Probes,
-		Early: restrictions.Early}
+func (r *Router) reducedService(restrictions levels.Does) brain.ReducedService {
+	reduced := brain.ReducedService{MinUtilityPerSecond: restrictions.LeastGain, MaxRetries: restrictions.Further, ProbeShare: restrictions.Probes,
+		GiveUpFactor: restrictions.Early}
 	for name, keep := range restrictions.Keep {
-		if reduced.Keep == nil {
-			reduced.Keep = map[*brain.ServiceGroup]float64{}
+		if reduced.KeepShare == nil {
+			reduced.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
 		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarked[name]} {
 			if g != nil {
-				reduced.Keep[g] = keep
+				reduced.KeepShare[g] = keep
 			}
 		}
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -111,7 +111,7 @@
 	}
 	if m.settledCount != m.reportedCount {
 		m.reportedCount = m.settledCount
-		r.brain.Fleet(m.settledCount)
+		r.brain.SetRouterCount(m.settledCount)
 	}
 }
 
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -32,7 +32,7 @@
 	r.updateReportMembers()
 	var loads []news.Load
 	for _, e := range r.engines {
-		if threads, memory := e.Engine.Out(); threads > 0 {
+		if threads, memory := e.Engine.InFlightResources(); threads > 0 {
 			loads = append(loads, news.Load{Of: engineInstance(e), Threads: threads, Memory: memory})
 		}
 	}
@@ -77,7 +77,7 @@
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
 			load := loads[engineInstance(e)]
-			r.brain.Others(&e.Engine, load.Threads, load.Memory, r.now+r.news.staleAfter-age)
+			r.brain.SetOthersLoad(&e.Engine, load.Threads, load.Memory, r.now+r.news.staleAfter-age)
 		}
 	}
 }
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -26,7 +26,7 @@
 	}
 	if l == nil {
 		p.ended = true
-		r.brain.Probed(&e.Engine, false, nil)
+		r.brain.ProbeEnded(&e.Engine, false, nil)
 		return
 	}
 	p.conn = l
@@ -48,7 +48,7 @@
 	}
 	r.log(Debug, "probed", "engine", p.engine.name, "ok", ok, "load", load)
 	if p.conn.check != p { // the decision module asked for it; a connection's check is the router's own
-		r.brain.Probed(&p.engine.Engine, ok, load)
+		r.brain.ProbeEnded(&p.engine.Engine, ok, load)
 	} else {
 		p.conn.check = nil
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -73,8 +73,8 @@
 func TestEveryCloseReasonHasOutcomes(t *testing.T) {
 	for e := range closeReasonCount {
 		assert.NotEmpty(t, e.String())
-		assert.Equal(t, brain.Broken, outcomesByReason[e].written, "nothing proves that it never ran: %s", e)
-		assert.Contains(t, []brain.Ending{brain.Unconnected, brain.NotSent}, outcomesByReason[e].unwritten, e.String())
+		assert.Equal(t, brain.ConnectionLost, outcomesByReason[e].written, "nothing proves that it never ran: %s", e)
+		assert.Contains(t, []brain.Outcome{brain.ConnectFailed, brain.NotSent}, outcomesByReason[e].unwritten, e.String())
 	}
 }
 
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -21,8 +21,8 @@
 
 // startQuotas replaces the fixed division of the fleet's budgets by one that follows demand.
 func (r *Router) startQuotas(s *shares.Settings, self shares.ID) {
-	r.parts = &quotas{machine: shares.New(*s, self, r.brain.Fixed(), r.now)}
-	r.brain.Divide(r.parts.machine)
+	r.parts = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
+	r.brain.SetQuota(r.parts.machine)
 	r.setQuotaLeases()
 	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
 }
@@ -66,7 +66,7 @@
 		if !q.machine.Came() {
 			break
 		}
-		r.brain.Granted()
+		r.brain.QuotaGranted()
 		r.pull()
 	}
 	r.flushQuotas()
@@ -104,7 +104,7 @@
 	}
 	q.machine.Heard(r.now, message)
 	if q.machine.Came() {
-		r.brain.Granted()
+		r.brain.QuotaGranted()
 	}
 	r.flushQuotas()
 }
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -31,13 +31,13 @@
 // needsCancelConfirmation reports whether the end of a dispatch has to be proven before it is reported to the decision module. Where
 // the batch is never sent again, whatever the outcome, its final answer need not wait for the proof.
 func (r *Router) needsCancelConfirmation(d *dispatch) bool {
-	return !r.settings.Settings.MayCopy && d.batch.client != nil && d.batch.Group.Effect != brain.OnceOnly && !d.streams
+	return !r.settings.Settings.MayHedge && d.batch.client != nil && d.batch.Group.Idempotency != brain.AtMostOnce && !d.streams
 }
 
 // cancelAttempt sends a cancellation and keeps the dispatch open until the engine has shown that it has read it; the dispatch then
 // ends with the given ending. It returns false, having done nothing, if the connection is not up or there is no time left to wait.
-func (r *Router) cancelAttempt(d *dispatch, ending brain.Ending) bool {
-	by := min(r.now+cancelConfirmTimeout, d.batch.Until())
+func (r *Router) cancelAttempt(d *dispatch, ending brain.Outcome) bool {
+	by := min(r.now+cancelConfirmTimeout, d.batch.Deadline())
 	if by <= r.now || !d.line.Up {
 		return false
 	}
@@ -94,7 +94,7 @@
 }
 
 // finishCancellation reports the end of a cancelled dispatch to the decision module and closes it on its connection.
-func (r *Router) finishCancellation(d *dispatch, ending brain.Ending) {
+func (r *Router) finishCancellation(d *dispatch, ending brain.Outcome) {
 	l := d.line
 	r.ended(d, ending, d.report)
 	l.Close(d.batch.id, true, r.now)
@@ -102,7 +102,7 @@
 }
 
 // endingAfterClose returns the ending of a dispatch whose connection has ended after some of its bytes may have left.
-func (r *Router) endingAfterClose(d *dispatch, reason CloseReason) brain.Ending {
+func (r *Router) endingAfterClose(d *dispatch, reason CloseReason) brain.Outcome {
 	if r.needsCancelConfirmation(d) && !d.answered && !reason.ByPeer() {
 		return brain.Unconfirmed
 	}
