--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -29,7 +29,7 @@
 	if b.Shed {
 		l.shed++
 	} else {
-		l.gauge.Came(b.Demand())
+		l.gauge.BatchArrived(b.Demand())
 	}
 }
 
@@ -39,33 +39,33 @@
 	if l.gauge == nil || b.Shed {
 		return
 	}
-	l.gauge.Clock(now)
+	l.gauge.Advance(now)
 	goal := b.Group.Goal + b.Group.GoalStretch*b.work/max(b.Group.Threads, 1)
-	l.gauge.Ended(b.Group.Utility, code == traffic.Returned && now-b.takenAt <= goal, code == traffic.PushedBack)
+	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Returned && now-b.takenAt <= goal, code == traffic.PushedBack)
 }
 
 // workFinished counts work that an engine has finished, in thread-seconds.
 func (l *serviceLevel) workFinished(work, now float64) {
 	if l.gauge != nil {
-		l.gauge.Clock(now)
-		l.gauge.Finished(work)
+		l.gauge.Advance(now)
+		l.gauge.WorkFinished(work)
 	}
 }
 
 // Status is a snapshot of a router's state for its status page.
 type Status struct {
 	Name      string
-	Now       float64         // time of the snapshot, in seconds
-	Level     string          // name of the level of service
-	Reason    string          // why this level is in force
-	Since     float64         // when it was entered
-	Step      int             // step of the trial to leave it; 0: no trial
-	Shed      int             // batches that levels have rejected since the start
-	Measures  levels.Measures // what levels are decided by
-	Batches   int             // batches without a final answer, or with an outstanding dispatch
-	Clients   int             // client connections
-	Stopping  int             // 1 while the router stops, else 0
-	Decisions brain.Stats     // state of the decision module
+	Now       float64              // time of the snapshot, in seconds
+	Level     string               // name of the level of service
+	Reason    string               // why this level is in force
+	Since     float64              // when it was entered
+	Step      int                  // step of the trial to leave it; 0: no trial
+	Shed      int                  // batches that levels have rejected since the start
+	Measures  levels.MeasureValues // what levels are decided by
+	Batches   int                  // batches without a final answer, or with an outstanding dispatch
+	Clients   int                  // client connections
+	Stopping  int                  // 1 while the router stops, else 0
+	Decisions brain.Stats          // state of the decision module
 }
 
 // setLevels applies new settings for the levels of reduced service. The first ones start the state machine; later ones keep the
@@ -83,10 +83,10 @@
 		return
 	}
 	before := r.level.machine.State()
-	if after := r.level.machine.Change(e.Levels); after.Name != before.Name {
-		r.applyLevel(after, levels.Measures{})
+	if after := r.level.machine.Reconfigure(e.Levels); after.Name != before.Name {
+		r.applyLevel(after, levels.MeasureValues{})
 	} else {
-		r.brain.SetReducedService(r.reducedService(after.Does))
+		r.brain.SetReducedService(r.reducedService(after.Actions))
 	}
 }
 
@@ -94,10 +94,10 @@
 func (r *Router) updateLevel() {
 	r.timers.add(r.now+levelInterval, levelCheck{})
 	decisions := r.brain.Stats()
-	r.level.gauge.Clock(r.now)
-	r.level.gauge.Holds(decisions.QueuedWork, decisions.Engines, decisions.Cold+decisions.Ejected+decisions.Draining)
-	measures := r.level.gauge.Measures()
-	state, changed := r.level.machine.Look(r.now, measures)
+	r.level.gauge.Advance(r.now)
+	r.level.gauge.SetCurrent(decisions.QueuedWork, decisions.Engines, decisions.Cold+decisions.Ejected+decisions.Draining)
+	measures := r.level.gauge.Values()
+	state, changed := r.level.machine.Update(r.now, measures)
 	if changed {
 		r.applyLevel(state, measures)
 	}
@@ -111,21 +111,21 @@
 }
 
 // applyLevel logs a change of level, with the measures that led to it, and passes its restrictions to the decision module.
-func (r *Router) applyLevel(state levels.State, measures levels.Measures) {
+func (r *Router) applyLevel(state levels.State, measures levels.MeasureValues) {
 	fields := []any{"level", state.Name, "number", state.Level, "step", state.Step, "reason", state.Reason, "shed", r.level.shed}
-	for m, name := range levels.Names {
+	for m, name := range levels.MeasureNames {
 		fields = append(fields, name, measures[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.SetReducedService(r.reducedService(state.Does))
+	r.brain.SetReducedService(r.reducedService(state.Actions))
 }
 
 // reducedService translates a level's restrictions for the decision module. A group that has a second group of the same name, for
 // batches without a mark, is shed together with it.
-func (r *Router) reducedService(restrictions levels.Does) brain.ReducedService {
-	reduced := brain.ReducedService{MinUtilityPerSecond: restrictions.LeastGain, MaxRetries: restrictions.Further, ProbeShare: restrictions.Probes,
-		GiveUpFactor: restrictions.Early}
-	for name, keep := range restrictions.Keep {
+func (r *Router) reducedService(restrictions levels.Actions) brain.ReducedService {
+	reduced := brain.ReducedService{MinUtilityPerSecond: restrictions.MinUtilityRate, MaxRetries: restrictions.MaxRetries, ProbeShare: restrictions.ProbeRatio,
+		GiveUpFactor: restrictions.GiveUpFactor}
+	for name, keep := range restrictions.AdmitRatio {
 		if reduced.KeepShare == nil {
 			reduced.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -21,7 +21,7 @@
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
 	s.Listen, s.Keepers, s.Firm = m.Listen, []string{coordinatorAddress}, 0
 	h.deliver(TalkSet{Settings: m, Shares: &s})
-	route.Name, route.Match = "r", limits.Fields{Group: "lookup"}
+	route.Name, route.Pattern = "r", limits.Fields{Group: "lookup"}
 	h.deliver(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
 	h.advance(1)
 	return h
@@ -44,7 +44,7 @@
 }
 
 func TestBatchWaitsForFleetConcurrencyCredit(t *testing.T) {
-	h := newFleetLimitHost(t, limits.Route{Concurrency: &limits.Concurrency{Name: "few", Routers: 2}})
+	h := newFleetLimitHost(t, limits.Route{Concurrency: &limits.ConcurrencyLimit{Name: "few", FleetWide: 2}})
 	stream, id := h.sendBatch("lookup", 4000)
 	assert.Empty(t, h.dials)
 	request := h.lastCreditRequest()
@@ -60,7 +60,7 @@
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	h.advance(0.5)
 	assert.Zero(t, h.returnedAmount(request.Number), "the finished batch no longer counts")
-	assert.Zero(t, h.routes.Routes[0].Concurrency.Purse.(*shares.Purse).Out())
+	assert.Zero(t, h.routes.Routes[0].Concurrency.Quota.(*shares.Purse).Out())
 
 	h.sendBatch("lookup", 4000)
 	next := h.lastCreditRequest()
@@ -72,7 +72,7 @@
 }
 
 func TestBatchBehindUnansweredCreditRequestIsRejectedAtOnce(t *testing.T) {
-	h := newFleetLimitHost(t, limits.Route{Concurrency: &limits.Concurrency{Name: "few", Routers: 2, AtBound: limits.PushBack}})
+	h := newFleetLimitHost(t, limits.Route{Concurrency: &limits.ConcurrencyLimit{Name: "few", FleetWide: 2, OnLimit: limits.RejectBatch}})
 	first, _ := h.sendBatch("lookup", 4000)
 	h.advance(0.1)
 	second, _ := h.sendBatch("lookup", 4000)
@@ -82,7 +82,7 @@
 }
 
 func TestRetryUsesFleetRetryBudget(t *testing.T) {
-	budget := limits.Budget{Name: "b", Free: 4, Window: 10, Fleet: true}
+	budget := limits.RetryBudget{Name: "b", FreeRetries: 4, Window: 10, FleetWide: true}
 	for _, granted := range []bool{true, false} {
 		b := budget
 		h := newFleetLimitHost(t, limits.Route{Budget: &b})
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -38,9 +38,9 @@
 		longest = max(longest, g.Limit)
 	}
 	m := r.parts.machine
-	setRetryLease := func(b *limits.Budget, name string) {
-		if b != nil && b.Fleet {
-			b.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.Free, Rest: b.Window})
+	setRetryLease := func(b *limits.RetryBudget, name string) {
+		if b != nil && b.FleetWide {
+			b.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.FreeRetries, Rest: b.Window})
 		}
 	}
 	setRetryLease(r.ofAll, "further.all")
@@ -48,8 +48,8 @@
 		if b := route.Budget; b != nil {
 			setRetryLease(b, "budget "+b.Name)
 		}
-		if c := route.Concurrency; c != nil && c.Routers > 0 {
-			c.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.Routers), Rest: longest})
+		if c := route.Concurrency; c != nil && c.FleetWide > 0 {
+			c.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.FleetWide), Rest: longest})
 		}
 	}
 }
