--- a/internal/router/end.go
+++ b/internal/router/end.go
@@ -2,63 +2,66 @@
 
 import "pitchfield/brain"
 
-// End is how a connection ended, or how it failed to come up. There is no other way.
-type End uint8
+// CloseReason is why a connection to a client or an engine ended, or why it was never established. Every connection ends with
+// exactly one of these reasons.
+type CloseReason uint8
 
-// The ends.
+// The close reasons. "Local" means that this router closed the connection.
 const (
-	RefusedDial   End = iota // nobody listens there
-	DialTimedOut             // it did not come up in time
-	NoDescriptor             // we may hold no more sockets
-	Unaddressed              // the list names no address
-	ClosedByPeer             // in order
-	ResetByPeer              // by its process, its machine or something on the way
-	Unreachable              // an error that only our side knows of: no word of the peer in time, or no way there
-	BadInput                 // what came can't be read
-	Unread                   // the peer does not read what we write
-	NoMemory                 // what is not whole yet takes too much
-	ClosedIdle               // by us, with nothing open on it
-	Silent                   // by us, with no whole frame in time
-	Crowded                  // by us, to make room
-	ClosedSuspect            // by us, silent past a time limit
-	LeftAddress              // by us: its engine is no longer there
-	Unanswered               // by us: what was given up on it did not end in time
-	LoginRefused             // the engine does not let us in
-	Stopped                  // this router ends
-	ends
+	DialRefused         CloseReason = iota // the address refused the connection
+	DialTimedOut                           // the connection was not established in time
+	NoDescriptors                          // local: the limit of open sockets is reached
+	NoAddress                              // local: the engine list has no address for this engine
+	ClosedByPeer                           // orderly close by the peer
+	ResetByPeer                            // reset by the peer process, its machine or the network between
+	Unreachable                            // error seen on this side only: nothing received from the peer in time, or no route to it
+	BadInput                               // local: the received bytes can't be parsed
+	PeerNotReading                         // local: the peer does not read what this router writes
+	BufferLimitExceeded                    // local: a message that is not complete yet takes too much memory
+	ClosedIdle                             // local: no request or dispatch is open on the connection
+	FrameTimedOut                          // local: no complete frame arrived in time
+	Crowded                                // local: closed to free a descriptor
+	ClosedSuspect                          // local: nothing was received past a time limit
+	StaleAddress                           // local: the engine has left this address or the list
+	CancelTimedOut                         // local: the engine did not confirm a cancellation in time
+	LoginRefused                           // the engine refused the login
+	RouterStopped                          // local: this router stops
+	closeReasonCount
 )
 
-var endNames = [ends]string{"refused dial", "dial timed out", "no descriptor", "unaddressed", "closed by peer",
+var closeReasonNames = [closeReasonCount]string{"refused dial", "dial timed out", "no descriptor", "unaddressed", "closed by peer",
 	"reset by peer", "unreachable", "bad input", "unread", "no memory", "closed idle", "silent", "crowded",
 	"closed suspect", "left address", "unanswered", "login refused", "stopped"}
 
-func (e End) String() string { return endNames[e] }
+func (e CloseReason) String() string { return closeReasonNames[e] }
 
-// ours tells an end that this router has made from one that its peer or the network has.
-func (e End) ours() bool { return e >= BadInput || e == NoDescriptor || e == Unaddressed }
+// isLocal reports whether this router ended the connection, rather than its peer or the network.
+func (e CloseReason) isLocal() bool { return e >= BadInput || e == NoDescriptors || e == NoAddress }
 
-// ByPeer tells an end that the peer has made, and so knows of: it has given up all that was open there.
-func (e End) ByPeer() bool { return e == ClosedByPeer || e == ResetByPeer }
+// ByPeer reports whether the peer ended the connection. The peer then knows of the end, and has given up everything that was
+// open on the connection.
+func (e CloseReason) ByPeer() bool { return e == ClosedByPeer || e == ResetByPeer }
 
-// outcomes is the one table from an end to what the module is told of a dispatch that was open on the connection.
-// Written: some of its bytes may have left, and from then on nothing proves that it never ran.
-var outcomes = [ends]struct{ written, unwritten brain.Outcome }{
-	RefusedDial:   {brain.ConnectionLost, brain.ConnectFailed},
-	DialTimedOut:  {brain.ConnectionLost, brain.ConnectFailed},
-	NoDescriptor:  {brain.ConnectionLost, brain.NotSent},
-	Unaddressed:   {brain.ConnectionLost, brain.ConnectFailed},
-	ClosedByPeer:  {brain.ConnectionLost, brain.ConnectFailed},
-	ResetByPeer:   {brain.ConnectionLost, brain.ConnectFailed},
-	Unreachable:   {brain.ConnectionLost, brain.ConnectFailed},
-	BadInput:      {brain.ConnectionLost, brain.NotSent},
-	Unread:        {brain.ConnectionLost, brain.NotSent},
-	NoMemory:      {brain.ConnectionLost, brain.NotSent},
-	ClosedIdle:    {brain.ConnectionLost, brain.NotSent},
-	Silent:        {brain.ConnectionLost, brain.NotSent},
-	Crowded:       {brain.ConnectionLost, brain.NotSent},
-	ClosedSuspect: {brain.ConnectionLost, brain.NotSent},
-	LeftAddress:   {brain.ConnectionLost, brain.NotSent},
-	Unanswered:    {brain.ConnectionLost, brain.NotSent},
-	LoginRefused:  {brain.ConnectionLost, brain.ConnectFailed},
-	Stopped:       {brain.ConnectionLost, brain.NotSent},
+// outcomesByReason maps a close reason to the outcome that is reported to the decision module for a dispatch that was open on
+// the connection. A dispatch counts as written as soon as some of its bytes may have left; from then on nothing proves that it
+// never ran.
+var outcomesByReason = [closeReasonCount]struct{ written, unwritten brain.Outcome }{
+	DialRefused:         {brain.ConnectionLost, brain.ConnectFailed},
+	DialTimedOut:        {brain.ConnectionLost, brain.ConnectFailed},
+	NoDescriptors:       {brain.ConnectionLost, brain.NotSent},
+	NoAddress:           {brain.ConnectionLost, brain.ConnectFailed},
+	ClosedByPeer:        {brain.ConnectionLost, brain.ConnectFailed},
+	ResetByPeer:         {brain.ConnectionLost, brain.ConnectFailed},
+	Unreachable:         {brain.ConnectionLost, brain.ConnectFailed},
+	BadInput:            {brain.ConnectionLost, brain.NotSent},
+	PeerNotReading:      {brain.ConnectionLost, brain.NotSent},
+	BufferLimitExceeded: {brain.ConnectionLost, brain.NotSent},
+	ClosedIdle:          {brain.ConnectionLost, brain.NotSent},
+	FrameTimedOut:       {brain.ConnectionLost, brain.NotSent},
+	Crowded:             {brain.ConnectionLost, brain.NotSent},
+	ClosedSuspect:       {brain.ConnectionLost, brain.NotSent},
+	StaleAddress:        {brain.ConnectionLost, brain.NotSent},
+	CancelTimedOut:      {brain.ConnectionLost, brain.NotSent},
+	LoginRefused:        {brain.ConnectionLost, brain.ConnectFailed},
+	RouterStopped:       {brain.ConnectionLost, brain.NotSent},
 }
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -20,25 +20,26 @@
 	"pitchfield/internal/traffic"
 )
 
-// host is the fake host of the stories: it keeps what the router asks for and plays clients and engines.
+// host runs a router in tests: it records the router's effects and plays its clients, its engines and its clock.
 type host struct {
 	*Router
-	t       *testing.T
-	now     float64
-	pool    *buffers.Pool
-	did     []Effect
-	timer   float64
-	speaks  map[uint64]traffic.Engine
-	frames  *traffic.ClientProtocol
-	client  traffic.Client
-	written map[uint64]string // by connection to an engine
-	answers map[uint32]string // by stream: code, fields and body
-	dials   []Dial
-	queries []uint16
-	ids     int
+	t              *testing.T
+	now            float64 // seconds
+	pool           *buffers.Pool
+	emitted        []Effect                  // in order
+	nextTimer      float64                   // when the router wants to be woken
+	sessions       map[uint64]traffic.Engine // by connection to an engine
+	clientProtocol *traffic.ClientProtocol
+	clientSession  traffic.Client
+	written        map[uint64]string // by connection to an engine
+	answers        map[uint32]string // by stream: code, fields and body
+	dials          []Dial
+	queries        []uint16
+	lastID         int // number of batches sent by sendBatch
 }
 
-const grades = `{"grades":[
+// testSettings has two service groups: lookup batches are safe to retry, upload batches must run at most once.
+const testSettings = `{"grades":[
  {"name":"lookup","on-time-ms":800,"deadline-ms":4000,"idempotency":"idempotent","worth":1},
  {"name":"upload","on-time-ms":4000,"deadline-ms":9000,"idempotency":"at_most_once","worth":6}],
  "specifics":{"cores-by-kind":[8],"memory-by-kind-mb":[16000],"dop":[1,2]},"dcs":["east"],"flavors":["std"],
@@ -46,49 +47,54 @@
  "max-retry-after-ms":500},"feedback":{"how":"probe","names":["waiting"]},"balancers":1,"index":0,
  "rules":{"stop-sending-within-ms":250},"tick-ms":5}`
 
-func start(t *testing.T, listed ...directory.Engine) *host { return startWith(t, grades, listed...) }
+// newHost starts a router with testSettings, the given engines in its list and one client, number 1.
+func newHost(t *testing.T, listed ...directory.Engine) *host {
+	return newHostWith(t, testSettings, listed...)
+}
 
-func startWith(t *testing.T, grades string, listed ...directory.Engine) *host {
-	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + grades + `}`))
+// newHostWith does the same with other settings.
+func newHostWith(t *testing.T, settings string, listed ...directory.Engine) *host {
+	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + settings + `}`))
 	require.NoError(t, err)
 	c.Known = directory.List{Serial: 1, Engines: listed}
-	h := &host{t: t, now: 100, pool: &buffers.Pool{}, timer: 1e9, written: map[uint64]string{}, answers: map[uint32]string{},
-		speaks: map[uint64]traffic.Engine{}}
+	h := &host{t: t, now: 100, pool: &buffers.Pool{}, nextTimer: 1e9, written: map[uint64]string{}, answers: map[uint32]string{},
+		sessions: map[uint64]traffic.Engine{}}
 	resp := engines.Protocol()
-	h.frames = clients.Protocol(h.pool)
-	h.client = h.frames.New()
+	h.clientProtocol = clients.Protocol(h.pool)
+	h.clientSession = h.clientProtocol.New()
 	h.Router = New(c, func(directory.Engine) *traffic.EngineProtocol { return resp }, h.pool, h.now)
 	h.spread = 1
-	h.tell(h.opened(1))
+	h.deliver(h.clientOpenedEvent(1))
 	return h
 }
 
-func east(id string) directory.Engine {
+// eastEngine returns the list entry of a ready engine in the router's own zone.
+func eastEngine(id string) directory.Engine {
 	return directory.Engine{ID: id, Address: "10.0.0.1:80", Zone: "east", Kind: "std", Weight: 1}
 }
 
-// tell brings events of one loop turn.
-func (h *host) tell(events ...Event) {
+// deliver passes the events of one loop turn to the router and carries out its effects.
+func (h *host) deliver(events ...Event) {
 	for _, e := range append(events, TurnEnded{}) {
-		for _, what := range h.Reduce(h.now, e) {
-			h.did = append(h.did, what)
-			switch w := what.(type) {
+		for _, effect := range h.Reduce(h.now, e) {
+			h.emitted = append(h.emitted, effect)
+			switch w := effect.(type) {
 			case Dial:
 				h.dials = append(h.dials, w)
-				h.speaks[w.Connection] = w.Speaks.New()
+				h.sessions[w.Connection] = w.Speaks.New()
 			case SetTimer:
-				h.timer = w.At
+				h.nextTimer = w.At
 			case AskList:
 				h.queries = append(h.queries, w.Query)
 			case OrderEngine:
 				out := h.pool.Chain()
-				h.speaks[w.Connection].Order(out, w.What)
+				h.sessions[w.Connection].Order(out, w.What)
 				h.written[w.Connection] += out.String()
 				out.Release()
 			case TellClient:
 				out := h.pool.Chain()
-				h.client.Tell(out, w.What)
-				h.read(out.String())
+				h.clientSession.Tell(out, w.What)
+				h.readAnswers(out.String())
 				out.Release()
 				if a, is := w.What.(*traffic.Answer); is {
 					rows.Release(a.Rows)
@@ -98,11 +104,12 @@
 			}
 		}
 	}
-	h.agrees()
+	h.checkCounts()
 }
 
-// agrees: what is believed to be out at an engine is what is open on its connections, and no more than that.
-func (h *host) agrees() {
+// checkCounts checks that the number of outstanding dispatches that the router keeps for each engine equals the number of dispatches
+// that are open on the engine's connections, and that the batches open by id are the open batches of all clients.
+func (h *host) checkCounts() {
 	open := map[*engine]int{}
 	for _, l := range h.connections {
 		for _, what := range l.Opens() {
@@ -122,61 +129,65 @@
 	assert.Len(h.t, h.open, waiting)
 }
 
-func (h *host) read(text string) {
+// readAnswers parses frames that were sent to a client and records the answers in them.
+func (h *host) readAnswers(text string) {
 	for len(text) > 0 {
 		size := int(binary.LittleEndian.Uint32([]byte(text)))
 		if stream := binary.LittleEndian.Uint32([]byte(text[5:])); text[4] == clients.Answer {
-			assert.NotContains(h.t, h.answers, stream, "a second answer")
+			assert.NotContains(h.t, h.answers, stream, "stream answered twice")
 			h.answers[stream] = text[9 : 4+size]
 		}
 		text = text[4+size:]
 	}
 }
 
-func (h *host) pass(seconds float64) {
+// advance lets time pass and fires the router's timer whenever it is due.
+func (h *host) advance(seconds float64) {
 	for end := h.now + seconds; ; {
-		if h.now = max(h.now, min(h.timer, end)); h.now == end {
+		if h.now = max(h.now, min(h.nextTimer, end)); h.now == end {
 			return
 		}
-		h.timer = 1e9
-		h.tell(TimerFired{})
+		h.nextTimer = 1e9
+		h.deliver(TimerFired{})
 	}
 }
 
-// batch sends one and gives its stream and id.
-func (h *host) batch(group string, left int) (uint32, string) {
-	h.ids++
-	id := fmt.Sprintf("%016x", 240+h.ids)
-	h.tell(h.said(1, standin.Frame(clients.Ask, uint32(h.ids), []string{"c", group, "i", id, "d", strconv.Itoa(left)},
+// sendBatch sends a batch of client 1 with a time limit in milliseconds, and returns its stream and id.
+func (h *host) sendBatch(group string, limit int) (uint32, string) {
+	h.lastID++
+	id := fmt.Sprintf("%016x", 240+h.lastID)
+	h.deliver(h.clientFrame(1, standin.Frame(clients.Ask, uint32(h.lastID), []string{"c", group, "i", id, "d", strconv.Itoa(limit)},
 		"SELECT 1 FROM a_3.b")))
-	return uint32(h.ids), id
+	return uint32(h.lastID), id
 }
 
-// up lets the last dial come up.
-func (h *host) up() uint64 {
+// connectLast establishes the connection that was dialled last and returns its number.
+func (h *host) connectLast() uint64 {
 	require.NotEmpty(h.t, h.dials)
 	number := h.dials[len(h.dials)-1].Connection
-	h.tell(EngineOpened{number})
+	h.deliver(EngineOpened{number})
 	return number
 }
 
-func (h *host) opened(number uint64) Event { return ClientOpened{number, h.frames} }
+// clientOpenedEvent returns the event of a new client connection.
+func (h *host) clientOpenedEvent(number uint64) Event { return ClientOpened{number, h.clientProtocol} }
 
-// said is a frame as the loop would bring it.
-func (h *host) said(client uint64, frame []byte) Event {
+// clientFrame returns the event of a frame from a client, as the event loop delivers it.
+func (h *host) clientFrame(client uint64, frame []byte) Event {
 	in := h.pool.Chain()
 	in.Write(frame)
-	what, err := h.client.Read(in, nil)
+	message, err := h.clientSession.Read(in, nil)
 	require.NoError(h.t, err)
-	return ClientSaid{client, what}
+	return ClientSaid{client, message}
 }
 
-// say brings an engine's answer: its word, fields and body.
-func (h *host) say(connection uint64, id, word, fields, body string) {
-	h.tell(h.saying(connection, id, word, fields, body))
+// engineReply delivers a reply of an engine: its command word, fields and body.
+func (h *host) engineReply(connection uint64, id, word, fields, body string) {
+	h.deliver(h.engineReplyEvent(connection, id, word, fields, body))
 }
 
-func (h *host) saying(connection uint64, id, word, fields, body string) Event {
+// engineReplyEvent returns the event of a reply of an engine.
+func (h *host) engineReplyEvent(connection uint64, id, word, fields, body string) Event {
 	in := h.pool.Chain()
 	for i, part := range []string{id, word, fields, body} {
 		if i == 0 {
@@ -184,25 +195,32 @@
 		}
 		in.WriteString("$" + strconv.Itoa(len(part)) + "\r\n" + part + "\r\n")
 	}
-	reply, err := h.speaks[connection].Read(in, nil)
+	reply, err := h.sessions[connection].Read(in, nil)
 	require.NoError(h.t, err)
 	return EngineSaid{connection, reply}
 }
 
-func (h *host) fetches(id string) (n int) {
+// fetchCount returns how many times a batch was written to engines.
+func (h *host) fetchCount(id string) (n int) {
 	for _, text := range h.written {
 		n += strings.Count(text, "fetch\r\n$"+strconv.Itoa(len(id))+"\r\n"+id+"\r\n")
 	}
 	return n
 }
 
-func (h *host) closed() (ends []End) {
-	for _, what := range h.did {
-		if c, ok := what.(CloseEngine); ok {
-			ends = append(ends, c.End)
+// engineCloseReasons returns why the router closed connections to engines, in order.
+func (h *host) engineCloseReasons() (reasons []CloseReason) {
+	for _, effect := range h.emitted {
+		if c, ok := effect.(CloseEngine); ok {
+			reasons = append(reasons, c.End)
 		}
 	}
-	return ends
+	return reasons
 }
 
-const ok, refusal, failure = "\x00\x00", "\x0b", "\x05\x00"
+// The leading bytes of an answer in h.answers.
+const (
+	answerOK       = "\x00\x00"
+	answerRejected = "\x0b"
+	answerFailed   = "\x05\x00"
+)
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -8,19 +8,21 @@
 	"pitchfield/internal/traffic"
 )
 
-// levelEvery is how often the measures are looked at, in seconds.
-const levelEvery = 0.5
+// levelInterval is how often the level of service is reevaluated, in seconds.
+const levelInterval = 0.5
 
+// levelCheck is the timer value at which the level is reevaluated.
 type levelCheck struct{}
 
-// level is what the router keeps for levels of reduced service. Without settings for them it does nothing.
-type level struct {
+// serviceLevel holds the state for levels of reduced service. Without settings for levels its fields are nil and it does nothing.
+type serviceLevel struct {
 	machine *levels.Machine
 	gauge   *levels.Gauge
-	shed    int // batches that a level has refused
+	shed    int // batches that a level has rejected since the start
 }
 
-func (l *level) came(b *batch) {
+// batchArrived counts a batch that was accepted, or shed by the current level.
+func (l *serviceLevel) batchArrived(b *batch) {
 	if l.gauge == nil {
 		return
 	}
@@ -31,7 +33,9 @@
 	}
 }
 
-func (l *level) answered(b *batch, code traffic.Code, now float64) {
+// batchAnswered counts the final answer of a batch, and whether it came within the goal of its service group. Batches that a level
+// shed don't count.
+func (l *serviceLevel) batchAnswered(b *batch, code traffic.Code, now float64) {
 	if l.gauge == nil || b.Shed {
 		return
 	}
@@ -40,87 +44,96 @@
 	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Returned && now-b.takenAt <= goal, code == traffic.PushedBack)
 }
 
-func (l *level) finished(work, now float64) {
+// workFinished counts work that an engine has finished, in thread-seconds.
+func (l *serviceLevel) workFinished(work, now float64) {
 	if l.gauge != nil {
 		l.gauge.Advance(now)
 		l.gauge.WorkFinished(work)
 	}
 }
 
-// Status is how a router stands.
+// Status is a snapshot of a router's state for its status page.
 type Status struct {
-	Name                       string
-	Now                        float64
-	Level, Reason              string
-	Since                      float64
-	Step                       int
-	Shed                       int
-	Measures                   levels.MeasureValues
-	Batches, Clients, Stopping int
-	Seen                       brain.Stats
+	Name      string
+	Now       float64              // time of the snapshot, in seconds
+	Level     string               // name of the level of service
+	Reason    string               // why this level is in force
+	Since     float64              // when it was entered
+	Step      int                  // step of the trial to leave it; 0: no trial
+	Shed      int                  // batches that levels have rejected since the start
+	Measures  levels.MeasureValues // what levels are decided by
+	Batches   int                  // batches without a final answer, or with an outstanding dispatch
+	Clients   int                  // client connections
+	Stopping  int                  // 1 while the router stops, else 0
+	Decisions brain.Stats          // state of the decision module
 }
 
+// setLevels applies new settings for the levels of reduced service. The first ones start the state machine; later ones keep the
+// level that is in force where they still define it.
 func (r *Router) setLevels(e LevelsSet) {
 	if r.level.machine == nil {
 		r.level.gauge = levels.NewGauge(e.Over, r.now)
-		// Routers that are not told their number draw their place.
+		// A router whose index is not configured draws its place among the routers at random.
 		seat := rand.New(rand.NewPCG(r.settings.Seed, 3)).Float64()
 		if n := r.settings.Settings.Routers; n > 1 && r.settings.Settings.Index >= 0 {
 			seat = float64(r.settings.Settings.Index) / float64(n-1)
 		}
 		r.level.machine = levels.New(e.Levels, seat, r.now)
-		r.timers.add(r.now+levelEvery, levelCheck{})
+		r.timers.add(r.now+levelInterval, levelCheck{})
 		return
 	}
 	before := r.level.machine.State()
 	if after := r.level.machine.Reconfigure(e.Levels); after.Name != before.Name {
-		r.levelChanged(after, levels.MeasureValues{})
+		r.applyLevel(after, levels.MeasureValues{})
 	} else {
-		r.brain.SetReducedService(r.reduced(after.Actions))
+		r.brain.SetReducedService(r.reducedService(after.Actions))
 	}
 }
 
-// lookAtLevel takes the measures, and has the module follow where the level is another than before.
-func (r *Router) lookAtLevel() {
-	r.timers.add(r.now+levelEvery, levelCheck{})
-	seen := r.brain.Stats()
+// updateLevel reads the measures, applies the level if it has changed, and reports the router's status.
+func (r *Router) updateLevel() {
+	r.timers.add(r.now+levelInterval, levelCheck{})
+	decisions := r.brain.Stats()
 	r.level.gauge.Advance(r.now)
-	r.level.gauge.SetCurrent(seen.QueuedWork, seen.Engines, seen.Cold+seen.Ejected+seen.Draining)
-	x := r.level.gauge.Values()
-	state, changed := r.level.machine.Update(r.now, x)
+	r.level.gauge.SetCurrent(decisions.QueuedWork, decisions.Engines, decisions.Cold+decisions.Ejected+decisions.Draining)
+	measures := r.level.gauge.Values()
+	state, changed := r.level.machine.Update(r.now, measures)
 	if changed {
-		r.levelChanged(state, x)
+		r.applyLevel(state, measures)
 	}
 	stopping := 0
 	if r.stopAt > 0 {
 		stopping = 1
 	}
 	r.do(Tell{Status{Name: r.settings.Name, Now: r.now, Level: state.Name, Reason: state.Reason, Since: state.Since,
-		Step: state.Step, Shed: r.level.shed, Measures: x, Batches: len(r.batches), Clients: len(r.clients),
-		Stopping: stopping, Seen: seen}})
+		Step: state.Step, Shed: r.level.shed, Measures: measures, Batches: len(r.batches), Clients: len(r.clients),
+		Stopping: stopping, Decisions: decisions}})
 }
 
-func (r *Router) levelChanged(s levels.State, x levels.MeasureValues) {
-	fields := []any{"level", s.Name, "number", s.Level, "step", s.Step, "reason", s.Reason, "shed", r.level.shed}
+// applyLevel logs a change of level, with the measures that led to it, and passes its restrictions to the decision module.
+func (r *Router) applyLevel(state levels.State, measures levels.MeasureValues) {
+	fields := []any{"level", state.Name, "number", state.Level, "step", state.Step, "reason", state.Reason, "shed", r.level.shed}
 	for m, name := range levels.MeasureNames {
-		fields = append(fields, name, x[m])
+		fields = append(fields, name, measures[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.SetReducedService(r.reduced(s.Actions))
+	r.brain.SetReducedService(r.reducedService(state.Actions))
 }
 
-// reduced words a level for the module. A group that has a second one for what has no mark is shed with it.
-func (r *Router) reduced(d levels.Actions) brain.ReducedService {
-	out := brain.ReducedService{MinUtilityPerSecond: d.MinUtilityRate, MaxRetries: d.MaxRetries, ProbeShare: d.ProbeRatio, GiveUpFactor: d.GiveUpFactor}
-	for name, keep := range d.AdmitRatio {
-		if out.KeepShare == nil {
-			out.KeepShare = map[*brain.ServiceGroup]float64{}
+// reducedService translates a level's restrictions for the decision module. A group that has a second group of the same name, for
+// batches without a mark, is shed together with it.
+func (r *Router) reducedService(restrictions levels.Actions) brain.ReducedService {
+	reduced := brain.ReducedService{MinUtilityPerSecond: restrictions.MinUtilityRate, MaxRetries: restrictions.MaxRetries, ProbeShare: restrictions.ProbeRatio,
+		GiveUpFactor: restrictions.GiveUpFactor}
+	for name, keep := range restrictions.AdmitRatio {
+		if reduced.KeepShare == nil {
+			reduced.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
 		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarked[name]} {
 			if g != nil {
-				out.KeepShare[g] = keep
+				reduced.KeepShare[g] = keep
 			}
 		}
 	}
-	return out
+	return reduced
 }
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -8,82 +8,90 @@
 	"pitchfield/internal/news"
 )
 
-// told is what this router knows of what the others have out. It is there only where an installation wants it.
-type told struct {
-	machine *news.Machine
-	view    uint64 // number of the view that it goes by
-	stale   float64
+// loadReports holds what this router knows of the load that the other routers have outstanding at the engines. It exists only where
+// load reports are configured.
+type loadReports struct {
+	machine    *news.Machine
+	viewHash   uint64  // hash of the membership view that the machine uses; 0: none
+	staleAfter float64 // seconds after which a report no longer counts
 }
 
-type newsDue struct{}
+// loadReportDue is the timer value at which the next load report is due.
+type loadReportDue struct{}
 
-func (r *Router) setNews(s *news.Settings, name string) {
-	r.news = &told{machine: news.New(*s, name, r.now), stale: s.Stale}
+// startLoadReports begins to exchange load reports with the other routers.
+func (r *Router) startLoadReports(s *news.Settings, name string) {
+	r.news = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
 	r.log(Info, "news", "every", s.Every)
-	r.timers.add(r.now+s.Every, newsDue{})
+	r.timers.add(r.now+s.Every, loadReportDue{})
 }
 
-// newsDue tells what is out of this router now.
-func (r *Router) newsDue() {
+// sendLoadReport reports the load that this router has outstanding at each engine, and schedules the next report.
+func (r *Router) sendLoadReport() {
 	n := r.news
-	r.newsView()
+	r.updateReportMembers()
 	var loads []news.Load
 	for _, e := range r.engines {
 		if threads, memory := e.Engine.InFlightResources(); threads > 0 {
-			loads = append(loads, news.Load{Of: of(e), Threads: threads, Memory: memory})
+			loads = append(loads, news.Load{Of: engineInstance(e), Threads: threads, Memory: memory})
 		}
 	}
 	n.machine.Tell(r.now, loads)
-	r.timers.add(n.machine.At(), newsDue{})
-	r.newsSaid()
-	r.newsKnown()
+	r.timers.add(n.machine.At(), loadReportDue{})
+	r.flushLoadReports()
+	r.applyReportedLoads()
 }
 
-// newsView brings who is there. Where that is cut off, or another has this router's name, what is told is of a part of the
-// fleet, and nothing of it is believed.
-func (r *Router) newsView() {
+// updateReportMembers gives the machine the current members. While this router is cut off, or another router has its name, reports
+// cover only a part of the fleet, so the machine gets no members and ignores all reports.
+func (r *Router) updateReportMembers() {
 	n, m := r.news, r.members.machine
 	switch c := m.Certainty(); {
 	case c == membership.Alone || c == membership.CutOff:
-		n.view = 0
+		n.viewHash = 0
 		n.machine.View(nil)
-	case n.view != m.Hash():
-		n.view = m.Hash()
+	case n.viewHash != m.Hash():
+		n.viewHash = m.Hash()
 		var all []news.Member
-		for _, o := range m.View().Members {
-			all = append(all, news.Member{Name: o.Name, Address: o.Address})
+		for _, member := range m.View().Members {
+			all = append(all, news.Member{Name: member.Name, Address: member.Address})
 		}
 		n.machine.View(all)
 	}
 }
 
-func (r *Router) newsCame(from string, m *news.Message) {
+// receiveLoadReport processes a load report that another router has sent from an address.
+func (r *Router) receiveLoadReport(from string, m *news.Message) {
 	if r.news.machine.Heard(r.now, from, m) {
-		r.newsKnown()
+		r.applyReportedLoads()
 	}
-	r.newsSaid()
+	r.flushLoadReports()
 }
 
-// newsKnown brings to the module what the others have out.
-func (r *Router) newsKnown() {
+// applyReportedLoads gives the decision module the load that the other routers have outstanding at each engine.
+func (r *Router) applyReportedLoads() {
 	loads, age, known := r.news.machine.Others(r.now)
 	if !known {
 		return
 	}
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
-			l := loads[of(e)]
-			r.brain.SetOthersLoad(&e.Engine, l.Threads, l.Memory, r.now+r.news.stale-age)
+			load := loads[engineInstance(e)]
+			r.brain.SetOthersLoad(&e.Engine, load.Threads, load.Memory, r.now+r.news.staleAfter-age)
 		}
 	}
 }
 
-func (r *Router) newsSaid() {
-	for _, s := range r.news.machine.Sends() {
-		r.members.said++
-		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), nil, &said})
+// flushLoadReports sends the messages that the load report machine has produced.
+func (r *Router) flushLoadReports() {
+	for _, send := range r.news.machine.Sends() {
+		r.members.sent++
+		message := send.Message
+		r.do(Talk{send.To, r.members.machine.Envelope(), nil, &message})
 	}
 }
 
-func of(e *engine) news.Of { return news.Of{Engine: e.Engine.ID, Start: math.Float64bits(e.StartedAt)} }
+// engineInstance identifies one start of an engine: a restarted engine is another instance.
+func engineInstance(e *engine) news.Of {
+	return news.Of{Engine: e.Engine.ID, Start: math.Float64bits(e.StartedAt)}
+}
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -7,17 +7,19 @@
 	"pitchfield/internal/traffic"
 )
 
+// probe is a health check of an engine, or of one connection to it, that is due an answer.
 type probe struct {
 	engine *engine
-	line   *line
-	tag    string
+	conn   *line
+	tag    string // identifies the probe on its connection
 	ended  bool
 }
 
-func (r *Router) probe(e *engine) {
+// sendProbe sends a probe to an engine for the decision module.
+func (r *Router) sendProbe(e *engine) {
 	p := &probe{engine: e, tag: tag(r.number())}
 	var l *line
-	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // its answer tells of the connection too
+	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // the answer also shows that this connection works
 		l = r.connections[c.Number]
 	} else {
 		l, _ = r.pick(e, p.tag)
@@ -27,32 +29,34 @@
 		r.brain.ProbeEnded(&e.Engine, false, nil)
 		return
 	}
-	p.line = l
+	p.conn = l
 	l.Open(p.tag, p)
 	r.timers.add(r.now+r.settings.Settings.DialTime, p)
 	r.send(l, p)
 }
 
-func (r *Router) probed(p *probe, ok bool, load *brain.Report, late bool) {
+// finishProbe ends a probe: ok if the engine answered that it is fit, late if no answer came in time. The load report counts only
+// where the probe is ok.
+func (r *Router) finishProbe(p *probe, ok bool, load *brain.Report, late bool) {
 	if p.ended {
 		return
 	}
 	p.ended = true
-	p.line.queue = slices.DeleteFunc(p.line.queue, func(w any) bool { return w == any(p) })
+	p.conn.queue = slices.DeleteFunc(p.conn.queue, func(queued any) bool { return queued == any(p) })
 	if !ok {
 		load = nil
 	}
 	r.log(Debug, "probed", "engine", p.engine.name, "ok", ok, "load", load)
-	if p.line.check != p { // that one is ours
+	if p.conn.check != p { // the decision module asked for it; a connection's check is the router's own
 		r.brain.ProbeEnded(&p.engine.Engine, ok, load)
 	} else {
-		p.line.check = nil
+		p.conn.check = nil
 	}
-	if l := p.line; late && l.engine.speaks.Alone && l.Up && r.connections[l.Number] == l {
+	if l := p.conn; late && l.engine.speaks.Alone && l.Up && r.connections[l.Number] == l {
 		r.order(l, traffic.GiveUp{ID: p.tag})
 		r.settle(l)
 		late = false
 	}
-	p.line.Close(p.tag, late, r.now)
-	r.rest(p.line)
+	p.conn.Close(p.tag, late, r.now)
+	r.rest(p.conn)
 }
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -8,26 +8,28 @@
 	"pitchfield/internal/traffic"
 )
 
-// parts is what this router has of budgets that the fleet divides among its routers. It is there only where an installation
-// wants it.
-type parts struct {
+// quotas holds this router's part of the budgets that are divided among the routers of the fleet. It exists only where this is
+// configured.
+type quotas struct {
 	machine *shares.Machine
-	timer   *timer
-	at      float64 // of the timer
+	timer   *timer  // wakes the machine
+	timerAt float64 // when the timer is due
 }
 
-type partsDue struct{}
+// quotasDue is the timer value at which the quota machine wants to be woken.
+type quotasDue struct{}
 
-// setShares puts the division that moves in place of the fixed one.
-func (r *Router) setShares(s *shares.Settings, self shares.ID) {
-	r.parts = &parts{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
+// startQuotas replaces the fixed division of the fleet's budgets by one that follows demand.
+func (r *Router) startQuotas(s *shares.Settings, self shares.ID) {
+	r.parts = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
 	r.brain.SetQuota(r.parts.machine)
-	r.setPurses()
+	r.setQuotaLeases()
 	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
 }
 
-// setPurses gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
-func (r *Router) setPurses() {
+// setQuotaLeases gives each fleet-wide limit its quota lease. A batch counts against a concurrency limit for at most the longest
+// time limit of all service groups, so that is how long its credit may stay in use.
+func (r *Router) setQuotaLeases() {
 	if r.parts == nil || r.routes == nil {
 		return
 	}
@@ -36,15 +38,15 @@
 		longest = max(longest, g.Limit)
 	}
 	m := r.parts.machine
-	further := func(b *limits.RetryBudget, name string) {
+	setRetryLease := func(b *limits.RetryBudget, name string) {
 		if b != nil && b.FleetWide {
 			b.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.FreeRetries, Rest: b.Window})
 		}
 	}
-	further(r.ofAll, "further.all")
+	setRetryLease(r.ofAll, "further.all")
 	for _, route := range r.routes.Routes {
 		if b := route.Budget; b != nil {
-			further(b, "budget "+b.Name)
+			setRetryLease(b, "budget "+b.Name)
 		}
 		if c := route.Concurrency; c != nil && c.FleetWide > 0 {
 			c.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.FleetWide), Rest: longest})
@@ -52,71 +54,73 @@
 	}
 }
 
-// partsTurn asks for what the module has wanted, and lets it look again where something came. What is for oneself comes at
-// once, so there may be more than one round.
-func (r *Router) partsTurn() {
-	p := r.parts
+// updateQuotas requests the credits that the decision module has asked for, and lets it decide again when credits arrive. Messages
+// to this router itself are delivered at once, so several rounds may be needed; four at most are run in one turn.
+func (r *Router) updateQuotas() {
+	q := r.parts
 	for range 4 {
-		if !p.machine.Wanted() && r.now < p.machine.At() {
+		if !q.machine.Wanted() && r.now < q.machine.At() {
 			break
 		}
-		p.machine.Wake(r.now)
-		if !p.machine.Came() {
+		q.machine.Wake(r.now)
+		if !q.machine.Came() {
 			break
 		}
 		r.brain.QuotaGranted()
 		r.pull()
 	}
-	r.partsSaid()
+	r.flushQuotas()
 }
 
-// partsSaid does what the machine asks for, and sets its next time.
-func (r *Router) partsSaid() {
-	p := r.parts
-	for _, s := range p.machine.Sends() {
-		r.members.said++
-		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), &said, nil})
+// flushQuotas sends the messages and logs the notes that the quota machine has produced, and sets its next timer.
+func (r *Router) flushQuotas() {
+	q := r.parts
+	for _, send := range q.machine.Sends() {
+		r.members.sent++
+		message := send.Message
+		r.do(Talk{send.To, r.members.machine.Envelope(), &message, nil})
 	}
-	for _, n := range p.machine.Notes() {
+	for _, note := range q.machine.Notes() {
 		level := Info
-		if n.Loud {
+		if note.Loud {
 			level = Warn
 		}
-		r.log(level, n.Text, n.Fields...)
+		r.log(level, note.Text, note.Fields...)
 	}
-	if at := p.machine.At(); at != p.at || p.timer == nil || p.timer.index < 0 {
-		r.timers.stop(p.timer)
-		p.timer, p.at = nil, at
-		if at < farOff {
-			p.timer = r.timers.add(at, partsDue{})
+	if at := q.machine.At(); at != q.timerAt || q.timer == nil || q.timer.index < 0 {
+		r.timers.stop(q.timer)
+		q.timer, q.timerAt = nil, at
+		if at < farFuture {
+			q.timer = r.timers.add(at, quotasDue{})
 		}
 	}
 }
 
-// partsCame takes in what another router says of shares.
-func (r *Router) partsCame(m *shares.Message) {
-	p := r.parts
-	if p == nil {
+// receiveQuotaMessage processes a quota message of another router, and lets the decision module decide again if credits came with it.
+func (r *Router) receiveQuotaMessage(message *shares.Message) {
+	q := r.parts
+	if q == nil {
 		return
 	}
-	p.machine.Heard(r.now, m)
-	if p.machine.Came() {
+	q.machine.Heard(r.now, message)
+	if q.machine.Came() {
 		r.brain.QuotaGranted()
 	}
-	r.partsSaid()
+	r.flushQuotas()
 }
 
-// by is when the dispatch that the module has just decided has to be on its way.
-func (r *Router) by() float64 {
+// writeDeadline returns the time by which the dispatch that the decision module has just decided must be written: when the credits
+// it spends end. It is infinite where nothing that ends was spent.
+func (r *Router) writeDeadline() float64 {
 	if r.parts == nil {
 		return math.Inf(1)
 	}
 	return r.parts.machine.Ends()
 }
 
-// dispatchOrder words a dispatch.
-func (d *dispatch) order(now float64) *traffic.Dispatch {
+// request returns the dispatch as it is sent to its engine. The engine may take the time that is left until the dispatch ends, but
+// at least 1 ms.
+func (d *dispatch) request(now float64) *traffic.Dispatch {
 	b := d.batch
 	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
 }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -15,132 +15,135 @@
 	"pitchfield/internal/standin"
 )
 
-const bursar = "10.9.0.2:7500"
+// coordinatorAddress is the peer address of the quota coordinator, which the tests play.
+const coordinatorAddress = "10.9.0.2:7500"
 
-// divided is a router of a fleet of 24 with one engine, which has just started, and a bursar elsewhere.
-func divided(t *testing.T) *host {
-	e := east("s-1")
+// newQuotaHost returns a router of a fleet of 24. It has one engine, which has just started, and the quota coordinator is another
+// router.
+func newQuotaHost(t *testing.T) *host {
+	e := eastEngine("s-1")
 	e.StartedAt = 97
-	h := startWith(t, strings.Replace(strings.Replace(grades, `"balancers":1`, `"balancers":24`, 1), `"stop-sending-within-ms":250`,
+	h := newHostWith(t, strings.Replace(strings.Replace(testSettings, `"balancers":1`, `"balancers":24`, 1), `"stop-sending-within-ms":250`,
 		`"stop-sending-within-ms":250,"cold-from":0.35,"cold-ms":15000,"fall-multiple":2,"fall-ms":1000`, 1), e)
 	m, s := membership.Defaults(), shares.Defaults()
-	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{bursar}
-	s.Listen, s.Keepers = m.Listen, []string{bursar}
-	h.tell(TalkSet{Settings: m, Shares: &s})
-	h.pass(2)
+	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
+	s.Listen, s.Keepers = m.Listen, []string{coordinatorAddress}
+	h.deliver(TalkSet{Settings: m, Shares: &s})
+	h.advance(2)
 	return h
 }
 
-// heavy asks for a batch of two seconds of work.
-func (h *host) heavy() (uint32, string) {
-	h.ids++
-	id := strconv.Itoa(1000000000000000 + h.ids)
-	h.tell(h.said(1, standin.Frame(clients.Ask, uint32(h.ids), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
-	return uint32(h.ids), id
+// sendHeavyBatch sends a batch of two seconds of work, and returns its stream and id.
+func (h *host) sendHeavyBatch() (uint32, string) {
+	h.lastID++
+	id := strconv.Itoa(1000000000000000 + h.lastID)
+	h.deliver(h.clientFrame(1, standin.Frame(clients.Ask, uint32(h.lastID), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
+	return uint32(h.lastID), id
 }
 
-// asked gives the last asking that went to the bursar.
-func (h *host) asked() (out *shares.Item) {
-	for _, what := range h.did {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask && w.To == bursar {
+// lastCreditRequest returns the last request for a credit that was sent to the coordinator; nil: none.
+func (h *host) lastCreditRequest() (request *shares.Item) {
+	for _, effect := range h.emitted {
+		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask && w.To == coordinatorAddress {
 			for _, i := range w.Shares.Items {
 				if !i.Done {
-					out = &i
+					request = &i
 				}
 			}
 		}
 	}
-	return out
+	return request
 }
 
-func (h *host) give(i *shares.Item, lease float64) {
+// grantCredit delivers the coordinator's grant for a credit request, with a lease in seconds.
+func (h *host) grantCredit(request *shares.Item, lease float64) {
 	roll := uint32(0)
-	for _, what := range h.did {
-		if w, is := what.(Talk); is && w.Shares != nil {
+	for _, effect := range h.emitted {
+		if w, is := effect.(Talk); is && w.Shares != nil {
 			roll = w.Shares.Roll
 		}
 	}
-	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: bursar}
-	h.tell(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.Reply, Roll: roll,
-		To: 1, From: shares.ID{Name: "other", Start: 1}, At: bursar, Bursar: bursar, Items: []shares.Item{{Number: i.Number, Try: i.Try, Key: i.Key, Amount: i.Amount, Lease: lease}}}})
+	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: coordinatorAddress}
+	h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.Reply, Roll: roll,
+		To: 1, From: shares.ID{Name: "other", Start: 1}, At: coordinatorAddress, Bursar: coordinatorAddress, Items: []shares.Item{{Number: request.Number, Try: request.Try, Key: request.Key, Amount: request.Amount, Lease: lease}}}})
 }
 
-func TestAHeavyBatchGoesToAColdEngineByACredit(t *testing.T) {
-	h := divided(t)
-	stream, id := h.heavy()
-	assert.Empty(t, h.dials, "it fits no part of 24")
-	i := h.asked()
-	require.NotNil(t, i, "it is asked for at once")
-	assert.GreaterOrEqual(t, i.Amount, 2.0)
-	h.give(i, 1)
-	line := h.up()
-	assert.Equal(t, 1, h.fetches(id))
-	for _, what := range h.did {
-		if w, is := what.(OrderEngine); is {
-			assert.Less(t, w.By, h.now+1, "what is by a credit says until when")
+func TestHeavyBatchReachesColdEngineWithCredit(t *testing.T) {
+	h := newQuotaHost(t)
+	stream, id := h.sendHeavyBatch()
+	assert.Empty(t, h.dials, "too heavy for one of 24 equal parts")
+	request := h.lastCreditRequest()
+	require.NotNil(t, request, "a credit is requested at once")
+	assert.GreaterOrEqual(t, request.Amount, 2.0)
+	h.grantCredit(request, 1)
+	connection := h.connectLast()
+	assert.Equal(t, 1, h.fetchCount(id))
+	for _, effect := range h.emitted {
+		if w, is := effect.(OrderEngine); is {
+			assert.Less(t, w.By, h.now+1, "a dispatch that spends a credit must be written before the credit ends")
 		}
 	}
-	h.say(line, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
+	h.engineReply(connection, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 }
 
-func TestWhatWasNotWrittenInTimeGoesBackAndIsAskedForAgain(t *testing.T) {
-	h := divided(t)
-	stream, id := h.heavy()
-	h.give(h.asked(), 1)
+func TestRequestNotWrittenInTimeAsksForNewCredit(t *testing.T) {
+	h := newQuotaHost(t)
+	stream, id := h.sendHeavyBatch()
+	h.grantCredit(h.lastCreditRequest(), 1)
 	number := h.dials[0].Connection
-	h.tell(EngineOpened{number}, OrderRefused{Connection: number, ID: id, Why: OrderLate}) // the loop found that its time had come
+	h.deliver(EngineOpened{number}, OrderRefused{Connection: number, ID: id, Why: OrderLate}) // the event loop found that its write deadline had passed
 	require.NotContains(t, h.answers, stream)
 	assert.Zero(t, h.connections[number].Opened())
-	first := h.asked().Number
-	h.pass(0.2)
-	again := h.asked()
+	first := h.lastCreditRequest().Number
+	h.advance(0.2)
+	again := h.lastCreditRequest()
 	require.Greater(t, again.Number, first)
-	h.give(again, 1)
-	h.say(number, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
+	h.grantCredit(again, 1)
+	h.engineReply(number, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 }
 
-func TestACreditThatEndsWhileItsConnectionIsMadeIsNotUsed(t *testing.T) {
-	h := divided(t)
-	_, id := h.heavy()
-	h.give(h.asked(), 1)
-	h.now += 0.15 // longer than it may take until it is written
-	h.up()
-	assert.Zero(t, h.fetches(id))
+func TestCreditThatExpiresDuringDialIsNotUsed(t *testing.T) {
+	h := newQuotaHost(t)
+	_, id := h.sendHeavyBatch()
+	h.grantCredit(h.lastCreditRequest(), 1)
+	h.now += 0.15 // longer than a dispatch with this credit may take until it is written
+	h.connectLast()
+	assert.Zero(t, h.fetchCount(id))
 }
 
-func TestWithoutACreditAHeavyBatchIsGivenUpInTime(t *testing.T) {
-	h := divided(t)
-	stream, _ := h.heavy()
-	h.pass(9)
-	assert.Equal(t, refusal[0], h.answers[stream][0], "the bursar says nothing")
+func TestHeavyBatchWithoutCreditIsRejectedInTime(t *testing.T) {
+	h := newQuotaHost(t)
+	stream, _ := h.sendHeavyBatch()
+	h.advance(9)
+	assert.Equal(t, answerRejected[0], h.answers[stream][0], "the coordinator does not reply")
 }
 
-// A router that nobody tells of others has no timer of theirs: it wakes for its questions alone, twice each at the most.
-func TestWithoutTalkNothingMoreWakesARouter(t *testing.T) {
-	wakes := func(set bool) (n int) {
-		h := start(t, east("s-1"))
-		if set {
-			h.tell(TalkSet{Settings: membership.Defaults()})
+// A router without peer messaging has no timers for it: it wakes only for its queries to the name service, at most twice for each.
+func TestNoExtraWakeupsWithoutPeerMessaging(t *testing.T) {
+	wakeups := func(messaging bool) (n int) {
+		h := newHost(t, eastEngine("s-1"))
+		if messaging {
+			h.deliver(TalkSet{Settings: membership.Defaults()})
 		}
-		h.did = nil
+		h.emitted = nil
 		for end := h.now + 20; h.now < end; n++ {
-			h.now, h.timer = max(h.timer, h.now), 1e9
-			h.tell(TimerFired{})
+			h.now, h.nextTimer = max(h.nextTimer, h.now), 1e9
+			h.deliver(TimerFired{})
 		}
-		if !set {
+		if !messaging {
 			assert.Nil(t, h.members)
 			assert.Nil(t, h.parts)
 			assert.LessOrEqual(t, n, 2*len(h.queries)+2)
-			for _, what := range h.did {
-				if w, is := what.(OrderEngine); is {
+			for _, effect := range h.emitted {
+				if w, is := effect.(OrderEngine); is {
 					assert.True(t, math.IsInf(w.By, 1))
 				}
 			}
 		}
 		return n
 	}
-	off, on := wakes(false), wakes(true)
+	off, on := wakeups(false), wakeups(true)
 	assert.Greater(t, on, off)
 }
