--- a/brain/brain.go
+++ b/brain/brain.go
@@ -62,9 +62,9 @@
 	if r.grants && s.Shortage == Overcommit {
 		r.generous = generous
 	}
-	r.fixed = shares.Fixed{Routers: float64(s.Routers), Index: s.Index, Sharers: coldRouters, Began: now,
-		Whole: coldShare * s.FallMultiple * s.ColdFrom * warmLoad * s.FallTime, Window: s.FallTime}
-	r.parts, r.sharers = shares.NewPlain(r.fixed), min(r.routers, coldRouters)
+	r.fixed = shares.FixedConfig{Routers: float64(s.Routers), Index: s.Index, MaxHolders: coldRouters, StartedAt: now,
+		Total: coldShare * s.FallMultiple * s.ColdFrom * warmLoad * s.FallTime, Window: s.FallTime}
+	r.parts, r.sharers = shares.NewFixedDivision(r.fixed), min(r.routers, coldRouters)
 	for _, g := range s.Groups {
 		g.Threads = max(g.Threads, 1)
 		r.like.batches, r.like.threads = r.like.batches+1e-3, r.like.threads+1e-3*g.Threads
@@ -600,7 +600,7 @@
 		e, figure := r.place(b)
 		if r.lack != nil && (e == nil || r.least < figure) {
 			b.wants, b.wantAt = true, cmp.Or(b.wantAt, r.now)
-			if b.redrawAt = b.wantAt + r.parts.Want(r.now, r.lack.start(), b.likely); r.now < b.redrawAt {
+			if b.redrawAt = b.wantAt + r.parts.Request(r.now, r.lack.start(), b.likely); r.now < b.redrawAt {
 				continue
 			}
 		}
@@ -671,7 +671,7 @@
 				f += blocked
 			}
 		} else if (r.routers <= 1 || r.fresh(e) || r.now < e.othersTo) &&
-			shares.Mix(math.Float64bits(b.Tables)>>24+1, uint64(e.ID))*float64(len(r.engines)) < homes {
+			shares.HashFraction(math.Float64bits(b.Tables)>>24+1, uint64(e.ID))*float64(len(r.engines)) < homes {
 			f -= homeBonus
 		} else if r.now < e.othersTo && r.draw()*float64(len(r.engines)) >= looked {
 			f += passed
@@ -707,7 +707,7 @@
 
 // room: what a cold engine bears is divided among all routers, by a fixed division or by talk.
 func (r *Router) room(b *Batch, e *Engine) bool {
-	return !r.cold(e) || !r.leaving && r.parts.Room(r.now, e.start(), b.likely)
+	return !r.cold(e) || !r.leaving && r.parts.CanSpend(r.now, e.start(), b.likely)
 }
 
 // cold tells whether an engine may still be slow after its start. The time of the start is another machine's
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -59,15 +59,15 @@
 func (b *Batch) Demand() float64 { return b.demand }
 
 // Fixed is how work for cold engines is divided among the routers where they don't talk.
-func (r *Router) Fixed() shares.Fixed { return r.fixed }
+func (r *Router) Fixed() shares.FixedConfig { return r.fixed }
 
-func (e *Engine) start() shares.Start {
-	return shares.Start{Engine: e.ID, At: e.StartedAt, Cores: e.cores}
+func (e *Engine) start() shares.EngineStart {
+	return shares.EngineStart{Engine: e.ID, StartedAt: e.StartedAt, Cores: e.cores}
 }
 
 // Divide brings a division that goes by what is wanted, in place of the fixed one. What was sent by that is not known to it,
 // so it comes before the first batch, or opens late.
-func (r *Router) Divide(parts shares.Parts) { r.parts, r.moved = parts, true }
+func (r *Router) Divide(parts shares.ColdStartQuota) { r.parts, r.moved = parts, true }
 
 // Granted: a part has come, so batches that were put off for want of one look again at once. What rests by its route rests on.
 func (r *Router) Granted() {
--- a/brain/types.go
+++ b/brain/types.go
@@ -297,14 +297,14 @@
 	most                   int     // dispatches of a batch
 	probeEvery             float64 // own batches that pay for a probe
 	coldTime               float64
-	largest                float64      // memory of any engine; 0: not told
-	fixed                  shares.Fixed // how work for cold engines is divided without talk
-	parts                  shares.Parts // our part of it
-	leaving                bool         // it is no longer used: another process may go by the same part
-	moved                  bool         // it goes to where it is wanted
-	lack                   *Engine      // of which a batch that was just looked at wants a part,
-	least                  float64      // and its figure
-	sharers                float64      // routers of which each has a part
+	largest                float64               // memory of any engine; 0: not told
+	fixed                  shares.FixedConfig    // how work for cold engines is divided without talk
+	parts                  shares.ColdStartQuota // our part of it
+	leaving                bool                  // it is no longer used: another process may go by the same part
+	moved                  bool                  // it goes to where it is wanted
+	lack                   *Engine               // of which a batch that was just looked at wants a part,
+	least                  float64               // and its figure
+	sharers                float64               // routers of which each has a part
 	settle, tick           float64
 	notesEvery             float64
 	freeFurther, further   float64
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -100,7 +100,7 @@
 		m.settled = max(m.settled, n)
 	}
 	if r.parts != nil {
-		r.parts.machine.Fleet(m.machine.Count())
+		r.parts.machine.ObserveFleetSize(m.machine.Count())
 	}
 	if m.settled != m.counted {
 		m.counted = m.settled
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -18,7 +18,7 @@
 	h := start(t, east("s-1"), other)
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{bursar}
-	s.Listen, s.Keepers, s.Firm = m.Listen, []string{bursar}, 0
+	s.Listen, s.Replicas, s.FixedFraction = m.Listen, []string{bursar}, 0
 	h.tell(TalkSet{Settings: m, Shares: &s})
 	route.Name, route.Match = "r", limits.Fields{Group: "lookup"}
 	h.tell(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
@@ -30,7 +30,7 @@
 func (h *host) returned(number uint64) (amount float64) {
 	amount = -1
 	for _, what := range h.did {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask {
+		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.GrantRequest {
 			for _, i := range w.Shares.Items {
 				if i.Done && i.Number == number {
 					amount = i.Amount
@@ -49,7 +49,7 @@
 	require.NotNil(t, i)
 	assert.Equal(t, shares.Concurrency, i.Key.Kind)
 	assert.InDelta(t, 1, i.Amount, 0)
-	assert.Greater(t, i.Rest, 9.0, "what is out lasts as long as the longest time limit")
+	assert.Greater(t, i.CountedFor, 9.0, "what is out lasts as long as the longest time limit")
 	h.give(i, 1)
 	line := h.up()
 	h.pass(1.5) // the credit ends, and its batch is still out
@@ -58,7 +58,7 @@
 	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
 	h.pass(0.5)
 	assert.Zero(t, h.returned(i.Number), "now it counts nowhere")
-	assert.Zero(t, h.routes.Routes[0].Concurrency.Purse.(*shares.Purse).Out())
+	assert.Zero(t, h.routes.Routes[0].Concurrency.Purse.(*shares.QuotaLease).InUse())
 
 	h.batch("lookup", 4000)
 	next := h.asked()
@@ -91,7 +91,7 @@
 		require.NotContains(t, h.answers, stream)
 		i := h.asked()
 		require.NotNil(t, i)
-		assert.Equal(t, shares.Further, i.Key.Kind)
+		assert.Equal(t, shares.ExtraDispatches, i.Key.Kind)
 		if !given { // it is answered soon, and not at its limit
 			h.pass(0.2)
 			require.Contains(t, h.answers, stream)
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -23,7 +23,7 @@
 	r.parts = &parts{machine: shares.New(*s, self, r.brain.Fixed(), r.now)}
 	r.brain.Divide(r.parts.machine)
 	r.setPurses()
-	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
+	r.log(Info, "shares", "keepers", s.Replicas, "firm", s.FixedFraction)
 }
 
 // setPurses gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
@@ -38,7 +38,7 @@
 	m := r.parts.machine
 	further := func(b *limits.Budget, name string) {
 		if b != nil && b.Fleet {
-			b.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.Free, Rest: b.Window})
+			b.Purse = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.ExtraDispatches, name), Name: name, Total: b.Free, CountedFor: b.Window})
 		}
 	}
 	further(r.ofAll, "further.all")
@@ -47,7 +47,7 @@
 			further(b, "budget "+b.Name)
 		}
 		if c := route.Concurrency; c != nil && c.Routers > 0 {
-			c.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.Routers), Rest: longest})
+			c.Purse = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Total: float64(c.Routers), CountedFor: longest})
 		}
 	}
 }
@@ -57,11 +57,11 @@
 func (r *Router) partsTurn() {
 	p := r.parts
 	for range 4 {
-		if !p.machine.Wanted() && r.now < p.machine.At() {
+		if !p.machine.DemandPending() && r.now < p.machine.NextWake() {
 			break
 		}
 		p.machine.Wake(r.now)
-		if !p.machine.Came() {
+		if !p.machine.GrantsArrived() {
 			break
 		}
 		r.brain.Granted()
@@ -73,19 +73,19 @@
 // partsSaid does what the machine asks for, and sets its next time.
 func (r *Router) partsSaid() {
 	p := r.parts
-	for _, s := range p.machine.Sends() {
+	for _, s := range p.machine.TakeOutgoing() {
 		r.members.said++
 		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), &said, nil})
+		r.do(Talk{s.Destination, r.members.machine.Envelope(), &said, nil})
 	}
-	for _, n := range p.machine.Notes() {
+	for _, n := range p.machine.TakeNotes() {
 		level := Info
-		if n.Loud {
+		if n.Warning {
 			level = Warn
 		}
 		r.log(level, n.Text, n.Fields...)
 	}
-	if at := p.machine.At(); at != p.at || p.timer == nil || p.timer.index < 0 {
+	if at := p.machine.NextWake(); at != p.at || p.timer == nil || p.timer.index < 0 {
 		r.timers.stop(p.timer)
 		p.timer, p.at = nil, at
 		if at < farOff {
@@ -100,8 +100,8 @@
 	if p == nil {
 		return
 	}
-	p.machine.Heard(r.now, m)
-	if p.machine.Came() {
+	p.machine.Receive(r.now, m)
+	if p.machine.GrantsArrived() {
 		r.brain.Granted()
 	}
 	r.partsSaid()
@@ -112,7 +112,7 @@
 	if r.parts == nil {
 		return math.Inf(1)
 	}
-	return r.parts.machine.Ends()
+	return r.parts.machine.SendDeadline()
 }
 
 // dispatchOrder words a dispatch.
--- a/internal/shares/records_test.go
+++ b/internal/shares/records_test.go
@@ -14,8 +14,8 @@
 	now    float64
 	starts uint64
 	all    [3]*Machine
-	flight []Send
-	lost   func(s Send) bool // nil: nothing is
+	flight []OutgoingMessage
+	lost   func(s OutgoingMessage) bool // nil: nothing is
 }
 
 func newTrio(t *testing.T) *trio {
@@ -31,16 +31,16 @@
 
 func (w *trio) start(i int) {
 	s := Defaults()
-	s.Firm, s.Listen, s.Keepers = 0, w.at(i), []string{w.at(0), w.at(1), w.at(2)}
+	s.FixedFraction, s.Listen, s.Replicas = 0, w.at(i), []string{w.at(0), w.at(1), w.at(2)}
 	w.starts++
-	w.all[i] = New(s, ID{fmt.Sprint("n", i), w.starts}, Fixed{Whole: 4, Window: 1, Routers: 3, Sharers: 16}, w.now)
+	w.all[i] = New(s, ID{fmt.Sprint("n", i), w.starts}, FixedConfig{Total: 4, Window: 1, Routers: 3, MaxHolders: 16}, w.now)
 }
 
 // pass lets time go by, and brings what is sent.
 func (w *trio) pass(seconds float64) {
 	for end := w.now + seconds; w.now < end; w.now += 0.005 {
 		for _, m := range w.all {
-			if m != nil && (m.Wanted() || m.At() <= w.now) {
+			if m != nil && (m.DemandPending() || m.NextWake() <= w.now) {
 				m.Wake(w.now)
 			}
 		}
@@ -50,17 +50,17 @@
 
 func (w *trio) deliver() {
 	for round := 0; round < 20; round++ {
-		var sends []Send
+		var sends []OutgoingMessage
 		for _, m := range w.all {
 			if m != nil {
-				sends = append(sends, m.Sends()...)
+				sends = append(sends, m.TakeOutgoing()...)
 			}
 		}
 		for _, s := range sends {
 			for i, m := range w.all {
-				if m != nil && s.To == w.at(i) && (w.lost == nil || !w.lost(s)) {
+				if m != nil && s.Destination == w.at(i) && (w.lost == nil || !w.lost(s)) {
 					message := s.Message
-					m.Heard(w.now, &message)
+					m.Receive(w.now, &message)
 				}
 			}
 		}
@@ -69,7 +69,7 @@
 
 func (w *trio) bursar() int {
 	for i, m := range w.all {
-		if m != nil && m.keeper.office(w.now) {
+		if m != nil && m.replica.isCoordinator(w.now) {
 			return i
 		}
 	}
@@ -77,8 +77,8 @@
 }
 
 // purse of what may be out: four, each for up to thirty seconds.
-func (w *trio) purse(i int) *Purse {
-	return w.all[i].Purse(Budget{Key: NamedKey(Concurrency, "c"), Whole: 4, Rest: 30})
+func (w *trio) purse(i int) *QuotaLease {
+	return w.all[i].QuotaLease(Budget{Key: NamedKey(Concurrency, "c"), Total: 4, CountedFor: 30})
 }
 
 // take has a router ask for one and use it, within half a second.
@@ -142,7 +142,7 @@
 	w := newTrio(t)
 	w.pass(40)
 	first := w.bursar()
-	w.lost = func(s Send) bool { return s.Kind == Record }
+	w.lost = func(s OutgoingMessage) bool { return s.Kind == RecordUpdate }
 	assert.False(t, w.take((first+1)%3))
 	w.lost = nil
 	assert.True(t, w.take((first+1)%3))
--- a/internal/shares/state.go
+++ b/internal/shares/state.go
@@ -2,95 +2,95 @@
 
 // State is how a machine stands, for who looks on.
 type State struct {
-	Bursar  string // address; empty: not known
-	Office  bool   // it is this router
-	Since   float64
-	Keeper  bool
-	Stats   Stats
-	Budgets []Held
-	Books   []Given // of the bursar
+	Coordinator      string // address; empty: not known
+	IsCoordinator    bool   // it is this router
+	CoordinatorSince float64
+	IsReplica        bool
+	Stats            Stats
+	Budgets          []BudgetState
+	Ledgers          []LedgerState // of the bursar
 }
 
-// Held is what a router has of one budget.
-type Held struct {
-	Key   Key
-	Name  string // by operators; empty: the key tells it
-	Whole float64
-	Left  float64 // in hand and not used
-	Used  float64 // of what is in hand
-	Asked float64 // for, without an answer
-	Since float64 // when something was last given
+// BudgetState is what a router has of one budget.
+type BudgetState struct {
+	Key         Key
+	Name        string // by operators; empty: the key tells it
+	Total       float64
+	Available   float64 // in hand and not used
+	Used        float64 // of what is in hand
+	Requested   float64 // for, without an answer
+	LastGrantAt float64 // when something was last given
 }
 
-// Given is what a bursar has given of one budget.
-type Given struct {
-	Key     Key
-	Name    string // where this router has the budget too
-	Whole   float64
-	Free    float64 // below 0: the whole has become less
-	Lent    float64 // in routers' hands
-	Resting float64 // used, or not returned, and counted until that must be over
-	Waiting int
-	Open    bool
-	Holders map[string]float64 // by name, what is lent
+// LedgerState is what a bursar has given of one budget.
+type LedgerState struct {
+	Key      Key
+	Name     string // where this router has the budget too
+	Total    float64
+	Free     float64 // below 0: the whole has become less
+	Leased   float64 // in routers' hands
+	Expiring float64 // used, or not returned, and counted until that must be over
+	Queued   int
+	Open     bool
+	Holders  map[string]float64 // by name, what is lent
 }
 
 // State tells it.
 func (m *Machine) State(now float64) *State {
-	m.clock(now)
-	s := &State{Bursar: m.at, Keeper: m.keeper != nil, Stats: m.stats}
-	for _, key := range m.keys() {
-		b := m.budgets[key]
-		h := Held{Key: key, Name: b.Name, Whole: b.Whole, Left: b.left(m.now), Since: b.freeAt}
-		for _, g := range b.credits {
-			h.Used += g.used
+	m.advanceClock(now)
+	s := &State{Coordinator: m.coordinatorAddress, IsReplica: m.replica != nil, Stats: m.stats}
+	for _, key := range m.sortedKeys() {
+		budget := m.budgets[key]
+		h := BudgetState{Key: key, Name: budget.Name, Total: budget.Total, Available: budget.available(m.now), LastGrantAt: budget.lastGrantAt}
+		for _, grant := range budget.grants {
+			h.Used += grant.used
 		}
-		if b.held() {
-			h.Used = b.out()
+		if budget.held() {
+			h.Used = budget.inUse()
 		}
-		if b.asking != nil {
-			h.Asked = b.asking.item.Amount
+		if budget.request != nil {
+			h.Requested = budget.request.item.Amount
 		}
 		s.Budgets = append(s.Budgets, h)
 	}
-	if k := m.keeper; k != nil && k.office(m.now) {
-		s.Office, s.Since = true, k.wonAt
-		for _, b := range m.bursar.inOrder() {
-			b.drop(m.now)
-			g := Given{Key: b.key, Name: m.name(b.key), Whole: b.whole, Free: float64(m.bursar.pool(b)-b.sum) / 1e6, Waiting: len(b.waiting), Open: m.bursar.recall == nil && m.now >= b.openAt,
+	if replica := m.replica; replica != nil && replica.isCoordinator(m.now) {
+		s.IsCoordinator, s.CoordinatorSince = true, replica.leaderSince
+		for _, ledger := range m.coordinator.sortedLedgers() {
+			ledger.dropExpired(m.now)
+			g := LedgerState{Key: ledger.key, Name: m.budgetName(ledger.key), Total: ledger.total, Free: float64(m.coordinator.grantable(ledger)-ledger.granted) / 1e6, Queued: len(ledger.queue), Open: m.coordinator.recovery == nil && m.now >= ledger.opensAt,
 				Holders: map[string]float64{}}
-			for of, c := range b.given {
-				if amount := float64(c.amount) / 1e6; c.done || m.now > c.until-m.longer(b.rest) {
-					g.Resting += amount
+			for id, issued := range ledger.grants {
+				if amount := float64(issued.amount) / 1e6; issued.done || m.now > issued.countsUntil-m.padForDrift(ledger.countedFor) {
+					g.Expiring += amount
 				} else {
-					g.Lent += amount
-					g.Holders[of.Name] += amount
+					g.Leased += amount
+					g.Holders[id.Name] += amount
 				}
 			}
-			s.Books = append(s.Books, g)
+			s.Ledgers = append(s.Ledgers, g)
 		}
 	}
 	return s
 }
 
-// name is what operators call a budget.
-func (m *Machine) name(of Key) string {
-	if b := m.budgets[of]; b != nil {
-		return b.Name
+// budgetName is what operators call a budget.
+func (m *Machine) budgetName(of Key) string {
+	if budget := m.budgets[of]; budget != nil {
+		return budget.Name
 	}
 	return ""
 }
 
-// Owes is what still counts of a router's, over all that this bursar has given; below 0: this router is not the bursar.
-func (m *Machine) Owes(name string) (sum float64) {
-	if m.keeper == nil || !m.keeper.office(m.now) {
+// Outstanding is what still counts of a router's, over all that this bursar has given; below 0: this router is not the bursar.
+func (m *Machine) Outstanding(name string) (sum float64) {
+	if m.replica == nil || !m.replica.isCoordinator(m.now) {
 		return -1
 	}
-	for _, b := range m.bursar.books {
-		b.drop(m.now)
-		for of, c := range b.given {
-			if of.Name == name {
-				sum += float64(c.amount) / 1e6
+	for _, ledger := range m.coordinator.ledgers {
+		ledger.dropExpired(m.now)
+		for id, issued := range ledger.grants {
+			if id.Name == name {
+				sum += float64(issued.amount) / 1e6
 			}
 		}
 	}
