--- a/internal/shares/coordinator.go
+++ b/internal/shares/coordinator.go
@@ -101,32 +101,32 @@
 }
 
 // dropExpired forgets what no longer counts.
-func (ledger *budgetLedger) dropExpired(now float64) {
-	if now < ledger.nextExpiry {
+func (l *budgetLedger) dropExpired(now float64) {
+	if now < l.nextExpiry {
 		return
 	}
-	ledger.nextExpiry = math.Inf(1)
-	for id, issued := range ledger.grants {
+	l.nextExpiry = math.Inf(1)
+	for id, issued := range l.grants {
 		if now >= issued.countsUntil {
-			ledger.remove(id)
+			l.remove(id)
 		} else {
-			ledger.nextExpiry = min(ledger.nextExpiry, issued.countsUntil)
+			l.nextExpiry = min(l.nextExpiry, issued.countsUntil)
 		}
 	}
 }
 
 // add and take are all that changes the sum.
-func (ledger *budgetLedger) add(to grantID, issued *issuedGrant) {
-	ledger.remove(to)
-	ledger.grants[to] = issued
-	ledger.granted += issued.amount
-	ledger.nextExpiry = min(ledger.nextExpiry, issued.countsUntil)
+func (l *budgetLedger) add(to grantID, issued *issuedGrant) {
+	l.remove(to)
+	l.grants[to] = issued
+	l.granted += issued.amount
+	l.nextExpiry = min(l.nextExpiry, issued.countsUntil)
 }
 
-func (ledger *budgetLedger) remove(from grantID) {
-	if issued := ledger.grants[from]; issued != nil {
-		ledger.granted -= issued.amount
-		delete(ledger.grants, from)
+func (l *budgetLedger) remove(from grantID) {
+	if issued := l.grants[from]; issued != nil {
+		l.granted -= issued.amount
+		delete(l.grants, from)
 	}
 }
 
--- a/internal/shares/machine.go
+++ b/internal/shares/machine.go
@@ -6,79 +6,81 @@
 	"slices"
 )
 
-// Machine is one router's part: it holds credits, may be a keeper, and may be the bursar. Its methods are called with times that
-// do not fall; none may be called beside another. It is Parts for the decision module.
+// Machine is the state machine of one router: a client that requests and spends grants, in some routers also a replica, and
+// while it is elected the coordinator. It implements ColdStartQuota for the decision module.
+//
+// Times are seconds on the router's own clock and must not fall from call to call. The methods must not be called concurrently.
 type Machine struct {
 	Settings
 	self                  ID
-	coldStartFixed        *FixedDivision // of cold engines
-	configuredRouters     float64        // routers, by settings
-	fixedShareLost        bool           // there are more: firm parts are given up
-	coldStartTotalPerCore float64        // of a cold engine for each core, over all routers
-	coldStartWindow       float64
+	coldStartFixed        *FixedDivision // fixed share of the budgets of engines in cold start
+	configuredRouters     float64        // number of routers in the settings
+	fixedShareLost        bool           // the fleet is larger than configured, so the fixed shares are no longer used
+	coldStartTotalPerCore float64        // budget of an engine in cold start for each of its cores, over all routers
+	coldStartWindow       float64        // seconds for which work sent to an engine in cold start counts
 	startedAt             float64
-	now                   float64
+	now                   float64 // latest time passed in
 
-	replica           *replica // nil: this router is none
+	replica           *replica // nil: this router is not a replica
 	coordinator       coordinator
 	nextLedgerCleanup float64
 
-	budgets            map[Key]*memberBudget // forget deletes
+	budgets            map[Key]*memberBudget // Wake deletes those that have not been used for a while
 	lastRequestNumber  uint64
-	unackedReturns     []grantReturn // of credits that are done, until that is answered
-	demandPending      bool          // something has been wanted since the last Wake
-	nextRequestAt      float64
-	coordinatorAddress string  // where the bursar is held to be; empty: not known
-	unansweredSince    float64 // the first asking that nobody has answered; 0: none
-	nextReplica        int     // which keeper is asked next
-	redirects          int     // since a bursar answered
-	nextCleanup        float64
-
-	sendDeadline  float64 // of what was spent last
-	grantsArrived bool    // a credit, since that was last asked
+	unackedReturns     []grantReturn // finished grants that the coordinator has not acknowledged yet
+	demandPending      bool          // there was demand since the last Wake
+	nextRequestAt      float64       // no request is sent before
+	coordinatorAddress string        // presumed coordinator; empty: not known
+	unansweredSince    float64       // when the first request without an answer was sent; 0: none is open
+	nextReplica        int           // index of the replica to ask next while no coordinator is known
+	redirects          int           // replies since the coordinator itself last answered
+	nextCleanup        float64       // when Wake next deletes expired state
+
+	sendDeadline  float64 // by when a dispatch that used the latest spending has to be sent
+	grantsArrived bool    // grants have arrived since GrantsArrived was last called
 
 	outgoing []OutgoingMessage
 	notes    []Note
 	stats    Stats
 }
 
-// memberBudget is what this router has of one.
+// memberBudget is this router's view of one budget: its grants, its use of the fixed share and its demand.
 type memberBudget struct {
 	Budget
-	grants         []*heldGrant
-	fixedUses      []use // of the firm part; of what is held, one for all that is out
-	request        *openRequest
-	demandSum      float64 // since the last Wake
-	largestDemand  float64
+	grants         []*heldGrant // in the order in which they expire
+	fixedUses      []use        // uses of the fixed share; in a budget that is held, one entry with the amount in use
+	request        *openRequest // nil: nothing is requested
+	demandSum      float64      // sum of the amounts wanted since the last Wake
+	largestDemand  float64      // largest amount wanted since the last Wake
 	lastDemandAt   float64
-	tooLargeUntil  float64 // so much is more than the whole bears
-	tooLargeAmount float64
-	lastGrantAt    float64 // when something was last given there
-	unmetSince     float64 // since when there is none of what is wanted; 0: there is
+	tooLargeUntil  float64 // until then tooLargeAmount holds
+	tooLargeAmount float64 // amounts from here on are more than the coordinator can ever grant
+	lastGrantAt    float64 // when a grant last arrived
+	unmetSince     float64 // since when demand has been waiting for a grant; 0: none waits
 }
 
-// heldGrant is a credit in hand.
+// heldGrant is a grant that this router holds.
 type heldGrant struct {
 	number    uint64
 	remaining float64
-	used      float64 // of what is held: and is out
+	used      float64 // in a budget that is held: the amount in use
 	expiresAt float64
-	closed    bool // nothing more is used of it, and something is still out; Freed ends that
+	closed    bool // nothing more is spent of it, but part of it is still in use; Freed removes it once all of it is released
 }
 
-// openRequest is for one that has not come.
+// openRequest is a request for a grant that has not arrived yet.
 type openRequest struct {
 	item       Item
-	sentAt     map[uint32]float64 // when each try was sent; the last few
+	sentAt     map[uint32]float64 // when each attempt was sent, by attempt; the last few
 	createdAt  float64
 	nextSendAt float64
 }
 
-// grantReturn is what the bursar has to be told of a credit that is done.
+// grantReturn reports a finished grant to the coordinator until that acknowledges it.
 type grantReturn struct {
 	item      Item
 	resendAt  float64
-	expiresAt float64 // by then it knows without being told
+	expiresAt float64 // after that the grant no longer counts at the coordinator, so the report is dropped
 }
 
 // Stats are counters since the start of the process. Amounts are in the units of their budgets, summed over all kinds.
@@ -96,16 +98,17 @@
 }
 
 const (
-	maxItemsPerMessage    = 16 // on one message
+	maxItemsPerMessage    = 16
 	maxUnackedReturns     = 256
-	maxRememberedAttempts = 8
-	maxRedirects          = 2     // from one keeper to the one he names, without a bursar
-	requestSpacing        = 0.005 // between two messages to the bursar
-	unusedBudgetRetention = 30.0
-	cleanupInterval       = 1.0
+	maxRememberedAttempts = 8     // send times that are kept of one request
+	maxRedirects          = 2     // replies in a row that name a coordinator without coming from it
+	requestSpacing        = 0.005 // least seconds between two messages to the coordinator
+	unusedBudgetRetention = 30.0  // seconds
+	cleanupInterval       = 1.0   // seconds
 )
 
-// New makes one. fixed is the division without talk, of which the firm share stays.
+// New returns the machine of one start of a router. fixed is the division that needs no messages; of its total the fraction
+// Settings.FixedFraction stays divided that way.
 func New(s Settings, self ID, fixed FixedConfig, now float64) *Machine {
 	m := &Machine{Settings: s, self: self, coldStartTotalPerCore: fixed.Total, coldStartWindow: fixed.Window + lateSendMargin,
 		startedAt: now, now: now, sendDeadline: math.Inf(1), coordinator: coordinator{Settings: &s, ledgers: map[Key]*budgetLedger{}}, budgets: map[Key]*memberBudget{}}
@@ -117,44 +120,44 @@
 	}
 	m.coldStartFixed = NewFixedDivision(fixed)
 	if s.replicaIndex(s.Listen) >= 0 {
-		// What an earlier start has promised may still hold.
-		quiet := now + s.padForDrift(s.padForDrift(s.Term))
-		m.replica = &replica{Settings: &m.Settings, silentUntil: quiet, completeSince: quiet, records: map[Key]map[grantID]replicaRecord{}}
+		// A promise that an earlier start gave may still be valid, so this one gives none until that must have ended.
+		silentUntil := now + s.padForDrift(s.padForDrift(s.Term))
+		m.replica = &replica{Settings: &m.Settings, silentUntil: silentUntil, completeSince: silentUntil, records: map[Key]map[grantID]replicaRecord{}}
 	}
 	return m
 }
 
 func (m *Machine) advanceClock(now float64) { m.now = max(m.now, now) }
 
-func (m *Machine) note(loud bool, text string, fields ...any) {
-	m.notes = append(m.notes, Note{text, loud, fields})
+func (m *Machine) note(warning bool, text string, fields ...any) {
+	m.notes = append(m.notes, Note{text, warning, fields})
 }
 
-// TakeOutgoing gives what is to be sent, once.
+// TakeOutgoing returns the messages to send and clears them.
 func (m *Machine) TakeOutgoing() []OutgoingMessage {
 	out := m.outgoing
 	m.outgoing = nil
 	return out
 }
 
-// TakeNotes gives what has changed, once.
+// TakeNotes returns the notes for the log and clears them.
 func (m *Machine) TakeNotes() []Note {
 	out := m.notes
 	m.notes = nil
 	return out
 }
 
-// GrantsArrived tells whether credits have come since it was last asked.
+// GrantsArrived reports whether grants have arrived since it was last called.
 func (m *Machine) GrantsArrived() bool {
-	came := m.grantsArrived
+	arrived := m.grantsArrived
 	m.grantsArrived = false
-	return came
+	return arrived
 }
 
-// DemandPending tells whether something has been wanted that Wake has not seen.
+// DemandPending reports whether there was demand since the last Wake.
 func (m *Machine) DemandPending() bool { return m.demandPending }
 
-// send words a message. What is for oneself goes by no network.
+// send fills in the sender and queues a message. A message to this router itself is handled at once.
 func (m *Machine) send(to string, message Message) {
 	message.From, message.FromAddress, message.ReplicaSetHash = m.self, m.Listen, m.replicaSetHash()
 	if to == m.Listen {
@@ -165,9 +168,9 @@
 	m.outgoing = append(m.outgoing, OutgoingMessage{to, message})
 }
 
-// ObserveFleetSize brings how many routers are known to be there. More than were told: firm parts by that number would sum to more than
-// the firm share, so this router gives its own up until it starts with another number. It covers a wrong number in one
-// router's settings and a fleet that grew; it hurts by the firm part alone.
+// ObserveFleetSize takes in how many routers are known to run. If there are more than configured, their fixed shares could sum to
+// more than the fixed fraction, so this router gives up its own until it is restarted with another number. This covers a wrong
+// number in one router's settings and a fleet that grew; the cost is the fixed share alone.
 func (m *Machine) ObserveFleetSize(routers int) {
 	if float64(routers) > m.configuredRouters && m.FixedFraction > 0 && !m.fixedShareLost {
 		m.fixedShareLost, m.coldStartFixed.sharePerCore = true, 0
@@ -175,23 +178,23 @@
 	}
 }
 
-// coldStartBudget is the budget of a start of an engine.
+// coldStartBudget returns the budget of one start of an engine.
 func (m *Machine) coldStartBudget(engine EngineStart) Budget {
 	return Budget{Key: ColdStartKey(engine), Total: m.coldStartTotalPerCore * engine.Cores, CountedFor: m.coldStartWindow}
 }
 
-// budgetFor gives what this router knows of one.
+// budgetFor returns this router's view of a budget and creates it if necessary.
 func (m *Machine) budgetFor(of *Budget) *memberBudget {
 	budget := m.budgets[of.Key]
 	if budget == nil {
 		budget = &memberBudget{Budget: *of, tooLargeAmount: math.Inf(1)}
 		m.budgets[of.Key] = budget
 	}
-	budget.Total, budget.CountedFor = of.Total, max(budget.CountedFor, of.CountedFor) // an operator may have changed them
+	budget.Total, budget.CountedFor = of.Total, max(budget.CountedFor, of.CountedFor) // the settings may have changed
 	return budget
 }
 
-// CanSpend holds a wish against the firm part and the credits in hand.
+// CanSpend reports whether the fixed share or the grants of this router cover the work.
 func (m *Machine) CanSpend(now float64, engine EngineStart, work float64) bool {
 	m.advanceClock(now)
 	if m.FixedFraction > 0 && m.coldStartFixed.CanSpend(m.now, engine, work) {
@@ -201,9 +204,9 @@
 	return budget != nil && budget.available(m.now) >= work
 }
 
-// available is what credits in hand still have. What has ended counts no longer, whenever that is seen.
-func (budget *memberBudget) available(now float64) (sum float64) {
-	for _, grant := range budget.grants {
+// available returns what remains of the grants that have not expired, also where Wake has not removed the expired ones yet.
+func (b *memberBudget) available(now float64) (sum float64) {
+	for _, grant := range b.grants {
 		if now < grant.expiresAt {
 			sum += grant.remaining
 		}
@@ -211,7 +214,7 @@
 	return sum
 }
 
-// Spend counts what is sent: of the firm part where it bears it all, else of credits.
+// Spend charges work that is sent to the fixed share if that covers all of it, otherwise to grants.
 func (m *Machine) Spend(now float64, engine EngineStart, work float64) {
 	m.advanceClock(now)
 	if m.FixedFraction > 0 && m.coldStartFixed.CanSpend(m.now, engine, work) {
@@ -228,15 +231,16 @@
 	m.lowerSendDeadline(m.now + lateSendMargin)
 }
 
-// lowerSendDeadline brings the time by which what was spent has to be on its way. A dispatch may spend of several budgets.
+// lowerSendDeadline takes in by when the latest spending has to be sent. A dispatch may spend from several budgets, so the earliest
+// deadline holds.
 func (m *Machine) lowerSendDeadline(at float64) {
-	if m.sendDeadline < m.now { // nobody asked after what was spent before
+	if m.sendDeadline < m.now { // of an earlier dispatch: nobody asked for it
 		m.sendDeadline = math.Inf(1)
 	}
 	m.sendDeadline = min(m.sendDeadline, at)
 }
 
-// spend takes of credits, of the one that ends first before the others.
+// spend charges an amount to the grants, beginning with the one that expires first.
 func (m *Machine) spend(budget *memberBudget, amount float64) {
 	m.stats.Used += amount
 	budget.lastDemandAt = m.now
@@ -252,31 +256,33 @@
 	}
 }
 
-// fitsFixedShare tells whether the firm part of a budget that has no engine bears an amount: every router has the same one. What an
-// earlier start may have used or may still hold lasts for a rest.
+// fitsFixedShare reports whether this router's fixed share of a budget covers an amount. It is for budgets that are not of an
+// engine: every router has the same fixed share of those. An earlier start may have used it or may still hold it, so it is not
+// used until that no longer counts.
 func (m *Machine) fitsFixedShare(budget *memberBudget, amount float64) bool {
 	if m.FixedFraction <= 0 || m.fixedShareLost || !(m.configuredRouters >= 1) || m.now < m.startedAt+budget.CountedFor+lateSendMargin {
 		return false
 	}
-	room := budget.Total * m.FixedFraction / (m.configuredRouters + spareShares)
+	available := budget.Total * m.FixedFraction / (m.configuredRouters + spareShares)
 	for _, u := range budget.fixedUses {
 		if budget.held() || u.at > m.now-budget.CountedFor-lateSendMargin {
-			room -= u.amount
+			available -= u.amount
 		}
 	}
-	return amount <= room
+	return amount <= available
 }
 
-// SendDeadline is when what was spent last has to be on its way, told once: a credit holds no longer. Infinite: nothing was spent that
-// ends.
+// SendDeadline returns by when the dispatch that used the latest spending has to be sent, as its grants are not valid for longer,
+// and clears it. Infinity: nothing was spent since the last call.
 func (m *Machine) SendDeadline() float64 {
 	at := m.sendDeadline
 	m.sendDeadline = math.Inf(1)
 	return at
 }
 
-// Request tells of a batch that waits. It waits for a credit also where no bursar is known yet: that was worth more (0.823 to 0.803,
-// 16 routers, engines replaced). It hurts where nobody gives any more, by that wait once.
+// Request notes the demand of a batch and returns for how many seconds the batch may wait for a grant; 0: it should not wait. A
+// batch waits also while no coordinator is known: the measured result was better that way (0.823 against 0.803, 16 routers, engines
+// being replaced). If no coordinator answers any more, this costs one such wait.
 func (m *Machine) Request(now float64, engine EngineStart, work float64) float64 {
 	m.advanceClock(now)
 	of := m.coldStartBudget(engine)
@@ -290,7 +296,7 @@
 	if amount >= budget.tooLargeAmount && m.now < budget.tooLargeUntil {
 		return 0
 	}
-	if budget.unmetSince == 0 || m.now > budget.lastDemandAt+2*m.RetryInterval { // the first, or others have long ceased to want it
+	if budget.unmetSince == 0 || m.now > budget.lastDemandAt+2*m.RetryInterval { // the first demand, or the earlier one is out of date
 		budget.unmetSince = m.now
 	}
 	budget.demandSum, budget.largestDemand, budget.lastDemandAt = budget.demandSum+amount, max(budget.largestDemand, amount), m.now
@@ -298,7 +304,7 @@
 	return m.GrantWait
 }
 
-// Wake does what is due, and asks for what has been wanted.
+// Wake does what is due: elections, replication, returns, requests for the demand since the last call, and cleanup.
 func (m *Machine) Wake(now float64) {
 	m.advanceClock(now)
 	if m.replica != nil {
@@ -320,14 +326,14 @@
 	}
 }
 
-// runCoordinator claims and renews, and gives to those who wait.
+// runCoordinator claims and renews the leadership and, as the coordinator, serves the queued requests.
 func (m *Machine) runCoordinator() {
 	replica := m.replica
-	was := replica.leaderSince > 0
+	wasCoordinator := replica.leaderSince > 0
 	if message, due := replica.electionStep(m.now, m.self); due {
 		m.broadcast(message)
 	}
-	m.updateLeadership(was)
+	m.updateLeadership(wasCoordinator)
 	if !replica.isCoordinator(m.now) {
 		return
 	}
@@ -343,16 +349,16 @@
 	}
 }
 
-// updateLeadership notes who has the office, and drops the books of one that has ended.
-func (m *Machine) updateLeadership(was bool) {
-	is := m.replica.isCoordinator(m.now)
-	if is == was {
+// updateLeadership acts on a change of the leadership. The ledgers of a leadership that has ended are dropped.
+func (m *Machine) updateLeadership(wasCoordinator bool) {
+	isCoordinator := m.replica.isCoordinator(m.now)
+	if isCoordinator == wasCoordinator {
 		return
 	}
-	m.note(true, "bursar", "is", is, "until", m.replica.leadershipEnds, "books", len(m.coordinator.ledgers))
+	m.note(true, "bursar", "is", isCoordinator, "until", m.replica.leadershipEnds, "books", len(m.coordinator.ledgers))
 	m.coordinator.beginRecovery(m.replica.takeover)
 	m.replica.takeover = nil
-	if is {
+	if isCoordinator {
 		m.coordinatorAddress = m.Listen
 		m.resendToReplicas()
 	} else if m.coordinatorAddress == m.Listen {
@@ -360,6 +366,7 @@
 	}
 }
 
+// broadcast sends a message to all other replicas.
 func (m *Machine) broadcast(message Message) {
 	for _, to := range m.Replicas {
 		if to != m.Listen {
@@ -368,21 +375,21 @@
 	}
 }
 
-// sendReplies sends what is given, once most keepers know of it, and what never will be at once.
+// sendReplies sends denials at once, and grants once a majority of the replicas has recorded them.
 func (m *Machine) sendReplies(sends []OutgoingMessage) {
-	var gives []OutgoingMessage
+	var grants []OutgoingMessage
 	for _, s := range sends {
 		if s.Coordinator = m.Listen; s.Items[0].TooLarge {
 			s.Items[0].Holder = ID{}
 			m.send(s.Destination, s.Message)
 		} else {
-			gives = append(gives, s)
+			grants = append(grants, s)
 		}
 	}
-	m.replicate(gives)
+	m.replicate(grants)
 }
 
-// Receive takes in a message of this fleet. It has been checked for its form.
+// Receive handles a message of another router of the fleet, whose format has been checked.
 func (m *Machine) Receive(now float64, message *Message) {
 	m.advanceClock(now)
 	if message.ReplicaSetHash != m.replicaSetHash() || message.From == m.self || message.isAnswer() && message.ToStart != m.self.Start {
@@ -392,6 +399,7 @@
 	m.receive(message)
 }
 
+// receive handles a message of another router or of this router itself.
 func (m *Machine) receive(message *Message) {
 	replica := m.replica
 	switch message.Kind {
@@ -399,8 +407,8 @@
 		if replica == nil {
 			return
 		}
-		was := replica.isCoordinator(m.now)
-		if was && message.Kind == Claim { // we have most of the promises: this one is behind
+		wasCoordinator := replica.isCoordinator(m.now)
+		if wasCoordinator && message.Kind == Claim { // this router has the promises of a majority, so the claim is out of date
 			m.send(message.FromAddress, Message{Kind: Refusal, ToStart: message.From.Start, Number: message.Number, Coordinator: m.Listen})
 			return
 		}
@@ -411,9 +419,9 @@
 		if replica == nil {
 			return
 		}
-		was := replica.isCoordinator(m.now)
+		wasCoordinator := replica.isCoordinator(m.now)
 		lost := replica.handleAnswer(m.now, message)
-		m.updateLeadership(was)
+		m.updateLeadership(wasCoordinator)
 		if lost {
 			m.broadcast(replica.resign(m.now, m.self))
 		}
@@ -444,7 +452,7 @@
 	}
 }
 
-// handleRequest answers as the bursar, or says who that is.
+// handleRequest answers as the coordinator, or names the coordinator.
 func (m *Machine) handleRequest(message *Message) {
 	replica := m.replica
 	if replica == nil || !replica.isCoordinator(m.now) {
@@ -463,16 +471,16 @@
 	}
 }
 
-// handleReply takes credits in.
+// handleReply learns who the coordinator is and takes in grants, denials and acknowledged returns.
 func (m *Machine) handleReply(message *Message) {
 	m.unansweredSince = 0
-	if m.redirects++; message.Coordinator == message.FromAddress { // he says so himself
+	if m.redirects++; message.Coordinator == message.FromAddress { // the coordinator itself answered
 		m.redirects = 0
 	}
 	if message.Coordinator != m.coordinatorAddress {
 		m.coordinatorAddress, m.nextRequestAt = message.Coordinator, m.now+requestSpacing
 	}
-	if m.coordinatorAddress == "" || m.redirects > maxRedirects { // keepers amid an election may each name another for a while
+	if m.coordinatorAddress == "" || m.redirects > maxRedirects { // during an election replicas may each name another one for a while
 		m.coordinatorAddress, m.nextRequestAt = "", m.now+m.RetryInterval
 		m.nextReplica++
 	}
@@ -485,12 +493,13 @@
 	}
 }
 
+// handleGrant takes in a grant or a denial. A grant that no open request can be matched to is returned unused.
 func (m *Machine) handleGrant(item Item) {
 	budget := m.budgets[item.Key]
 	if budget == nil || budget.request == nil || budget.request.item.Number != item.Number {
 		known := budget != nil && slices.ContainsFunc(budget.grants, func(grant *heldGrant) bool { return grant.number == item.Number }) ||
 			slices.ContainsFunc(m.unackedReturns, func(t grantReturn) bool { return t.item.Number == item.Number })
-		if !known && item.Amount > 0 { // an old asking was answered: it is not used, and goes back
+		if !known && item.Amount > 0 { // the answer to an old request: it is returned unused
 			m.queueReturn(item.Key, item.Number, 0, m.now+item.Lease)
 		}
 		return
@@ -502,7 +511,7 @@
 		m.stats.TooLarge++
 		return
 	}
-	if !known { // so old that it is not known when it was asked: it goes back
+	if !known { // the send time of that attempt is forgotten, so the start of the lease is not known: it is returned unused
 		budget.request = nil
 		m.queueReturn(item.Key, item.Number, 0, m.now+item.Lease)
 		return
@@ -521,20 +530,21 @@
 	slices.SortStableFunc(budget.grants, func(x, y *heldGrant) int { return cmp.Compare(x.expiresAt, y.expiresAt) })
 }
 
-// queueReturn tells the bursar that nothing more is used of a credit. Of what is held it is told again, as less is out.
-func (m *Machine) queueReturn(key Key, number uint64, used, until float64) {
+// queueReturn has the coordinator told that nothing more is spent of a grant, and how much of it was used. In a budget that is held
+// it is called again whenever part of the amount in use is released. until is when the grant expires.
+func (m *Machine) queueReturn(key Key, number uint64, used, expiresAt float64) {
 	m.unackedReturns = slices.DeleteFunc(m.unackedReturns, func(t grantReturn) bool { return t.item.Number == number })
-	if len(m.unackedReturns) == maxUnackedReturns { // it lapses there by itself
+	if len(m.unackedReturns) == maxUnackedReturns { // the oldest is not reported: that grant expires at the coordinator by itself
 		m.unackedReturns = slices.Delete(m.unackedReturns, 0, 1)
 	}
-	rest := m.coldStartWindow
+	countedFor := m.coldStartWindow
 	if budget := m.budgets[key]; budget != nil {
-		rest = budget.CountedFor
+		countedFor = budget.CountedFor
 	}
-	m.unackedReturns = append(m.unackedReturns, grantReturn{Item{Number: number, Key: key, Amount: used, Done: true, CountedFor: rest}, 0, until + m.padForDrift(rest)})
+	m.unackedReturns = append(m.unackedReturns, grantReturn{Item{Number: number, Key: key, Amount: used, Done: true, CountedFor: countedFor}, 0, expiresAt + m.padForDrift(countedFor)})
 }
 
-// returnGrants ends credits that have ended, are used up, or that nobody wants any more.
+// returnGrants returns grants that have expired, are used up, or are no longer needed.
 func (m *Machine) returnGrants() {
 	for _, key := range m.sortedKeys() {
 		budget := m.budgets[key]
@@ -544,15 +554,15 @@
 		budget.grants = slices.DeleteFunc(budget.grants, func(grant *heldGrant) bool {
 			switch {
 			case grant.closed:
-				// Kept until all of it is freed, also when it counts nowhere any more: what is freed that late would else be taken
-				// from a later credit, of which something is still out (found by internal/explore: one that stood still).
+				// Kept until all of it is released, even when it no longer counts at the coordinator. Otherwise a late release would
+				// be taken from a later grant, part of which is still in use (found by internal/explore with a router that was paused).
 				return grant.used <= 1e-6
 			case m.now >= grant.expiresAt:
 				m.stats.Expired++
-			case grant.remaining <= 1e-6 && !budget.held(): // what is held may come back
+			case grant.remaining <= 1e-6 && !budget.held(): // in a budget that is held, a release makes it available again
 			case m.now > budget.lastDemandAt+m.IdleTimeout, budget.largestDemand > 0 && budget.request == nil:
-				// Nobody wants it, or what is wanted does not fit what is left: kept, its used part too would count as lent
-				// until its lease has ended, which was a third of the whole where far more is wanted than there is.
+				// There is no demand, or what remains does not cover the demand. If the grant were kept, its used part too would
+				// count as leased until the lease ends; with demand far above the total that came to a third of the total.
 				m.stats.Returned++
 			default:
 				return false
@@ -564,7 +574,7 @@
 	}
 }
 
-// sortedKeys are those of the budgets, in one order.
+// sortedKeys returns the keys of the budgets, sorted so that the order of messages does not depend on the map.
 func (m *Machine) sortedKeys() []Key {
 	out := make([]Key, 0, len(m.budgets))
 	for key := range m.budgets {
@@ -574,17 +584,18 @@
 	return out
 }
 
-// createRequests makes askings of what has been wanted: the largest batch, and more of them as long as that is a small part.
+// createRequests turns the demand since the last call into one request for each budget: for the sum of the amounts, bounded by
+// MaxRequestFraction of the total, but at least for the largest amount wanted at once.
 func (m *Machine) createRequests() {
 	m.demandPending = false
 	for _, key := range m.sortedKeys() {
 		budget := m.budgets[key]
-		largest, sum := budget.largestDemand, budget.demandSum
+		largest, total := budget.largestDemand, budget.demandSum
 		budget.largestDemand, budget.demandSum = 0, 0
 		if largest == 0 || budget.request != nil {
 			continue
 		}
-		amount := min(sum, budget.Total*m.MaxRequestFraction)
+		amount := min(total, budget.Total*m.MaxRequestFraction)
 		if Kinds[key.Kind].Counted {
 			amount = math.Floor(amount)
 		}
@@ -596,7 +607,7 @@
 	}
 }
 
-// sendRequests sends what is to be asked and told.
+// sendRequests sends the due requests and returns in one message.
 func (m *Machine) sendRequests() {
 	if m.now < m.nextRequestAt || len(m.Replicas) == 0 {
 		return
@@ -615,7 +626,7 @@
 		if request == nil {
 			continue
 		}
-		if m.now > budget.lastDemandAt+2*m.RetryInterval { // nobody waits for it any more
+		if m.now > budget.lastDemandAt+2*m.RetryInterval { // no batch waits for it any more
 			m.queueReturn(key, request.item.Number, 0, m.now+m.Lease)
 			budget.request = nil
 			continue
@@ -632,7 +643,7 @@
 		return
 	}
 	to := m.coordinatorAddress
-	if to != "" && m.unansweredSince > 0 && m.now > m.unansweredSince+4*m.RetryInterval { // it says nothing
+	if to != "" && m.unansweredSince > 0 && m.now > m.unansweredSince+4*m.RetryInterval { // it does not answer
 		to, m.coordinatorAddress = "", ""
 		m.nextReplica++
 	}
@@ -650,7 +661,7 @@
 	m.send(to, Message{Kind: GrantRequest, Items: items})
 }
 
-// NextWake is when Wake is wanted next, if nothing comes.
+// NextWake returns when Wake has to be called next if nothing happens before; infinity: not at all.
 func (m *Machine) NextWake() float64 {
 	at := math.Inf(1)
 	if replica := m.replica; replica != nil {
@@ -668,7 +679,7 @@
 	}
 	for _, budget := range m.budgets {
 		for _, grant := range budget.grants {
-			if grant.closed { // Freed ends it
+			if grant.closed { // Freed removes it
 				continue
 			}
 			at = min(at, grant.expiresAt, max(budget.lastDemandAt+m.IdleTimeout, m.now+requestSpacing))
@@ -683,7 +694,8 @@
 	return at
 }
 
-// Leave gives back all that is in hand, and the office: what was given from here ends by itself.
+// Leave is called before a clean shutdown. It returns all grants and resigns the leadership, and hands over the ledgers if they are
+// complete. Grants that this coordinator has issued expire by themselves.
 func (m *Machine) Leave(now float64) {
 	m.advanceClock(now)
 	for _, key := range m.sortedKeys() {
@@ -701,19 +713,19 @@
 	m.nextRequestAt = 0
 	m.sendRequests()
 	if replica := m.replica; replica != nil && replica.lastClaimNumber > 0 {
-		was := replica.isCoordinator(m.now)
-		items, all := m.coordinator.handoverItems(m.now)
+		wasCoordinator := replica.isCoordinator(m.now)
+		items, complete := m.coordinator.handoverItems(m.now)
 		yield := replica.resign(m.now, m.self)
-		if was && all && m.ledgersComplete() {
+		if wasCoordinator && complete && m.ledgersComplete() {
 			yield.Kind, yield.Items = Handover, items
 		}
 		replica.silentUntil = math.Inf(1)
-		m.updateLeadership(was)
+		m.updateLeadership(wasCoordinator)
 		m.broadcast(yield)
 	}
 }
 
-// ledgersComplete tells whether nothing counts any more of the bursar before that is not in the books.
+// ledgersComplete reports whether the ledgers hold every grant of earlier coordinators that still counts.
 func (m *Machine) ledgersComplete() bool {
 	c := &m.coordinator
 	if c.recovery != nil {
--- a/internal/shares/quota_lease.go
+++ b/internal/shares/quota_lease.go
@@ -94,14 +94,14 @@
 // InUse is what is held now, of credits and of the firm part.
 func (p *QuotaLease) InUse() float64 { return p.machine.budgetFor(&p.budget).inUse() }
 
-func (budget *memberBudget) inUse() (sum float64) {
-	if !budget.held() {
+func (b *memberBudget) inUse() (sum float64) {
+	if !b.held() {
 		return 0
 	}
-	for _, grant := range budget.grants {
+	for _, grant := range b.grants {
 		sum += grant.used
 	}
-	for _, u := range budget.fixedUses {
+	for _, u := range b.fixedUses {
 		sum += u.amount
 	}
 	return sum
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -69,17 +69,17 @@
 
 // CanSpend holds a wish against the own part. Few routers have it all, picked alike everywhere by engine, start and own number.
 func (p *FixedDivision) CanSpend(now float64, engine EngineStart, work float64) bool {
-	n, first := int(p.Routers), int(HashFraction(uint64(engine.Engine), math.Float64bits(engine.StartedAt))*p.Routers)
-	if now < p.StartedAt+p.Window || p.Index < 0 || p.Index >= n || (p.Index-first+n)%n >= p.MaxHolders {
+	routers, first := int(p.Routers), int(HashFraction(uint64(engine.Engine), math.Float64bits(engine.StartedAt))*p.Routers)
+	if now < p.StartedAt+p.Window || p.Index < 0 || p.Index >= routers || (p.Index-first+routers)%routers >= p.MaxHolders {
 		return false
 	}
-	room := p.sharePerCore * engine.Cores
+	available := p.sharePerCore * engine.Cores
 	for _, u := range p.spent[engine.Engine] {
 		if u.at > now-p.Window-lateSendMargin {
-			room -= u.amount
+			available -= u.amount
 		}
 	}
-	return work <= room
+	return work <= available
 }
 
 // Spend counts what is sent, and forgets what no longer counts.
