--- a/internal/shares/coordinator.go
+++ b/internal/shares/coordinator.go
@@ -6,66 +6,69 @@
 	"slices"
 )
 
-// budgetLedger is what the bursar has given of one budget. What was given counts until its lease has ended on the slowest clock, and
-// what may have been done with it has had its rest; of one that is told done, only what was used, and its rest from now on.
+// budgetLedger is the coordinator's account of one budget. A grant counts until its lease has ended on the slowest clock of the fleet
+// and everything that may have been done with it no longer counts. Of a grant that was reported as done only the used amount counts,
+// for countedFor seconds from the report on.
 type budgetLedger struct {
 	key            Key
-	total          float64 // the least that was told within a rest
-	nextTotal      float64 // the least since nextAt: it takes the place of whole when that is old
+	total          float64 // least total that a router stated while this one applies; see ledgerFor
+	nextTotal      float64 // least total stated since nextTotalSince; replaces total when that is old
 	nextTotalSince float64
-	countedFor     float64
-	opensAt        float64 // what the bursar before gave may count until then
+	countedFor     float64 // seconds for which a use counts
+	opensAt        float64 // no grants before: grants of earlier coordinators that are not recorded here may still count
 	grants         map[grantID]*issuedGrant
-	granted        microUnits       // of those
-	nextExpiry     float64          // when the next of them ends, or sooner
-	queue          []*queuedRequest // in the order in which they came
+	granted        microUnits       // sum of the amounts in grants
+	nextExpiry     float64          // no grant expires before
+	queue          []*queuedRequest // in order of arrival until serveQueue sorts it
 	lastUsedAt     float64
 }
 
-// microUnits are millionths: what is added and taken away a million times has to come out even.
+// microUnits are millionths of a unit, in integers: millions of additions and subtractions must not accumulate rounding errors.
 type microUnits int64
 
+// toMicroUnits rounds up, so that no amount counts for less than it is.
 func toMicroUnits(amount float64) microUnits {
 	return microUnits(math.Ceil(min(max(amount, 0), 1e12) * 1e6))
 }
 
-// grantID names a credit.
+// grantID identifies a grant: the start of the router that requested it, and that router's number for it.
 type grantID struct {
 	ID
 	Number uint64
 }
 
+// issuedGrant is a grant as the coordinator accounts for it.
 type issuedGrant struct {
 	amount       microUnits
 	countsUntil  float64
-	lease        float64
-	attempt      uint32
-	done         bool
-	unreplicated bool // most keepers don't know of it yet
-	recovered    bool // of the bursar before
+	lease        float64 // seconds from the request on
+	attempt      uint32  // attempt of the request that was answered
+	done         bool    // its holder spends nothing more of it
+	unreplicated bool    // a majority of the replicas has not recorded it yet, so it must not be sent
+	recovered    bool    // issued by an earlier coordinator
 }
 
-// queuedRequest is an asking that there was no room for.
+// queuedRequest is a request that waits until the budget can cover it.
 type queuedRequest struct {
 	grantID
 	item           Item
 	replyTo        string
 	queuedAt       float64
-	lastReceivedAt float64 // when it was last asked again
+	lastReceivedAt float64 // when its latest attempt arrived
 }
 
-// coordinator is the part of whoever holds the office.
+// coordinator issues the grants while its router is elected.
 type coordinator struct {
 	*Settings
-	ledgers            map[Key]*budgetLedger // tidy deletes
-	handover           *handover             // by the bursar before, who left in peace; nil: nothing
-	recovery           *recovery             // nil: it is over, and the books may be used
-	recordsCompleteFor float64               // for how long those keepers have run who told what counts
+	ledgers            map[Key]*budgetLedger // removeIdleLedgers deletes
+	handover           *handover             // from the previous coordinator, if it left cleanly; nil: none
+	recovery           *recovery             // of the records of the replicas; nil: it is over, and grants may be issued
+	recordsCompleteFor float64               // least CompleteFor of the replicas whose records were recovered, seconds
 	pending            []*pendingGrants
-	lastNumber         uint64 // of what keepers are told and asked
+	lastNumber         uint64 // of messages to replicas
 }
 
-// getOrCreateLedger gives the book of a budget.
+// getOrCreateLedger returns the ledger of a budget.
 func (c *coordinator) getOrCreateLedger(now float64, item *Item) *budgetLedger {
 	ledger := c.ledgers[item.Key]
 	if ledger == nil {
@@ -75,8 +78,8 @@
 	return ledger
 }
 
-// handoverItems gives all that still counts, where one message holds it.
-func (c *coordinator) handoverItems(now float64) (items []Item, all bool) {
+// handoverItems returns one item for each budget of which something still counts, and whether one message can hold them all.
+func (c *coordinator) handoverItems(now float64) (items []Item, complete bool) {
 	for _, ledger := range c.sortedLedgers() {
 		if ledger.dropExpired(now); ledger.granted == 0 {
 			continue
@@ -90,7 +93,7 @@
 	return items, len(items) <= maxItemsPerMessage
 }
 
-// removeIdleLedgers drops books of which nothing counts any more.
+// removeIdleLedgers deletes ledgers that have not been used for a while and of which nothing counts any more.
 func (c *coordinator) removeIdleLedgers(now float64) {
 	for key, ledger := range c.ledgers {
 		ledger.dropExpired(now)
@@ -100,7 +103,7 @@
 	}
 }
 
-// dropExpired forgets what no longer counts.
+// dropExpired removes the grants that no longer count.
 func (l *budgetLedger) dropExpired(now float64) {
 	if now < l.nextExpiry {
 		return
@@ -115,7 +118,7 @@
 	}
 }
 
-// add and take are all that changes the sum.
+// add puts a grant in place of any earlier one under its ID. Only add and remove change granted.
 func (l *budgetLedger) add(to grantID, issued *issuedGrant) {
 	l.remove(to)
 	l.grants[to] = issued
@@ -130,19 +133,20 @@
 	}
 }
 
-// grantable is what the bursar may give of a whole.
+// grantable is the part of the total that the coordinator may grant: all but the fixed fraction.
 func (c *coordinator) grantable(ledger *budgetLedger) microUnits {
 	return microUnits(ledger.total * (1 - c.FixedFraction) * 1e6)
 }
 
-// ledgerFor gives the book of a budget as one who asks tells it. wonAt is since when this office lasts: what an earlier bursar gave, and
-// what is not in the books, has ended a lease later, or where it yielded within a lease, and counts for a rest more.
+// ledgerFor returns the ledger of a budget and updates it with what a requesting router states of the budget. leaderSince is when this
+// leadership began. Grants of earlier coordinators that are not in the ledger expire within a lease after that, also where the earlier
+// coordinator resigned, and what was done with them counts for countedFor longer.
 func (c *coordinator) ledgerFor(now, leaderSince float64, item *Item) *budgetLedger {
 	ledger := c.getOrCreateLedger(now, item)
 	ledger.lastUsedAt = now
 	ledger.countedFor = max(ledger.countedFor, item.CountedFor)
 	c.updateOpensAt(ledger, leaderSince)
-	// The least that anybody tells holds; a higher one only once nobody has told the lower for a rest.
+	// Routers may state different totals. The least one applies, and a higher one only once nobody has stated the lower for countedFor.
 	if now > ledger.nextTotalSince+max(ledger.countedFor, c.Lease) {
 		ledger.total, ledger.nextTotal, ledger.nextTotalSince = ledger.nextTotal, item.Total, now
 	}
@@ -151,12 +155,12 @@
 	return ledger
 }
 
-// processItems takes what one asks for, and gives what can be answered at once, the books that somebody waits for or that have more room,
-// and what counts for less now.
-func (c *coordinator) processItems(now, leaderSince float64, from ID, at string, items []Item) (answers []Item, changed []*budgetLedger, reductions []Item) {
+// processItems handles the requests and returns of one message. It returns the items that can be answered at once, the ledgers whose
+// queue has to be served because a request was queued or an amount became free, and the records of grants that count for less now.
+func (c *coordinator) processItems(now, leaderSince float64, from ID, replyTo string, items []Item) (answers []Item, changed []*budgetLedger, reductions []Item) {
 	for _, item := range items {
 		id := grantID{from, item.Number}
-		if item.Done { // it tells no whole, and a book that is not there has nothing of it
+		if item.Done { // a return states no total; without a ledger nothing is recorded of it
 			answers = append(answers, Item{Number: item.Number, Key: item.Key, Amount: item.Amount, Done: true})
 			ledger := c.ledgers[item.Key]
 			if ledger == nil {
@@ -165,7 +169,7 @@
 			held := Kinds[item.Key.Kind].Held
 			if issued := ledger.grants[id]; issued != nil && (held || !issued.done) {
 				until := min(issued.countsUntil, now+c.padForDrift(ledger.countedFor+c.SendTimeout))
-				if held { // it is out until told otherwise, or for as long as it may be
+				if held { // in use until its release is reported, or for as long as it may last
 					until = issued.countsUntil
 				}
 				used := min(issued.amount, toMicroUnits(item.Amount))
@@ -184,8 +188,8 @@
 		ledger.dropExpired(now)
 		issued := ledger.grants[id]
 		switch {
-		case issued != nil: // the answer was lost; the lease runs from the asking that was answered
-			if issued.recovered { // of the bursar before: his answer is not to be waited for, and the holder says so by giving it back
+		case issued != nil: // the answer was lost; the lease runs from the attempt that was answered
+			if issued.recovered { // the earlier coordinator's answer will not come; without a lease the router returns the grant
 				answers = append(answers, Item{Number: item.Number, Attempt: item.Attempt, Key: item.Key, Amount: float64(issued.amount) / 1e6})
 			} else if !issued.done && !issued.unreplicated {
 				answers = append(answers, Item{Number: item.Number, Attempt: issued.attempt, Key: item.Key, Amount: float64(issued.amount) / 1e6, Lease: issued.lease})
@@ -197,7 +201,7 @@
 			if n >= 0 {
 				ledger.queue[n].item, ledger.queue[n].lastReceivedAt = item, now
 			} else if len(ledger.queue) < c.MaxQueued {
-				ledger.queue = append(ledger.queue, &queuedRequest{id, item, at, now, now})
+				ledger.queue = append(ledger.queue, &queuedRequest{id, item, replyTo, now, now})
 			}
 			changed = append(changed, ledger)
 		}
@@ -205,8 +209,9 @@
 	return answers, changed, reductions
 }
 
-// serveQueue gives what there is room for, the smallest first, as batches leave: who waits for much is passed by only as long as it
-// has not waited for some windows.
+// serveQueue grants the queued requests that the budget covers, smallest first, and returns the replies. Requests that have waited for
+// agingWindows come first, in order of arrival, and none is granted ahead of them: so large requests do not starve. leadershipEnds is
+// when this leadership ends; no lease outlasts it.
 func (c *coordinator) serveQueue(now, leadershipEnds float64, ledger *budgetLedger) (out []OutgoingMessage) {
 	ledger.dropExpired(now)
 	reply := func(queued *queuedRequest, item Item) {
@@ -229,13 +234,13 @@
 	for n := 0; n < len(ledger.queue); {
 		queued := ledger.queue[n]
 		amount := toMicroUnits(queued.item.Amount)
-		if amount > c.grantable(ledger) { // the whole has become less
+		if amount > c.grantable(ledger) { // the total has shrunk
 			reply(queued, Item{TooLarge: true})
 			ledger.queue = slices.Delete(ledger.queue, n, n+1)
 			continue
 		}
 		if amount > free {
-			if aged(queued) { // nothing goes past it any more
+			if aged(queued) { // no later request is granted ahead of it
 				break
 			}
 			n++
@@ -249,7 +254,8 @@
 	return out
 }
 
-const agingWindows = 2 // windows
+// agingWindows is how long a request waits before it has precedence, as a multiple of the seconds for which a use counts.
+const agingWindows = 2
 
 func boolToInt(b bool) int {
 	if b {
@@ -258,7 +264,7 @@
 	return 0
 }
 
-// nextServeAt is when something that waits may find room.
+// nextServeAt returns when serveQueue or resendToReplicas next has something to do; infinity: nothing waits.
 func (c *coordinator) nextServeAt(now float64) float64 {
 	at := math.Inf(1)
 	for _, p := range c.pending {
@@ -275,18 +281,18 @@
 			at = min(at, ledger.opensAt)
 			continue
 		}
-		at = min(at, ledger.nextExpiry, now+c.RetryInterval) // who no longer asks goes
+		at = min(at, ledger.nextExpiry, now+c.RetryInterval) // requests that are no longer repeated are removed
 	}
 	return at
 }
 
-// sortedLedgers gives the books in one order.
+// sortedLedgers returns the ledgers sorted by key, so that the order of messages does not depend on the map.
 func (c *coordinator) sortedLedgers() []*budgetLedger {
 	out := make([]*budgetLedger, 0, len(c.ledgers))
 	for _, ledger := range c.ledgers {
 		out = append(out, ledger)
 	}
-	slices.SortFunc(out, func(a, ledger *budgetLedger) int { return compareKeys(a.key, ledger.key) })
+	slices.SortFunc(out, func(x, y *budgetLedger) int { return compareKeys(x.key, y.key) })
 	return out
 }
 
