--- a/internal/shares/records.go
+++ b/internal/shares/records.go
@@ -7,55 +7,57 @@
 	"slices"
 )
 
-// A bursar's books would die with him, and the next one would have to wait until all that he may have given is over: a lease and
-// a rest, and of what is held that is the longest time limit. So most keepers know of a credit before its holder does, and who
-// is chosen next hears from most of them what counts: two majorities have a keeper in common, and it has not forgotten, or has
-// run for so short a time that the books stay closed as before. It is what Viewstamped Replication does without disks (Oki and
-// Liskov, PODC 1988; Liskov and Cowling, 2012), with leases in place of a log.
+// The ledgers of a coordinator are lost with its process, and its successor would have to wait until everything that it may have
+// granted no longer counts: a lease and the time for which a use counts, which is the longest time limit for a budget that is held.
+// So a majority of the replicas records a grant before its holder receives it, and a new coordinator recovers the records of a
+// majority. Two majorities have a replica in common, and that one has either kept its records or been running for so short a time
+// that no grants are issued until the wait is over, as without records. Viewstamped Replication works this way without disks (Oki
+// and Liskov, PODC 1988; Liskov and Cowling, 2012); here leases take the place of its log.
 
-// MaxRecordsPerMessage are on one message: each has its holder's name, and the longest names have to fit a datagram.
+// MaxRecordsPerMessage bounds the records in one message: each holds the name of a router, and a message with the longest names has
+// to fit into a datagram.
 const MaxRecordsPerMessage = 7
 
-// replicaRecord is what a keeper knows of a credit.
+// replicaRecord is a replica's record of one grant. total and countedFor are those of its budget.
 type replicaRecord struct {
 	amount            microUnits
-	total, countedFor float64 // of its budget
-	countsUntil       float64 // it counts
+	total, countedFor float64
+	countsUntil       float64
 }
 
-// storeRecord notes what a bursar tells. Of one credit amounts only fall, in whichever order they come; one that is told late
-// counts on until it would have, which takes nothing from anybody but time.
+// storeRecord stores what a coordinator reports of a grant; an amount of 0 deletes it. The amount of one grant only decreases, in
+// whichever order the messages arrive. A late message makes a grant count for longer than necessary, which costs only time.
 func (r *replica) storeRecord(now float64, item *Item) {
-	id, all, amount := grantID{item.Holder, item.Number}, r.records[item.Key], toMicroUnits(item.Amount)
-	if before, known := all[id]; known {
+	id, records, amount := grantID{item.Holder, item.Number}, r.records[item.Key], toMicroUnits(item.Amount)
+	if before, known := records[id]; known {
 		amount = min(amount, before.amount)
 	}
 	switch {
-	case amount > 0 && all == nil:
+	case amount > 0 && records == nil:
 		r.records[item.Key] = map[grantID]replicaRecord{id: {amount, item.Total, item.CountedFor, now + r.padForDrift(item.Lease)}}
 	case amount > 0:
-		all[id] = replicaRecord{amount, item.Total, item.CountedFor, now + r.padForDrift(item.Lease)}
+		records[id] = replicaRecord{amount, item.Total, item.CountedFor, now + r.padForDrift(item.Lease)}
 	default:
-		delete(all, id)
+		delete(records, id)
 	}
 }
 
-// dropExpired drops what no longer counts.
+// dropExpired deletes the records of grants that no longer count.
 func (r *replica) dropExpired(now float64) {
-	for key, all := range r.records {
-		maps.DeleteFunc(all, func(_ grantID, r replicaRecord) bool { return now >= r.countsUntil })
-		if len(all) == 0 {
+	for key, records := range r.records {
+		maps.DeleteFunc(records, func(_ grantID, record replicaRecord) bool { return now >= record.countsUntil })
+		if len(records) == 0 {
 			delete(r.records, key)
 		}
 	}
 }
 
-// currentRecords gives all that counts, in one order.
+// currentRecords returns the records of all grants that still count, sorted.
 func (r *replica) currentRecords(now float64) (out []Item) {
 	r.dropExpired(now)
-	for key, all := range r.records {
-		for id, r := range all {
-			out = append(out, Item{Key: key, Holder: id.ID, Number: id.Number, Amount: float64(r.amount) / 1e6, Total: r.total, CountedFor: r.countedFor, Lease: r.countsUntil - now})
+	for key, records := range r.records {
+		for id, record := range records {
+			out = append(out, Item{Key: key, Holder: id.ID, Number: id.Number, Amount: float64(record.amount) / 1e6, Total: record.total, CountedFor: record.countedFor, Lease: record.countsUntil - now})
 		}
 	}
 	slices.SortFunc(out, func(a, b Item) int {
@@ -64,42 +66,43 @@
 	return out
 }
 
-// completeFor is for how long this start has been told all that was given. Its quiet time counts for nothing: a bursar whom the start
-// before promised may have given until then without asking this one.
+// completeFor returns for how many seconds this start has received the record of every grant. The time in which it gives no promises
+// does not count: a coordinator with a promise of the previous start may have issued grants then without a record here.
 func (r *replica) completeFor(now float64) float64 { return max(now-r.completeSince, 0) }
 
-// pendingGrants are credits that most keepers don't know of yet.
+// pendingGrants are grants whose replies wait until a majority of the replicas has recorded them.
 type pendingGrants struct {
-	number         uint64
-	records        []Item // what they are told,
-	acknowledgedBy []string
-	replies        []OutgoingMessage // and what goes out then
+	number         uint64 // of the message
+	records        []Item
+	acknowledgedBy []string // addresses of replicas
+	replies        []OutgoingMessage
 	resendAt       float64
 }
 
-// recovery is what a new bursar hears of what counts.
+// recovery collects the records of the replicas for a new coordinator.
 type recovery struct {
-	number           uint64 // of the last time he asked
+	number           uint64 // of the latest request
 	resendAt         float64
-	pages            map[string]*recoveredPages // by keeper's address
-	completeReplicas int                        // keepers of whom all has come
+	pages            map[string]*recoveredPages // by address of the replica
+	completeReplicas int                        // replicas of which all pages have arrived
 }
 
+// recoveredPages are the records of one replica, in pages.
 type recoveredPages struct {
-	number      uint64
-	start       uint64
+	number      uint64 // of the request
+	start       uint64 // of the replica
 	items       [][]Item
-	missing     int
-	completeFor float64
+	missing     int     // pages that have not arrived
+	completeFor float64 // seconds; see Message.CompleteFor
 }
 
-// beginRecovery opens the books of a new office: they can't be used before most keepers have told what they know.
+// beginRecovery starts the ledgers of a new leadership. They are not used before a majority of the replicas has sent its records.
 func (c *coordinator) beginRecovery(h *handover) {
 	c.ledgers, c.pending, c.handover, c.recordsCompleteFor = map[Key]*budgetLedger{}, nil, h, 0
 	c.recovery = &recovery{pages: map[string]*recoveredPages{}}
 }
 
-// addPage takes in a page of what a keeper knows. It gives true once most have told all.
+// addPage takes in a page of a replica's records. It returns true once a majority of the replicas has sent all pages.
 func (r *recovery) addPage(m *Message, replicas int) bool {
 	if m.Number != r.number || m.Pages == 0 || m.Page >= m.Pages {
 		return false
@@ -123,7 +126,7 @@
 	return 2*r.completeReplicas > replicas
 }
 
-// applyRecovery fills the books with what most keepers know.
+// applyRecovery fills the ledgers with the records of a majority of the replicas and with what the previous coordinator handed over.
 func (c *coordinator) applyRecovery(now, leaderSince float64) {
 	c.recordsCompleteFor = math.Inf(1)
 	for _, p := range c.recovery.pages {
@@ -136,7 +139,7 @@
 				ledger, id := c.getOrCreateLedger(now, &item), grantID{item.Holder, item.Number}
 				ledger.countedFor, ledger.total, ledger.nextTotal = max(ledger.countedFor, item.CountedFor), min(ledger.total, item.Total), min(ledger.nextTotal, item.Total)
 				issued := &issuedGrant{amount: toMicroUnits(item.Amount), countsUntil: now + c.padForDrift(item.Lease), recovered: true}
-				if before := ledger.grants[id]; before != nil { // where one keeper missed that less is out the larger counts
+				if before := ledger.grants[id]; before != nil { // a replica may have missed a reduction, so the larger amount counts
 					issued.amount, issued.countsUntil = max(issued.amount, before.amount), max(issued.countsUntil, before.countsUntil)
 				}
 				ledger.add(id, issued)
@@ -158,24 +161,26 @@
 	}
 }
 
-// recordsComplete: those who told what they know have run for longer than anything counts that they may have forgotten.
+// recordsComplete reports whether every grant of the budget that still counts is in the recovered records: the replicas that sent
+// them have received all records for longer than a grant counts that they may have lost in a restart.
 func (c *coordinator) recordsComplete(ledger *budgetLedger) bool {
 	return c.recordsCompleteFor >= c.padForDrift(c.padForDrift(c.Lease+ledger.countedFor))
 }
 
-// updateOpensAt sets when a book may be used: at once if all that counts is in it, else when what is not is over.
+// updateOpensAt sets from when on grants may be issued: at once if the ledger is complete, otherwise when no grant that is missing
+// from it can still count.
 func (c *coordinator) updateOpensAt(ledger *budgetLedger, leaderSince float64) {
 	if ledger.opensAt = 0; c.handover == nil && !c.recordsComplete(ledger) {
 		ledger.opensAt = leaderSince + c.padForDrift(c.Lease+ledger.countedFor)
 	}
 }
 
-// replicate keeps what is to be given until most keepers know of it, and tells them.
-func (m *Machine) replicate(sends []OutgoingMessage) {
+// replicate sends the records of new grants to the replicas and keeps the replies back until a majority has acknowledged them.
+func (m *Machine) replicate(replies []OutgoingMessage) {
 	c, replica := &m.coordinator, m.replica
-	for len(sends) > 0 {
-		chunk := sends[:min(len(sends), MaxRecordsPerMessage)]
-		sends = sends[len(chunk):]
+	for len(replies) > 0 {
+		chunk := replies[:min(len(replies), MaxRecordsPerMessage)]
+		replies = replies[len(chunk):]
 		c.lastNumber++
 		p := &pendingGrants{number: c.lastNumber, acknowledgedBy: []string{m.Listen}, resendAt: m.now + m.RetryInterval}
 		for _, s := range chunk {
@@ -194,7 +199,8 @@
 	}
 }
 
-// sendIfReplicated sends what most keepers know of, if the office still lasts: whoever has it next has heard of it then.
+// sendIfReplicated sends the replies once a majority of the replicas has the records, if the leadership still lasts: then the next
+// coordinator recovers these records.
 func (m *Machine) sendIfReplicated(p *pendingGrants) {
 	c := &m.coordinator
 	if 2*len(p.acknowledgedBy) <= len(m.Replicas) || !m.replica.isCoordinator(m.now) {
@@ -212,7 +218,7 @@
 	}
 }
 
-// handleRecordAck: a keeper knows of some credits now.
+// handleRecordAck notes that a replica has recorded pending grants.
 func (m *Machine) handleRecordAck(message *Message) {
 	c := &m.coordinator
 	n := slices.IndexFunc(c.pending, func(p *pendingGrants) bool { return p.number == message.Number })
@@ -224,7 +230,8 @@
 	m.sendIfReplicated(p)
 }
 
-// replicateReductions tells keepers of what counts for less now. Where that is lost it counts for longer.
+// replicateReductions reports grants that count for less now. It is not acknowledged: where a report is lost, the grant counts in
+// full for longer.
 func (m *Machine) replicateReductions(items []Item) {
 	for len(items) > 0 {
 		chunk := items[:min(len(items), MaxRecordsPerMessage)]
@@ -236,7 +243,7 @@
 	}
 }
 
-// handleRecordUpdate is the part of a keeper in both.
+// handleRecordUpdate stores records as a replica, and acknowledges them if the message has a number.
 func (m *Machine) handleRecordUpdate(message *Message) {
 	for n := range message.Items {
 		m.replica.storeRecord(m.now, &message.Items[n])
@@ -246,7 +253,7 @@
 	}
 }
 
-// sendRecoveryPages gives a new bursar all that this keeper knows, in as many messages as it takes.
+// sendRecoveryPages sends all records of this replica to a new coordinator, in as many messages as they need.
 func (m *Machine) sendRecoveryPages(message *Message) {
 	replica := m.replica
 	if m.replicaIndex(message.FromAddress) < 0 {
@@ -260,7 +267,8 @@
 	}
 }
 
-// resendToReplicas asks keepers for what counts until most have told it, and parked credits' keepers again.
+// resendToReplicas repeats what replicas have not answered: the recovery request until a majority has sent its records, and the records
+// of pending grants.
 func (m *Machine) resendToReplicas() {
 	c, replica := &m.coordinator, m.replica
 	if r := c.recovery; r != nil && m.now >= r.resendAt {
@@ -286,6 +294,7 @@
 	}
 }
 
+// finishRecovery fills the ledgers, after which grants may be issued.
 func (m *Machine) finishRecovery() {
 	m.coordinator.applyRecovery(m.now, m.replica.leaderSince)
 	m.note(false, "books", "count", len(m.coordinator.ledgers), "keepers up", m.coordinator.recordsCompleteFor, "handed over", m.coordinator.handover != nil)
