--- a/internal/shares/quota_lease.go
+++ b/internal/shares/quota_lease.go
@@ -1,19 +1,20 @@
 package shares
 
-// QuotaLease is what a router has of one budget that the fleet divides: free further dispatches, say, or how many dispatches may be
-// out. What cold engines bear goes by Parts.
+// QuotaLease is what a router may spend of one budget that the fleet divides, for example of free retries and hedges or of concurrent
+// dispatches. The budgets of engines in cold start go through ColdStartQuota. It is as little safe for concurrent use as its Machine.
 type QuotaLease struct {
 	machine *Machine
 	budget  Budget
 }
 
-// QuotaLease gives it. It may be made anew whenever the whole has changed. What is used last may come late: it rests for that longer.
+// QuotaLease returns the lease of a budget. It may be called again when the total has changed. Uses count lateSendMargin longer than the
+// budget says, as what is spent last may be sent late.
 func (m *Machine) QuotaLease(of Budget) *QuotaLease {
 	of.CountedFor += lateSendMargin
 	return &QuotaLease{m, of}
 }
 
-// Room tells whether so much may be used now.
+// Room reports whether the fixed share or the grants cover an amount now.
 func (p *QuotaLease) Room(now, amount float64) bool {
 	m := p.machine
 	m.advanceClock(now)
@@ -21,7 +22,7 @@
 	return m.fitsFixedShare(budget, amount) || budget.available(m.now) >= amount
 }
 
-// Spend counts what is used, for which there was room.
+// Spend charges an amount for which Room was true.
 func (p *QuotaLease) Spend(now, amount float64) {
 	m := p.machine
 	m.advanceClock(now)
@@ -39,7 +40,7 @@
 	m.spend(budget, amount)
 }
 
-// Want tells that so much is wanted for which there is no room.
+// Want notes demand for an amount for which Room was false.
 func (p *QuotaLease) Want(now, amount float64) {
 	m := p.machine
 	m.advanceClock(now)
@@ -48,8 +49,8 @@
 	}
 }
 
-// Hopes tells whether it is worth a moment's wait to want so much: an exchange with the bursar. Where others have waited longer
-// in vain it is not, and whoever wants it is told so at once.
+// Hopes reports whether a grant of the amount may arrive within GrantWait, which allows for one exchange with the coordinator. It may
+// not if earlier demand has been waiting for longer; then the caller need not wait at all.
 func (p *QuotaLease) Hopes(now, amount float64) bool {
 	m := p.machine
 	m.advanceClock(now)
@@ -61,9 +62,9 @@
 	return budget.unmetSince == 0 || m.now <= budget.unmetSince+m.GrantWait || m.now > budget.lastDemandAt+2*m.RetryInterval
 }
 
-// Freed tells that so much of what was held is no longer. It is taken from the credit that ends first, and from the firm part
-// last, whichever it was spent of: then what is still out is covered by credits that end no sooner than those it was spent of,
-// and by the firm part, which ends only with this start and a rest.
+// Freed releases an amount in use. It is taken from the grant that expires first and from the fixed share last, whichever it was
+// charged to. So what remains in use is covered by grants that expire no sooner than those it was charged to, and by the fixed share,
+// which does not expire while this process runs and for CountedFor after its end.
 func (p *QuotaLease) Freed(now, amount float64) {
 	m := p.machine
 	m.advanceClock(now)
@@ -76,13 +77,13 @@
 		grant.used, amount = grant.used-part, amount-part
 		switch {
 		case grant.closed:
-			if m.now < grant.expiresAt+m.padForDrift(budget.CountedFor) { // else it counts there no longer
+			if m.now < grant.expiresAt+m.padForDrift(budget.CountedFor) { // later it no longer counts at the coordinator
 				m.queueReturn(p.budget.Key, grant.number, grant.used, grant.expiresAt)
 			}
 		case m.now < grant.expiresAt:
 			grant.remaining += part
 		}
-		m.demandPending = true // the bursar is told at the end of this turn
+		m.demandPending = true // so that Wake is called and reports it to the coordinator
 	}
 	if len(budget.fixedUses) > 0 && amount > 0 {
 		if budget.fixedUses[0].amount -= amount; budget.fixedUses[0].amount <= 1e-9 {
@@ -91,9 +92,10 @@
 	}
 }
 
-// InUse is what is held now, of credits and of the firm part.
+// InUse returns the amount in use now, of grants and of the fixed share; 0 for a budget that is not held.
 func (p *QuotaLease) InUse() float64 { return p.machine.budgetFor(&p.budget).inUse() }
 
+// inUse sums the amounts in use of a budget that is held.
 func (b *memberBudget) inUse() (sum float64) {
 	if !b.held() {
 		return 0
--- a/internal/shares/replica.go
+++ b/internal/shares/replica.go
@@ -2,61 +2,63 @@
 
 import "slices"
 
-// replica is the part of one that promises, and may become the bursar itself. Leases by promises of most, without a disk, are
-// PaxosLease's (Trencseni, Gazso, Reinhardt, 2012): who has just started promises nothing until all that it may have promised
-// before has ended.
+// replica gives promises in elections, stores the records of grants, and may itself become the coordinator. Leadership is a lease that
+// a majority of the replicas promises, without a disk, as in PaxosLease (Trencseni, Gazso, Reinhardt, 2012): a replica that has
+// just started gives no promise until every promise of an earlier start must have ended.
 type replica struct {
 	*Settings
-	silentUntil float64 // nothing is promised before
+	silentUntil float64 // no promise is given before
 
-	promisedTo      ID // who has the promise,
+	// The latest promise, which may be to this router itself.
+	promisedTo      ID
 	promisedAddress string
-	promisedClaim   uint64 // by which claim,
+	promisedClaim   uint64 // number of the claim
 	promisedUntil   float64
-	lastClaimNumber uint64 // of own claims
-	claims          []claim
-	leadershipEnds  float64 // the own office lasts until then
+
+	lastClaimNumber uint64  // of this router's own claims
+	claims          []claim // own claims that may still win
+	leadershipEnds  float64 // this router is the coordinator until then, unless it renews
 	nextClaimAt     float64
-	leaderSince     float64   // since when the office is held without a gap; 0: it is not
-	previousPromise ID        // whom was promised before him
-	takeover        *handover // what the office was taken over with; nil: nothing
-	handover        *handover // what a bursar who left has handed over; nil: nothing, or another was promised since
-	claimAfter      float64   // since when nobody's promise stands in the own way; 0: one does
-
-	records       map[Key]map[grantID]replicaRecord // of what bursars gave; forget deletes
-	completeSince float64                           // since when all that is given is told to this start too
+	leaderSince     float64   // since when this router has been the coordinator without a gap; 0: it is not
+	previousPromise ID        // holder of the promise before promisedTo
+	takeover        *handover // what the previous coordinator handed over to this leadership; nil: nothing
+	handover        *handover // received from a coordinator that left; nil: none, or used
+	claimAfter      float64   // no claim before, counted from when no promise to another was valid; 0: one is
+
+	records       map[Key]map[grantID]replicaRecord // of grants, by budget; dropExpired deletes
+	completeSince float64                           // since when this start has received the record of every grant
 }
 
-// claim is one of our own that is not void yet.
+// claim is one of this router's own candidacies and the answers to it.
 type claim struct {
 	number           uint64
 	sentAt           float64
-	promisedBy       []string // who has promised,
-	refusedBy        []string // and who has refused
-	previousPromises []ID     // whom those who promised had promised before
+	promisedBy       []string // addresses
+	refusedBy        []string // addresses
+	previousPromises []ID     // to whom the replicas that promised had promised before
 }
 
-// handover is what still counted in the books of a bursar who left.
+// handover holds what still counted in the ledgers of a coordinator that left.
 type handover struct {
 	by         ID
-	receivedAt float64 // when it was heard
-	items      []Item  // key, amount, and in Rest how long it counts at the most
+	receivedAt float64
+	items      []Item // one for each budget; CountedFor is how long any of its amount counts at most, and Lease how long a use counts
 }
 
-// replicaIndex of an address among the keepers; below 0: none.
+// replicaIndex returns the index of an address among the replicas; below 0: it is not a replica.
 func (s *Settings) replicaIndex(address string) int { return slices.Index(s.Replicas, address) }
 
-// jitter is another number from 0 to 1 for each keeper and each of its claims, so that seldom two claim at once.
+// jitter returns a number from 0 to 1 that differs between replicas and between their claims, so that two rarely claim at once.
 func (r *replica) jitter() float64 {
 	return HashFraction(uint64(r.replicaIndex(r.Listen))+1, r.lastClaimNumber+1)
 }
 
-// promisedToOther tells whether another's claim stands.
-func (r *replica) promisedToOther(now float64, but ID) bool {
-	return now < r.promisedUntil && r.promisedTo != but
+// promisedToOther reports whether a promise to a router other than self is valid.
+func (r *replica) promisedToOther(now float64, self ID) bool {
+	return now < r.promisedUntil && r.promisedTo != self
 }
 
-// handleClaim answers a claim or a yield of another keeper.
+// handleClaim handles a claim, a resignation or a handover of another replica. It returns the answer to send; 0: none.
 func (r *replica) handleClaim(now float64, m *Message) (answer MessageKind) {
 	switch m.Kind {
 	case Claim:
@@ -65,7 +67,7 @@
 		}
 		r.promise(now, m.From, m.FromAddress, m.Number)
 		return Promise
-	case Resign, Handover: // one that was passed by a later claim, or comes late, ends nothing
+	case Resign, Handover: // without effect if it is late or a later claim has the promise
 		if r.promisedTo == m.From && m.Number >= r.promisedClaim {
 			if r.promisedUntil = min(r.promisedUntil, now); m.Kind == Handover {
 				r.handover = &handover{m.From, now, m.Items}
@@ -75,17 +77,17 @@
 	return 0
 }
 
-// promise notes whom the promise is for.
-func (r *replica) promise(now float64, to ID, at string, claim uint64) {
+// promise stores a promise, valid for a term.
+func (r *replica) promise(now float64, to ID, address string, claim uint64) {
 	if to != r.promisedTo {
 		r.previousPromise = r.promisedTo
 	}
-	r.promisedTo, r.promisedAddress, r.promisedClaim, r.promisedUntil = to, at, claim, now+r.padForDrift(r.Term)
+	r.promisedTo, r.promisedAddress, r.promisedClaim, r.promisedUntil = to, address, claim, now+r.padForDrift(r.Term)
 }
 
-// validHandover gives what the bursar before handed over, if it was he whom all who have promised had promised last: then nobody
-// was the bursar in between, as he would have had a promise of one of them. They still know, or they would have promised
-// nobody yet.
+// validHandover returns what the previous coordinator handed over, if every replica that promised this claim had promised to that
+// coordinator last; nil otherwise. Then no other router was coordinator in between, as it would have had a promise of one of them. A
+// replica that has restarted and forgotten its promises gives none yet, so those that promised still know.
 func (r *replica) validHandover(c *claim) *handover {
 	h := r.handover
 	if h == nil || slices.ContainsFunc(c.previousPromises, func(before ID) bool { return before != h.by }) {
@@ -94,8 +96,8 @@
 	return h
 }
 
-// claimDue tells whether it is time to claim. A bursar renews early; the others wait in the keepers' order, so that seldom two
-// claim at once.
+// claimDue reports whether it is time to send a claim. A coordinator renews early; the other replicas wait in the order of the replica
+// list, so that two rarely claim at once.
 func (r *replica) claimDue(now float64, self ID) bool {
 	switch {
 	case now < r.silentUntil || now < r.nextClaimAt:
@@ -111,7 +113,8 @@
 	return now >= r.claimAfter
 }
 
-// electionStep is what is to be sent to all keepers, if anything: a claim, or the end of an election that goes nowhere.
+// electionStep returns what is to be sent to all replicas, if anything: a claim, or the resignation from an election that has not been
+// won within half a term.
 func (r *replica) electionStep(now float64, self ID) (Message, bool) {
 	if !r.claimDue(now, self) {
 		return Message{}, false
@@ -120,15 +123,15 @@
 		return r.resign(now, self), true
 	}
 	r.lastClaimNumber++
-	r.promise(now, self, r.Listen, r.lastClaimNumber) // the first promise is ours
+	r.promise(now, self, r.Listen, r.lastClaimNumber) // this router's own promise is the first
 	r.claims = append(slices.DeleteFunc(r.claims, func(c claim) bool { return now >= c.sentAt+r.Term }), claim{r.lastClaimNumber, now, []string{r.Listen}, nil, []ID{r.previousPromise}})
 	r.nextClaimAt = now + r.Term/4
 	r.countPromises(now, &r.claims[len(r.claims)-1])
 	return Message{Kind: Claim, Number: r.lastClaimNumber}, true
 }
 
-// handleAnswer takes a promise or a refusal in. It gives true if the election is lost by it. A promise counts from when its claim
-// was sent.
+// handleAnswer takes in a promise or a refusal. It returns true if the election is lost by it. A promise counts from when its claim was
+// sent, as the sender cannot know when it was given.
 func (r *replica) handleAnswer(now float64, m *Message) (lost bool) {
 	i := slices.IndexFunc(r.claims, func(c claim) bool { return c.number == m.Number })
 	if i < 0 || r.replicaIndex(m.FromAddress) < 0 {
@@ -150,7 +153,7 @@
 	return 2*len(c.refusedBy) >= len(r.Replicas) && !r.isCoordinator(now)
 }
 
-// countPromises takes the office once most have promised.
+// countPromises begins or extends the leadership once a majority of the replicas has promised.
 func (r *replica) countPromises(now float64, c *claim) {
 	end := c.sentAt + r.Term
 	if 2*len(c.promisedBy) <= len(r.Replicas) || end <= now {
@@ -163,7 +166,7 @@
 	r.leadershipEnds = max(r.leadershipEnds, end)
 }
 
-// isCoordinator tells whether we are the bursar now. A process that stood still finds here that its office has ended.
+// isCoordinator reports whether this router is the coordinator now. A process that was paused finds here that its leadership has ended.
 func (r *replica) isCoordinator(now float64) bool {
 	if r.leaderSince > 0 && now >= r.leadershipEnds {
 		r.leaderSince, r.claims = 0, nil
@@ -171,7 +174,8 @@
 	return r.leaderSince > 0
 }
 
-// resign ends an election, so that what was promised to us is in nobody's way. Promises that come later count for nothing.
+// resign ends this router's election or leadership and returns the message that releases the promises it was given, so that others can
+// claim. Promises that arrive later have no effect.
 func (r *replica) resign(now float64, self ID) Message {
 	if r.promisedTo == self {
 		r.promisedUntil = min(r.promisedUntil, now)
