--- a/internal/shares/machine.go
+++ b/internal/shares/machine.go
@@ -65,7 +65,7 @@
 	remaining float64
 	used      float64 // in a budget that is held: the amount in use
 	expiresAt float64
-	closed    bool // nothing more is spent of it, but part of it is still in use; Freed removes it once all of it is released
+	closed    bool // nothing more is spent of it, but part of it is still in use; removed once all of it is released
 }
 
 // openRequest is a request for a grant that has not arrived yet.
@@ -679,7 +679,7 @@
 	}
 	for _, budget := range m.budgets {
 		for _, grant := range budget.grants {
-			if grant.closed { // Freed removes it
+			if grant.closed { // it is removed when all of it is released
 				continue
 			}
 			at = min(at, grant.expiresAt, max(budget.lastDemandAt+m.IdleTimeout, m.now+requestSpacing))
--- a/internal/shares/quota_lease.go
+++ b/internal/shares/quota_lease.go
@@ -22,7 +22,7 @@
 	return m.fitsFixedShare(budget, amount) || budget.available(m.now) >= amount
 }
 
-// Spend charges an amount for which Room was true.
+// Spend charges an amount that the fixed share or the grants cover.
 func (p *QuotaLease) Spend(now, amount float64) {
 	m := p.machine
 	m.advanceClock(now)
@@ -40,7 +40,7 @@
 	m.spend(budget, amount)
 }
 
-// Want notes demand for an amount for which Room was false.
+// Want notes demand for an amount that is not covered, so that a grant is requested.
 func (p *QuotaLease) Want(now, amount float64) {
 	m := p.machine
 	m.advanceClock(now)
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -1,10 +1,10 @@
-// Package shares divides among the routers of a fleet what they may use of something only together: work that an engine which
-// has just started bears, say. It is pure: times, messages and wishes come in, messages and answers go out; it reads no clock,
-// opens no socket and draws no chance.
+// Package shares divides budgets of a whole fleet of routers among its members, for example the work that an engine in cold start
+// can take, so that the shares never sum to more than the total. It is deterministic and does no I/O: times, messages and demand are
+// passed in, messages and answers are returned; it reads no clock, opens no socket and uses no random numbers.
 //
-// There are two forms. Plain is a fixed division by the number of routers that settings tell, without talk. Machine moves
-// parts to where they are wanted: a bursar, who holds a lease from most of some named keepers, gives credits that end by
-// themselves and count on until what was done with them must be over. docs/shares.md has the proof and what it rests on.
+// There are two forms. FixedDivision divides by the number of routers in the settings and needs no messages. Machine moves shares to
+// where they are wanted: a coordinator, which holds a lease from a majority of some configured replicas, issues grants. Grants expire
+// by themselves, and count until everything that was done with them must be over. docs/shares.md has the proof and its assumptions.
 package shares
 
 import (
@@ -14,51 +14,53 @@
 	"slices"
 )
 
-// EngineStart is one start of an engine: one that is replaced has a budget of its own.
+// EngineStart identifies one start of an engine. After a restart an engine has a new budget.
 type EngineStart struct {
 	Engine    uint32
-	StartedAt float64 // seconds; by the list
+	StartedAt float64 // seconds, as the list of engines says
 	Cores     float64
 }
 
-// ColdStartQuota is what the decision module asks about the budgets of engines that are cold.
+// ColdStartQuota is what the decision module asks about the budgets of engines in cold start. Work is in core-seconds, times are in
+// seconds.
 type ColdStartQuota interface {
-	// Room tells whether so much work may be sent there now.
+	// CanSpend reports whether this router may send that much work there now.
 	CanSpend(now float64, to EngineStart, work float64) bool
-	// Spend counts what is sent.
+	// Spend charges work that is sent.
 	Spend(now float64, to EngineStart, work float64)
-	// Want tells of a batch for which there was no room, at one engine alone: what lies idle here is missing elsewhere. It
-	// gives for how many seconds, from the first time on, the batch may well wait for a part to come.
+	// Request notes demand for a batch whose work CanSpend did not allow. It is called for one engine only, as a share that lies
+	// idle at one router is missing at the others. It returns for how many seconds from its first call on the batch may wait for a
+	// grant.
 	Request(now float64, to EngineStart, work float64) float64
 }
 
-// FixedConfig says how a whole is divided when nobody talks. Times are seconds.
+// FixedConfig says how a total is divided without messages. Times are seconds.
 type FixedConfig struct {
-	Total      float64 // for each core, within Window, over all routers
+	Total      float64 // core-seconds for each core of an engine, within Window, over all routers
 	Window     float64
-	Routers    float64 // as settings tell; below 1: not known, so nobody may use anything
-	Index      int     // own number among them; below 0: not told
-	MaxHolders int     // no more than so many have a part of one engine's; the same at every router
-	StartedAt  float64 // own start: an earlier one may have spent all
+	Routers    float64 // number in the settings; below 1: not known, so no router may use anything
+	Index      int     // this router's own number among them; below 0: not configured
+	MaxHolders int     // at most this many routers have a share of one engine; the same at every router
+	StartedAt  float64 // start of this process: an earlier one may have spent the whole share shortly before
 }
 
-// lateSendMargin is how much longer than its window a use counts: what is sent last may come late.
+// lateSendMargin is for how many seconds beyond its window a use counts, as what is spent last may be sent late.
 const lateSendMargin = 0.1
 
-// spareShares is for processes beyond the routers that settings tell. A second one under a router's name and number, as while one
-// takes over from another, has that router's part once more, and neither can know of the other.
+// spareShares is for processes beyond the configured number of routers. A second process under a router's name and number, as while
+// one takes over from another, uses that router's share once more, and neither can know of the other.
 const spareShares = 1
 
-// FixedDivision is the fixed division.
+// FixedDivision gives each router a fixed share. It must not be used concurrently.
 type FixedDivision struct {
 	FixedConfig
-	sharePerCore float64          // for each core
-	spent        map[uint32][]use // by engine; Spend deletes what no longer counts
+	sharePerCore float64          // core-seconds for each core of an engine
+	spent        map[uint32][]use // by engine; Spend deletes uses that no longer count
 }
 
 type use struct{ at, amount float64 }
 
-// NewFixedDivision divides a whole.
+// NewFixedDivision divides a total.
 func NewFixedDivision(f FixedConfig) *FixedDivision {
 	p := &FixedDivision{FixedConfig: f, spent: map[uint32][]use{}}
 	if f.Routers >= 1 {
@@ -67,7 +69,8 @@
 	return p
 }
 
-// CanSpend holds a wish against the own part. Few routers have it all, picked alike everywhere by engine, start and own number.
+// CanSpend reports whether this router's share covers the work. Of each start of an engine at most MaxHolders routers have a share; all
+// routers compute the same choice from the engine, its start and their own numbers.
 func (p *FixedDivision) CanSpend(now float64, engine EngineStart, work float64) bool {
 	routers, first := int(p.Routers), int(HashFraction(uint64(engine.Engine), math.Float64bits(engine.StartedAt))*p.Routers)
 	if now < p.StartedAt+p.Window || p.Index < 0 || p.Index >= routers || (p.Index-first+routers)%routers >= p.MaxHolders {
@@ -82,7 +85,7 @@
 	return work <= available
 }
 
-// Spend counts what is sent, and forgets what no longer counts.
+// Spend charges work that is sent, and deletes uses that no longer count.
 func (p *FixedDivision) Spend(now float64, engine EngineStart, work float64) {
 	old := func(u use) bool { return u.at < now-p.Window-lateSendMargin }
 	if _, known := p.spent[engine.Engine]; !known {
@@ -95,29 +98,30 @@
 	p.spent[engine.Engine] = append(slices.DeleteFunc(p.spent[engine.Engine], old), use{now, work})
 }
 
-// Request changes nothing: there is nobody to ask.
+// Request does nothing and allows no wait: there is no coordinator to ask.
 func (p *FixedDivision) Request(float64, EngineStart, float64) float64 { return 0 }
 
-// HashFraction draws a number below 1 that is alike at every router.
+// HashFraction returns a pseudo-random number from 0 to below 1 that is the same at every router for the same a and b.
 func HashFraction(a, b uint64) float64 {
 	h := a*0x9e3779b97f4a7c15 ^ b*0xc2b2ae3d27d4eb4f
 	h = (h ^ h>>29) * 0xbf58476d1ce4e5b9
 	return float64(h>>32) / (1 << 32)
 }
 
-// Kind is what a budget is of.
+// Kind is what a budget limits.
 type Kind uint8
 
-// The kinds.
+// The kinds of budgets.
 const (
-	ColdWork Kind = iota + 1
-	ExtraDispatches
-	Concurrency
+	ColdWork        Kind = iota + 1 // work sent to an engine in cold start
+	ExtraDispatches                 // retries and hedges
+	Concurrency                     // dispatches in progress
 	endOfKinds
 )
 
-// Kinds has each kind once: what its amounts are, and over which time they are summed. What is held is used until it is freed, and
-// counts so long; of whoever can't say so any more it counts for the longest that it may last.
+// Kinds describes each kind: the unit of its amounts, the time over which they are summed, and whether amounts are held and are whole
+// numbers. An amount that is held is in use, and counts, until it is released; if its router can no longer report that, it counts
+// for the longest time that it may last.
 var Kinds = map[Kind]struct {
 	Name, Unit, Window string
 	Held, Counted      bool
@@ -127,64 +131,66 @@
 	Concurrency:     {"dispatches out", "dispatches", "while they are out", true, true},
 }
 
+// String returns the name of the kind as operators see it.
 func (k Kind) String() string {
-	if of, known := Kinds[k]; known {
-		return of.Name
+	if description, known := Kinds[k]; known {
+		return description.Name
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Key names a budget alike at every router.
+// Key identifies a budget, the same at every router.
 type Key struct {
 	Kind      Kind
-	Engine    uint32 // an engine; 0: none
-	Qualifier uint64 // the bits of the time of its start; where operators name the budget, the hash of that name
+	Engine    uint32 // 0: the budget is not of an engine
+	Qualifier uint64 // of an engine: the bits of the time of its start; otherwise the hash of the budget's configured name
 }
 
-// Budget is something of which all routers together may use only so much.
+// Budget is an amount that all routers together may use.
 type Budget struct {
 	Key        Key
-	Name       string  // for who looks on; empty: the key tells it
+	Name       string  // for display; empty: the key says enough
 	Total      float64 // over all routers
-	CountedFor float64 // seconds for which a use counts; of what is held, how long it lasts at the most
+	CountedFor float64 // seconds for which a use counts; of an amount that is held, how long it lasts at most
 }
 
+// held reports whether an amount is in use until it is released.
 func (b *Budget) held() bool { return Kinds[b.Key.Kind].Held }
 
-// ColdStartKey names the budget of a start of an engine.
+// ColdStartKey returns the key of the budget of one start of an engine.
 func ColdStartKey(engine EngineStart) Key {
 	return Key{ColdWork, engine.Engine, math.Float64bits(engine.StartedAt)}
 }
 
-// NamedKey names a budget that operators have named.
+// NamedKey returns the key of a budget that has a name in the settings.
 func NamedKey(kind Kind, name string) Key {
 	h := fnv.New64a()
-	h.Write([]byte(name)) //nolint:errcheck // it never fails
+	h.Write([]byte(name)) //nolint:errcheck // a hash never returns an error
 	return Key{Kind: kind, Qualifier: h.Sum64()}
 }
 
-// ID is one start of a router: a name used twice is two of them.
+// ID identifies one start of a router. Two processes under one name have different IDs.
 type ID struct {
 	Name  string
 	Start uint64
 }
 
-// MessageKind is what a message is for.
+// MessageKind is the purpose of a message.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Claim           MessageKind = iota + 1 // to a keeper: promise me that nobody else is the bursar
-	Promise                                // of a keeper, for the claim of that number
-	Refusal                                // of a keeper: another has my promise, or I have just started
-	Resign                                 // to a keeper: I no longer want what you promised me for claims up to this number
-	GrantRequest                           // to the bursar: these credits are wanted, those are done with
-	Handover                               // a yield of a bursar who leaves, with all that still counts in his books
-	GrantReply                             // of the bursar, or of a keeper who is not: who is
-	RecordUpdate                           // to a keeper: this is given, or counts for less now; with a number it wants to be answered
-	RecordAck                              // of a keeper: I know
-	RecoveryRequest                        // of a new bursar to a keeper: what counts?
-	RecoveryPage                           // a page of that
+	Claim           MessageKind = iota + 1 // to a replica: asks for the promise that no other router is the coordinator for a term
+	Promise                                // of a replica, for the claim with that number
+	Refusal                                // of a replica that has promised to another router or has just started
+	Resign                                 // to a replica: releases its promise for claims up to that number
+	GrantRequest                           // to the coordinator: requests and returns of grants
+	Handover                               // a resignation of a coordinator that leaves, with everything that still counts in its ledgers
+	GrantReply                             // of the coordinator, or of another router that names it
+	RecordUpdate                           // to a replica: grants that are issued or count for less now; with a number, it asks for a RecordAck
+	RecordAck                              // of a replica: the records with that number are stored
+	RecoveryRequest                        // of a new coordinator to a replica: asks for all its records
+	RecoveryPage                           // of a replica: some of its records
 	endOfMessageKinds
 )
 
@@ -192,19 +198,19 @@
 type Message struct {
 	Kind            MessageKind
 	From            ID
-	FromAddress     string // address of the sender
-	ToStart         uint64 // of an answer: the start that it is for. Numbers begin anew with each, and an answer may come to the next one
-	ReplicaSetHash  uint32 // hash of the keepers' list: those who were told other keepers have nothing to do with each other
-	Number          uint64 // of a claim, and of what answers or ends it
-	Coordinator     string // address, where it is known
-	PreviousPromise ID     // of a promise: whom its keeper promised before
+	FromAddress     string
+	ToStart         uint64 // of an answer: the start that it is for. Numbers begin anew with each start, and a late answer may reach the next one
+	ReplicaSetHash  uint32 // hash of the list of replicas: routers with different lists ignore each other's messages
+	Number          uint64 // of a claim, a set of records or a recovery request, and of what answers or ends it
+	Coordinator     string // address of the coordinator; empty: not known
+	PreviousPromise ID     // of a promise: to whom the replica had promised before
 	Items           []Item
 
-	Page, Pages uint32  // of what a keeper knows
-	CompleteFor float64 // for how long it has been told all, seconds
+	Page, Pages uint32  // of a replica's records: index of this page, and number of pages
+	CompleteFor float64 // of a replica's records: seconds for which it has received every record
 }
 
-// isAnswer tells whether it is an answer to one start of a router.
+// isAnswer reports whether the message answers one start of a router and is not for any other start.
 func (m *Message) isAnswer() bool {
 	switch m.Kind {
 	case Promise, Refusal, GrantReply, RecordAck, RecoveryPage:
@@ -213,65 +219,65 @@
 	return false
 }
 
-// Item is about one credit.
+// Item is about one grant.
 type Item struct {
-	Number     uint64 // of its holder's
-	Attempt    uint32 // of asking for it; an answer has that of the asking that it answers, as the lease runs from there
+	Number     uint64 // given by the router that requested the grant
+	Attempt    uint32 // of the request; a reply repeats it, as the lease runs from when that attempt was sent
 	Key        Key
-	Amount     float64 // wanted, or given; of one that is done, used
-	Total      float64 // of the budget, as the holder knows it
-	CountedFor float64 // seconds that a use counts on
-	Lease      float64 // seconds for which it is given; of a record: for which it counts
-	Holder     ID      // of a record: its holder
-	Done       bool    // nothing more is used of it
-	TooLarge   bool    // the whole does not bear it
+	Amount     float64 // requested or granted; of a return: used
+	Total      float64 // of the budget, as the sender knows it
+	CountedFor float64 // seconds for which a use counts
+	Lease      float64 // seconds for which the grant is valid; of a record: for which it counts
+	Holder     ID      // of a record: the router that holds the grant
+	Done       bool    // a return: nothing more is spent of the grant
+	TooLarge   bool    // a denial: the coordinator can never grant this amount
 }
 
-// OutgoingMessage is a message that is to go to an address.
+// OutgoingMessage is a message and the address that it goes to.
 type OutgoingMessage struct {
 	Destination string
 	Message
 }
 
-// Settings say how a machine goes about it. Times are seconds.
+// Settings configure a Machine. Times are seconds.
 type Settings struct {
-	Replicas           []string // addresses of the routers that choose a bursar among themselves; the same at every router
-	Listen             string   // own address
-	FixedFraction      float64  // share of each whole that stays divided as Plain does, whatever happens
-	Lease              float64  // of a credit
-	Term               float64  // of the bursar's office, unless it is renewed
-	MaxDrift           float64  // no two clocks of the fleet differ by more in their rates
-	SendTimeout        float64  // what is spent has to be on its way by then: a connection may still have to be made
-	RetryInterval      float64  // an asking without an answer is sent again
-	GrantWait          float64  // a batch may well wait so long for a credit: an exchange, and a turn of a loop that is busy
-	IdleTimeout        float64  // a credit that nobody has wanted for so long goes back
-	MaxQueued          int      // askings that wait at the bursar for one budget, at the most
-	MaxRequestFraction float64  // share of a whole that is asked for at once, beyond what a single batch takes
+	Replicas           []string // addresses of the routers that elect a coordinator among themselves; the same at every router
+	Listen             string   // this router's own address
+	FixedFraction      float64  // fraction of each total that stays divided as in FixedDivision
+	Lease              float64  // for which a grant is valid
+	Term               float64  // for which an election or a renewal makes a router the coordinator
+	MaxDrift           float64  // largest relative difference between the rates of two clocks of the fleet
+	SendTimeout        float64  // within which spending has to be followed by the send, which may first have to open a connection
+	RetryInterval      float64  // after which an unanswered message is sent again
+	GrantWait          float64  // for which a batch may wait for a grant: one exchange and one turn of a busy event loop
+	IdleTimeout        float64  // after which a grant without demand is returned
+	MaxQueued          int      // requests that the coordinator queues for one budget
+	MaxRequestFraction float64  // fraction of a total that one request may ask for, unless a single batch needs more
 }
 
-// Defaults fit routers in one hall.
+// Defaults returns settings that fit routers in one data center.
 func Defaults() Settings {
 	return Settings{FixedFraction: 0.1, Lease: 1, Term: 2, MaxDrift: 0.01, SendTimeout: 0.1, RetryInterval: 0.1, GrantWait: 0.02, IdleTimeout: 0.1, MaxQueued: 1024, MaxRequestFraction: 0.125}
 }
 
-// padForDrift is a time of one's own that lasts longer than that time does on any other clock of the fleet.
+// padForDrift returns a duration on this router's clock that is longer than t on any other clock of the fleet.
 func (s *Settings) padForDrift(t float64) float64 { return t * (1 + 2*s.MaxDrift) }
 
-// replicaSetHash is the hash of the keepers' list, and of how they go about it: a bursar who told keepers nothing of what he gave must not be
-// followed by one who believes them to know.
+// replicaSetHash returns the hash of the list of replicas and of the version of the protocol (the 2): a coordinator that did not
+// replicate its grants must not be succeeded by one that relies on the records.
 func (s *Settings) replicaSetHash() uint32 {
 	h := uint32(2166136261) ^ 2
-	for _, k := range s.Replicas {
-		for _, c := range []byte(k + " ") {
+	for _, address := range s.Replicas {
+		for _, c := range []byte(address + " ") {
 			h = (h ^ uint32(c)) * 16777619
 		}
 	}
 	return h
 }
 
-// Note is a change, for who looks on.
+// Note is an event for the log.
 type Note struct {
 	Text    string
-	Warning bool
-	Fields  []any
+	Warning bool  // logged as a warning
+	Fields  []any // alternating keys and values
 }
