--- a/internal/shares/section.go
+++ b/internal/shares/section.go
@@ -8,12 +8,12 @@
 	"pitchfield/internal/findings"
 )
 
-// ShareSections are [shares] of an operator's settings.
+// ShareSections is the part of a settings file that configures this package.
 type ShareSections struct {
 	Shares *Section `toml:"shares"`
 }
 
-// Section is what the file says.
+// Section is [shares] of a settings file. Fields that are left out have the values of Defaults.
 type Section struct {
 	Replicas      []string `toml:"keepers"`
 	FixedFraction *float64 `toml:"firm"`
@@ -22,17 +22,23 @@
 	Drift         *float64 `toml:"drift"`
 }
 
+// Bounds of the settings. Times are seconds.
 const (
-	maxReplicas                      = 9
-	minLease, maxLease               = 0.2, 30
-	minTerm, maxTerm                 = 0.4, 60
-	minDrift, maxDrift               = 0.0001, 0.2
-	maxFixedFraction                 = 0.9
-	minTermLeases, defaultTermLeases = 2, 2
+	maxReplicas       = 9
+	minLease          = 0.2
+	maxLease          = 30
+	minTerm           = 0.4
+	maxTerm           = 60
+	minDrift          = 0.0001
+	maxDrift          = 0.2
+	maxFixedFraction  = 0.9
+	minTermLeases     = 2 // least term as a multiple of the lease, so that no grant outlasts the leadership in which it was issued
+	defaultTermLeases = 2 // term as a multiple of the lease where only the lease is configured
 )
 
-// Prove gives what came of it, but for the own address; nil: nothing is divided by talk. listen is where this router talks, and
-// empty where it does not; networks are those of the routers that may.
+// Prove checks the section and returns the settings; nil: there is no section, so nothing is divided by messages. Mistakes are reported
+// to f. listen is the address at which this router exchanges messages with the others, and empty if it does not; networks are those
+// of the routers that may.
 func (s *ShareSections) Prove(f findings.To, listen string, networks []netip.Prefix) *Settings {
 	c := s.Shares
 	if c == nil {
@@ -44,7 +50,7 @@
 		f.Found("shares", "without [fleet] there is nobody to divide anything with")
 	}
 	if n := len(c.Replicas); n == 0 || n > maxReplicas || n%2 == 0 {
-		f.Found("shares.keepers", "%d addresses: 1, 3, 5, 7 or %d are wanted, the same at every router; most of them have to be there, and an even number bears no more deaths than one fewer", n, maxReplicas)
+		f.Found("shares.keepers", "%d addresses: 1, 3, 5, 7 or %d are wanted, the same at every router; a majority of them has to be running, and an even number tolerates no more failures than one fewer", n, maxReplicas)
 	}
 	for i, text := range c.Replicas {
 		key := fmt.Sprintf("shares.keepers[%d]", i)
@@ -65,13 +71,13 @@
 	}
 	if lease := f.Seconds("shares.lease", c.Lease, maxLease); lease > 0 {
 		if lease < minLease {
-			f.Found("shares.lease", "%q is below %g s: it would end before it is used", c.Lease, minLease)
+			f.Found("shares.lease", "%q is below %g s: a grant would expire before it is used", c.Lease, minLease)
 		}
 		out.Lease, out.Term = lease, defaultTermLeases*lease
 	}
 	if term := f.Seconds("shares.term", c.Term, maxTerm); term > 0 {
 		if term < minTerm {
-			f.Found("shares.term", "%q is below %g s: a bursar who is late for once would lose his office", c.Term, minTerm)
+			f.Found("shares.term", "%q is below %g s: a bursar whose renewal is late once would lose its office", c.Term, minTerm)
 		}
 		out.Term = term
 	}
--- a/internal/shares/state.go
+++ b/internal/shares/state.go
@@ -1,87 +1,88 @@
 package shares
 
-// State is how a machine stands, for who looks on.
+// State is a snapshot of a machine for display. Times are seconds on the router's own clock, amounts in the units of their budgets.
 type State struct {
-	Coordinator      string // address; empty: not known
-	IsCoordinator    bool   // it is this router
-	CoordinatorSince float64
+	Coordinator      string  // address; empty: not known
+	IsCoordinator    bool    // this router is the coordinator
+	CoordinatorSince float64 // if this router is the coordinator
 	IsReplica        bool
 	Stats            Stats
 	Budgets          []BudgetState
-	Ledgers          []LedgerState // of the bursar
+	Ledgers          []LedgerState // if this router is the coordinator
 }
 
 // BudgetState is what a router has of one budget.
 type BudgetState struct {
 	Key         Key
-	Name        string // by operators; empty: the key tells it
+	Name        string // as configured; empty: the key says enough
 	Total       float64
-	Available   float64 // in hand and not used
-	Used        float64 // of what is in hand
-	Requested   float64 // for, without an answer
-	LastGrantAt float64 // when something was last given
+	Available   float64 // granted and not spent
+	Used        float64 // spent of its present grants; of a budget that is held: in use
+	Requested   float64 // without an answer yet
+	LastGrantAt float64 // 0: never
 }
 
-// LedgerState is what a bursar has given of one budget.
+// LedgerState is what a coordinator has granted of one budget.
 type LedgerState struct {
 	Key      Key
-	Name     string // where this router has the budget too
+	Name     string // empty unless this router uses the budget too
 	Total    float64
-	Free     float64 // below 0: the whole has become less
-	Leased   float64 // in routers' hands
-	Expiring float64 // used, or not returned, and counted until that must be over
-	Queued   int
-	Open     bool
-	Holders  map[string]float64 // by name, what is lent
+	Free     float64            // below 0: the total has shrunk below what is granted
+	Leased   float64            // of grants that routers may still spend
+	Expiring float64            // of grants that were used, or not returned, and count until their uses must be over
+	Queued   int                // requests
+	Open     bool               // grants may be issued
+	Holders  map[string]float64 // leased amount by name of the router
 }
 
-// State tells it.
+// State returns a snapshot of the machine.
 func (m *Machine) State(now float64) *State {
 	m.advanceClock(now)
-	s := &State{Coordinator: m.coordinatorAddress, IsReplica: m.replica != nil, Stats: m.stats}
+	out := &State{Coordinator: m.coordinatorAddress, IsReplica: m.replica != nil, Stats: m.stats}
 	for _, key := range m.sortedKeys() {
 		budget := m.budgets[key]
-		h := BudgetState{Key: key, Name: budget.Name, Total: budget.Total, Available: budget.available(m.now), LastGrantAt: budget.lastGrantAt}
+		state := BudgetState{Key: key, Name: budget.Name, Total: budget.Total, Available: budget.available(m.now), LastGrantAt: budget.lastGrantAt}
 		for _, grant := range budget.grants {
-			h.Used += grant.used
+			state.Used += grant.used
 		}
 		if budget.held() {
-			h.Used = budget.inUse()
+			state.Used = budget.inUse()
 		}
 		if budget.request != nil {
-			h.Requested = budget.request.item.Amount
+			state.Requested = budget.request.item.Amount
 		}
-		s.Budgets = append(s.Budgets, h)
+		out.Budgets = append(out.Budgets, state)
 	}
 	if replica := m.replica; replica != nil && replica.isCoordinator(m.now) {
-		s.IsCoordinator, s.CoordinatorSince = true, replica.leaderSince
+		out.IsCoordinator, out.CoordinatorSince = true, replica.leaderSince
 		for _, ledger := range m.coordinator.sortedLedgers() {
 			ledger.dropExpired(m.now)
-			g := LedgerState{Key: ledger.key, Name: m.budgetName(ledger.key), Total: ledger.total, Free: float64(m.coordinator.grantable(ledger)-ledger.granted) / 1e6, Queued: len(ledger.queue), Open: m.coordinator.recovery == nil && m.now >= ledger.opensAt,
+			state := LedgerState{Key: ledger.key, Name: m.budgetName(ledger.key), Total: ledger.total, Free: float64(m.coordinator.grantable(ledger)-ledger.granted) / 1e6, Queued: len(ledger.queue), Open: m.coordinator.recovery == nil && m.now >= ledger.opensAt,
 				Holders: map[string]float64{}}
 			for id, issued := range ledger.grants {
 				if amount := float64(issued.amount) / 1e6; issued.done || m.now > issued.countsUntil-m.padForDrift(ledger.countedFor) {
-					g.Expiring += amount
+					state.Expiring += amount
 				} else {
-					g.Leased += amount
-					g.Holders[id.Name] += amount
+					state.Leased += amount
+					state.Holders[id.Name] += amount
 				}
 			}
-			s.Ledgers = append(s.Ledgers, g)
+			out.Ledgers = append(out.Ledgers, state)
 		}
 	}
-	return s
+	return out
 }
 
-// budgetName is what operators call a budget.
-func (m *Machine) budgetName(of Key) string {
-	if budget := m.budgets[of]; budget != nil {
+// budgetName returns the configured name of a budget that this router uses; empty: none.
+func (m *Machine) budgetName(key Key) string {
+	if budget := m.budgets[key]; budget != nil {
 		return budget.Name
 	}
 	return ""
 }
 
-// Outstanding is what still counts of a router's, over all that this bursar has given; below 0: this router is not the bursar.
+// Outstanding returns the sum of the grants to the named router that still count, over all budgets; below 0: this router is not the
+// coordinator.
 func (m *Machine) Outstanding(name string) (sum float64) {
 	if m.replica == nil || !m.replica.isCoordinator(m.now) {
 		return -1
