--- a/internal/shares/bench_test.go
+++ b/internal/shares/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkRoom is a look at one's part, as the decision module takes for each batch and each engine that is cold.
+// BenchmarkRoom measures CanSpend, which the decision module calls for each batch and each engine in cold start.
 func BenchmarkRoom(b *testing.B) {
 	fixed := FixedConfig{Total: 4, Window: 1, Routers: 300, Index: 3, MaxHolders: 16, StartedAt: 0}
 	engine := EngineStart{Engine: 7, StartedAt: 99, Cores: 8}
@@ -17,13 +17,13 @@
 		m.Receive(100.001, &Message{Kind: GrantReply, ToStart: 1, From: ID{"o", 1}, FromAddress: "10.0.0.2:1", ReplicaSetHash: s.replicaSetHash(), Coordinator: "10.0.0.2:1", Items: []Item{item}})
 	}
 	if !m.GrantsArrived() || !m.CanSpend(100.01, engine, 1.9) {
-		b.Fatal("a credit should be in hand")
+		b.Fatal("the router should hold a grant")
 	}
-	for name, parts := range map[string]ColdStartQuota{"fixed": NewFixedDivision(fixed), "moved": m} {
+	for name, quota := range map[string]ColdStartQuota{"fixed": NewFixedDivision(fixed), "moved": m} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				parts.CanSpend(100.01, engine, 0.01)
+				quota.CanSpend(100.01, engine, 0.01)
 			}
 		})
 	}
--- a/internal/shares/fixed_division_test.go
+++ b/internal/shares/fixed_division_test.go
@@ -6,16 +6,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A second process under one router's name uses that router's part once more: all together must stay within the whole.
-func TestAllRoutersAndASecondProcessOfOneStayWithinTheWhole(t *testing.T) {
+// A second process under one router's name uses that router's share once more. The sum over all processes must stay within the total.
+func TestFixedSharesWithDuplicateProcessStayWithinTotal(t *testing.T) {
 	for _, routers := range []int{1, 2, 4, 15, 16, 17, 300} {
 		fixed := FixedConfig{Total: 4, Window: 1, Routers: float64(routers), MaxHolders: 16, StartedAt: 0}
 		engine, sum, largest := EngineStart{Engine: 7, StartedAt: 50, Cores: 2}, 0.0, 0.0
 		for index := range routers {
 			fixed.Index = index
-			plain, used := NewFixedDivision(fixed), 0.0
-			for plain.CanSpend(100, engine, 0.01) {
-				plain.Spend(100, engine, 0.01)
+			division, used := NewFixedDivision(fixed), 0.0
+			for division.CanSpend(100, engine, 0.01) {
+				division.Spend(100, engine, 0.01)
 				used += 0.01
 			}
 			sum, largest = sum+used, max(largest, used)
--- a/internal/shares/machine_test.go
+++ b/internal/shares/machine_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Found by internal/explore: a router is killed with its credit on the way, and starts again. Numbers begin anew, so the old answer had
-// the number of its first asking, and its lease was taken to run from that: the bursar had given the part to others by then.
-func TestAnAnswerToAnEarlierStartIsNotTaken(t *testing.T) {
+// Found by internal/explore: a router is killed while a grant is on its way to it, and starts again. Request numbers begin anew, so the
+// old answer matched the first request of the new start, and the lease was taken to run from that request. By then the coordinator had
+// granted the amount to others.
+func TestAnswerToEarlierStartIsIgnored(t *testing.T) {
 	s := Defaults()
 	s.FixedFraction, s.Listen, s.Replicas = 0, "10.0.0.1:1", []string{"10.0.0.2:1"}
 	engine := EngineStart{Engine: 7, StartedAt: 99, Cores: 1}
--- a/internal/shares/records_test.go
+++ b/internal/shares/records_test.go
@@ -8,142 +8,145 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trio are three routers, all keepers, and what is on its way between them.
-type trio struct {
-	t      *testing.T
-	now    float64
-	starts uint64
-	all    [3]*Machine
-	flight []OutgoingMessage
-	lost   func(s OutgoingMessage) bool // nil: nothing is
+// cluster simulates three routers, all of them replicas, and the messages between them.
+type cluster struct {
+	t        *testing.T
+	now      float64
+	starts   uint64
+	machines [3]*Machine
+	inFlight []OutgoingMessage
+	drop     func(s OutgoingMessage) bool // selects messages to lose; nil: none
 }
 
-func newTrio(t *testing.T) *trio {
-	w := &trio{t: t, now: 1000}
-	for i := range w.all {
-		w.start(i)
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, now: 1000}
+	for i := range c.machines {
+		c.start(i)
 	}
-	w.pass(4)
-	return w
+	c.advance(4)
+	return c
 }
 
-func (w *trio) at(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
+func (c *cluster) address(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 
-func (w *trio) start(i int) {
+func (c *cluster) start(i int) {
 	s := Defaults()
-	s.FixedFraction, s.Listen, s.Replicas = 0, w.at(i), []string{w.at(0), w.at(1), w.at(2)}
-	w.starts++
-	w.all[i] = New(s, ID{fmt.Sprint("n", i), w.starts}, FixedConfig{Total: 4, Window: 1, Routers: 3, MaxHolders: 16}, w.now)
+	s.FixedFraction, s.Listen, s.Replicas = 0, c.address(i), []string{c.address(0), c.address(1), c.address(2)}
+	c.starts++
+	c.machines[i] = New(s, ID{fmt.Sprint("n", i), c.starts}, FixedConfig{Total: 4, Window: 1, Routers: 3, MaxHolders: 16}, c.now)
 }
 
-// pass lets time go by, and brings what is sent.
-func (w *trio) pass(seconds float64) {
-	for end := w.now + seconds; w.now < end; w.now += 0.005 {
-		for _, m := range w.all {
-			if m != nil && (m.DemandPending() || m.NextWake() <= w.now) {
-				m.Wake(w.now)
+// advance lets time pass in steps of 5 ms and delivers messages at once.
+func (c *cluster) advance(seconds float64) {
+	for end := c.now + seconds; c.now < end; c.now += 0.005 {
+		for _, m := range c.machines {
+			if m != nil && (m.DemandPending() || m.NextWake() <= c.now) {
+				m.Wake(c.now)
 			}
 		}
-		w.deliver()
+		c.deliver()
 	}
 }
 
-func (w *trio) deliver() {
+func (c *cluster) deliver() {
 	for round := 0; round < 20; round++ {
 		var sends []OutgoingMessage
-		for _, m := range w.all {
+		for _, m := range c.machines {
 			if m != nil {
 				sends = append(sends, m.TakeOutgoing()...)
 			}
 		}
 		for _, s := range sends {
-			for i, m := range w.all {
-				if m != nil && s.Destination == w.at(i) && (w.lost == nil || !w.lost(s)) {
+			for i, m := range c.machines {
+				if m != nil && s.Destination == c.address(i) && (c.drop == nil || !c.drop(s)) {
 					message := s.Message
-					m.Receive(w.now, &message)
+					m.Receive(c.now, &message)
 				}
 			}
 		}
 	}
 }
 
-func (w *trio) bursar() int {
-	for i, m := range w.all {
-		if m != nil && m.replica.isCoordinator(w.now) {
+func (c *cluster) coordinator() int {
+	for i, m := range c.machines {
+		if m != nil && m.replica.isCoordinator(c.now) {
 			return i
 		}
 	}
 	return -1
 }
 
-// purse of what may be out: four, each for up to thirty seconds.
-func (w *trio) purse(i int) *QuotaLease {
-	return w.all[i].QuotaLease(Budget{Key: NamedKey(Concurrency, "c"), Total: 4, CountedFor: 30})
+// lease returns a router's lease of a budget of four concurrent dispatches, each of which lasts up to thirty seconds.
+func (c *cluster) lease(i int) *QuotaLease {
+	return c.machines[i].QuotaLease(Budget{Key: NamedKey(Concurrency, "c"), Total: 4, CountedFor: 30})
 }
 
-// take has a router ask for one and use it, within half a second.
-func (w *trio) take(i int) bool {
-	p := w.purse(i)
-	for end := w.now + 0.5; w.now < end; w.pass(0.02) {
-		if p.Room(w.now, 1) {
-			p.Spend(w.now, 1)
+// requestAndSpend has a router request one dispatch and spend it. It returns false if no grant arrives within half a second.
+func (c *cluster) requestAndSpend(i int) bool {
+	lease := c.lease(i)
+	for end := c.now + 0.5; c.now < end; c.advance(0.02) {
+		if lease.Room(c.now, 1) {
+			lease.Spend(c.now, 1)
 			return true
 		}
-		p.Want(w.now, 1)
+		lease.Want(c.now, 1)
 	}
 	return false
 }
 
-// After a start nothing is given for as long as something may be out of which nobody knows; later a bursar's death costs an election.
-func TestTheNextBursarGoesOnWithWhatMostKeepersKnow(t *testing.T) {
-	w := newTrio(t)
-	first := w.bursar()
+// Right after the start of the whole cluster nothing is granted for as long as an unrecorded dispatch may be in progress. Later the
+// death of the coordinator costs only an election: its successor continues from the records of the replicas.
+func TestNewCoordinatorContinuesFromMajorityRecords(t *testing.T) {
+	c := newCluster(t)
+	first := c.coordinator()
 	require.GreaterOrEqual(t, first, 0)
-	assert.False(t, w.take(0), "a start before this one may have let something out")
-	w.pass(40)
-	first = w.bursar()
+	assert.False(t, c.requestAndSpend(0), "an earlier start may have dispatches in progress")
+	c.advance(40)
+	first = c.coordinator()
 	a, b := (first+1)%3, (first+2)%3
-	require.True(t, w.take(a))
-	require.True(t, w.take(a))
-	require.True(t, w.take(b))
-	w.pass(1.5)
-	w.all[first] = nil
-	w.pass(4)
-	next := w.bursar()
+	require.True(t, c.requestAndSpend(a))
+	require.True(t, c.requestAndSpend(a))
+	require.True(t, c.requestAndSpend(b))
+	c.advance(1.5)
+	c.machines[first] = nil
+	c.advance(4)
+	next := c.coordinator()
 	require.Contains(t, []int{a, b}, next)
-	assert.True(t, w.take(b), "three are out, and the fourth is given")
-	assert.False(t, w.take(a), "four are out")
-	w.purse(a).Freed(w.now, 1)
-	w.pass(0.1)
-	assert.True(t, w.take(b), "what was given by the one before is freed at the next")
-	assert.False(t, w.take(a))
+	assert.True(t, c.requestAndSpend(b), "three are in use, and the fourth is granted")
+	assert.False(t, c.requestAndSpend(a), "four are in use")
+	c.lease(a).Freed(c.now, 1)
+	c.advance(0.1)
+	assert.True(t, c.requestAndSpend(b), "a grant of the previous coordinator is released at the next")
+	assert.False(t, c.requestAndSpend(a))
 }
 
-func TestWhatKeepersMayHaveForgottenIsWaitedFor(t *testing.T) {
-	w := newTrio(t)
-	w.pass(40)
-	first := w.bursar()
+// If the replicas with the records restart, a new coordinator waits until every grant that they may have lost no longer counts.
+func TestNewCoordinatorWaitsOutRecordsLostInRestarts(t *testing.T) {
+	c := newCluster(t)
+	c.advance(40)
+	first := c.coordinator()
 	a, b := (first+1)%3, (first+2)%3
 	for range 4 {
-		require.True(t, w.take(a))
+		require.True(t, c.requestAndSpend(a))
 	}
-	w.start(b) // it has forgotten
-	w.pass(3)
-	w.all[first] = nil
-	w.start(a) // and so has the one who has them out: its dispatches go on at engines
-	w.pass(6)
-	require.GreaterOrEqual(t, w.bursar(), 0)
-	assert.False(t, w.take(b))
-	w.pass(36)
-	assert.True(t, w.take(b), "by now all of it must have ended")
+	c.start(b) // it has lost its records
+	c.advance(3)
+	c.machines[first] = nil
+	c.start(a) // and so has the holder, whose dispatches still run at the engines
+	c.advance(6)
+	require.GreaterOrEqual(t, c.coordinator(), 0)
+	assert.False(t, c.requestAndSpend(b))
+	c.advance(36)
+	assert.True(t, c.requestAndSpend(b), "by now all of them must have ended")
 }
 
-func TestNothingIsGivenThatMostKeepersDoNotKnow(t *testing.T) {
-	w := newTrio(t)
-	w.pass(40)
-	first := w.bursar()
-	w.lost = func(s OutgoingMessage) bool { return s.Kind == RecordUpdate }
-	assert.False(t, w.take((first+1)%3))
-	w.lost = nil
-	assert.True(t, w.take((first+1)%3))
+// While no replica receives records, a grant is not sent to its holder.
+func TestNoGrantWithoutMajorityAcknowledgement(t *testing.T) {
+	c := newCluster(t)
+	c.advance(40)
+	first := c.coordinator()
+	c.drop = func(s OutgoingMessage) bool { return s.Kind == RecordUpdate }
+	assert.False(t, c.requestAndSpend((first+1)%3))
+	c.drop = nil
+	assert.True(t, c.requestAndSpend((first+1)%3))
 }
