--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -36,9 +36,9 @@
 		longest = max(longest, g.Limit)
 	}
 	m := r.parts.machine
-	further := func(b *limits.Budget, name string) {
-		if b != nil && b.Fleet {
-			b.Purse = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.ExtraDispatches, name), Name: name, Total: b.Free, CountedFor: b.Window})
+	further := func(b *limits.RetryBudget, name string) {
+		if b != nil && b.FleetWide {
+			b.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.ExtraDispatches, name), Name: name, Total: b.FreeRetries, CountedFor: b.Window})
 		}
 	}
 	further(r.ofAll, "further.all")
@@ -46,8 +46,8 @@
 		if b := route.Budget; b != nil {
 			further(b, "budget "+b.Name)
 		}
-		if c := route.Concurrency; c != nil && c.Routers > 0 {
-			c.Purse = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Total: float64(c.Routers), CountedFor: longest})
+		if c := route.Concurrency; c != nil && c.FleetWide > 0 {
+			c.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Total: float64(c.FleetWide), CountedFor: longest})
 		}
 	}
 }
--- a/internal/shares/quota_lease.go
+++ b/internal/shares/quota_lease.go
@@ -14,8 +14,8 @@
 	return &QuotaLease{m, of}
 }
 
-// Room reports whether the fixed share or the grants cover an amount now.
-func (p *QuotaLease) Room(now, amount float64) bool {
+// CanSpend reports whether the fixed share or the grants cover an amount now.
+func (p *QuotaLease) CanSpend(now, amount float64) bool {
 	m := p.machine
 	m.advanceClock(now)
 	budget := m.budgetFor(&p.budget)
@@ -40,8 +40,8 @@
 	m.spend(budget, amount)
 }
 
-// Want notes demand for an amount that is not covered, so that a grant is requested.
-func (p *QuotaLease) Want(now, amount float64) {
+// Request notes demand for an amount that is not covered, so that a grant is requested.
+func (p *QuotaLease) Request(now, amount float64) {
 	m := p.machine
 	m.advanceClock(now)
 	if budget := m.budgetFor(&p.budget); amount <= budget.Total*(1-m.FixedFraction) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// Hopes reports whether a grant of the amount may arrive within GrantWait, which allows for one exchange with the coordinator. It may
+// MayGrantSoon reports whether a grant of the amount may arrive within GrantWait, which allows for one exchange with the coordinator. It may
 // not if earlier demand has been waiting for longer; then the caller need not wait at all.
-func (p *QuotaLease) Hopes(now, amount float64) bool {
+func (p *QuotaLease) MayGrantSoon(now, amount float64) bool {
 	m := p.machine
 	m.advanceClock(now)
 	budget := m.budgetFor(&p.budget)
@@ -62,10 +62,10 @@
 	return budget.unmetSince == 0 || m.now <= budget.unmetSince+m.GrantWait || m.now > budget.lastDemandAt+2*m.RetryInterval
 }
 
-// Freed releases an amount in use. It is taken from the grant that expires first and from the fixed share last, whichever it was
+// Release releases an amount in use. It is taken from the grant that expires first and from the fixed share last, whichever it was
 // charged to. So what remains in use is covered by grants that expire no sooner than those it was charged to, and by the fixed share,
 // which does not expire while this process runs and for CountedFor after its end.
-func (p *QuotaLease) Freed(now, amount float64) {
+func (p *QuotaLease) Release(now, amount float64) {
 	m := p.machine
 	m.advanceClock(now)
 	budget := m.budgetFor(&p.budget)
--- a/internal/shares/records_test.go
+++ b/internal/shares/records_test.go
@@ -85,11 +85,11 @@
 func (c *cluster) requestAndSpend(i int) bool {
 	lease := c.lease(i)
 	for end := c.now + 0.5; c.now < end; c.advance(0.02) {
-		if lease.Room(c.now, 1) {
+		if lease.CanSpend(c.now, 1) {
 			lease.Spend(c.now, 1)
 			return true
 		}
-		lease.Want(c.now, 1)
+		lease.Request(c.now, 1)
 	}
 	return false
 }
@@ -114,7 +114,7 @@
 	require.Contains(t, []int{a, b}, next)
 	assert.True(t, c.requestAndSpend(b), "three are in use, and the fourth is granted")
 	assert.False(t, c.requestAndSpend(a), "four are in use")
-	c.lease(a).Freed(c.now, 1)
+	c.lease(a).Release(c.now, 1)
 	c.advance(0.1)
 	assert.True(t, c.requestAndSpend(b), "a grant of the previous coordinator is released at the next")
 	assert.False(t, c.requestAndSpend(a))
