--- a/internal/serve/shares.go
+++ b/internal/serve/shares.go
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("%s, engine %d started %s (%s)", k.Kind, k.Engine, at(math.Float64frombits(k.Qualifier)).Format("15:04:05.000"), shares.Kinds[k.Kind].Unit)
 }
 
-func newShares(m router.Members) *Shares {
+func newShares(m router.FleetStatus) *Shares {
 	s := m.Shares
 	out := &Shares{Router: m.Name, At: at(m.Now), Bursar: s.Coordinator, Office: s.IsCoordinator, Since: at(s.CoordinatorSince), Keeper: s.IsReplica, Counts: s.Stats}
 	if s.Stats.Granted > 0 {
