--- a/internal/shares/explore.go
+++ b/internal/shares/explore.go
@@ -8,79 +8,79 @@
 	"slices"
 )
 
-// Print writes all that the machine's further behaviour depends on, times as they lie from now, so that two machines that write the
-// same behave the same. Counts for who looks on are left out.
+// Print writes all state that the machine's further behaviour depends on, with times relative to now, for internal/explore: two
+// machines that write the same text behave the same. Statistics are left out.
 func (m *Machine) Print(out io.Writer) {
-	t := func(at float64) float64 {
+	relative := func(at float64) float64 {
 		if at == 0 || at > m.now+1e6 {
 			return at
 		}
 		return max(at-m.now, -100)
 	}
-	p := func(format string, args ...any) { fmt.Fprintf(out, format, args...) }
-	p("%v %v %.4g %v %.4g %.4g %s %.4g %d %d|", m.self, m.firm.part, t(m.tidyAt), m.wanted, t(m.askAt), t(m.forget), m.at, t(m.sentAt), m.turn, m.hops)
-	if k := m.keeper; k != nil {
-		p("%.4g %v %s %d %.4g %d %.4g %.4g %.4g %v %.4g|", t(k.quiet), k.to, k.toAt, k.claim, t(k.until), k.number, t(k.mine), t(k.tryAt), t(k.wonAt), k.prior, t(k.first))
-		for _, c := range k.claims {
-			p("%d %.4g %v %v %v|", c.number, t(c.sent), c.by, c.not, c.prior)
+	print := func(format string, args ...any) { fmt.Fprintf(out, format, args...) }
+	print("%v %v %.4g %v %.4g %.4g %s %.4g %d %d|", m.self, m.coldStartFixed.sharePerCore, relative(m.nextLedgerCleanup), m.demandPending, relative(m.nextRequestAt), relative(m.nextCleanup), m.coordinatorAddress, relative(m.unansweredSince), m.nextReplica, m.redirects)
+	if replica := m.replica; replica != nil {
+		print("%.4g %v %s %d %.4g %d %.4g %.4g %.4g %v %.4g|", relative(replica.silentUntil), replica.promisedTo, replica.promisedAddress, replica.promisedClaim, relative(replica.promisedUntil), replica.lastClaimNumber, relative(replica.leadershipEnds), relative(replica.nextClaimAt), relative(replica.leaderSince), replica.previousPromise, relative(replica.claimAfter))
+		for _, c := range replica.claims {
+			print("%d %.4g %v %v %v|", c.number, relative(c.sentAt), c.promisedBy, c.refusedBy, c.previousPromises)
 		}
-		if h := k.handed; h != nil {
-			p("%v %.4g %v|", h.by, t(h.at), h.items)
+		if handover := replica.handover; handover != nil {
+			print("%v %.4g %v|", handover.by, relative(handover.receivedAt), handover.items)
 		}
-		p("%.4g %v|", t(k.knows), k.known(m.now))
+		print("%.4g %v|", relative(replica.completeSince), replica.currentRecords(m.now))
 	}
-	p("%.4g %d|", m.bursar.up, m.bursar.numbers)
-	if h := m.bursar.handed; h != nil {
-		p("%v %.4g %v|", h.by, t(h.at), h.items)
+	print("%.4g %d|", m.coordinator.recordsCompleteFor, m.coordinator.lastNumber)
+	if handover := m.coordinator.handover; handover != nil {
+		print("%v %.4g %v|", handover.by, relative(handover.receivedAt), handover.items)
 	}
-	if r := m.bursar.recall; r != nil {
-		p("%d %.4g|", r.number, t(r.again))
-		for _, at := range slices.Sorted(maps.Keys(r.from)) {
-			p("%s %v|", at, *r.from[at])
+	if recovery := m.coordinator.recovery; recovery != nil {
+		print("%d %.4g|", recovery.number, relative(recovery.resendAt))
+		for _, at := range slices.Sorted(maps.Keys(recovery.pages)) {
+			print("%s %v|", at, *recovery.pages[at])
 		}
 	}
-	for _, w := range m.bursar.parked {
-		p("%d %v %v %.4g|", w.number, w.items, w.by, t(w.again))
+	for _, pending := range m.coordinator.pending {
+		print("%d %v %v %.4g|", pending.number, pending.records, pending.acknowledgedBy, relative(pending.resendAt))
 	}
-	for _, b := range m.bursar.inOrder() {
-		p("%v %.4g %.4g %.4g %.4g %.4g %d|", b.key, b.whole, b.next, t(b.nextAt), b.rest, t(b.openAt), b.sum)
-		for _, of := range slices.SortedFunc(maps.Keys(b.given), compareHolders) {
-			c := b.given[of]
-			p("%v %d %.4g %.4g %d %v %v %v|", of, c.amount, t(c.until), c.lease, c.try, c.done, c.parked, c.recalled)
+	for _, ledger := range m.coordinator.sortedLedgers() {
+		print("%v %.4g %.4g %.4g %.4g %.4g %d|", ledger.key, ledger.total, ledger.nextTotal, relative(ledger.nextTotalSince), ledger.countedFor, relative(ledger.opensAt), ledger.granted)
+		for _, id := range slices.SortedFunc(maps.Keys(ledger.grants), compareGrantIDs) {
+			issued := ledger.grants[id]
+			print("%v %d %.4g %.4g %d %v %v %v|", id, issued.amount, relative(issued.countsUntil), issued.lease, issued.attempt, issued.done, issued.unreplicated, issued.recovered)
 		}
-		for _, w := range b.waiting {
-			p("%v %v %s %.4g %.4g|", w.holder, w.item, w.to, t(w.since), t(w.heard))
+		for _, queued := range ledger.queue {
+			print("%v %v %s %.4g %.4g|", queued.grantID, queued.item, queued.replyTo, relative(queued.queuedAt), relative(queued.lastReceivedAt))
 		}
 	}
-	for _, key := range m.keys() {
-		b := m.budgets[key]
-		p("%v %.4g %.4g %.4g %.4g %.4g %.4g|", key, b.wantSum, b.wantMost, t(b.wantAt), t(b.neverAt), b.never, t(b.unmetAt))
-		for _, g := range b.credits {
-			p("%d %.4g %.4g %.4g %v|", g.number, g.left, g.used, t(g.until), g.closed)
+	for _, key := range m.sortedKeys() {
+		budget := m.budgets[key]
+		print("%v %.4g %.4g %.4g %.4g %.4g %.4g|", key, budget.demandSum, budget.largestDemand, relative(budget.lastDemandAt), relative(budget.tooLargeUntil), budget.tooLargeAmount, relative(budget.unmetSince))
+		for _, grant := range budget.grants {
+			print("%d %.4g %.4g %.4g %v|", grant.number, grant.remaining, grant.used, relative(grant.expiresAt), grant.closed)
 		}
-		for _, u := range b.firm {
-			p("%.4g %.4g|", t(u.at), u.work)
+		for _, u := range budget.fixedUses {
+			print("%.4g %.4g|", relative(u.at), u.amount)
 		}
-		if a := b.asking; a != nil {
-			p("%v %.4g|", a.item, t(a.next))
-			for _, try := range slices.Sorted(maps.Keys(a.sent)) {
-				p("%d %.4g|", try, t(a.sent[try]))
+		if request := budget.request; request != nil {
+			print("%v %.4g|", request.item, relative(request.nextSendAt))
+			for _, attempt := range slices.Sorted(maps.Keys(request.sentAt)) {
+				print("%d %.4g|", attempt, relative(request.sentAt[attempt]))
 			}
 		}
 	}
-	for _, d := range m.tell {
-		p("%v %.4g %.4g|", d.item, t(d.again), t(d.until))
+	for _, done := range m.unackedReturns {
+		print("%v %.4g %.4g|", done.item, relative(done.resendAt), relative(done.expiresAt))
 	}
 }
 
-// InHand is what this router may still use of a budget without asking, but for its firm part.
-func (m *Machine) InHand(now float64, of Key) float64 {
-	if b := m.budgets[of]; b != nil {
-		return b.left(max(m.now, now))
+// Available returns what this router may still spend of its grants of a budget, without its fixed share.
+func (m *Machine) Available(now float64, key Key) float64 {
+	if budget := m.budgets[key]; budget != nil {
+		return budget.available(max(m.now, now))
 	}
 	return 0
 }
 
-func compareHolders(a, b holder) int {
+func compareGrantIDs(a, b grantID) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start), cmp.Compare(a.Number, b.Number))
 }
