--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// spread is how many connections to an engine are opened before batches share them. One spoilt or lost answer
+	// defaultConnectionsPerEngine is how many connections to an engine are opened before batches share them. One spoilt or lost answer
 	// takes all with it that is open on its connection; each costs a handshake and descriptors.
-	spread = 8
-	// wholeReply is how long a reply that has begun may take to become whole; it comes in one piece.
-	wholeReply = 0.5
+	defaultConnectionsPerEngine = 8
+	// replyTimeout is how long a reply that has begun may take to become whole; it comes in one piece.
+	replyTimeout = 0.5
 )
 
-// halfReply is due when a reply that began at a time must be whole.
-type halfReply struct {
-	line *line
-	at   float64
+// partialReply is due when a reply that began at a time must be whole.
+type partialReply struct {
+	conn  *engineConn
+	since float64
 }
 
-// settling holds a connection on which a batch was given up, where only one at a time is there, until the engine says
+// freeWait holds a connection on which a batch was given up, where only one at a time is there, until the engine says
 // that it is over. What is written before might be taken for a part of it.
-type settling struct{ line *line }
+type freeWait struct{ conn *engineConn }
 
 const (
-	settleName = "settling"
-	settleTime = 1.0
+	freeWaitID  = "settling"
+	freeTimeout = 1.0
 )
 
-func (r *Router) settle(l *line) {
-	s := &settling{l}
-	l.Open(settleName, s)
-	r.timers.add(r.now+settleTime, s)
+func (r *Router) awaitFree(conn *engineConn) {
+	s := &freeWait{conn}
+	conn.Open(freeWaitID, s)
+	r.timers.add(r.now+freeTimeout, s)
 }
 
-// settleDue: silence ends the connection.
-func (r *Router) settleDue(s *settling) {
-	if l := s.line; r.connections[l.Number] == l && l.Get(settleName) == any(s) {
-		r.closeLine(l, Unanswered)
+// freeOverdue: silence ends the connection.
+func (r *Router) freeOverdue(s *freeWait) {
+	if conn := s.conn; r.connections[conn.Number] == conn && conn.Get(freeWaitID) == any(s) {
+		r.closeConnection(conn, Unanswered)
 	}
 }
 
-func (r *Router) settled(l *line) {
-	l.Close(settleName, false, r.now)
-	r.withdrawalsSettled(l)
-	r.rest(l)
+func (r *Router) connectionFree(conn *engineConn) {
+	conn.Close(freeWaitID, false, r.now)
+	r.withdrawalsSettled(conn)
+	r.closeIfUnneeded(conn)
 }
 
-func (r *Router) multiplex(e *engine) int {
-	if e.speaks.Alone {
+func (r *Router) multiplexLimit(e *engine) int {
+	if e.protocol.Alone {
 		return 1
 	}
-	return r.settings.Settings.Multiplex
+	return r.config.Settings.Multiplex
 }
 
-// pick finds a connection for one more, or begins one.
-func (r *Router) pick(e *engine, id string) (*line, End) {
-	c := e.pool.Pick(id, r.multiplex(e))
-	room := len(r.connections)+r.dialing+2 <= r.most
-	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.spread, r.most/(2*max(len(r.engines), 1)))) {
+// pickConnection finds a connection for one more, or begins one.
+func (r *Router) pickConnection(e *engine, id string) (*engineConn, End) {
+	c := e.pool.Pick(id, r.multiplexLimit(e))
+	room := len(r.connections)+r.dialing+2 <= r.maxConnections
+	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
 		return r.connections[c.Number], 0
 	}
 	if e.address == "" {
@@ -70,36 +70,36 @@
 		return nil, NoDescriptor
 	}
 	r.dialing++
-	l := &line{Connection: e.pool.Add(r.number(), r.now), engine: e}
-	r.connections[l.Number] = l
-	within := r.settings.Settings.DialTime
-	l.timer = r.timers.add(r.now+within, l)
-	r.log(Debug, "dial", "engine", e.name, "address", e.address, "connection", l.Number)
-	r.do(Dial{l.Number, e.address, within, e.speaks})
-	return l, 0
+	conn := &engineConn{Connection: e.pool.Add(r.nextNumber(), r.now), engine: e}
+	r.connections[conn.Number] = conn
+	within := r.config.Settings.DialTime
+	conn.timer = r.timers.add(r.now+within, conn)
+	r.log(Debug, "dial", "engine", e.name, "address", e.address, "connection", conn.Number)
+	r.emit(Dial{conn.Number, e.address, within, e.protocol})
+	return conn, 0
 }
 
-// Wants tells whether a connection that was asked for is still wanted.
-func (r *Router) Wants(number uint64) bool { return r.connections[number] != nil }
+// WantsConnection tells whether a connection that was asked for is still wanted.
+func (r *Router) WantsConnection(number uint64) bool { return r.connections[number] != nil }
 
 func (r *Router) engineOpened(number uint64) {
-	l := r.connections[number]
-	if l == nil {
+	conn := r.connections[number]
+	if conn == nil {
 		r.log(Debug, "connection came up that nobody waits for", "connection", number)
-		r.do(CloseEngine{number, ClosedIdle})
+		r.emit(CloseEngine{number, ClosedIdle})
 		return
 	}
-	r.log(Debug, "connected", "engine", l.engine.name, "connection", number, "waiting", len(l.queue))
+	r.log(Debug, "connected", "engine", conn.engine.name, "connection", number, "waiting", len(conn.queue))
 	r.dialing--
-	r.timers.stop(l.timer)
-	l.Up, l.Heard = true, r.now
-	r.writable = append(r.writable, l)
+	r.timers.stop(conn.timer)
+	conn.Up, conn.Heard = true, r.now
+	r.writable = append(r.writable, conn)
 }
 
-func (r *Router) engineRead(number uint64) {
-	if l := r.connections[number]; l != nil {
-		l.Unread = false
-		r.writable = append(r.writable, l)
+func (r *Router) engineWritable(number uint64) {
+	if conn := r.connections[number]; conn != nil {
+		conn.Unread = false
+		r.writable = append(r.writable, conn)
 	}
 }
 
@@ -108,111 +108,111 @@
 func (r *Router) sendQueues() {
 	lines := r.writable
 	r.writable = nil
-	for _, l := range lines {
-		if r.connections[l.Number] == l {
-			r.sendQueue(l)
-			r.rest(l)
+	for _, conn := range lines {
+		if r.connections[conn.Number] == conn {
+			r.sendQueue(conn)
+			r.closeIfUnneeded(conn)
 		}
 	}
 }
 
-func (r *Router) sendQueue(l *line) {
-	queue := l.queue
-	l.queue = nil
+func (r *Router) sendQueue(conn *engineConn) {
+	queue := conn.queue
+	conn.queue = nil
 	for _, what := range queue {
 		if d, is := what.(*dispatch); is && d.batch.client == nil { // nobody waits, and its text is gone
-			r.giveUp(d, brain.Withdrawn)
+			r.abortDispatch(d, brain.Withdrawn)
 		} else {
-			r.send(l, what)
+			r.send(conn, what)
 		}
 	}
 }
 
-// suspect: what should have come did not, and nothing else came either. A connection on which an answer was lost may
+// suspectConnection: what should have come did not, and nothing else came either. A connection on which an answer was lost may
 // stay open and of no use, as where a machine is cut off: an answer to a check tells, and so does none.
-func (r *Router) suspect(l *line) {
-	l.Suspect = true
-	if l.Idle() || l.check != nil || !r.settings.Settings.MayProbe || l.engine.speaks.Alone {
+func (r *Router) suspectConnection(conn *engineConn) {
+	conn.Suspect = true
+	if conn.Idle() || conn.healthCheck != nil || !r.config.Settings.MayProbe || conn.engine.protocol.Alone {
 		return
 	}
-	l.check = &probe{engine: l.engine, line: l, tag: tag(r.number())}
-	l.Open(l.check.tag, l.check)
-	r.timers.add(r.now+r.settings.Settings.DialTime, l.check)
-	r.send(l, l.check)
+	conn.healthCheck = &probe{engine: conn.engine, line: conn, tag: probeTag(r.nextNumber())}
+	conn.Open(conn.healthCheck.tag, conn.healthCheck)
+	r.timers.add(r.now+r.config.Settings.DialTime, conn.healthCheck)
+	r.send(conn, conn.healthCheck)
 }
 
-// halfDue: the rest of a reply never came, and nothing after it can be read.
-func (r *Router) halfDue(h halfReply) {
-	l := h.line
-	if r.connections[l.Number] != l || l.half != h.at {
+// partialReplyOverdue: the rest of a reply never came, and nothing after it can be read.
+func (r *Router) partialReplyOverdue(h partialReply) {
+	conn := h.conn
+	if r.connections[conn.Number] != conn || conn.partialSince != h.since {
 		return
 	}
 	held := false
-	for _, what := range l.Opens() {
-		if d, is := what.(*dispatch); is && d.held {
+	for _, what := range conn.Opens() {
+		if d, is := what.(*dispatch); is && d.readingPaused {
 			held = true
 		}
 	}
 	if held { // it is we who don't read
-		r.timers.add(r.now+wholeReply, h)
+		r.timers.add(r.now+replyTimeout, h)
 	} else {
-		r.log(Warn, "reply stops short", "engine", l.engine.name)
-		r.closeLine(l, BadInput)
+		r.log(Warn, "reply stops short", "engine", conn.engine.name)
+		r.closeConnection(conn, BadInput)
 	}
 }
 
-// rest looks after a connection on which nothing is open any more.
-func (r *Router) rest(l *line) {
-	if !l.Idle() || r.connections[l.Number] != l {
+// closeIfUnneeded looks after a connection on which nothing is open any more.
+func (r *Router) closeIfUnneeded(conn *engineConn) {
+	if !conn.Idle() || r.connections[conn.Number] != conn {
 		return
 	}
 	switch {
-	case l.Left:
-		r.closeLine(l, LeftAddress)
+	case conn.Left:
+		r.closeConnection(conn, LeftAddress)
 		return
-	case l.Suspect:
-		r.closeLine(l, ClosedSuspect)
+	case conn.Suspect:
+		r.closeConnection(conn, ClosedSuspect)
 		return
 	}
-	if idle := r.settings.Settings.IdleTime; idle > 0 && (l.timer == nil || l.timer.index < 0) {
-		l.timer = r.timers.add(r.now+idle*idleEarly, l)
+	if idle := r.config.Settings.IdleTime; idle > 0 && (conn.timer == nil || conn.timer.index < 0) {
+		conn.timer = r.timers.add(r.now+idle*idleCloseFraction, conn)
 	}
 }
 
-// lineDue: it did not come up in time, or it may have been idle for long enough.
-func (r *Router) lineDue(l *line) {
-	if r.connections[l.Number] != l {
+// connectionDue: it did not come up in time, or it may have been idle for long enough.
+func (r *Router) connectionDue(conn *engineConn) {
+	if r.connections[conn.Number] != conn {
 		return
 	}
-	if !l.Up {
-		r.closeLine(l, DialTimedOut)
+	if !conn.Up {
+		r.closeConnection(conn, DialTimedOut)
 		return
 	}
-	if !l.Idle() {
+	if !conn.Idle() {
 		return
 	}
-	if at := l.IdleAt + r.settings.Settings.IdleTime*idleEarly; r.now < at {
-		l.timer = r.timers.add(at, l)
+	if at := conn.IdleAt + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
+		conn.timer = r.timers.add(at, conn)
 		return
 	}
-	r.closeLine(l, ClosedIdle)
+	r.closeConnection(conn, ClosedIdle)
 }
 
-func (r *Router) closeLine(l *line, end End) {
-	r.do(CloseEngine{l.Number, end})
-	r.lineEnded(l, end)
+func (r *Router) closeConnection(conn *engineConn, end End) {
+	r.emit(CloseEngine{conn.Number, end})
+	r.connectionEnded(conn, end)
 }
 
-// lineEnded ends all that was open on a connection, in the order it was sent.
-func (r *Router) lineEnded(l *line, end End) {
-	delete(r.connections, l.Number)
-	r.timers.stop(l.timer)
-	if !l.Up {
+// connectionEnded ends all that was open on a connection, in the order it was sent.
+func (r *Router) connectionEnded(conn *engineConn, end End) {
+	delete(r.connections, conn.Number)
+	r.timers.stop(conn.timer)
+	if !conn.Up {
 		r.dialing--
 	}
-	l.engine.pool.Remove(l.Connection)
-	open := l.Opens()
-	r.log(Debug, "connection ended", "engine", l.engine.name, "connection", l.Number, "end", end.String(), "open", len(open))
+	conn.engine.pool.Remove(conn.Connection)
+	open := conn.Opens()
+	r.log(Debug, "connection ended", "engine", conn.engine.name, "connection", conn.Number, "end", end.String(), "open", len(open))
 	var dispatches []*dispatch
 	for _, what := range open {
 		switch w := what.(type) {
@@ -230,6 +230,6 @@
 		if d.written {
 			how = r.brokenOff(d, end)
 		}
-		r.ended(d, how, nil)
+		r.endDispatch(d, how, nil)
 	}
 }
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -92,7 +92,7 @@
 	h := start(t, east("s-1"))
 	h.tell(StopAsked{})
 	h.pass(0.6)
-	h.tell(ClientBegan{1})
+	h.tell(ClientMessageStarted{1})
 	h.pass(1)
 	assert.False(t, h.exited(), "somebody is writing")
 	stream, id := h.batch("lookup", 1000)
@@ -104,7 +104,7 @@
 func TestAStopDoesNotWaitForHalfAFrameForGood(t *testing.T) {
 	h := start(t, east("s-1"))
 	h.tell(StopAsked{})
-	h.tell(ClientBegan{1})
+	h.tell(ClientMessageStarted{1})
 	h.pass(2.3)
 	assert.True(t, h.exited())
 }
@@ -163,11 +163,11 @@
 	_, left := h.batch("upload", 5000)
 	require.Equal(t, 1, h.fetches(id), "refused: the loop has not written it")
 	require.Zero(t, h.fetches(left), "it waits for the same connection")
-	h.tell(ClientSaid{1, traffic.Cancel{Stream: stream + 1}})
+	h.tell(ClientMessage{1, traffic.Cancel{Stream: stream + 1}})
 	leaving := east("s-1")
 	leaving.Draining = true
 	h.list(2, leaving, east("s-2"))
-	h.tell(EngineRead{c})
+	h.tell(EngineWritable{c})
 	h.pass(0.05)
 	h.say(h.up(), id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream], "it never ran there")
@@ -182,7 +182,7 @@
 	before := h.fetches(id)
 	h.pass(0.2)
 	require.Equal(t, before, h.fetches(id))
-	h.tell(EngineRead{c})
+	h.tell(EngineWritable{c})
 	require.Equal(t, before+1, h.fetches(id))
 	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
@@ -233,7 +233,7 @@
 	c := h.up()
 	h.say(c, id, "DONE", "sheets=3", "a\t2\t3\n")
 	require.Equal(t, 2, strings.Count(h.written[c], "more\r\n"))
-	h.tell(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.tell(ClientMessage{1, traffic.Cancel{Stream: stream}})
 	assert.Contains(t, h.written[c], "done\r\n$16\r\n"+id)
 	h.say(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	h.pass(2)
@@ -246,10 +246,10 @@
 	h := start(t)
 	ready := func() bool {
 		h.did = nil
-		h.tell(ClientSaid{1, traffic.AskReady{Stream: 7}})
+		h.tell(ClientMessage{1, traffic.AskReady{Stream: 7}})
 		return h.count(func(e Effect) bool {
-			told, is := e.(TellClient)
-			return is && told.What == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
+			told, is := e.(SendToClient)
+			return is && told.Message == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
 		}) == 1
 	}
 	assert.False(t, ready(), "all that came would be turned away")
@@ -263,7 +263,7 @@
 // never a result: such clients are served nothing.
 func TestRubbishBehindABatchLeavesItNotUnanswered(t *testing.T) {
 	for name, rubbish := range map[string]func(h *host) Event{
-		"bytes that are no frame":  func(*host) Event { return ClientSpoilt{2} },
+		"bytes that are no frame":  func(*host) Event { return ClientInvalid{2} },
 		"a frame of no known type": func(h *host) Event { return h.said(2, standin.Frame(77, 5, nil, "")) },
 		"a stream that is taken": func(h *host) Event {
 			return h.said(2, standin.Frame(clients.Ask, 1, []string{"c", "upload", "i", "00000000000000bb", "d", "900"}, "SELECT 1"))
@@ -288,7 +288,7 @@
 func TestASilentNameServiceIsAskedFromAnotherPort(t *testing.T) {
 	h := start(t, east("s-1"))
 	moves := func() int {
-		return h.count(func(e Effect) bool { at, is := e.(AskAt); return is && at.Resolver == "127.0.0.1:2" })
+		return h.count(func(e Effect) bool { at, is := e.(SetResolver); return is && at.Resolver == "127.0.0.1:2" })
 	}
 	lines := func(text string) int {
 		return h.count(func(e Effect) bool { l, is := e.(Log); return is && strings.Contains(l.Text, text) })
@@ -312,9 +312,9 @@
 func TestWhatWaitsForItsConnectionIsGivenBackWhenItsClientGoes(t *testing.T) {
 	h := start(t, east("s-1"))
 	_, id := h.batch("upload", 5000)
-	require.Equal(t, 1, h.engines["s-1"].out)
+	require.Equal(t, 1, h.engines["s-1"].outstanding)
 	h.tell(ClientEnded{1, ClosedByPeer})
-	assert.Zero(t, h.engines["s-1"].out, "its room is free at once")
+	assert.Zero(t, h.engines["s-1"].outstanding, "its room is free at once")
 	assert.Empty(t, h.batches)
 	h.up()
 	assert.Zero(t, h.fetches(id))
@@ -328,8 +328,8 @@
 	h.pass(1)
 	for _, what := range h.did {
 		if e, is := what.(Exit); is {
-			assert.Greater(t, e.By, stopped+3.5)
-			assert.Less(t, e.By, stopped+3.7, "the kill")
+			assert.Greater(t, e.Deadline, stopped+3.5)
+			assert.Less(t, e.Deadline, stopped+3.7, "the kill")
 			return
 		}
 	}
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -58,7 +58,7 @@
 	h.frames = clients.Protocol(h.pool)
 	h.client = h.frames.New()
 	h.Router = New(c, func(directory.Engine) *traffic.EngineProtocol { return resp }, h.pool, h.now)
-	h.spread = 1
+	h.connectionsPerEngine = 1
 	h.tell(h.opened(1))
 	return h
 }
@@ -75,22 +75,22 @@
 			switch w := what.(type) {
 			case Dial:
 				h.dials = append(h.dials, w)
-				h.speaks[w.Connection] = w.Speaks.New()
+				h.speaks[w.Connection] = w.Protocol.New()
 			case SetTimer:
 				h.timer = w.At
-			case AskList:
+			case QueryList:
 				h.queries = append(h.queries, w.Query)
-			case OrderEngine:
+			case SendToEngine:
 				out := h.pool.Chain()
-				h.speaks[w.Connection].Order(out, w.What)
+				h.speaks[w.Connection].Order(out, w.Order)
 				h.written[w.Connection] += out.String()
 				out.Release()
-			case TellClient:
+			case SendToClient:
 				out := h.pool.Chain()
-				h.client.Tell(out, w.What)
+				h.client.Tell(out, w.Message)
 				h.read(out.String())
 				out.Release()
-				if a, is := w.What.(*traffic.Answer); is {
+				if a, is := w.Message.(*traffic.Answer); is {
 					rows.Release(a.Rows)
 				}
 			case Release:
@@ -113,13 +113,13 @@
 		}
 	}
 	for _, e := range h.engines {
-		assert.Equal(h.t, open[e], e.out, e.name)
+		assert.Equal(h.t, open[e], e.outstanding, e.name)
 	}
 	waiting := 0
 	for _, c := range h.clients {
 		waiting += len(c.open)
 	}
-	assert.Len(h.t, h.open, waiting)
+	assert.Len(h.t, h.openByID, waiting)
 }
 
 func (h *host) read(text string) {
@@ -168,7 +168,7 @@
 	in.Write(frame)
 	what, err := h.client.Read(in, nil)
 	require.NoError(h.t, err)
-	return ClientSaid{client, what}
+	return ClientMessage{client, what}
 }
 
 // say brings an engine's answer: its word, fields and body.
@@ -186,7 +186,7 @@
 	}
 	reply, err := h.speaks[connection].Read(in, nil)
 	require.NoError(h.t, err)
-	return EngineSaid{connection, reply}
+	return EngineReplied{connection, reply}
 }
 
 func (h *host) fetches(id string) (n int) {
--- a/internal/router/levels_test.go
+++ b/internal/router/levels_test.go
@@ -11,7 +11,7 @@
 )
 
 func noLookups(hold string) LevelsSet {
-	return LevelsSet{Over: 2, Levels: levels.Settings{Steps: 1, StepTime: 1, Hold: hold, Levels: []levels.Level{{Name: "no lookups", Least: 5,
+	return LevelsSet{DecayTime: 2, Levels: levels.Settings{Steps: 1, StepTime: 1, Hold: hold, Levels: []levels.Level{{Name: "no lookups", Least: 5,
 		Enter: []levels.Condition{{Measure: levels.PushedBack, Value: 0.5, For: 1}},
 		Exit:  []levels.Condition{{Measure: levels.PushedBack, Below: true, Value: 0.1, For: 1}},
 		Does:  levels.Does{Keep: map[string]float64{"lookup": 0}}}}}}
@@ -63,7 +63,7 @@
 	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
 	var last Status
 	for _, what := range h.did {
-		if s, is := what.(Tell); is {
+		if s, is := what.(ReportStatus); is {
 			last = s.Status
 		}
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -23,35 +23,35 @@
 const membersEvery = 1.0 // between two words to who looks on
 
 // setTalk begins to talk. A reload changes nothing of it: who this router is and where it listens counts from its start.
-func (r *Router) setTalk(e TalkSet) {
+func (r *Router) setTalk(e PeerMessagingSet) {
 	if r.members != nil {
 		return
 	}
-	told := r.settings.Settings.Routers
-	r.members = &members{machine: membership.New(e.Settings, r.settings.Seed, r.now), settled: told, counted: told}
+	told := r.config.Settings.Routers
+	r.members = &members{machine: membership.New(e.Settings, r.config.Seed, r.now), settled: told, counted: told}
 	r.log(Info, "talk", "listen", e.Settings.Listen, "seeds", e.Settings.Seeds, "start", e.Settings.Self.Start)
 	r.talked()
 	r.timers.add(r.now, membersTold{})
-	if e.Shares != nil {
-		r.setShares(e.Shares, shares.ID{Name: e.Settings.Self.Name, Start: e.Settings.Self.Start})
+	if e.Quotas != nil {
+		r.setShares(e.Quotas, shares.ID{Name: e.Settings.Self.Name, Start: e.Settings.Self.Start})
 	}
-	if e.News != nil {
-		r.setNews(e.News, e.Settings.Self.Name)
+	if e.LoadReports != nil {
+		r.setNews(e.LoadReports, e.Settings.Self.Name)
 	}
 }
 
-func (r *Router) talkCame(e TalkCame) {
+func (r *Router) talkCame(e PeerMessageReceived) {
 	if r.members == nil {
 		return
 	}
 	r.members.heard++
 	r.members.machine.Heard(r.now, e.Message)
 	r.talked()
-	if e.Shares != nil {
-		r.partsCame(e.Shares)
+	if e.Quotas != nil {
+		r.partsCame(e.Quotas)
 	}
-	if e.News != nil && r.news != nil {
-		r.newsCame(e.Message.From.Address, e.News)
+	if e.LoadReports != nil && r.loadReports != nil {
+		r.newsCame(e.Message.From.Address, e.LoadReports)
 	}
 }
 
@@ -65,7 +65,7 @@
 	m := r.members
 	for _, s := range m.machine.Sends() {
 		m.said++
-		r.do(Talk{s.To, s.Message, nil, nil})
+		r.emit(SendToPeer{s.To, s.Message, nil, nil})
 	}
 	for _, n := range m.machine.Notes() {
 		level := Info
@@ -95,12 +95,12 @@
 	case membership.Settled:
 		m.settled = n
 	case membership.Alone:
-		m.settled = r.settings.Settings.Routers
+		m.settled = r.config.Settings.Routers
 	default:
 		m.settled = max(m.settled, n)
 	}
-	if r.parts != nil {
-		r.parts.machine.Fleet(m.machine.Count())
+	if r.quotas != nil {
+		r.quotas.machine.Fleet(m.machine.Count())
 	}
 	if m.settled != m.counted {
 		m.counted = m.settled
@@ -112,17 +112,17 @@
 func (r *Router) tellMembers() {
 	m := r.members
 	r.timers.add(r.now+membersEvery, membersTold{})
-	told := Members{Name: r.settings.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Said: m.said, Heard: m.heard}
-	if r.parts != nil {
-		told.Shares = r.parts.machine.State(r.now)
+	told := Members{Name: r.config.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Said: m.said, Heard: m.heard}
+	if r.quotas != nil {
+		told.Shares = r.quotas.machine.State(r.now)
 	}
-	r.do(TellMembers{told})
+	r.emit(ReportMembers{told})
 }
 
 // leaveFleet says to the others that this router goes, with its last breath.
 func (r *Router) leaveFleet() {
-	if r.parts != nil {
-		r.parts.machine.Leave(r.now)
+	if r.quotas != nil {
+		r.quotas.machine.Leave(r.now)
 		r.partsSaid()
 	}
 	if r.members != nil {
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -18,14 +18,14 @@
 type newsDue struct{}
 
 func (r *Router) setNews(s *news.Settings, name string) {
-	r.news = &told{machine: news.New(*s, name, r.now), stale: s.Stale}
+	r.loadReports = &told{machine: news.New(*s, name, r.now), stale: s.Stale}
 	r.log(Info, "news", "every", s.Every)
 	r.timers.add(r.now+s.Every, newsDue{})
 }
 
 // newsDue tells what is out of this router now.
 func (r *Router) newsDue() {
-	n := r.news
+	n := r.loadReports
 	r.newsView()
 	var loads []news.Load
 	for _, e := range r.engines {
@@ -42,7 +42,7 @@
 // newsView brings who is there. Where that is cut off, or another has this router's name, what is told is of a part of the
 // fleet, and nothing of it is believed.
 func (r *Router) newsView() {
-	n, m := r.news, r.members.machine
+	n, m := r.loadReports, r.members.machine
 	switch c := m.Certainty(); {
 	case c == membership.Alone || c == membership.CutOff:
 		n.view = 0
@@ -58,7 +58,7 @@
 }
 
 func (r *Router) newsCame(from string, m *news.Message) {
-	if r.news.machine.Heard(r.now, from, m) {
+	if r.loadReports.machine.Heard(r.now, from, m) {
 		r.newsKnown()
 	}
 	r.newsSaid()
@@ -66,23 +66,23 @@
 
 // newsKnown brings to the module what the others have out.
 func (r *Router) newsKnown() {
-	loads, age, known := r.news.machine.Others(r.now)
+	loads, age, known := r.loadReports.machine.Others(r.now)
 	if !known {
 		return
 	}
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
 			l := loads[of(e)]
-			r.brain.Others(&e.Engine, l.Threads, l.Memory, r.now+r.news.stale-age)
+			r.brain.Others(&e.Engine, l.Threads, l.Memory, r.now+r.loadReports.stale-age)
 		}
 	}
 }
 
 func (r *Router) newsSaid() {
-	for _, s := range r.news.machine.Sends() {
+	for _, s := range r.loadReports.machine.Sends() {
 		r.members.said++
 		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), nil, &said})
+		r.emit(SendToPeer{s.To, r.members.machine.Envelope(), nil, &said})
 	}
 }
 
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -19,7 +19,7 @@
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{bursar}
 	s.Listen, s.Keepers, s.Firm = m.Listen, []string{bursar}, 0
-	h.tell(TalkSet{Settings: m, Shares: &s})
+	h.tell(PeerMessagingSet{Settings: m, Quotas: &s})
 	route.Name, route.Match = "r", limits.Fields{Group: "lookup"}
 	h.tell(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
 	h.pass(1)
@@ -30,8 +30,8 @@
 func (h *host) returned(number uint64) (amount float64) {
 	amount = -1
 	for _, what := range h.did {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask {
-			for _, i := range w.Shares.Items {
+		if w, is := what.(SendToPeer); is && w.Quotas != nil && w.Quotas.Kind == shares.Ask {
+			for _, i := range w.Quotas.Items {
 				if i.Done && i.Number == number {
 					amount = i.Amount
 				}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -142,7 +142,7 @@
 	stream, id := h.batch("lookup", 2000)
 	_, other := h.batch("lookup", 2000)
 	c := h.up()
-	h.tell(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.tell(ClientMessage{1, traffic.Cancel{Stream: stream}})
 	h.say(c, id, "DONE", "sheets=4", "a\t2\t3\n")
 	assert.Contains(t, h.written[c], "done\r\n$16\r\n00000000000000f1", "nobody wants the pages")
 	h.tell(ClientEnded{1, ClosedByPeer})
@@ -210,7 +210,7 @@
 	c := h.up()
 	page := strings.Repeat("a\tb\tc\n", 1000)
 	h.say(c, id, "DONE", "sheets=9", page)
-	for n := 1; n <= mostResult/len(page); n++ {
+	for n := 1; n <= maxResultBytes/len(page); n++ {
 		assert.Empty(t, h.closed())
 		h.say(c, id, "MORE", "sheet="+strconv.Itoa(n), page)
 	}
@@ -222,12 +222,12 @@
 	h := start(t, east("s-1"))
 	stream, id := h.batch("upload", 9000)
 	c := h.up()
-	h.tell(EngineBegan{c})
+	h.tell(EngineReplyStarted{c})
 	h.pass(0.4)
 	h.say(c, id, "TELL", "detail=done,val=0.5", "")
 	h.pass(0.4)
 	assert.Empty(t, h.closed(), "it became whole")
-	h.tell(EngineBegan{c})
+	h.tell(EngineReplyStarted{c})
 	h.pass(0.6)
 	assert.Equal(t, []End{BadInput}, h.closed())
 	assert.Equal(t, failure, h.answers[stream])
@@ -252,14 +252,14 @@
 // An answer on it was lost, and it stays open: a check tells whether it is of use.
 func TestAConnectionThatSaysNothingMoreIsCheckedAndEnded(t *testing.T) {
 	h := start(t, east("s-1"))
-	h.settings.Settings.MayProbe = true
+	h.config.Settings.MayProbe = true
 	slow, slowID := h.batch("upload", 9000)
 	_, id := h.batch("lookup", 3000)
 	c := h.up()
 	h.say(c, id, "DONE", "sheets=2", "a\t2\t3\n")
 	h.pass(0.15)
-	require.NotNil(t, h.connections[c].check)
-	h.say(c, h.connections[c].check.tag, "FIT", "-", "")
+	require.NotNil(t, h.connections[c].healthCheck)
+	h.say(c, h.connections[c].healthCheck.tag, "FIT", "-", "")
 	assert.False(t, h.connections[c].Suspect)
 	h.pass(0.25)
 	assert.Contains(t, h.connections, c)
@@ -271,7 +271,7 @@
 
 func TestBatchesShareAConnectionOnlyOnceThereAreMany(t *testing.T) {
 	h := start(t, east("s-1"))
-	h.spread = 3
+	h.connectionsPerEngine = 3
 	for range 5 {
 		_, id := h.batch("lookup", 2000)
 		if len(h.dials) == 1 && h.fetches(id) == 0 {
@@ -280,7 +280,7 @@
 	}
 	assert.Len(t, h.dials, 3)
 	h = start(t, east("s-1"))
-	h.spread, h.most = 3, 3
+	h.connectionsPerEngine, h.maxConnections = 3, 3
 	for range 4 {
 		h.batch("lookup", 2000)
 	}
@@ -328,7 +328,7 @@
 	assert.Equal(t, 1, h.fetches(id))
 	assert.Zero(t, h.fetches("00000000000000cd"))
 	assert.NotContains(t, h.answers, open)
-	assert.Len(t, h.open, 1)
+	assert.Len(t, h.openByID, 1)
 }
 
 func (h *host) closedClients() map[uint64]End {
@@ -346,7 +346,7 @@
 	h := start(t, east("s-1"))
 	stream, id := h.batch("upload", 9000)
 	l := h.up()
-	h.tell(ClientBegan{1})
+	h.tell(ClientMessageStarted{1})
 	h.pass(2.6)
 	assert.Empty(t, h.closedClients(), "a batch is open there")
 	h.say(l, id, "DONE", "sheets=1", "a\t2\t3\n")
@@ -359,7 +359,7 @@
 func TestWhatCameDuringAStandstillIsReadBeforeClientsAreEndedForSilence(t *testing.T) {
 	h := start(t, east("s-1"))
 	h.pass(0.3)
-	h.tell(ClientBegan{1})
+	h.tell(ClientMessageStarted{1})
 	h.now += 3 // nobody ran us
 	h.tell(TimerFired{})
 	assert.Empty(t, h.closedClients(), "its socket has not been read since")
@@ -368,8 +368,8 @@
 	assert.Empty(t, h.closedClients())
 	h = start(t, east("s-1"))
 	h.pass(0.3)
-	h.tell(ClientBegan{1})
-	for range mostPutOff {
+	h.tell(ClientMessageStarted{1})
+	for range maxCheckDelays {
 		h.now += 3
 		h.tell(TimerFired{})
 		assert.Empty(t, h.closedClients(), "stopped again before it could read")
@@ -381,7 +381,7 @@
 
 func TestClientsInUseWinOverSilentOnes(t *testing.T) {
 	h := start(t, east("s-1"))
-	h.mostClients = 4
+	h.maxClients = 4
 	busy, id := h.batch("upload", 9000)
 	h.tell(h.opened(2), h.opened(3))
 	h.ask(2, 101, "00000000000000bb")
@@ -391,7 +391,7 @@
 	assert.Equal(t, map[uint64]End{3: Crowded}, h.closedClients(), "it has said nothing")
 	h.tell(h.opened(6))
 	assert.Equal(t, map[uint64]End{3: Crowded, 2: Crowded}, h.closedClients(), "idle: its next batch finds another")
-	h.tell(ClientBegan{4})
+	h.tell(ClientMessageStarted{4})
 	h.pass(2.6)
 	assert.Equal(t, map[uint64]End{3: Crowded, 2: Crowded, 4: Silent, 5: Silent, 6: Silent}, h.closedClients())
 	assert.Equal(t, failure, h.answers[0], "half a frame")
@@ -404,7 +404,7 @@
 	for n := range uint64(4) {
 		h.tell(h.opened(n + 10))
 	}
-	next := h.settings
+	next := h.config
 	next.Descriptors = 4
 	h.tell(Reloaded{next})
 	h.pass(0.5)
@@ -488,7 +488,7 @@
 
 func TestBeyondItsMemoryTheRouterPushesBack(t *testing.T) {
 	h := start(t)
-	h.settings.MemoryMB = 1
+	h.config.MemoryMB = 1
 	refused, n := 0, 0
 	for ; n < 100; n++ {
 		if n%h.frames.Open == 0 {
@@ -511,7 +511,7 @@
 	c := h.up()
 	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
 	for _, one := range h.timers {
-		_, left := one.what.(*dispatch)
+		_, left := one.value.(*dispatch)
 		assert.False(t, left)
 	}
 }
@@ -543,9 +543,9 @@
 	}
 	assert.Len(t, h.engines, 51, "one that flaps is the same one")
 	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	h.pass(keepGone + 1)
+	h.pass(goneEngineRetention + 1)
 	assert.Len(t, h.engines, 1)
-	assert.Len(t, h.byBrain, 1)
+	assert.Len(t, h.byBrainEngine, 1)
 	assert.Less(t, len(h.timers), 5)
 }
 
@@ -555,12 +555,12 @@
 	stream, id := h.batch("lookup", 3000)
 	c := h.up()
 	before := h.queries[len(h.queries)-1]
-	next := h.settings
+	next := h.config
 	next.Resolver, next.Descriptors, next.Known = "127.0.0.1:3", 256, directory.List{Serial: 1}
 	h.tell(Reloaded{next})
-	assert.Contains(t, h.did, AskAt{"127.0.0.1:3"})
-	assert.Contains(t, h.did, Bound{0, 256})
-	assert.Equal(t, 256/2-spareDescriptors, h.most)
+	assert.Contains(t, h.did, SetResolver{"127.0.0.1:3"})
+	assert.Contains(t, h.did, SetLimits{0, 256})
+	assert.Equal(t, 256/2-spareDescriptors, h.maxConnections)
 	after := h.queries[len(h.queries)-1]
 	assert.NotEqual(t, before, after, "it is asked at once")
 	h.tell(ListAnswered{before, directory.List{Serial: 7}})
@@ -576,7 +576,7 @@
 
 func TestAtTheLimitOfDescriptorsBatchesStillEndWell(t *testing.T) {
 	h := start(t, east("s-1"))
-	h.most = 2
+	h.maxConnections = 2
 	h.batch("lookup", 2000)
 	h.batch("lookup", 2000)
 	stream, _ := h.batch("lookup", 2000)
@@ -590,7 +590,7 @@
 	early, id := h.batch("lookup", 2000)
 	c := h.up()
 	h.tell(StopAsked{})
-	h.tell(ClientSaid{1, traffic.AskReady{Stream: 99}})
+	h.tell(ClientMessage{1, traffic.AskReady{Stream: 99}})
 	h.pass(0.5)
 	late, _ := h.batch("lookup", 2000)
 	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
@@ -618,7 +618,7 @@
 	h.tell()
 	p := func() *probe {
 		h.probe(h.engines["s-1"])
-		return h.connections[h.numbers].Opens()[0].(*probe)
+		return h.connections[h.lastNumber].Opens()[0].(*probe)
 	}()
 	h.speaks[p.line.Number] = engines.Session{}
 	h.tell(EngineOpened{p.line.Number})
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -20,28 +20,28 @@
 
 // setShares puts the division that moves in place of the fixed one.
 func (r *Router) setShares(s *shares.Settings, self shares.ID) {
-	r.parts = &parts{machine: shares.New(*s, self, r.brain.Fixed(), r.now)}
-	r.brain.Divide(r.parts.machine)
+	r.quotas = &parts{machine: shares.New(*s, self, r.brain.Fixed(), r.now)}
+	r.brain.Divide(r.quotas.machine)
 	r.setPurses()
 	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
 }
 
 // setPurses gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
 func (r *Router) setPurses() {
-	if r.parts == nil || r.routes == nil {
+	if r.quotas == nil || r.routes == nil {
 		return
 	}
 	longest := 0.0
-	for _, g := range r.settings.Settings.Groups {
+	for _, g := range r.config.Settings.Groups {
 		longest = max(longest, g.Limit)
 	}
-	m := r.parts.machine
+	m := r.quotas.machine
 	further := func(b *limits.Budget, name string) {
 		if b != nil && b.Fleet {
 			b.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.Free, Rest: b.Window})
 		}
 	}
-	further(r.ofAll, "further.all")
+	further(r.retryBudget, "further.all")
 	for _, route := range r.routes.Routes {
 		if b := route.Budget; b != nil {
 			further(b, "budget "+b.Name)
@@ -55,7 +55,7 @@
 // partsTurn asks for what the module has wanted, and lets it look again where something came. What is for oneself comes at
 // once, so there may be more than one round.
 func (r *Router) partsTurn() {
-	p := r.parts
+	p := r.quotas
 	for range 4 {
 		if !p.machine.Wanted() && r.now < p.machine.At() {
 			break
@@ -65,18 +65,18 @@
 			break
 		}
 		r.brain.Granted()
-		r.pull()
+		r.runDecisions()
 	}
 	r.partsSaid()
 }
 
 // partsSaid does what the machine asks for, and sets its next time.
 func (r *Router) partsSaid() {
-	p := r.parts
+	p := r.quotas
 	for _, s := range p.machine.Sends() {
 		r.members.said++
 		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), &said, nil})
+		r.emit(SendToPeer{s.To, r.members.machine.Envelope(), &said, nil})
 	}
 	for _, n := range p.machine.Notes() {
 		level := Info
@@ -96,7 +96,7 @@
 
 // partsCame takes in what another router says of shares.
 func (r *Router) partsCame(m *shares.Message) {
-	p := r.parts
+	p := r.quotas
 	if p == nil {
 		return
 	}
@@ -109,14 +109,14 @@
 
 // by is when the dispatch that the module has just decided has to be on its way.
 func (r *Router) by() float64 {
-	if r.parts == nil {
+	if r.quotas == nil {
 		return math.Inf(1)
 	}
-	return r.parts.machine.Ends()
+	return r.quotas.machine.Ends()
 }
 
 // dispatchOrder words a dispatch.
 func (d *dispatch) order(now float64) *traffic.Dispatch {
 	b := d.batch
-	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
+	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.deadline-now, 0.001), Memory: b.memory, Statement: *b.statement}
 }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -26,7 +26,7 @@
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{bursar}
 	s.Listen, s.Keepers = m.Listen, []string{bursar}
-	h.tell(TalkSet{Settings: m, Shares: &s})
+	h.tell(PeerMessagingSet{Settings: m, Quotas: &s})
 	h.pass(2)
 	return h
 }
@@ -42,8 +42,8 @@
 // asked gives the last asking that went to the bursar.
 func (h *host) asked() (out *shares.Item) {
 	for _, what := range h.did {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask && w.To == bursar {
-			for _, i := range w.Shares.Items {
+		if w, is := what.(SendToPeer); is && w.Quotas != nil && w.Quotas.Kind == shares.Ask && w.To == bursar {
+			for _, i := range w.Quotas.Items {
 				if !i.Done {
 					out = &i
 				}
@@ -56,12 +56,12 @@
 func (h *host) give(i *shares.Item, lease float64) {
 	roll := uint32(0)
 	for _, what := range h.did {
-		if w, is := what.(Talk); is && w.Shares != nil {
-			roll = w.Shares.Roll
+		if w, is := what.(SendToPeer); is && w.Quotas != nil {
+			roll = w.Quotas.Roll
 		}
 	}
 	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: bursar}
-	h.tell(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.Reply, Roll: roll,
+	h.tell(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: from}, Quotas: &shares.Message{Kind: shares.Reply, Roll: roll,
 		To: 1, From: shares.ID{Name: "other", Start: 1}, At: bursar, Bursar: bursar, Items: []shares.Item{{Number: i.Number, Try: i.Try, Key: i.Key, Amount: i.Amount, Lease: lease}}}})
 }
 
@@ -76,8 +76,8 @@
 	line := h.up()
 	assert.Equal(t, 1, h.fetches(id))
 	for _, what := range h.did {
-		if w, is := what.(OrderEngine); is {
-			assert.Less(t, w.By, h.now+1, "what is by a credit says until when")
+		if w, is := what.(SendToEngine); is {
+			assert.Less(t, w.WriteBy, h.now+1, "what is by a credit says until when")
 		}
 	}
 	h.say(line, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
@@ -122,7 +122,7 @@
 	wakes := func(set bool) (n int) {
 		h := start(t, east("s-1"))
 		if set {
-			h.tell(TalkSet{Settings: membership.Defaults()})
+			h.tell(PeerMessagingSet{Settings: membership.Defaults()})
 		}
 		h.did = nil
 		for end := h.now + 20; h.now < end; n++ {
@@ -131,11 +131,11 @@
 		}
 		if !set {
 			assert.Nil(t, h.members)
-			assert.Nil(t, h.parts)
+			assert.Nil(t, h.quotas)
 			assert.LessOrEqual(t, n, 2*len(h.queries)+2)
 			for _, what := range h.did {
-				if w, is := what.(OrderEngine); is {
-					assert.True(t, math.IsInf(w.By, 1))
+				if w, is := what.(SendToEngine); is {
+					assert.True(t, math.IsInf(w.WriteBy, 1))
 				}
 			}
 		}
