--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -480,7 +480,7 @@
 		n.later(2*s.way(), func() {
 			list := s.names.list(s.now - s.world.ListDelay*s.factor("list"))
 			s.check.listed(n, list)
-			n.tell(router.ListAnswered{Query: w.Query, List: list})
+			n.tell(router.ListAnswered{QueryID: w.QueryID, List: list})
 		})
 	case router.SetTimer:
 		n.timer++
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -527,7 +527,7 @@
 	case router.Dial:
 		l.dial(e)
 	case router.QueryList:
-		l.askNames(e.Query)
+		l.askNames(e.QueryID)
 	case router.SetResolver:
 		l.askAt(e.Resolver)
 	case router.SetLimits:
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -122,7 +122,7 @@
 	}
 	left := told.Left
 	if r.stopAt > 0 {
-		left = min(left, r.killAt-r.now) // nobody answers after that
+		left = min(left, r.answerDeadline-r.now) // nobody answers after that
 	}
 	r.lastBatchID++
 	if b.id == "" {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -47,10 +47,10 @@
 		End        End
 	}
 	ListAnswered struct {
-		Query uint16
-		List  directory.List
+		QueryID uint16
+		List    directory.List
 	}
-	ListUnusable struct{ Query uint16 } // an answer of the name service that can't be read
+	ListUnusable struct{ QueryID uint16 } // an answer of the name service that can't be read
 	TimerFired   struct{}
 	TurnEnded    struct{} // all that came in together has been told
 	StopAsked    struct{}
@@ -159,7 +159,7 @@
 		Connection uint64
 		End        End
 	}
-	QueryList    struct{ Query uint16 }
+	QueryList    struct{ QueryID uint16 }
 	SetResolver  struct{ Resolver string }           // from now on, there and nowhere else
 	SetLimits    struct{ MemoryMB, Descriptors int } // the limits that now hold
 	SetTimer     struct{ At float64 }                // in place of the one before
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -79,7 +79,7 @@
 			case SetTimer:
 				h.timer = w.At
 			case QueryList:
-				h.queries = append(h.queries, w.Query)
+				h.queries = append(h.queries, w.QueryID)
 			case SendToEngine:
 				out := h.pool.Chain()
 				h.speaks[w.Connection].Order(out, w.Order)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,9 @@
-// Package router holds the state of the running router and the one reducer that changes it. It does no input or
-// output and knows no clock: events bring the time, and what is to be done comes back as effects.
+// Package router implements the router core as a reducer: Router holds the whole state, Reduce applies one event to it
+// and returns the effects that the host must carry out. The package does no input or output and reads no clock; the
+// current time comes with each event. All times and durations are in seconds.
+//
+// Package brain decides which batch goes to which engine and when; it is called the decision module here. This package
+// keeps the client and engine connections, their batches and dispatches, and the timers.
 package router
 
 import (
@@ -18,112 +22,126 @@
 	"pitchfield/internal/traffic"
 )
 
-// Facts of the protocol and the platform; seconds. Nothing here decides about a batch.
+// Properties of the protocols and the platform, in seconds unless a comment says otherwise. None of them influences a
+// decision about a batch.
 const (
-	goneEngineRetention = 60.0 // what is known of an engine that has left the list is kept for so long
-	idleCloseFraction   = 0.8  // of the time after which engines close what is idle, lest a dispatch meets that close
-	stopGracePeriod     = 0.75 // after a stop is asked for, batches still come for so long
-	killDelay           = 0.7  // the process may be killed so long after the longest time limit,
-	maxKillWait         = 3.0  // which counts for no more than this
-	killMargin          = 0.3  // and all must be answered before,
-	flushTime           = 0.1  // and written
-	lateTimerThreshold  = 0.02 // worth a line: the process or its machine stood still
+	// goneEngineRetention is how long the state of an engine is kept after it has left the engine list.
+	goneEngineRetention = 60.0
+	// idleCloseFraction is the part of the engines' idle timeout after which the router closes an idle connection. It
+	// is below 1 so that no dispatch is written while the engine closes the connection.
+	idleCloseFraction = 0.8
+	// stopGracePeriod is how long new batches may still arrive after a stop was requested.
+	stopGracePeriod = 0.75
+	// killDelay is added to the longest time limit of all service groups: the process may be killed that long after
+	// the stop was requested.
+	killDelay = 0.7
+	// maxKillWait caps the longest time limit in that sum.
+	maxKillWait = 3.0
+	// killMargin is how long before the expected kill every batch must have its final answer.
+	killMargin = 0.3
+	// flushTime is how long before the expected kill the last bytes must be written.
+	flushTime = 0.1
+	// lateTimerThreshold is the timer delay that is logged: the process or its machine was paused.
+	lateTimerThreshold = 0.02
 )
 
-// Router is the state. It changes in Reduce alone.
+// Router is the whole state of a router. Only Reduce changes it, and it must not be used by several goroutines at once.
 type Router struct {
 	brain          *brain.Router
 	config         config.Config
 	protocolOf     ProtocolFunc
 	groups         map[string]*brain.ServiceGroup
-	unmarkedGroups map[string]*brain.ServiceGroup // of the same name, once-only: for referenced batches without a mark
+	unmarkedGroups map[string]*brain.ServiceGroup // once-only variants, by name, for referenced batches without a mark
 	pool           *buffers.Pool
-	effects        []Effect
+	effects        []Effect // of the current call of Reduce; the slice is reused
 	now            float64
-	started        bool
-
-	engines              map[string]*engine // forgetEngine deletes, from byBrain too
-	byBrainEngine        map[*brain.Engine]*engine
-	connections          map[uint64]*engineConn // lineEnded deletes
-	lastNumber           uint64                 // of connections to engines and of probes
-	maxConnections       int                    // descriptors for connections to engines
-	connectionsPerEngine int                    // connections to one engine before batches share them
-	writable             []*engineConn          // connections that have come up, or been read, in this turn
-	dialing              int                    // connections that are not up yet; each takes a second descriptor for a moment
-
-	clients           map[uint64]*client      // clientEnded deletes
-	closedClients     closedClientCounts      // what was done about too many of them, since the last line on it
-	maxClients        int                     // connections
-	clientCheckSet    bool                    // at them, by a timer,
-	clientCheckAt     float64                 // that is due then,
-	clientCheckDelays int                     // how often in a row, as it came late
-	batches           map[*brain.Batch]*batch // forget deletes
-	openByID          map[string]*batch       // by id, while the client waits; unwait deletes
+	started        bool // Reduce has been called; until then effects holds those of New
+
+	engines              map[string]*engine        // by name; forgetEngine removes entries
+	byBrainEngine        map[*brain.Engine]*engine // the same engines; forgetEngine removes entries
+	connections          map[uint64]*engineConn    // by number; connectionEnded removes entries
+	lastNumber           uint64                    // last number given to an engine connection or a probe
+	maxConnections       int                       // descriptors available for engine connections
+	connectionsPerEngine int                       // connections opened to one engine before batches share them
+	writable             []*engineConn             // connections that came up or became writable in this turn
+	dialing              int                       // connections being dialed; each briefly takes a second descriptor
+
+	clients           map[uint64]*client      // by connection number; clientEnded removes entries
+	closedClients     closedClientCounts      // client connections closed to free resources, since the last log line
+	maxClients        int                     // client connections allowed; 0: unlimited
+	clientCheckSet    bool                    // a timer for the next check of the client connections is set
+	clientCheckAt     float64                 // when that timer is due
+	clientCheckDelays int                     // how often in a row the check was postponed because its timer fired late
+	batches           map[*brain.Batch]*batch // releaseBatch removes entries
+	openByID          map[string]*batch       // batches whose client waits, by id; detachClient removes entries
 	lastBatchID       uint64
-	idSource          *rand.Rand // of batches whose protocol has none
+	idSource          *rand.Rand // source of ids for batches whose protocol has none
 
 	timers  timers
-	timerAt float64
-	wakeAt  float64
-
-	follower           *directory.Follower // of the list of engines
-	currentQuery       queryTimer          // the timer that counts
-	nameServiceSilent  bool                // the name service
-	unusedAnswerLogged bool                // answers that could not be used were told of
-
-	level                          level         // of reduced service
-	routes                         *limits.Table // the operator's limits; nil: none
-	adaptive                       limits.AdaptiveSettings
-	retryBudget, engineRetryBudget *limits.Budget // of further dispatches: of all batches, and to each engine
-
-	members     *members // of its fleet; nil: there is no talk
-	quotas      *parts   // of what the fleet divides; nil: the division is fixed
-	loadReports *told    // of what the others have out; nil: nobody tells
-
-	stopAt, killAt float64 // 0: not stopping
-	exited         bool
+	timerAt float64 // the time set at the host by the last SetTimer; +Inf: none
+	wakeAt  float64 // when the decision module wants to be called; +Inf: not at a set time
+
+	follower           *directory.Follower // follows the engine list of the name service
+	currentQuery       queryTimer          // the valid query timer; earlier ones are ignored
+	nameServiceSilent  bool                // the name service does not answer, and that was logged
+	unusedAnswerLogged bool                // an unused answer of the name service was logged since the last usable one
+
+	level             level         // level of reduced service
+	routes            *limits.Table // the operator's limits by route; nil: none
+	adaptive          limits.AdaptiveSettings
+	retryBudget       *limits.Budget // for the retries of all batches; nil: none
+	engineRetryBudget *limits.Budget // template of each engine's retry budget; nil: none
+
+	members     *members // the other routers of the fleet; nil: no peer messaging
+	quotas      *parts   // this router's shares of fleet-wide budgets; nil: a fixed division
+	loadReports *told    // load that the other routers report; nil: load reports are off
+
+	stopAt         float64 // when a stop was requested; 0: not stopping
+	answerDeadline float64 // when every batch must have its final answer; 0: not stopping
+	exited         bool    // the Exit effect was emitted; later events are ignored
 }
 
+// engine is an engine of the list, or one that left it less than goneEngineRetention ago.
 type engine struct {
 	brain.Engine
 	name, address string
 	protocol      *traffic.EngineProtocol
-	gone          bool
+	gone          bool // it has left the engine list
 	pool          engines.Pool
 	outstanding   int // dispatches without an outcome
 }
 
-// engineConn is a connection to an engine with what has to go out once it is up.
+// engineConn is a connection to an engine with the orders that wait until it is up or writable.
 type engineConn struct {
 	*engines.Connection
 	engine       *engine
-	queue        []any   // dispatches and probes, in order
-	timer        *timer  // to come up, or to close when idle
-	healthCheck  *probe  // whether it is of use, once that is in doubt
-	partialSince float64 // a reply has begun and is not whole since; 0: none
+	queue        []any   // waiting dispatches and probes (*dispatch, *probe), in order
+	timer        *timer  // dial timeout; once the connection is up, idle timeout
+	healthCheck  *probe  // a probe that tests a suspect connection; nil: none
+	partialSince float64 // when a reply that is still incomplete began; 0: none
 }
 
-// ProtocolFunc gives the protocol of an engine; the same for it always.
+// ProtocolFunc returns the protocol of an engine. It must always return the same one for the same engine.
 type ProtocolFunc func(directory.Engine) *traffic.EngineProtocol
 
-// New starts a router; its first effects come with the first event.
-func New(c config.Config, speaks ProtocolFunc, pool *buffers.Pool, now float64) *Router {
-	r := &Router{brain: brain.New(c.Settings.Settings, c.Seed, now), config: c, protocolOf: speaks, pool: pool, now: now,
+// New creates a router at time now. The effects of its start are returned by the first call of Reduce.
+func New(c config.Config, protocolOf ProtocolFunc, pool *buffers.Pool, now float64) *Router {
+	r := &Router{brain: brain.New(c.Settings.Settings, c.Seed, now), config: c, protocolOf: protocolOf, pool: pool, now: now,
 		groups: map[string]*brain.ServiceGroup{}, unmarkedGroups: map[string]*brain.ServiceGroup{}, engines: map[string]*engine{},
 		byBrainEngine: map[*brain.Engine]*engine{}, connections: map[uint64]*engineConn{}, clients: map[uint64]*client{},
 		batches: map[*brain.Batch]*batch{}, openByID: map[string]*batch{}, timerAt: math.Inf(1), wakeAt: math.Inf(1), follower: directory.NewFollower(c.Known, c.Seed, now),
 		idSource: rand.New(rand.NewPCG(c.Seed, 64))}
-	for _, g := range c.Settings.Groups {
-		if r.groups[g.Name] != nil {
-			r.unmarkedGroups[g.Name] = g
+	for _, group := range c.Settings.Groups {
+		if r.groups[group.Name] != nil {
+			r.unmarkedGroups[group.Name] = group
 		} else {
-			r.groups[g.Name] = g
+			r.groups[group.Name] = group
 		}
 	}
-	s := &r.config.Settings
-	s.Multiplex = max(s.Multiplex, 1)
-	if s.DialTime <= 0 {
-		s.DialTime = 0.25
+	settings := &r.config.Settings
+	settings.Multiplex = max(settings.Multiplex, 1)
+	if settings.DialTime <= 0 {
+		settings.DialTime = 0.25
 	}
 	r.connectionsPerEngine = defaultConnectionsPerEngine
 	r.setDescriptorLimits()
@@ -134,19 +152,20 @@
 }
 
 const (
-	spareDescriptors = 48
-	batchMemoryShare = 0.25 // of the memory limit: what batches may hold of it before more are pushed back
+	spareDescriptors = 48   // descriptors kept free for the Go runtime
+	batchMemoryShare = 0.25 // part of the memory limit that batch texts may use before new batches are rejected
 )
 
+// setDescriptorLimits divides the file descriptors between client and engine connections.
 func (r *Router) setDescriptorLimits() {
-	// Clients are let in up to half of the descriptors, though they should hold a third; the runtime needs some.
+	// Clients are expected to use a third of the descriptors and may use up to half. The Go runtime needs some too.
 	n := r.config.Descriptors
 	r.maxConnections, r.maxClients = max(n-n/2-spareDescriptors, 4), n/2
 }
 
-// reload takes what may change while the router runs: the name service's address, the limits, and a list that is
-// newer than ours. The list's number goes on. What decisions are made by is kept until the next start: batches that
-// are held or out were taken by it.
+// reload applies the settings that may change while the router runs: the address of the name service, the memory and
+// descriptor limits, and an engine list with a higher serial number than the current one. The settings of the decision
+// module stay until the next start, because the batches that are queued or dispatched were accepted under them.
 func (r *Router) reload(c config.Config) {
 	old := &r.config
 	r.log(Info, "configuration read again", "resolver", c.Resolver, "memory_mb", c.MemoryMB,
@@ -164,24 +183,25 @@
 	}
 	if c.Resolver != old.Resolver {
 		old.Resolver = c.Resolver
-		r.follower.Moved(r.now) // the old address may still answer, with what it last knew
+		r.follower.Moved(r.now) // the old address may still answer with an outdated list
 		r.emit(SetResolver{c.Resolver})
 	}
 	r.queryList()
 }
 
-// Reduce takes one event and gives what is to be done. The list is used again by the next call.
-func (r *Router) Reduce(now float64, what Event) []Effect {
+// Reduce applies one event that happened at time now and returns the effects to carry out, in order. The returned slice
+// is valid until the next call. A time before that of an earlier call counts as that earlier time.
+func (r *Router) Reduce(now float64, event Event) []Effect {
 	if r.started {
 		r.effects = r.effects[:0]
 	}
 	r.started = true
 	r.now = max(r.now, now)
-	if r.exited { // all is answered: what comes while the last bytes are written is neither taken nor sent on
+	if r.exited { // every batch is answered; nothing is accepted or sent while the last bytes are written
 		return r.effects[:0]
 	}
 	r.brain.Clock(r.now)
-	switch e := what.(type) {
+	switch e := event.(type) {
 	case ClientOpened:
 		r.clientOpened(e.Client, e.Protocol)
 	case ClientMessage:
@@ -215,9 +235,9 @@
 			r.connectionEnded(conn, e.End)
 		}
 	case ListAnswered:
-		r.listAnswered(e.Query, e.List)
+		r.listAnswered(e.QueryID, e.List)
 	case ListUnusable:
-		r.listUnusable(e.Query)
+		r.listUnusable(e.QueryID)
 	case StopAsked:
 		r.stop()
 	case Reloaded:
@@ -243,7 +263,8 @@
 	return r.effects
 }
 
-// setRoutes brings limits for what is taken from now on. What the old ones have spent and have out counts on.
+// setRoutes replaces the limits for batches that are accepted from now on. What was spent and is outstanding under the
+// old limits still counts.
 func (r *Router) setRoutes(e RoutesSet) {
 	e.Routes.Resolve(r.config.Settings.Kinds)
 	e.Routes.Adopt(r.routes)
@@ -254,33 +275,36 @@
 			known.Limit = e.Adaptive.New()
 		}
 	}
-	all := e.RetryBudget.Fresh()
-	all.Adopt(r.retryBudget)
-	r.retryBudget, r.engineRetryBudget = all, e.EngineRetryBudget
-	r.brain.Budget(all)
+	retryBudget := e.RetryBudget.Fresh()
+	retryBudget.Adopt(r.retryBudget)
+	r.retryBudget, r.engineRetryBudget = retryBudget, e.EngineRetryBudget
+	r.brain.Budget(retryBudget)
 	r.setPurses()
 	for _, known := range r.engines {
-		next := e.EngineRetryBudget.Fresh()
-		next.Adopt(known.Further)
-		known.Further = next
+		budget := e.EngineRetryBudget.Fresh()
+		budget.Adopt(known.Further)
+		known.Further = budget
 	}
 	r.log(Info, "routes", "count", len(e.Routes.Routes), "adaptive", e.Adaptive.Kind)
 }
 
+// emit appends an effect to the result of the current call of Reduce.
 func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
+// log emits a log line; fields are keys and values in turn.
 func (r *Router) log(level Level, text string, fields ...any) {
 	r.emit(Log{level, text, fields})
 }
 
-// endTurn is the end of a loop turn: what is due, then the module's decisions, then the next timer.
+// endTurn ends a turn of the event loop: it handles the timers that are due, sends queued orders, carries out the
+// decisions of the decision module and sets the next timer.
 func (r *Router) endTurn() {
 	for {
-		what := r.timers.popDue(r.now)
-		if what == nil {
+		value := r.timers.popDue(r.now)
+		if value == nil {
 			break
 		}
-		r.handleTimer(what)
+		r.handleTimer(value)
 	}
 	if r.now >= r.wakeAt {
 		r.wakeAt = math.Inf(1)
@@ -298,31 +322,32 @@
 	}
 }
 
-func (r *Router) handleTimer(what any) {
-	switch what := what.(type) {
+// handleTimer handles the value of a timer that is due.
+func (r *Router) handleTimer(value any) {
+	switch value := value.(type) {
 	case *dispatch:
-		r.abortDispatch(what, brain.TimedOut)
+		r.abortDispatch(value, brain.TimedOut)
 	case *probe:
-		if conn := what.line; !what.ended && conn.healthCheck == what {
+		if conn := value.line; !value.ended && conn.healthCheck == value {
 			r.closeConnection(conn, ClosedSuspect)
 		}
-		r.probed(what, false, nil, true)
+		r.probed(value, false, nil, true)
 	case withdrawalDue:
-		r.withdrawalExpired(what.dispatch)
+		r.withdrawalExpired(value.dispatch)
 	case pageTimeout:
-		r.pagesOverdue(what.dispatch)
+		r.pagesOverdue(value.dispatch)
 	case partialReply:
-		r.partialReplyOverdue(what)
+		r.partialReplyOverdue(value)
 	case *freeWait:
-		r.freeOverdue(what)
+		r.freeOverdue(value)
 	case *engineConn:
-		r.connectionDue(what)
+		r.connectionDue(value)
 	case queryTimer:
-		if what == r.currentQuery {
+		if value == r.currentQuery {
 			r.queryList()
 		}
 	case *engine:
-		r.forgetEngine(what)
+		r.forgetEngine(value)
 	case clientCheck:
 		r.checkClients()
 	case levelCheck:
@@ -331,77 +356,75 @@
 		r.membersDue()
 	case membersTold:
 		r.tellMembers()
-	case partsDue: // the end of this turn looks after it
+	case partsDue: // endTurn handles quotas in every turn
 	case newsDue:
 		r.newsDue()
-	case stopCheck:
+	case stopCheck: // endTurn checks for the end of a stop in every turn
 	}
 }
 
-// runDecisions does the module's decisions as they come.
+// runDecisions carries out the decisions of the decision module until it has no more.
 func (r *Router) runDecisions() {
 	for {
-		d := r.brain.Next()
-		switch d.Kind {
+		decision := r.brain.Next()
+		switch decision.Kind {
 		case brain.Nothing:
 			return
 		case brain.Terms:
-			if b := r.batches[d.Batch]; b != nil {
-				b.memory = d.Memory
+			if b := r.batches[decision.Batch]; b != nil {
+				b.memory = decision.Memory
 			}
 		case brain.Dispatch:
-			if b := r.batches[d.Batch]; b != nil {
-				r.startDispatch(b, r.byBrainEngine[d.Engine], d)
+			if b := r.batches[decision.Batch]; b != nil {
+				r.startDispatch(b, r.byBrainEngine[decision.Engine], decision)
 			}
 		case brain.PushBack:
-			r.answerBatch(r.batches[d.Batch], traffic.PushedBack, d.Wait)
+			r.answerBatch(r.batches[decision.Batch], traffic.PushedBack, decision.Wait)
 		case brain.Fail:
-			r.answerBatch(r.batches[d.Batch], traffic.Errored, 0)
+			r.answerBatch(r.batches[decision.Batch], traffic.Errored, 0)
 		case brain.Cancel:
-			if b := r.batches[d.Batch]; b != nil && d.Number < len(b.dispatches) {
-				r.abortDispatch(b.dispatches[d.Number], brain.Withdrawn)
+			if b := r.batches[decision.Batch]; b != nil && decision.Number < len(b.dispatches) {
+				r.abortDispatch(b.dispatches[decision.Number], brain.Withdrawn)
 			}
 		case brain.Probe:
-			r.probe(r.byBrainEngine[d.Engine])
+			r.probe(r.byBrainEngine[decision.Engine])
 		case brain.WakeAt:
-			r.wakeAt = min(r.wakeAt, d.At)
-		case brain.Subscribe: // the list is asked for all the time
+			r.wakeAt = min(r.wakeAt, decision.At)
+		case brain.Subscribe: // the engine list is queried all the time
 		case brain.Log:
-			r.log(Info, d.Text, "by", "decisions")
+			r.log(Info, decision.Text, "by", "decisions")
 		}
 	}
 }
 
-// The list of engines.
-
-// queryTimer is due at the next question. The count tells which of them is void.
+// queryTimer is due when the engine list must be queried again. Only the timer equal to currentQuery is valid.
 type queryTimer uint64
 
-// queryList sends the next question.
+// queryList queries the name service for the engine list.
 func (r *Router) queryList() {
 	counts := r.follower.Counts(r.now)
-	q := r.follower.Ask(r.now)
-	if q.Elsewhere {
+	query := r.follower.Ask(r.now)
+	if query.Elsewhere {
 		if !r.nameServiceSilent {
 			r.nameServiceSilent = true
 			r.log(Warn, "name service is silent, asked from another port", r.followFields(counts)...)
 		}
 		r.emit(SetResolver{r.config.Resolver})
 	}
-	r.emit(QueryList{q.ID})
+	r.emit(QueryList{query.ID})
 	r.scheduleQuery()
 }
 
-// scheduleQuery sets the timer for the next question; the ones before are void.
+// scheduleQuery sets the timer for the next query and invalidates earlier ones.
 func (r *Router) scheduleQuery() {
 	r.currentQuery++
 	r.timers.add(r.follower.Due(), r.currentQuery)
 }
 
-// listAnswered takes an answer of the name service. Lost, failed and cut ones never get here.
-func (r *Router) listAnswered(query uint16, list directory.List) {
+// listAnswered handles an answer of the name service. Answers that are lost, failed or truncated never get here.
+func (r *Router) listAnswered(queryID uint16, list directory.List) {
 	counts := r.follower.Counts(r.now)
-	verdict, changed := r.follower.Answer(query, list, r.now)
+	verdict, changed := r.follower.Answer(queryID, list, r.now)
 	fields := append(r.followFields(counts), "told", list.Serial, "engines", len(list.Engines))
 	switch verdict {
 	case directory.Same:
@@ -411,10 +434,10 @@
 		r.log(Info, "list of engines taken", fields...)
 	default:
 		level := Info
-		if verdict == directory.Unconfirmed && list.Serial > r.follower.Serial() { // as with every change
+		if verdict == directory.Unconfirmed && list.Serial > r.follower.Serial() { // expected at every change of the list
 			level = Debug
 		}
-		if !r.unusedAnswerLogged || level == Debug { // the first of a spell
+		if !r.unusedAnswerLogged || level == Debug { // at level Info only the first of a series is logged
 			r.unusedAnswerLogged = r.unusedAnswerLogged || level == Info
 			r.log(level, "answer of the name service is not taken as it is", append(fields, "verdict", verdict.String())...)
 		}
@@ -429,22 +452,22 @@
 	r.scheduleQuery()
 }
 
-// listUnusable notes an answer that can't be read.
-func (r *Router) listUnusable(query uint16) {
-	r.follower.Unusable(query, r.now)
+// listUnusable handles an answer of the name service that can't be decoded.
+func (r *Router) listUnusable(queryID uint16) {
+	r.follower.Unusable(queryID, r.now)
 	r.scheduleQuery()
 }
 
-// followFields gives names and values for a line of the log: how the list was followed since one was last confirmed.
-func (r *Router) followFields(c directory.Counts) []any {
-	return []any{"serial", r.follower.Serial(), "age", c.Age, "asked", c.Asked, "unusable", c.Unusable, "unmatched", c.Unmatched,
-		"overtaken", c.Overtaken, "unconfirmed", c.Unconfirmed}
+// followFields returns log fields with the counts of queries and answers since the engine list was last confirmed.
+func (r *Router) followFields(counts directory.Counts) []any {
+	return []any{"serial", r.follower.Serial(), "age", counts.Age, "asked", counts.Asked, "unusable", counts.Unusable, "unmatched", counts.Unmatched,
+		"overtaken", counts.Overtaken, "unconfirmed", counts.Unconfirmed}
 }
 
-// applyEngineList takes the engines as they are to be used from now on.
+// applyEngineList makes list the engine list in force.
 func (r *Router) applyEngineList(list directory.List) {
-	var whole []*brain.Engine
-	there := map[*engine]bool{}
+	var brainEngines []*brain.Engine
+	listed := map[*engine]bool{}
 	for _, e := range list.Engines {
 		known := r.engines[e.ID]
 		if known == nil {
@@ -453,14 +476,14 @@
 			r.engines[e.ID] = known
 			r.byBrainEngine[&known.Engine] = known
 		}
-		if known.Limit == nil || known.StartedAt != e.StartedAt { // what was learned of the process before is void
+		if known.Limit == nil || known.StartedAt != e.StartedAt { // what was learned about the previous process does not apply
 			known.Limit = r.adaptive.New()
 		}
 		if known.Further == nil {
 			known.Further = r.engineRetryBudget.Fresh()
 		}
 		if e.Address != "" && e.Address != known.address {
-			// What listens at the old address is another one's, or will be.
+			// The old address belongs to another engine, or soon will.
 			known.address = e.Address
 			r.leaveAddress(known)
 		}
@@ -473,17 +496,17 @@
 				"draining", e.Draining, "started", e.StartedAt, "serial", list.Serial, "out", known.outstanding,
 				"connections", len(known.pool.Connections))
 		}
-		s := &r.config.Settings
+		settings := &r.config.Settings
 		known.gone = false
 		known.Phase, known.StartedAt, known.Size, known.Cell = phase, e.StartedAt, e.Weight, e.Cell
-		known.Zone, known.Kind = slices.Index(s.Zones, e.Zone), max(slices.Index(s.Kinds, e.Kind), 0)
-		whole = append(whole, &known.Engine)
-		there[known] = true
+		known.Zone, known.Kind = slices.Index(settings.Zones, e.Zone), max(slices.Index(settings.Kinds, e.Kind), 0)
+		brainEngines = append(brainEngines, &known.Engine)
+		listed[known] = true
 	}
-	r.brain.Listed(whole, true)
-	for _, name := range slices.Sorted(maps.Keys(r.engines)) { // in one order, whatever a map makes of it
+	r.brain.Listed(brainEngines, true)
+	for _, name := range slices.Sorted(maps.Keys(r.engines)) { // sorted, so that the order does not depend on map iteration
 		e := r.engines[name]
-		if there[e] || e.gone {
+		if listed[e] || e.gone {
 			if e.Phase == brain.Draining {
 				r.withdrawUnsent(e)
 			}
@@ -497,8 +520,9 @@
 	}
 }
 
-// leaveAddress: what has left an address, or the list, gets nothing more there. A connection that is not up yet might
-// come up at its successor; what is open on one that is up may still be answered, and then it closes.
+// leaveAddress stops sending to the old address of an engine that has moved or left the list. Connections that are not
+// up yet are closed, because the engine's successor at that address might accept them. Dispatches that are open on a
+// connection may still be answered; the connection is closed after that.
 func (r *Router) leaveAddress(e *engine) {
 	r.withdrawUnsent(e)
 	for _, c := range slices.Clone(e.pool.Connections) {
@@ -507,8 +531,9 @@
 	}
 }
 
-// withdrawUnsent takes what was decided for an engine and is not sent: what waits for a connection, which may take longer to come
-// up than a drain may still be sent to, and what waits for the engine to read. It never ran and goes elsewhere at once.
+// withdrawUnsent ends the dispatches to an engine that are not written yet: those that wait for a connection, which may
+// take longer to come up than a draining engine may be sent to, and those that wait until the engine reads. They never
+// ran, so the decision module may send their batches elsewhere at once.
 func (r *Router) withdrawUnsent(e *engine) {
 	for _, c := range slices.Clone(e.pool.Connections) {
 		conn := r.connections[c.Number]
@@ -516,8 +541,8 @@
 			r.closeConnection(conn, LeftAddress)
 			continue
 		}
-		for _, what := range slices.Clone(conn.queue) {
-			if d, is := what.(*dispatch); is {
+		for _, item := range slices.Clone(conn.queue) {
+			if d, is := item.(*dispatch); is {
 				r.endDispatch(d, outcomes[LeftAddress].unwritten, nil)
 				conn.Close(d.batch.id, false, r.now)
 			}
@@ -526,8 +551,10 @@
 	}
 }
 
-// forgetEngine: engines are replaced all day under new ids. What is gone for long, with nothing out and no connection,
-// is dropped; the module drops its own with the next list. One that flaps is the same one to the module until then.
+// forgetEngine removes an engine that has been off the list for goneEngineRetention and has no outstanding dispatch and
+// no connection; if it still has one, it tries again later. Engines are replaced all day under new ids, so their state
+// would accumulate. The decision module drops its own state with the next list. An engine that returns to the list
+// earlier is the same one to the decision module.
 func (r *Router) forgetEngine(e *engine) {
 	switch {
 	case !e.gone:
@@ -539,18 +566,20 @@
 	}
 }
 
-// engineNumber gives an engine's number from its name, alike at every router.
+// engineNumber derives an engine's number from its name (32-bit FNV-1a), so that all routers use the same number.
 func engineNumber(name string) uint32 {
-	h := uint32(2166136261)
-	for _, c := range []byte(name) {
-		h = (h ^ uint32(c)) * 16777619
+	sum := uint32(2166136261)
+	for _, char := range []byte(name) {
+		sum = (sum ^ uint32(char)) * 16777619
 	}
-	return h
+	return sum
 }
 
+// nextNumber returns a new number for an engine connection or a probe.
 func (r *Router) nextNumber() uint64 {
 	r.lastNumber++
 	return r.lastNumber
 }
 
+// probeTag returns the id under which a probe is open on its connection.
 func probeTag(n uint64) string { return "p" + strconv.FormatUint(n, 36) }
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -27,8 +27,8 @@
 	for _, g := range r.config.Settings.Groups {
 		longest = max(longest, g.Limit)
 	}
-	r.killAt = r.now + max(min(longest, maxKillWait)+killDelay-killMargin, stopGracePeriod)
-	r.timers.add(r.killAt, stopCheck{})
+	r.answerDeadline = r.now + max(min(longest, maxKillWait)+killDelay-killMargin, stopGracePeriod)
+	r.timers.add(r.answerDeadline, stopCheck{})
 }
 
 func (r *Router) stopping() {
@@ -48,7 +48,7 @@
 			half++
 		}
 	}
-	if waiting+half > 0 && r.now < r.killAt {
+	if waiting+half > 0 && r.now < r.answerDeadline {
 		return
 	}
 	// What the kill finds unanswered is lost, and the module has had all the time there was.
@@ -67,5 +67,5 @@
 	r.exited = true
 	r.log(Info, "stopped", "unanswered", waiting)
 	r.leaveFleet()
-	r.emit(Exit{Deadline: r.killAt + killMargin - flushTime})
+	r.emit(Exit{Deadline: r.answerDeadline + killMargin - flushTime})
 }
