--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -13,39 +13,44 @@
 	"pitchfield/internal/traffic"
 )
 
+// batch is a request of a client. It is kept until it has its final answer and none of its dispatches is outstanding.
 type batch struct {
 	*brain.Batch
-	client         *client // nil: nobody waits any more
-	stream         uint32
+	client         *client // nil: the batch has its final answer, or the client has stopped waiting
+	stream         uint32  // its number on the client's connection
 	id, mark       string
 	statement      *traffic.Statement
-	memory         float64 // for the next dispatch
-	clientDeadline float64 // the client stops waiting then
+	memory         float64 // memory grant of the next dispatch, MB
+	clientDeadline float64 // when the client stops waiting
 	dispatches     []*dispatch
-	lastError      string // the last error that an engine told of
+	lastError      string // the last error that an engine reported
 	receivedAt     float64
-	work           float64 // that it needed, once returned
+	work           float64 // seconds of work that it took; set when its result is complete
 }
 
 const (
-	maxWaitFactor       = 2.0  // times its group's time limit that a batch may be told to wait
-	lateAnswerThreshold = 0.02 // past the client's time: worth a line
+	// maxWaitFactor is how many times the time limit of its service group a batch may ask to wait.
+	maxWaitFactor = 2.0
+	// lateAnswerThreshold is how many seconds an answer may come after the client's deadline before that is logged. A
+	// cancellation that comes less than this before the deadline is logged too.
+	lateAnswerThreshold = 0.02
 )
 
-func (r *Router) handleClientMessage(number uint64, what traffic.Said) {
+// handleClientMessage handles a message that was read from the client connection with this number.
+func (r *Router) handleClientMessage(number uint64, message traffic.Said) {
 	c := r.clients[number]
 	if c == nil {
-		if ask, is := what.(*traffic.Ask); is {
+		if ask, is := message.(*traffic.Ask); is {
 			ask.Batch.Text.Release()
 		}
 		return
 	}
 	c.partialSince, c.activeAt, c.hasSentMessage = 0, r.now, true
-	switch said := what.(type) {
+	switch message := message.(type) {
 	case *traffic.Ask:
-		r.acceptBatch(c, said)
+		r.acceptBatch(c, message)
 	case traffic.Cancel:
-		if b := c.open[said.Stream]; b != nil {
+		if b := c.open[message.Stream]; b != nil {
 			if r.now > b.clientDeadline-lateAnswerThreshold {
 				r.log(Warn, "client left at its time limit", "id", b.id, "group", b.Group.Name, "left", b.clientDeadline-r.now,
 					"out", b.Out, "dispatches", len(b.dispatches))
@@ -53,18 +58,19 @@
 			r.clientLeft(b)
 		}
 	case traffic.AskReady:
-		r.emit(SendToClient{number, traffic.Ready{Stream: said.Stream, Yes: r.ready()}})
+		r.emit(SendToClient{number, traffic.Ready{Stream: message.Stream, Yes: r.ready()}})
 	case traffic.Hello:
-		r.log(Debug, "client", "client", number, "speaks", c.protocol.Name, "who", said.Who)
+		r.log(Debug, "client", "client", number, "speaks", c.protocol.Name, "who", message.Who)
 		if r.stopAt > 0 {
 			r.emit(SendToClient{number, traffic.NoMore{}})
 		}
 	case traffic.Unusable:
-		r.rejectBadInput(c, said.Stream)
+		r.rejectBadInput(c, message.Stream)
 	}
 }
 
-// ready: batches that come now can be sent on. Without a list they could only be turned away, where other routers may have one.
+// ready reports whether new batches can be forwarded. Without any engine on its list the router could only reject them,
+// while another router may have a list.
 func (r *Router) ready() bool {
 	if r.stopAt > 0 {
 		return false
@@ -77,64 +83,67 @@
 	return false
 }
 
-// rejectBadInput tells of an error that belongs to no batch and ends the connection.
+// rejectBadInput closes the connection of a client that broke the protocol, with an error that belongs to no batch.
 func (r *Router) rejectBadInput(c *client, stream uint32) {
 	r.log(Warn, "client sent what can't be used", "client", c.number, "stream", stream)
 	r.rejectClient(c, BadInput)
 }
 
+// acceptBatch validates a batch that a client asks for and hands it to the decision module. An unusable batch is answered
+// with an error; a batch beyond the router's capacity is rejected.
 func (r *Router) acceptBatch(c *client, ask *traffic.Ask) {
-	told := &ask.Batch
-	// A number counts up, so it never comes twice; what breaks that, or the bound of open ones, is no client of ours.
+	request := &ask.Batch
+	// Stream numbers only increase, so none is used twice. A client that breaks this rule or opens more batches than its
+	// protocol allows is disconnected.
 	if ask.Stream <= c.lastStream || len(c.open) >= c.protocol.Open {
-		told.Text.Release()
+		request.Text.Release()
 		r.rejectBadInput(c, ask.Stream)
 		return
 	}
 	c.lastStream = ask.Stream
-	group := r.groups[told.Group]
-	if told.NoMark && r.unmarkedGroups[told.Group] != nil {
-		group = r.unmarkedGroups[told.Group]
+	group := r.groups[request.Group]
+	if request.NoMark && r.unmarkedGroups[request.Group] != nil {
+		group = r.unmarkedGroups[request.Group]
 	}
-	if told.Left == 0 && group != nil {
-		told.Left = group.Limit
+	if request.Left == 0 && group != nil {
+		request.Left = group.Limit
 	}
-	b := &batch{client: c, stream: ask.Stream, id: told.ID, mark: told.Mark, statement: &told.Statement}
+	b := &batch{client: c, stream: ask.Stream, id: request.ID, mark: request.Mark, statement: &request.Statement}
 	err := ask.Bad
 	if err == nil {
-		err = r.validate(told, group)
+		err = r.validate(request, group)
 	}
 	if err != nil {
-		r.log(Warn, "batch can't be used", "client", c.number, "stream", ask.Stream, "group", told.Group, "why", err.Error())
+		r.log(Warn, "batch can't be used", "client", c.number, "stream", ask.Stream, "group", request.Group, "why", err.Error())
 		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
-		told.Text.Release()
+		request.Text.Release()
 		if c.faults++; c.faults >= maxFaults && !c.protocol.Stream {
 			r.rejectClient(c, BadInput)
 		}
 		return
 	}
-	held, memory := r.config.Settings.MostHeld, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
-	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.Used()*buffers.Size) > memory {
-		// Beyond what the platform lets a router hold. Nothing of it has run, so a pushback is true.
+	maxBatches, maxTextBytes := r.config.Settings.MostHeld, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
+	if maxBatches > 0 && len(r.batches) >= maxBatches || maxTextBytes > 0 && float64(r.pool.Used()*buffers.Size) > maxTextBytes {
+		// The router has no capacity for the batch. Nothing of it has run, so it can be rejected as safe to retry.
 		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.LongestDefer})
-		told.Text.Release()
+		request.Text.Release()
 		return
 	}
-	left := told.Left
+	timeLeft := request.Left
 	if r.stopAt > 0 {
-		left = min(left, r.answerDeadline-r.now) // nobody answers after that
+		timeLeft = min(timeLeft, r.answerDeadline-r.now) // no batch is answered after that
 	}
 	r.lastBatchID++
 	if b.id == "" {
 		b.id = r.newBatchID()
 	}
-	b.Batch = &brain.Batch{ID: r.lastBatchID, Group: group, Client: slices.Index(r.config.Settings.Clients, told.Client),
-		Key: told.Key, Left: max(left, 0.001), Cost: told.Cost, Memory: told.Memory,
+	b.Batch = &brain.Batch{ID: r.lastBatchID, Group: group, Client: slices.Index(r.config.Settings.Clients, request.Client),
+		Key: request.Key, Left: max(timeLeft, 0.001), Cost: request.Cost, Memory: request.Memory,
 		Tables: float64(statement.DataSet(b.statement.Text.Reader()))}
 	if r.routes != nil {
-		b.Route = r.findRoute(c, told, b.Tables)
+		b.Route = r.findRoute(c, request, b.Tables)
 	}
-	b.clientDeadline = r.now + told.Left
+	b.clientDeadline = r.now + request.Left
 	r.batches[b.Batch] = b
 	c.open[ask.Stream], r.openByID[b.id] = b, b
 	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.Left, "tables", b.Tables, "text", lazyText{b.statement.Text})
@@ -143,16 +152,17 @@
 	r.level.came(b)
 }
 
-// findRoute finds the operator's limits for a batch. It keeps them, whatever a reload brings meanwhile.
-func (r *Router) findRoute(c *client, told *traffic.Batch, data float64) *limits.Route {
-	f := limits.Fields{Group: told.Group, Client: told.Client, Login: told.Login, Application: told.Application, Protocol: c.protocol.Name}
-	if data >= 0 {
-		f.DataSet = strconv.Itoa(int(data))
+// findRoute returns the operator's limits for a batch. The batch keeps them even if a reload replaces the routes.
+// dataSet is the number of the batch's data set; below 0: none.
+func (r *Router) findRoute(c *client, request *traffic.Batch, dataSet float64) *limits.Route {
+	fields := limits.Fields{Group: request.Group, Client: request.Client, Login: request.Login, Application: request.Application, Protocol: c.protocol.Name}
+	if dataSet >= 0 {
+		fields.DataSet = strconv.Itoa(int(dataSet))
 	}
-	return r.routes.Find(&f)
+	return r.routes.Find(&fields)
 }
 
-// newBatchID gives a batch an id that no open one has.
+// newBatchID returns a random batch id that no open batch has.
 func (r *Router) newBatchID() string {
 	for {
 		if id := fmt.Sprintf("%016x", r.idSource.Uint64()); r.openByID[id] == nil {
@@ -161,71 +171,72 @@
 	}
 }
 
-// validate: an engine closes a connection that others share on what it can't read, so nothing of a batch goes on
-// before all of it is known to be good. An id that is open is somebody's else's answer.
-func (r *Router) validate(told *traffic.Batch, group *brain.ServiceGroup) error {
+// validate returns why a batch can't be used, or nil. An engine closes the whole connection, which other batches share,
+// when it can't read an order, so nothing of a batch is forwarded before all of it is validated. A second batch with the
+// id of an open one could receive the answer to that one.
+func (r *Router) validate(request *traffic.Batch, group *brain.ServiceGroup) error {
 	switch {
 	case group == nil:
-		return fmt.Errorf("no such service group: %.40q", told.Group)
-	case r.openByID[told.ID] != nil:
-		return errors.New("its id is open")
-	case group.Effect == brain.Referenced && told.Mark == "":
-		return errors.New("a referenced batch has no mark")
-	case told.Left > maxWaitFactor*group.Limit:
-		return errors.New("it would wait far past its group's time limit")
+		return fmt.Errorf("no such service group: %.40q", request.Group)
+	case r.openByID[request.ID] != nil:
+		return errors.New("another open batch has the same id")
+	case group.Effect == brain.Referenced && request.Mark == "":
+		return errors.New("a referenced batch needs a mark")
+	case request.Left > maxWaitFactor*group.Limit:
+		return errors.New("the requested wait is far above the time limit of the service group")
 	}
 	return nil
 }
 
-// lazyText is only made a text if it is logged.
+// lazyText is a log value that is turned into a string only if its line is written.
 type lazyText struct{ *buffers.Chain }
 
-// sendAnswer gives the final answer.
-func (r *Router) sendAnswer(b *batch, a *traffic.Answer) {
+// sendAnswer sends the final answer of a batch to its client, unless the client has stopped waiting.
+func (r *Router) sendAnswer(b *batch, answer *traffic.Answer) {
 	if b.client == nil {
 		return
 	}
 	c := b.client
 	c.activeAt = r.now
-	a.Stream = b.stream
+	answer.Stream = b.stream
 	if b.Batch != nil {
-		r.level.answered(b, a.Code, r.now)
+		r.level.answered(b, answer.Code, r.now)
 	}
 	r.detachClient(b)
 	if b.clientDeadline > 0 && r.now > b.clientDeadline+lateAnswerThreshold {
-		r.log(Warn, "answer is late", "id", b.id, "by", r.now-b.clientDeadline, "code", a.Code.String())
+		r.log(Warn, "answer is late", "id", b.id, "by", r.now-b.clientDeadline, "code", answer.Code.String())
 	}
-	r.emit(SendToClient{c.number, a})
+	r.emit(SendToClient{c.number, answer})
 }
 
-// answerBatch ends a batch for its client: once, and never after the client has left. What of its result is on its way
-// already ends here too.
-func (r *Router) answerBatch(b *batch, what traffic.Code, wait float64) {
+// answerBatch sends the final answer of a batch and releases it. A client gets one final answer, and none after it has
+// left. The answer also ends a result of which rows are already sent.
+func (r *Router) answerBatch(b *batch, code traffic.Code, wait float64) {
 	if b == nil {
 		return
 	}
-	r.log(Debug, "answer", "id", b.id, "code", what.String(), "dispatches", len(b.dispatches))
+	r.log(Debug, "answer", "id", b.id, "code", code.String(), "dispatches", len(b.dispatches))
 	why := b.lastError
-	if what == traffic.PushedBack {
+	if code == traffic.PushedBack {
 		why = ""
 	}
-	r.sendAnswer(b, &traffic.Answer{Code: what, Wait: wait, Why: why})
+	r.sendAnswer(b, &traffic.Answer{Code: code, Wait: wait, Why: why})
 	r.releaseBatch(b)
 }
 
-// detachClient: the client is not waiting any more.
+// detachClient ends the wait of a batch's client.
 func (r *Router) detachClient(b *batch) {
 	delete(b.client.open, b.stream)
 	if r.openByID[b.id] == b {
 		delete(r.openByID, b.id)
 	}
-	if d := b.streamingDispatch(); d != nil && d.readingPaused { // nobody reads, so nobody is slow
+	if d := b.streamingDispatch(); d != nil && d.readingPaused { // without a reader no backpressure is needed
 		r.setReadingPaused(d, false)
 	}
 	b.client = nil
 }
 
-// clientLeft: nobody waits for the batch any more. That is its final answer on record.
+// clientLeft handles a client that has stopped waiting for a batch. The decision module records that as its final answer.
 func (r *Router) clientLeft(b *batch) {
 	r.log(Debug, "left", "id", b.id, "key", b.Key, "out", b.Out)
 	r.detachClient(b)
@@ -233,9 +244,9 @@
 	for _, d := range b.dispatches {
 		switch {
 		case d.ended:
-		case !d.written: // it waits for its connection: nothing is sent for who has gone, and what it takes is given back
+		case !d.written: // it waits for its connection; nothing is sent for a client that has gone, and its budgets are freed
 			r.abortDispatch(d, brain.Withdrawn)
-		case d.missingPages > 0: // it has run, and nobody wants the rest of its pages
+		case d.missingPages > 0: // it has run, and the rest of its pages is not needed
 			r.sendOrder(d.conn, traffic.Enough{ID: b.id})
 			r.finishDispatch(d, brain.Returned)
 		}
@@ -243,13 +254,13 @@
 	r.releaseBatch(b)
 }
 
-// releaseBatch drops what a batch that is over needs no more; its dispatches may still be out.
+// releaseBatch frees the text of a batch that has ended, and the batch itself once none of its dispatches is outstanding.
 func (r *Router) releaseBatch(b *batch) {
 	if b.client == nil {
 		if b.Out == 0 {
 			delete(r.batches, b.Batch)
 		}
-		if b.statement.Text.Len() > 0 { // an order with it may still have to be written
+		if b.statement.Text.Len() > 0 { // released by an effect: an order emitted before may still need it
 			r.emit(Release{b.statement.Text})
 			b.statement.Text = nil
 		}
