--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -10,57 +10,65 @@
 )
 
 const (
-	maxResultBytes    = 48000 // bytes of a result that has to be whole
-	pageRetryInterval = 0.1   // a page is there and comes at once; it is asked for again after this, doubled each time
-	// A request that was decided must be written within this part of a drain's grace, and within these seconds, else it is
-	// decided anew: the process may stand still in between, a drain be told and its client go. The rest is for answers on
-	// their way. A step takes a little, whatever the grace.
-	decisionGraceShare               = 0.5
-	maxDecisionTime, minDecisionTime = 0.05, 0.02
+	// maxResultBytes is the largest result of a protocol whose results must be complete before they are sent on.
+	maxResultBytes = 48000
+	// pageRetryInterval is how many seconds after the first request missing pages are requested again; it doubles with
+	// each request. An engine has its pages ready and sends them at once.
+	pageRetryInterval = 0.1
+	// decisionGraceShare is the part of the drain grace period within which a dispatch must be written after it was
+	// decided; otherwise the decision module decides again. In between the process may be paused, a drain may be
+	// reported and the client may leave. The rest of the grace period is for the answers.
+	decisionGraceShare = 0.5
+	// maxDecisionTime caps that time, in seconds.
+	maxDecisionTime = 0.05
+	// minDecisionTime is its lower bound, in seconds: a step of the event loop takes a moment even if the grace period
+	// is short.
+	minDecisionTime = 0.02
 )
 
-// pageTimeout is due when pages that were asked for should have come.
+// pageTimeout is due when requested pages should have arrived.
 type pageTimeout struct{ *dispatch }
 
-// dispatch is one that is out until it has its ending.
+// dispatch is one attempt to run a batch on an engine. It is outstanding until it has ended.
 type dispatch struct {
 	batch            *batch
-	number           int
+	number           int // its index in the batch's dispatches
 	engine           *engine
-	conn             *engineConn
-	sentAt           float64
+	conn             *engineConn // nil: no connection could be had
+	sentAt           float64     // when it was decided
 	writtenAt        float64
 	deadline         float64
-	writeBy          float64 // it has to be written before: engines forget its first then, or a part of the fleet's budget ends
-	written          bool
+	writeBy          float64 // when it must be written: later engines have forgotten the first attempt, or a quota share has ended
+	written          bool    // the order was emitted and not refused, so bytes of it may have left
 	ended            bool
-	pages            []rows.Part // from the first on,
-	receivedPages    uint64      // one bit for each that has come
+	pages            []rows.Part // pages by number, or the parts of a result that comes in parts and is not sent on yet
+	receivedPages    uint64      // one bit per page that has arrived
 	missingPages     int
-	pagesRequestedAt float64 // for pages
-	pageRetryDelay   float64 // seconds until they are asked for again
+	pagesRequestedAt float64
+	pageRetryDelay   float64 // seconds until missing pages are requested again
 	pageTimer        *timer
-	size             int  // of the rows that are there
-	streaming        bool // rows of it have gone out to the client
-	readingPaused    bool // the engine's connection is not read, since the client is slow
-	endedByEngine    bool // its engine has ended it, with what can't be passed on
-	cancelled        bool // its engine is told that it is given up, and has not shown that it has read that
+	resultSize       int  // bytes of the rows received
+	streaming        bool // rows of the result were sent to the client
+	readingPaused    bool // the engine's connection is not read because the client is slow
+	endedByEngine    bool // the engine has answered, but the answer is unusable
+	cancelled        bool // the engine was told to cancel it and has not confirmed that yet
 	cancelledAs      brain.Ending
-	work, memory     float64
+	work, memory     float64 // reported by the engine: seconds and MB; below 0: unknown
 	report           *brain.Report
-	timer            *timer
+	timer            *timer // at the deadline, or when a cancellation must be confirmed
 }
 
-func (r *Router) startDispatch(b *batch, e *engine, what brain.Decision) {
-	no, wait := what.Number, what.Wait
-	d := &dispatch{batch: b, number: no, engine: e, sentAt: r.now, deadline: r.now + wait, writeBy: r.by(), work: -1, memory: -1}
-	if what.By > 0 {
-		d.writeBy = min(d.writeBy, what.By)
+// startDispatch carries out a decision to dispatch a batch to an engine.
+func (r *Router) startDispatch(b *batch, e *engine, decision brain.Decision) {
+	number, timeLimit := decision.Number, decision.Wait
+	d := &dispatch{batch: b, number: number, engine: e, sentAt: r.now, deadline: r.now + timeLimit, writeBy: r.by(), work: -1, memory: -1}
+	if decision.By > 0 {
+		d.writeBy = min(d.writeBy, decision.By)
 	}
 	b.dispatches = append(b.dispatches, d)
 	e.outstanding++
 	d.timer = r.timers.add(d.deadline, d)
-	r.log(Debug, "dispatch", "id", b.id, "no", no, "engine", e.name, "wait", wait, "memory", b.memory,
+	r.log(Debug, "dispatch", "id", b.id, "no", number, "engine", e.name, "wait", timeLimit, "memory", b.memory,
 		"serial", r.follower.Serial(), "age", r.follower.Counts(r.now).Age)
 	conn, end := r.pickConnection(e, b.id)
 	if conn == nil {
@@ -72,29 +80,30 @@
 	r.send(conn, d)
 }
 
-// send orders what waits for the connection, or lines it up until the connection is there and its engine reads. What is
-// lined up is still ours: it can be taken back, and never ran.
-func (r *Router) send(conn *engineConn, what any) {
-	if _, request := what.(*dispatch); !conn.Up || request && conn.Unread {
-		conn.queue = append(conn.queue, what)
+// send sends a dispatch or a probe on a connection, or queues it until the connection is up and, for a dispatch, its engine
+// reads. A queued dispatch has not run and can still be withdrawn.
+func (r *Router) send(conn *engineConn, item any) {
+	if _, request := item.(*dispatch); !conn.Up || request && conn.Unread {
+		conn.queue = append(conn.queue, item)
 		return
 	}
-	switch w := what.(type) {
+	switch item := item.(type) {
 	case *dispatch:
-		if r.now >= w.writeBy { // it waited for its connection
-			r.returnUnwritten(w)
+		if r.now >= item.writeBy { // it waited too long for its connection
+			r.returnUnwritten(item)
 			return
 		}
-		w.written, w.writtenAt = true, r.now
-		r.log(Debug, "written", "id", w.batch.id, "no", w.number, "engine", w.engine.name, "address", w.engine.address,
-			"connection", conn.Number, "waited", r.now-w.sentAt, "serial", r.follower.Serial())
-		r.emit(SendToEngine{conn.Number, w.order(r.now), min(w.writeBy, r.now+r.decisionTime()), w.batch.origin(!r.config.Settings.MayCopy)})
+		item.written, item.writtenAt = true, r.now
+		r.log(Debug, "written", "id", item.batch.id, "no", item.number, "engine", item.engine.name, "address", item.engine.address,
+			"connection", conn.Number, "waited", r.now-item.sentAt, "serial", r.follower.Serial())
+		r.emit(SendToEngine{conn.Number, item.order(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayCopy)})
 	case *probe:
-		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: w.tag, Load: r.config.Settings.Loads}, math.Inf(1), Origin{}})
+		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, Load: r.config.Settings.Loads}, math.Inf(1), Origin{}})
 	}
 }
 
-// origin is what its attempts are made for. Nobody waits for a batch without a client, and nothing may be sent for it.
+// origin returns the client request that the batch's attempts belong to. For a batch whose client has stopped waiting it is
+// empty, and no attempt may be sent. With single at most one attempt may be outstanding.
 func (b *batch) origin(single bool) Origin {
 	if b.client == nil {
 		return Origin{}
@@ -102,16 +111,16 @@
 	return Origin{Client: b.client.number, Stream: b.stream, OnceOnly: b.Group.Effect == brain.OnceOnly, Single: single}
 }
 
-// orderRefused takes back a request that was not written. It never ran. Either the part of the fleet's budget by which it was
-// decided has ended, or the list of engines may have changed since, and it is decided anew; or its engine does not read, and
-// it waits for that.
+// orderRefused handles a dispatch that the host did not write; it never ran. If its engine does not read, the dispatch is
+// queued until it does. If the dispatch came too late, its quota share may have ended or the engine list may have changed, so
+// the decision module decides again.
 func (r *Router) orderRefused(e OrderRefused) {
 	conn := r.connections[e.Connection]
 	if conn == nil {
 		return
 	}
-	d, is := conn.Get(e.ID).(*dispatch)
-	if !is || d.ended {
+	d, isDispatch := conn.Get(e.ID).(*dispatch)
+	if !isDispatch || d.ended {
 		return
 	}
 	d.written = false
@@ -128,18 +137,19 @@
 	}
 }
 
-// failInvalid ends a request of which an attempt would have broken an invariant. Decided anew it would be withheld again, until its
-// time is over, so it gets its final answer: an error, which promises nothing.
+// failInvalid ends a batch whose dispatch was refused because it would have violated an invariant. A new decision would be
+// refused again until the time limit, so the batch gets its final answer: an error, which does not say whether it ran.
 func (r *Router) failInvalid(d *dispatch) {
 	b := d.batch
 	r.returnUnwritten(d)
 	if b.client != nil {
 		r.brain.Left(b.Batch)
-		b.lastError = "the router's state is in doubt"
+		b.lastError = "internal error: sending the request would violate an invariant"
 		r.answerBatch(b, traffic.Errored, 0)
 	}
 }
 
+// returnUnwritten ends a dispatch that was not written in time; the decision module may decide about its batch again.
 func (r *Router) returnUnwritten(d *dispatch) {
 	r.log(Warn, "request is taken back, it was not written", "id", d.batch.id, "engine", d.engine.name, "waited", r.now-d.sentAt)
 	d.written = false
@@ -149,20 +159,22 @@
 	r.closeIfUnneeded(conn)
 }
 
-// decisionTime is how long a request may take from its decision to its writing, in seconds.
+// decisionTime returns how many seconds a dispatch may take from the decision until it is written.
 func (r *Router) decisionTime() float64 {
 	return max(min(r.config.Settings.DrainGrace*decisionGraceShare, maxDecisionTime), minDecisionTime)
 }
 
-func (r *Router) sendOrder(conn *engineConn, what traffic.Order) {
+// sendOrder sends an order that is not a dispatch, if the connection is up.
+func (r *Router) sendOrder(conn *engineConn, order traffic.Order) {
 	if conn.Up {
-		r.emit(SendToEngine{conn.Number, what, math.Inf(1), Origin{}})
+		r.emit(SendToEngine{conn.Number, order, math.Inf(1), Origin{}})
 	}
 }
 
-// endDispatch tells the module how a dispatch ended; a batch that is over needs no more dispatches. One of which rows have
-// gone out is over with that: nothing can be sent again, and the client is told that its result is cut.
-func (r *Router) endDispatch(d *dispatch, how brain.Ending, report *brain.Report) {
+// endDispatch ends a dispatch and reports its ending to the decision module, which sends no more for a batch that has its
+// final answer. If rows of the result were already sent to the client, the batch can't be retried: the client gets an
+// error that says that its result is truncated.
+func (r *Router) endDispatch(d *dispatch, ending brain.Ending, report *brain.Report) {
 	if d.ended {
 		return
 	}
@@ -175,19 +187,20 @@
 	}
 	d.pages = nil
 	if d.conn != nil {
-		d.conn.queue = slices.DeleteFunc(d.conn.queue, func(w any) bool { return w == any(d) })
+		d.conn.queue = slices.DeleteFunc(d.conn.queue, func(queued any) bool { return queued == any(d) })
 	}
 	b := d.batch
-	if d.streaming && b.client != nil && how != brain.Returned {
-		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(how), "sent", d.size)
+	if d.streaming && b.client != nil && ending != brain.Returned {
+		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(ending), "sent", d.resultSize)
 		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: "the result is cut: " + b.lastError})
 	}
-	r.log(Debug, "ended", "id", b.id, "no", d.number, "engine", d.engine.name, "how", int(how), "took", r.now-d.sentAt,
+	r.log(Debug, "ended", "id", b.id, "no", d.number, "engine", d.engine.name, "how", int(ending), "took", r.now-d.sentAt,
 		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missingPages, "connection", d.connectionNumber())
-	r.brain.Outcome(b.Batch, d.number, how, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
+	r.brain.Outcome(b.Batch, d.number, ending, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
 	r.releaseBatch(b)
 }
 
+// connectionNumber returns the number of the dispatch's connection; 0: none.
 func (d *dispatch) connectionNumber() uint64 {
 	if d.conn == nil {
 		return 0
@@ -195,8 +208,9 @@
 	return d.conn.Number
 }
 
-// abortDispatch ends a dispatch of ours before the engine did.
-func (r *Router) abortDispatch(d *dispatch, how brain.Ending) {
+// abortDispatch ends a dispatch that its engine has not ended, because of a timeout or because it is not needed any more.
+// If its end must be confirmed, the dispatch stays outstanding until the engine confirms that it is cancelled.
+func (r *Router) abortDispatch(d *dispatch, ending brain.Ending) {
 	if d.ended || d.cancelled {
 		return
 	}
@@ -204,22 +218,22 @@
 	if d.readingPaused {
 		r.setReadingPaused(d, false)
 	}
-	if d.written && r.mustConfirm(d) && r.withdraw(d, how) {
+	if d.written && r.mustConfirm(d) && r.withdraw(d, ending) {
 		return
 	}
 	if d.written {
 		r.sendOrder(conn, traffic.GiveUp{ID: d.batch.id})
 	} else {
-		how = unsentEnding[how]
+		ending = unsentEnding[ending]
 	}
 	id := d.batch.id
-	r.endDispatch(d, how, nil)
+	r.endDispatch(d, ending, nil)
 	if conn == nil {
 		return
 	}
 	if conn.engine.protocol.Alone {
 		if d.written {
-			r.awaitFree(conn) // before the close, lest it counts as free
+			r.awaitFree(conn) // before Close, so that the connection never counts as free
 		}
 		conn.Close(id, false, r.now)
 		r.closeIfUnneeded(conn)
@@ -227,17 +241,19 @@
 	}
 	conn.Close(id, d.written, r.now)
 	if d.written && conn.Heard <= d.writtenAt {
-		// Nothing came since the fetch was written: what is written next might lie in the same hole for long, as
-		// where a machine is cut off. What comes after goes on a new connection, which proves at once whether the
-		// engine can be reached. It costs a handshake where one was only slow and has no notes to tell.
+		// Nothing was received since the dispatch was written. If the engine's machine is cut off, later dispatches on
+		// this connection would be lost for long too. They go on a new connection, which shows at once whether the
+		// engine can be reached. If the engine was only slow and had no progress to report, this costs a handshake.
 		r.suspectConnection(conn)
 	}
 	r.closeIfUnneeded(conn)
 }
 
-// unsentEnding is what giving up a dispatch proves whose bytes never left this router.
+// unsentEnding maps the ending of an aborted dispatch to the one reported if no byte of it left this router. Both endings
+// prove that it never ran.
 var unsentEnding = map[brain.Ending]brain.Ending{brain.TimedOut: brain.Unconnected, brain.Withdrawn: brain.NotSent}
 
+// engineReplied handles a reply that was read from the engine connection with this number.
 func (r *Router) engineReplied(number uint64, reply *traffic.Reply) {
 	conn := r.connections[number]
 	if conn == nil {
@@ -249,26 +265,28 @@
 		r.connectionFree(conn)
 		return
 	}
-	switch what := conn.Get(reply.ID).(type) {
+	switch open := conn.Get(reply.ID).(type) {
 	case *dispatch:
-		r.handleReply(what, reply)
+		r.handleReply(open, reply)
 	case *probe:
 		reply.Rows.Release()
-		r.probed(what, reply.Word == traffic.Fit, reply.Load, false)
-	default: // late: the dispatch has ended
+		r.probed(open, reply.Word == traffic.Fit, reply.Load, false)
+	default: // a late reply to a dispatch that has ended
 		reply.Rows.Release()
 	}
 }
 
-// finishDispatch ends a dispatch by what its engine said.
-func (r *Router) finishDispatch(d *dispatch, how brain.Ending) {
+// finishDispatch ends a dispatch as its engine has replied.
+func (r *Router) finishDispatch(d *dispatch, ending brain.Ending) {
 	conn := d.conn
-	r.endDispatch(d, how, d.report)
-	// A second copy may follow: it must not end another dispatch of the batch, were that on this connection.
-	conn.Close(d.batch.id, how != brain.Returned && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
+	r.endDispatch(d, ending, d.report)
+	// The reply may arrive twice. Closing the id as one that may still get a reply keeps other dispatches of the batch off
+	// this connection, where the duplicate would end them.
+	conn.Close(d.batch.id, ending != brain.Returned && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
 	r.closeIfUnneeded(conn)
 }
 
+// handleReply handles a reply to a dispatch that has not ended.
 func (r *Router) handleReply(d *dispatch, reply *traffic.Reply) {
 	if d.report == nil {
 		d.report = reply.Load
@@ -290,7 +308,7 @@
 			return
 		}
 		d.work, d.memory = reply.Work, reply.Memory
-		if d.batch.client == nil { // nobody wants the pages
+		if d.batch.client == nil { // the client has stopped waiting, so the pages are not needed
 			if reply.Pages > 1 {
 				r.sendOrder(d.conn, traffic.Enough{ID: d.batch.id})
 			}
@@ -305,13 +323,13 @@
 		}
 		r.storePage(d, 0, body)
 	case traffic.More:
-		switch n := reply.Page; {
-		case n < 1 || n >= len(d.pages):
+		switch number := reply.Page; {
+		case number < 1 || number >= len(d.pages):
 			r.rejectReply(d, reply)
-		case d.receivedPages&(1<<n) != 0: // a second copy
+		case d.receivedPages&(1<<number) != 0: // a duplicate
 			body.Release()
 		case r.checkRows(d, reply):
-			r.storePage(d, n, body)
+			r.storePage(d, number, body)
 		}
 	case traffic.Some:
 		if r.checkRows(d, reply) {
@@ -343,22 +361,23 @@
 	}
 }
 
-// checkRows: the protocol has found no fault, and there is no more than a result holds.
+// checkRows reports whether the rows of a reply can be used: the protocol found no fault in them, and the result is within
+// the limits of its route and its protocol. Otherwise it ends the batch or the connection.
 func (r *Router) checkRows(d *dispatch, reply *traffic.Reply) bool {
-	if d.size += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.Holds(d.size) && d.batch.client != nil {
+	if d.resultSize += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.Holds(d.resultSize) && d.batch.client != nil {
 		reply.Rows.Release()
 		r.failTooLarge(d, errRouteLimit)
 		return false
 	}
-	if reply.Bad == "" && (d.size <= maxResultBytes || !d.engine.protocol.Bounded) {
+	if reply.Bad == "" && (d.resultSize <= maxResultBytes || !d.engine.protocol.Bounded) {
 		return true
 	}
 	r.rejectReply(d, reply)
 	return false
 }
 
-// rejectReply: an answer that can't be passed on. What comes after it on the connection can't be trusted either; what is
-// open there ends by the table.
+// rejectReply handles a reply that can't be passed on. What follows it on the connection can't be trusted either, so the
+// connection is closed; dispatches that are open on it end as the outcomes table says.
 func (r *Router) rejectReply(d *dispatch, reply *traffic.Reply) {
 	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Word), "why", reply.Bad,
 		"bytes", reply.Rows.Len())
@@ -367,18 +386,20 @@
 	r.closeConnection(d.conn, BadInput)
 }
 
+// requestPages requests the missing pages of a result.
 func (r *Router) requestPages(d *dispatch) {
-	for n := 1; n < len(d.pages); n++ {
-		if d.receivedPages&(1<<n) == 0 {
-			r.sendOrder(d.conn, traffic.AskPage{ID: d.batch.id, Page: n})
+	for number := 1; number < len(d.pages); number++ {
+		if d.receivedPages&(1<<number) == 0 {
+			r.sendOrder(d.conn, traffic.AskPage{ID: d.batch.id, Page: number})
 		}
 	}
 	d.pagesRequestedAt = r.now
 	d.pageTimer = r.timers.add(r.now+d.pageRetryDelay, pageTimeout{d})
 }
 
-// pagesOverdue: answers get lost, and the engine still has its pages. Where nothing came at all since they were asked for,
-// the connection may be of no use. It hurts nothing: a page that comes twice is dropped.
+// pagesOverdue requests the missing pages again: replies get lost, and the engine still has its pages. If nothing at all
+// was received since the last request, the connection is suspect. Requesting a page twice is harmless, because a
+// duplicate is dropped.
 func (r *Router) pagesOverdue(d *dispatch) {
 	if d.ended || d.missingPages == 0 {
 		return
@@ -390,16 +411,17 @@
 	r.requestPages(d)
 }
 
-// storePage takes a page in. Only with the last of them is the answer whole and the dispatch returned.
-func (r *Router) storePage(d *dispatch, n int, body rows.Part) {
-	d.pages[n] = body
-	d.receivedPages |= 1 << n
+// storePage stores a page of a result. The last one completes the result and ends the dispatch.
+func (r *Router) storePage(d *dispatch, number int, body rows.Part) {
+	d.pages[number] = body
+	d.receivedPages |= 1 << number
 	if d.missingPages--; d.missingPages == 0 {
 		r.completeResult(d)
 	}
 }
 
-// completeResult: the result is whole. A result that the client's protocol can't express is an error, never an answer.
+// completeResult sends a complete result to the client and ends the dispatch. If the client's protocol can't express the
+// result, the client gets an error.
 func (r *Router) completeResult(d *dispatch) {
 	b := d.batch
 	if b.work = d.work; b.work < 0 {
@@ -431,9 +453,10 @@
 	r.finishDispatch(d, brain.Returned)
 }
 
-func totalSize(parts []rows.Part) (n int) {
+// totalSize returns the number of bytes in parts.
+func totalSize(parts []rows.Part) (size int) {
 	for _, p := range parts {
-		n += p.Len()
+		size += p.Len()
 	}
-	return n
+	return size
 }
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -26,7 +26,7 @@
 		part.Release()
 	case d.streaming:
 		r.forwardRows(d, part)
-	case d.size <= streamThreshold:
+	case d.resultSize <= streamThreshold:
 		d.pages = append(d.pages, part)
 	case b.client.protocol.Stream:
 		d.pages = append(d.pages, part)
@@ -40,7 +40,7 @@
 // failTooLarge ends a batch whose result is more than somebody takes: another dispatch would bring as much.
 func (r *Router) failTooLarge(d *dispatch, why error) {
 	b := d.batch
-	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.size, "why", why.Error())
+	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.resultSize, "why", why.Error())
 	r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: why.Error()})
 	r.abortDispatch(d, brain.Withdrawn)
 }
