--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -8,47 +8,52 @@
 )
 
 const (
-	// defaultConnectionsPerEngine is how many connections to an engine are opened before batches share them. One spoilt or lost answer
-	// takes all with it that is open on its connection; each costs a handshake and descriptors.
+	// defaultConnectionsPerEngine is how many connections to an engine are opened before batches share them. An unusable
+	// or lost reply ends every dispatch that is open on its connection, so few should share one; but each connection
+	// costs a handshake and descriptors.
 	defaultConnectionsPerEngine = 8
-	// replyTimeout is how long a reply that has begun may take to become whole; it comes in one piece.
+	// replyTimeout is how many seconds a reply that has begun may take to become complete. Engines send a reply in one
+	// piece.
 	replyTimeout = 0.5
 )
 
-// partialReply is due when a reply that began at a time must be whole.
+// partialReply is due when a reply that began at time since must be complete.
 type partialReply struct {
 	conn  *engineConn
 	since float64
 }
 
-// freeWait holds a connection on which a batch was given up, where only one at a time is there, until the engine says
-// that it is over. What is written before might be taken for a part of it.
+// freeWait keeps a connection that takes one batch at a time in use after its batch was cancelled, until the engine reports
+// that the connection is free. The engine might take an order that is written earlier for a part of the cancelled batch.
 type freeWait struct{ conn *engineConn }
 
 const (
-	freeWaitID  = "settling"
-	freeTimeout = 1.0
+	freeWaitID  = "settling" // the id under which a freeWait is open on its connection
+	freeTimeout = 1.0        // seconds after which a connection that is not reported free is closed
 )
 
+// awaitFree keeps a connection in use until its engine reports that it is free.
 func (r *Router) awaitFree(conn *engineConn) {
-	s := &freeWait{conn}
-	conn.Open(freeWaitID, s)
-	r.timers.add(r.now+freeTimeout, s)
+	wait := &freeWait{conn}
+	conn.Open(freeWaitID, wait)
+	r.timers.add(r.now+freeTimeout, wait)
 }
 
-// freeOverdue: silence ends the connection.
-func (r *Router) freeOverdue(s *freeWait) {
-	if conn := s.conn; r.connections[conn.Number] == conn && conn.Get(freeWaitID) == any(s) {
+// freeOverdue closes a connection whose engine has not reported in time that it is free.
+func (r *Router) freeOverdue(wait *freeWait) {
+	if conn := wait.conn; r.connections[conn.Number] == conn && conn.Get(freeWaitID) == any(wait) {
 		r.closeConnection(conn, Unanswered)
 	}
 }
 
+// connectionFree handles the engine's report that a connection is free.
 func (r *Router) connectionFree(conn *engineConn) {
 	conn.Close(freeWaitID, false, r.now)
 	r.withdrawalsSettled(conn)
 	r.closeIfUnneeded(conn)
 }
 
+// multiplexLimit returns how many batches may share a connection to an engine.
 func (r *Router) multiplexLimit(e *engine) int {
 	if e.protocol.Alone {
 		return 1
@@ -56,36 +61,38 @@
 	return r.config.Settings.Multiplex
 }
 
-// pickConnection finds a connection for one more, or begins one.
+// pickConnection returns a connection to an engine for a dispatch or probe with this id, or dials a new one. If there is
+// none it returns nil and the reason.
 func (r *Router) pickConnection(e *engine, id string) (*engineConn, End) {
-	c := e.pool.Pick(id, r.multiplexLimit(e))
-	room := len(r.connections)+r.dialing+2 <= r.maxConnections
-	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
-		return r.connections[c.Number], 0
+	existing := e.pool.Pick(id, r.multiplexLimit(e))
+	canDial := len(r.connections)+r.dialing+2 <= r.maxConnections
+	if existing != nil && (existing.Opened() == 0 && !existing.Unread || !canDial || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
+		return r.connections[existing.Number], 0
 	}
 	if e.address == "" {
 		return nil, Unaddressed
 	}
-	if !room {
+	if !canDial {
 		return nil, NoDescriptor
 	}
 	r.dialing++
 	conn := &engineConn{Connection: e.pool.Add(r.nextNumber(), r.now), engine: e}
 	r.connections[conn.Number] = conn
-	within := r.config.Settings.DialTime
-	conn.timer = r.timers.add(r.now+within, conn)
+	timeout := r.config.Settings.DialTime
+	conn.timer = r.timers.add(r.now+timeout, conn)
 	r.log(Debug, "dial", "engine", e.name, "address", e.address, "connection", conn.Number)
-	r.emit(Dial{conn.Number, e.address, within, e.protocol})
+	r.emit(Dial{conn.Number, e.address, timeout, e.protocol})
 	return conn, 0
 }
 
-// WantsConnection tells whether a connection that was asked for is still wanted.
+// WantsConnection reports whether the engine connection with this number, which a Dial effect requested, is still needed.
 func (r *Router) WantsConnection(number uint64) bool { return r.connections[number] != nil }
 
+// engineOpened handles an engine connection that has come up; its queue is sent at the end of the turn.
 func (r *Router) engineOpened(number uint64) {
 	conn := r.connections[number]
 	if conn == nil {
-		r.log(Debug, "connection came up that nobody waits for", "connection", number)
+		r.log(Debug, "connection came up that is no longer needed", "connection", number)
 		r.emit(CloseEngine{number, ClosedIdle})
 		return
 	}
@@ -96,6 +103,7 @@
 	r.writable = append(r.writable, conn)
 }
 
+// engineWritable handles an engine that has read what was written; the connection's queue is sent at the end of the turn.
 func (r *Router) engineWritable(number uint64) {
 	if conn := r.connections[number]; conn != nil {
 		conn.Unread = false
@@ -103,12 +111,12 @@
 	}
 }
 
-// sendQueues sends what has waited for connections. It is done where decisions are made, at the end of a turn: by then all that
-// has come is known, and what must not be sent any more has been taken back.
+// sendQueues sends the queues of connections that came up or became writable. Like the decisions this happens at the end of
+// a turn: by then all events of the turn are handled, and what must not be sent any more has been withdrawn.
 func (r *Router) sendQueues() {
-	lines := r.writable
+	conns := r.writable
 	r.writable = nil
-	for _, conn := range lines {
+	for _, conn := range conns {
 		if r.connections[conn.Number] == conn {
 			r.sendQueue(conn)
 			r.closeIfUnneeded(conn)
@@ -116,20 +124,22 @@
 	}
 }
 
+// sendQueue sends the dispatches and probes that are queued on a connection.
 func (r *Router) sendQueue(conn *engineConn) {
 	queue := conn.queue
 	conn.queue = nil
-	for _, what := range queue {
-		if d, is := what.(*dispatch); is && d.batch.client == nil { // nobody waits, and its text is gone
+	for _, item := range queue {
+		if d, isDispatch := item.(*dispatch); isDispatch && d.batch.client == nil { // its client has stopped waiting, and its text is released
 			r.abortDispatch(d, brain.Withdrawn)
 		} else {
-			r.send(conn, what)
+			r.send(conn, item)
 		}
 	}
 }
 
-// suspectConnection: what should have come did not, and nothing else came either. A connection on which an answer was lost may
-// stay open and of no use, as where a machine is cut off: an answer to a check tells, and so does none.
+// suspectConnection marks a connection on which an expected reply and everything else failed to arrive. It may stay open and
+// be useless, for example when the engine's machine is cut off. A probe on the connection finds out: without an answer in
+// time the connection is closed.
 func (r *Router) suspectConnection(conn *engineConn) {
 	conn.Suspect = true
 	if conn.Idle() || conn.healthCheck != nil || !r.config.Settings.MayProbe || conn.engine.protocol.Alone {
@@ -141,27 +151,28 @@
 	r.send(conn, conn.healthCheck)
 }
 
-// partialReplyOverdue: the rest of a reply never came, and nothing after it can be read.
-func (r *Router) partialReplyOverdue(h partialReply) {
-	conn := h.conn
-	if r.connections[conn.Number] != conn || conn.partialSince != h.since {
+// partialReplyOverdue closes a connection on which a reply was not completed in time; nothing after it could be read.
+func (r *Router) partialReplyOverdue(reply partialReply) {
+	conn := reply.conn
+	if r.connections[conn.Number] != conn || conn.partialSince != reply.since {
 		return
 	}
-	held := false
-	for _, what := range conn.Opens() {
-		if d, is := what.(*dispatch); is && d.readingPaused {
-			held = true
+	readingPaused := false
+	for _, open := range conn.Opens() {
+		if d, isDispatch := open.(*dispatch); isDispatch && d.readingPaused {
+			readingPaused = true
 		}
 	}
-	if held { // it is we who don't read
-		r.timers.add(r.now+replyTimeout, h)
+	if readingPaused { // the router itself has paused reading
+		r.timers.add(r.now+replyTimeout, reply)
 	} else {
 		r.log(Warn, "reply stops short", "engine", conn.engine.name)
 		r.closeConnection(conn, BadInput)
 	}
 }
 
-// closeIfUnneeded looks after a connection on which nothing is open any more.
+// closeIfUnneeded closes a connection that has nothing open and is suspect or leads to an old address. Any other connection
+// with nothing open gets an idle timer.
 func (r *Router) closeIfUnneeded(conn *engineConn) {
 	if !conn.Idle() || r.connections[conn.Number] != conn {
 		return
@@ -179,7 +190,7 @@
 	}
 }
 
-// connectionDue: it did not come up in time, or it may have been idle for long enough.
+// connectionDue handles a connection's timer: it closes a connection that did not come up in time or was idle for too long.
 func (r *Router) connectionDue(conn *engineConn) {
 	if r.connections[conn.Number] != conn {
 		return
@@ -198,12 +209,14 @@
 	r.closeConnection(conn, ClosedIdle)
 }
 
+// closeConnection closes an engine connection.
 func (r *Router) closeConnection(conn *engineConn, end End) {
 	r.emit(CloseEngine{conn.Number, end})
 	r.connectionEnded(conn, end)
 }
 
-// connectionEnded ends all that was open on a connection, in the order it was sent.
+// connectionEnded handles the end of an engine connection: it ends the probes and, in the order in which they were decided,
+// the dispatches that were open on it.
 func (r *Router) connectionEnded(conn *engineConn, end End) {
 	delete(r.connections, conn.Number)
 	r.timers.stop(conn.timer)
@@ -214,22 +227,22 @@
 	open := conn.Opens()
 	r.log(Debug, "connection ended", "engine", conn.engine.name, "connection", conn.Number, "end", end.String(), "open", len(open))
 	var dispatches []*dispatch
-	for _, what := range open {
-		switch w := what.(type) {
+	for _, item := range open {
+		switch item := item.(type) {
 		case *dispatch:
-			dispatches = append(dispatches, w)
+			dispatches = append(dispatches, item)
 		case *probe:
-			r.probed(w, false, nil, false)
+			r.probed(item, false, nil, false)
 		}
 	}
 	slices.SortFunc(dispatches, func(a, b *dispatch) int {
 		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.batch.ID, b.batch.ID))
 	})
 	for _, d := range dispatches {
-		how := outcomes[end].unwritten
+		ending := outcomes[end].unwritten
 		if d.written {
-			how = r.brokenOff(d, end)
+			ending = r.brokenOff(d, end)
 		}
-		r.endDispatch(d, how, nil)
+		r.endDispatch(d, ending, nil)
 	}
 }
