--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -9,20 +9,20 @@
 	"pitchfield/internal/traffic"
 )
 
-// A result that comes in parts is held until it is whole or passes this, in bytes. Until then the batch may go again;
-// from then on its rows go out as they come.
+// streamThreshold is the size in bytes up to which a result that comes in parts is buffered. While it is buffered the batch
+// can be retried; above the threshold its rows are sent to the client as they arrive.
 const streamThreshold = maxResultBytes
 
 var (
-	errProtocolLimit = errors.New("the result is larger than its client's protocol carries")
-	errRouteLimit    = errors.New("the result is larger than its route lets through")
+	errProtocolLimit = errors.New("the result is larger than its client's protocol allows")
+	errRouteLimit    = errors.New("the result is larger than its route allows")
 )
 
-// storePart takes in rows of a result that comes in parts.
+// storePart buffers or forwards rows of a result that comes in parts.
 func (r *Router) storePart(d *dispatch, part rows.Part) {
 	b := d.batch
 	switch {
-	case b.client == nil: // nobody wants them; the engine is let finish, or was told to stop
+	case b.client == nil: // the client has stopped waiting; the engine finishes, or was told to stop
 		part.Release()
 	case d.streaming:
 		r.forwardRows(d, part)
@@ -37,21 +37,22 @@
 	}
 }
 
-// failTooLarge ends a batch whose result is more than somebody takes: another dispatch would bring as much.
-func (r *Router) failTooLarge(d *dispatch, why error) {
+// failTooLarge answers a batch with an error because its result is larger than a limit. A retry would bring a result of the
+// same size.
+func (r *Router) failTooLarge(d *dispatch, err error) {
 	b := d.batch
-	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.resultSize, "why", why.Error())
-	r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: why.Error()})
+	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.resultSize, "why", err.Error())
+	r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
 	r.abortDispatch(d, brain.Withdrawn)
 }
 
-// startStreaming begins to send what there is. A second copy of the batch is given up first: what of it comes later can't be
-// passed on beside this one's, and the module sends no other from here on.
+// startStreaming sends the buffered rows of a result to the client; later rows follow as they arrive. Hedged dispatches of the
+// batch are cancelled first, because rows of two dispatches can't be mixed. The decision module sends no others from here on.
 func (r *Router) startStreaming(d *dispatch) {
 	d.batch.Streams = true
-	for _, o := range slices.Clone(d.batch.dispatches) {
-		if o != d {
-			r.abortDispatch(o, brain.Withdrawn)
+	for _, other := range slices.Clone(d.batch.dispatches) {
+		if other != d {
+			r.abortDispatch(other, brain.Withdrawn)
 		}
 	}
 	parts := d.pages
@@ -62,11 +63,13 @@
 	}
 }
 
+// forwardRows sends rows of a result to the client.
 func (r *Router) forwardRows(d *dispatch, part rows.Part) {
 	r.emit(SendToClient{d.batch.client.number, &traffic.Rows{Stream: d.batch.stream, Part: part}})
 	d.batch.client.activeAt = r.now
 }
 
+// streamingDispatch returns the dispatch whose rows are being sent to the client; nil: none.
 func (b *batch) streamingDispatch() *dispatch {
 	for _, d := range b.dispatches {
 		if d.streaming && !d.ended {
@@ -76,7 +79,8 @@
 	return nil
 }
 
-// clientUnread: a client that is slow holds its engine back, not the router's memory. Once it has read, the engine goes on.
+// clientUnread applies backpressure: while a client is too slow to read its rows (full), the router stops reading from the
+// engines that send them, so that rows don't fill the router's memory. Once the client has read, reading resumes.
 func (r *Router) clientUnread(number uint64, full bool) {
 	c := r.clients[number]
 	if c == nil {
@@ -89,9 +93,10 @@
 	}
 }
 
-func (r *Router) setReadingPaused(d *dispatch, hold bool) {
-	if d.readingPaused != hold && d.engine.protocol.Held {
-		d.readingPaused = hold
-		r.emit(PauseReading{d.conn.Number, hold})
+// setReadingPaused pauses or resumes reading from the connection of a dispatch, if the engine's protocol allows that.
+func (r *Router) setReadingPaused(d *dispatch, paused bool) {
+	if d.readingPaused != paused && d.engine.protocol.Held {
+		d.readingPaused = paused
+		r.emit(PauseReading{d.conn.Number, paused})
 	}
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -5,14 +5,15 @@
 	"math"
 )
 
-// timer is something that is due at a time. Stopped ones leave at once: most batches end long before their time
-// limit, and thousands a second would be kept until then.
+// timer is due at a time. A stopped timer is removed from the heap at once: most batches end long before their time limit,
+// and otherwise thousands of timers per second would stay until then.
 type timer struct {
-	at    float64
-	value any
-	index int // below 0: not waiting
+	at    float64 // seconds
+	value any     // passed to Router.handleTimer
+	index int     // position in the heap; below 0: not in the heap
 }
 
+// timers is a heap of timers with the next one first. It implements heap.Interface.
 type timers []*timer
 
 func (t timers) Len() int           { return len(t) }
@@ -22,14 +23,14 @@
 	t[i].index, t[j].index = i, j
 }
 
-// Push is the heap's.
+// Push implements heap.Interface. Use add instead.
 func (t *timers) Push(x any) {
-	one := x.(*timer)
-	one.index = len(*t)
-	*t = append(*t, one)
+	entry := x.(*timer)
+	entry.index = len(*t)
+	*t = append(*t, entry)
 }
 
-// Pop is the heap's.
+// Pop implements heap.Interface. Use popDue instead.
 func (t *timers) Pop() any {
 	old := *t
 	last := old[len(old)-1]
@@ -39,18 +40,21 @@
 	return last
 }
 
-func (t *timers) add(at float64, what any) *timer {
-	one := &timer{at: at, value: what}
-	heap.Push(t, one)
-	return one
+// add adds a timer with this value and returns it.
+func (t *timers) add(at float64, value any) *timer {
+	entry := &timer{at: at, value: value}
+	heap.Push(t, entry)
+	return entry
 }
 
-func (t *timers) stop(one *timer) {
-	if one != nil && one.index >= 0 {
-		heap.Remove(t, one.index)
+// stop removes a timer. A timer that is nil, stopped or was due is ignored.
+func (t *timers) stop(entry *timer) {
+	if entry != nil && entry.index >= 0 {
+		heap.Remove(t, entry.index)
 	}
 }
 
+// next returns when the next timer is due; +Inf: there is none.
 func (t *timers) next() float64 {
 	if len(*t) == 0 {
 		return math.Inf(1)
@@ -58,6 +62,7 @@
 	return (*t)[0].at
 }
 
+// popDue removes the next timer that is due by now and returns its value; nil: none is due.
 func (t *timers) popDue(now float64) any {
 	if t.next() > now {
 		return nil
