--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -12,73 +12,96 @@
 	"pitchfield/internal/traffic"
 )
 
-// Event is one thing that has happened. The chains in it are the router's from then on.
+// Event is something that has happened. The buffer chains in it belong to the router once it is passed to Reduce.
 type Event interface{ event() }
 
-// The events. A connection of a client has a number from whoever accepted it, one to an engine from the router.
+// The events. Client connections are numbered by the host that accepts them, engine connections by the router.
 type (
+	// ClientOpened reports a new client connection.
 	ClientOpened struct {
 		Client   uint64
 		Protocol *traffic.ClientProtocol
 	}
+	// ClientMessage reports a complete message of a client.
 	ClientMessage struct {
 		Client  uint64
 		Message traffic.Said
 	}
-	ClientMessageStarted struct{ Client uint64 } // part of a message is there, after whole ones or none
-	ClientInvalid        struct{ Client uint64 } // nothing after what it has sent can be read
-	ClientUnread         struct {                // what it has not read has passed a bound, or is below it again
+	// ClientMessageStarted reports that a part of a client's message has arrived, after complete ones if there were any.
+	ClientMessageStarted struct{ Client uint64 }
+	// ClientInvalid reports that a client sent something that can't be read, and that nothing after it can be read either.
+	ClientInvalid struct{ Client uint64 }
+	// ClientUnread reports that the bytes that a client has not read have exceeded a limit (Full) or are below it again.
+	ClientUnread struct {
 		Client uint64
 		Full   bool
 	}
+	// ClientEnded reports the end of a client connection.
 	ClientEnded struct {
 		Client uint64
 		End    End
 	}
-	EngineOpened  struct{ Connection uint64 }
+	// EngineOpened reports that an engine connection that the router asked for is up.
+	EngineOpened struct{ Connection uint64 }
+	// EngineReplied reports a complete reply of an engine.
 	EngineReplied struct {
 		Connection uint64
 		Reply      *traffic.Reply
 	}
-	EngineWritable     struct{ Connection uint64 } // all that was written there has left, after a request was refused as unread
-	EngineReplyStarted struct{ Connection uint64 } // part of a reply is there, after whole ones or none
-	EngineEnded        struct {
+	// EngineWritable reports that everything written to an engine connection has left, after an order was refused with
+	// OrderUnread.
+	EngineWritable struct{ Connection uint64 }
+	// EngineReplyStarted reports that a part of an engine's reply has arrived, after complete ones if there were any.
+	EngineReplyStarted struct{ Connection uint64 }
+	// EngineEnded reports the end of an engine connection, or that it could not be opened.
+	EngineEnded struct {
 		Connection uint64
 		End        End
 	}
+	// ListAnswered reports an engine list from the name service.
 	ListAnswered struct {
 		QueryID uint16
 		List    directory.List
 	}
-	ListUnusable struct{ QueryID uint16 } // an answer of the name service that can't be read
-	TimerFired   struct{}
-	TurnEnded    struct{} // all that came in together has been told
-	StopAsked    struct{}
-	Reloaded     struct{ Config config.Config } // the file was read again, and it can be used
-	RoutesSet    struct {
-		Routes            *limits.Table           // the limits of what is taken from now on
-		Adaptive          limits.AdaptiveSettings // of what is out at each engine
-		RetryBudget       *limits.Budget          // of further dispatches of all batches, and
-		EngineRetryBudget *limits.Budget          // to each engine; nil: none
-	}
-	PeerMessagingSet struct { // other routers may be talked to
+	// ListUnusable reports an answer of the name service that can't be read.
+	ListUnusable struct{ QueryID uint16 }
+	// TimerFired reports that the time of the last SetTimer has come.
+	TimerFired struct{}
+	// TurnEnded ends a turn of the event loop: everything that arrived together has been reported.
+	TurnEnded struct{}
+	// StopAsked asks the router to stop.
+	StopAsked struct{}
+	// Reloaded brings a configuration that was read again from its file and is valid.
+	Reloaded struct{ Config config.Config }
+	// RoutesSet sets the operator's limits for the batches that are accepted from now on.
+	RoutesSet struct {
+		Routes            *limits.Table
+		Adaptive          limits.AdaptiveSettings // limits the dispatches outstanding at each engine
+		RetryBudget       *limits.Budget          // for the retries of all batches; nil: none
+		EngineRetryBudget *limits.Budget          // for the retries to each engine; nil: none
+	}
+	// PeerMessagingSet starts peer messaging with the other routers.
+	PeerMessagingSet struct {
 		Settings    membership.Settings
-		Quotas      *shares.Settings // and budgets divided with them; nil: not
-		LoadReports *news.Settings   // and told what is out; nil: not
+		Quotas      *shares.Settings // to divide fleet-wide budgets among the routers; nil: off
+		LoadReports *news.Settings   // to exchange load reports; nil: off
 	}
-	PeerMessageReceived struct { // one of this fleet has said something; it has been checked whole
+	// PeerMessageReceived brings a message of another router of the fleet. It is validated.
+	PeerMessageReceived struct {
 		Message     *membership.Message
-		Quotas      *shares.Message // that came with it; nil: nothing
-		LoadReports *news.Message   // the same
+		Quotas      *shares.Message // sent with it; nil: none
+		LoadReports *news.Message   // sent with it; nil: none
 	}
-	OrderRefused struct { // a request was not written, not a byte of it
+	// OrderRefused reports that the host did not write an order; not a byte of it has left.
+	OrderRefused struct {
 		Connection uint64
 		ID         string
 		Why        Refusal
 	}
-	LevelsSet struct { // the levels of reduced service that there are from now on
+	// LevelsSet sets the levels of reduced service.
+	LevelsSet struct {
 		Levels    levels.Settings
-		DecayTime float64 // seconds over which measures fade
+		DecayTime float64 // seconds over which measurements decay
 	}
 )
 
@@ -105,81 +128,97 @@
 func (PeerMessageReceived) event()  {}
 func (OrderRefused) event()         {}
 
-// Origin is the request that an attempt is made for.
+// Origin is the client request that an attempt belongs to.
 type Origin struct {
-	Client   uint64 // its connection
+	Client   uint64 // number of the client connection
 	Stream   uint32
-	OnceOnly bool // it must not have an effect twice
-	Single   bool // no two attempts of it may be out
+	OnceOnly bool // the request must not take effect twice
+	Single   bool // at most one attempt may be outstanding
 }
 
-// Refusal is why a request was not written.
+// Refusal is why an order was not written.
 type Refusal uint8
 
 // The refusals.
 const (
-	OrderLate       Refusal = iota // the time until which it was allowed has passed: the process stood still
-	OrderUnread                    // bytes before it have not been read by the engine; EngineRead tells when they have
+	OrderLate       Refusal = iota // its time limit for writing has passed, for example because the process was paused
+	OrderUnread                    // the engine has not read earlier bytes; EngineWritable reports when it has
 	OrderClientGone                // its client has just gone
-	OrderInvalid                   // it would have broken an invariant
+	OrderInvalid                   // it would have violated an invariant
 )
 
-// Effect is one thing that the router asks for, in its order. Rows and chains in it are the doer's from then on, but
-// for the text of a dispatch, which is good until its Release.
+// Effect is something that the host must do; effects are carried out in order. Rows and buffer chains in it belong to the
+// host from then on, except the text of a dispatch, which stays valid until its Release.
 type Effect interface{ effect() }
 
 // The effects.
 type (
+	// SendToClient sends a message to a client.
 	SendToClient struct {
 		Client  uint64
 		Message traffic.Tell
 	}
+	// CloseClient closes a client connection.
 	CloseClient struct {
 		Client uint64
 		End    End
 	}
+	// Dial opens an engine connection.
 	Dial struct {
 		Connection uint64
 		Address    string
 		Timeout    float64 // seconds
 		Protocol   *traffic.EngineProtocol
 	}
+	// SendToEngine writes an order to an engine connection.
 	SendToEngine struct {
 		Connection uint64
 		Order      traffic.Order
-		WriteBy    float64 // once this time has come a request is not written any more, but told by OrderRefused
-		Origin     Origin  // whose attempt it is, of a dispatch
+		WriteBy    float64 // from this time on a dispatch is not written but reported with OrderRefused
+		Origin     Origin  // of a dispatch: the request that it belongs to
 	}
-	PauseReading struct { // read no more of it, or go on
+	// PauseReading pauses or resumes reading from an engine connection.
+	PauseReading struct {
 		Connection uint64
 		Pause      bool
 	}
-	Release     struct{ *buffers.Chain } // what was ordered before has been written
+	// Release frees the text of a batch; all orders with it were emitted earlier.
+	Release struct{ *buffers.Chain }
+	// CloseEngine closes an engine connection.
 	CloseEngine struct {
 		Connection uint64
 		End        End
 	}
-	QueryList    struct{ QueryID uint16 }
-	SetResolver  struct{ Resolver string }           // from now on, there and nowhere else
-	SetLimits    struct{ MemoryMB, Descriptors int } // the limits that now hold
-	SetTimer     struct{ At float64 }                // in place of the one before
-	ReportStatus struct{ Status Status }             // how it stands, for whoever asks
-	SendToPeer   struct {                            // a datagram to another router
+	// QueryList asks the name service for the engine list.
+	QueryList struct{ QueryID uint16 }
+	// SetResolver sets the address of the name service for all later queries. They are sent from a new socket.
+	SetResolver struct{ Resolver string }
+	// SetLimits sets the limits that are now in force.
+	SetLimits struct{ MemoryMB, Descriptors int }
+	// SetTimer sets the host's only timer and replaces its earlier time.
+	SetTimer struct{ At float64 }
+	// ReportStatus publishes the router's status.
+	ReportStatus struct{ Status Status }
+	// SendToPeer sends a datagram to another router.
+	SendToPeer struct {
 		To          string
 		Message     membership.Message
-		Quotas      *shares.Message // nil: nothing of that
-		LoadReports *news.Message   // the same
+		Quotas      *shares.Message // nil: none
+		LoadReports *news.Message   // nil: none
 	}
-	ReportMembers struct{ Members Members } // how the fleet stands, for whoever asks
-	Log           struct {
+	// ReportMembers publishes the state of the fleet as this router sees it.
+	ReportMembers struct{ Members Members }
+	// Log writes a log line.
+	Log struct {
 		Level  Level
 		Text   string
-		Fields []any // names and values in turn
+		Fields []any // keys and values in turn
 	}
-	Exit struct{ Deadline float64 } // once all that was told is written, or this time has come
+	// Exit ends the process once all messages to clients are written, or at the deadline.
+	Exit struct{ Deadline float64 }
 )
 
-// Level is how much a line of the log matters.
+// Level is the severity of a log line.
 type Level int8
 
 // The levels.
