--- a/internal/engines/resp.go
+++ b/internal/engines/resp.go
@@ -18,7 +18,7 @@
 var words = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
 	"PAST": traffic.Late, "TELL": traffic.News, "MORE": traffic.More, "FIT": traffic.Fit, "UNFIT": traffic.Unfit}
 
-var notes = map[string]brain.Note{"done": brain.Progress, "spills": brain.Spills, "waits": brain.Waits}
+var notes = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
 
 // Protocol is what the core must know of the engines' RESP.
 func Protocol() *traffic.EngineProtocol {
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -53,7 +53,7 @@
 		if b := c.open[message.Stream]; b != nil {
 			if r.now > b.clientDeadline-lateAnswerThreshold {
 				r.log(Warn, "client left at its time limit", "id", b.id, "group", b.Group.Name, "left", b.clientDeadline-r.now,
-					"out", b.Out, "dispatches", len(b.dispatches))
+					"out", b.InFlight, "dispatches", len(b.dispatches))
 			}
 			r.clientLeft(b)
 		}
@@ -125,7 +125,7 @@
 	maxBatches, maxTextBytes := r.config.Settings.MostHeld, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
 	if maxBatches > 0 && len(r.batches) >= maxBatches || maxTextBytes > 0 && float64(r.pool.Used()*buffers.Size) > maxTextBytes {
 		// The router has no capacity for the batch. Nothing of it has run, so it can be rejected as safe to retry.
-		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.LongestDefer})
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.MaxRetryDelay})
 		request.Text.Release()
 		return
 	}
@@ -138,17 +138,17 @@
 		b.id = r.newBatchID()
 	}
 	b.Batch = &brain.Batch{ID: r.lastBatchID, Group: group, Client: slices.Index(r.config.Settings.Clients, request.Client),
-		Key: request.Key, Left: max(timeLeft, 0.001), Cost: request.Cost, Memory: request.Memory,
-		Tables: float64(statement.DataSet(b.statement.Text.Reader()))}
+		Key: request.Key, TimeLeft: max(timeLeft, 0.001), EstimatedWork: request.Cost, EstimatedMemory: request.Memory,
+		DataSet: float64(statement.DataSet(b.statement.Text.Reader()))}
 	if r.routes != nil {
-		b.Route = r.findRoute(c, request, b.Tables)
+		b.Route = r.findRoute(c, request, b.DataSet)
 	}
 	b.clientDeadline = r.now + request.Left
 	r.batches[b.Batch] = b
 	c.open[ask.Stream], r.openByID[b.id] = b, b
-	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.Left, "tables", b.Tables, "text", lazyText{b.statement.Text})
+	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", lazyText{b.statement.Text})
 	b.receivedAt = r.now
-	r.brain.Take(b.Batch)
+	r.brain.AddBatch(b.Batch)
 	r.level.came(b)
 }
 
@@ -180,7 +180,7 @@
 		return fmt.Errorf("no such service group: %.40q", request.Group)
 	case r.openByID[request.ID] != nil:
 		return errors.New("another open batch has the same id")
-	case group.Effect == brain.Referenced && request.Mark == "":
+	case group.Idempotency == brain.Deduplicated && request.Mark == "":
 		return errors.New("a referenced batch needs a mark")
 	case request.Left > maxWaitFactor*group.Limit:
 		return errors.New("the requested wait is far above the time limit of the service group")
@@ -238,17 +238,17 @@
 
 // clientLeft handles a client that has stopped waiting for a batch. The decision module records that as its final answer.
 func (r *Router) clientLeft(b *batch) {
-	r.log(Debug, "left", "id", b.id, "key", b.Key, "out", b.Out)
+	r.log(Debug, "left", "id", b.id, "key", b.Key, "out", b.InFlight)
 	r.detachClient(b)
-	r.brain.Left(b.Batch)
+	r.brain.RemoveBatch(b.Batch)
 	for _, d := range b.dispatches {
 		switch {
 		case d.ended:
 		case !d.written: // it waits for its connection; nothing is sent for a client that has gone, and its budgets are freed
-			r.abortDispatch(d, brain.Withdrawn)
+			r.abortDispatch(d, brain.Canceled)
 		case d.missingPages > 0: // it has run, and the rest of its pages is not needed
 			r.sendOrder(d.conn, traffic.Enough{ID: b.id})
-			r.finishDispatch(d, brain.Returned)
+			r.finishDispatch(d, brain.Completed)
 		}
 	}
 	r.releaseBatch(b)
@@ -257,7 +257,7 @@
 // releaseBatch frees the text of a batch that has ended, and the batch itself once none of its dispatches is outstanding.
 func (r *Router) releaseBatch(b *batch) {
 	if b.client == nil {
-		if b.Out == 0 {
+		if b.InFlight == 0 {
 			delete(r.batches, b.Batch)
 		}
 		if b.statement.Text.Len() > 0 { // released by an effect: an order emitted before may still need it
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -182,7 +182,7 @@
 	why := "the connection ends: " + end.String()
 	for _, b := range c.openInOrder() {
 		b.lastError = why
-		r.brain.Left(b.Batch)
+		r.brain.RemoveBatch(b.Batch)
 		r.answerBatch(b, traffic.Errored, 0)
 	}
 	r.emit(SendToClient{c.number, traffic.Complaint{Why: why}})
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -130,7 +130,7 @@
 	conn.queue = nil
 	for _, item := range queue {
 		if d, isDispatch := item.(*dispatch); isDispatch && d.batch.client == nil { // its client has stopped waiting, and its text is released
-			r.abortDispatch(d, brain.Withdrawn)
+			r.abortDispatch(d, brain.Canceled)
 		} else {
 			r.send(conn, item)
 		}
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -52,7 +52,7 @@
 	readingPaused    bool // the engine's connection is not read because the client is slow
 	endedByEngine    bool // the engine has answered, but the answer is unusable
 	cancelled        bool // the engine was told to cancel it and has not confirmed that yet
-	cancelledAs      brain.Ending
+	cancelledAs      brain.Outcome
 	work, memory     float64 // reported by the engine: seconds and MB; below 0: unknown
 	report           *brain.Report
 	timer            *timer // at the deadline, or when a cancellation must be confirmed
@@ -62,8 +62,8 @@
 func (r *Router) startDispatch(b *batch, e *engine, decision brain.Decision) {
 	number, timeLimit := decision.Number, decision.Wait
 	d := &dispatch{batch: b, number: number, engine: e, sentAt: r.now, deadline: r.now + timeLimit, writeBy: r.by(), work: -1, memory: -1}
-	if decision.By > 0 {
-		d.writeBy = min(d.writeBy, decision.By)
+	if decision.SendBefore > 0 {
+		d.writeBy = min(d.writeBy, decision.SendBefore)
 	}
 	b.dispatches = append(b.dispatches, d)
 	e.outstanding++
@@ -96,7 +96,7 @@
 		item.written, item.writtenAt = true, r.now
 		r.log(Debug, "written", "id", item.batch.id, "no", item.number, "engine", item.engine.name, "address", item.engine.address,
 			"connection", conn.Number, "waited", r.now-item.sentAt, "serial", r.follower.Serial())
-		r.emit(SendToEngine{conn.Number, item.order(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayCopy)})
+		r.emit(SendToEngine{conn.Number, item.order(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayHedge)})
 	case *probe:
 		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, Load: r.config.Settings.Loads}, math.Inf(1), Origin{}})
 	}
@@ -108,7 +108,7 @@
 	if b.client == nil {
 		return Origin{}
 	}
-	return Origin{Client: b.client.number, Stream: b.stream, OnceOnly: b.Group.Effect == brain.OnceOnly, Single: single}
+	return Origin{Client: b.client.number, Stream: b.stream, OnceOnly: b.Group.Idempotency == brain.AtMostOnce, Single: single}
 }
 
 // orderRefused handles a dispatch that the host did not write; it never ran. If its engine does not read, the dispatch is
@@ -126,7 +126,7 @@
 	d.written = false
 	switch {
 	case d.batch.client == nil:
-		r.abortDispatch(d, brain.Withdrawn)
+		r.abortDispatch(d, brain.Canceled)
 	case e.Why == OrderInvalid:
 		r.failInvalid(d)
 	case e.Why == OrderUnread:
@@ -143,7 +143,7 @@
 	b := d.batch
 	r.returnUnwritten(d)
 	if b.client != nil {
-		r.brain.Left(b.Batch)
+		r.brain.RemoveBatch(b.Batch)
 		b.lastError = "internal error: sending the request would violate an invariant"
 		r.answerBatch(b, traffic.Errored, 0)
 	}
@@ -174,7 +174,7 @@
 // endDispatch ends a dispatch and reports its ending to the decision module, which sends no more for a batch that has its
 // final answer. If rows of the result were already sent to the client, the batch can't be retried: the client gets an
 // error that says that its result is truncated.
-func (r *Router) endDispatch(d *dispatch, ending brain.Ending, report *brain.Report) {
+func (r *Router) endDispatch(d *dispatch, ending brain.Outcome, report *brain.Report) {
 	if d.ended {
 		return
 	}
@@ -190,13 +190,13 @@
 		d.conn.queue = slices.DeleteFunc(d.conn.queue, func(queued any) bool { return queued == any(d) })
 	}
 	b := d.batch
-	if d.streaming && b.client != nil && ending != brain.Returned {
+	if d.streaming && b.client != nil && ending != brain.Completed {
 		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(ending), "sent", d.resultSize)
 		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: "the result is cut: " + b.lastError})
 	}
 	r.log(Debug, "ended", "id", b.id, "no", d.number, "engine", d.engine.name, "how", int(ending), "took", r.now-d.sentAt,
 		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missingPages, "connection", d.connectionNumber())
-	r.brain.Outcome(b.Batch, d.number, ending, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
+	r.brain.DispatchEnded(b.Batch, d.number, ending, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
 	r.releaseBatch(b)
 }
 
@@ -210,7 +210,7 @@
 
 // abortDispatch ends a dispatch that its engine has not ended, because of a timeout or because it is not needed any more.
 // If its end must be confirmed, the dispatch stays outstanding until the engine confirms that it is cancelled.
-func (r *Router) abortDispatch(d *dispatch, ending brain.Ending) {
+func (r *Router) abortDispatch(d *dispatch, ending brain.Outcome) {
 	if d.ended || d.cancelled {
 		return
 	}
@@ -251,7 +251,7 @@
 
 // unsentEnding maps the ending of an aborted dispatch to the one reported if no byte of it left this router. Both endings
 // prove that it never ran.
-var unsentEnding = map[brain.Ending]brain.Ending{brain.TimedOut: brain.Unconnected, brain.Withdrawn: brain.NotSent}
+var unsentEnding = map[brain.Outcome]brain.Outcome{brain.TimedOut: brain.ConnectFailed, brain.Canceled: brain.NotSent}
 
 // engineReplied handles a reply that was read from the engine connection with this number.
 func (r *Router) engineReplied(number uint64, reply *traffic.Reply) {
@@ -277,12 +277,12 @@
 }
 
 // finishDispatch ends a dispatch as its engine has replied.
-func (r *Router) finishDispatch(d *dispatch, ending brain.Ending) {
+func (r *Router) finishDispatch(d *dispatch, ending brain.Outcome) {
 	conn := d.conn
 	r.endDispatch(d, ending, d.report)
 	// The reply may arrive twice. Closing the id as one that may still get a reply keeps other dispatches of the batch off
 	// this connection, where the duplicate would end them.
-	conn.Close(d.batch.id, ending != brain.Returned && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
+	conn.Close(d.batch.id, ending != brain.Completed && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
 	r.closeIfUnneeded(conn)
 }
 
@@ -313,7 +313,7 @@
 				r.sendOrder(d.conn, traffic.Enough{ID: d.batch.id})
 			}
 			body.Release()
-			r.finishDispatch(d, brain.Returned)
+			r.finishDispatch(d, brain.Completed)
 			return
 		}
 		d.pages = make([]rows.Part, reply.Pages)
@@ -346,7 +346,7 @@
 		if d.pages != nil {
 			r.finishDispatch(d, brain.Errored)
 		} else {
-			r.finishDispatch(d, brain.TurnedAway)
+			r.finishDispatch(d, brain.Rejected)
 		}
 	case traffic.Broke:
 		body.Release()
@@ -354,7 +354,7 @@
 	case traffic.News:
 		body.Release()
 		if reply.Note != 0 {
-			r.brain.News(d.batch.Batch, d.number, reply.Note, reply.Level)
+			r.brain.DispatchUpdated(d.batch.Batch, d.number, reply.Note, reply.Level)
 		}
 	default:
 		r.rejectReply(d, reply)
@@ -450,7 +450,7 @@
 	if d.readingPaused {
 		r.setReadingPaused(d, false)
 	}
-	r.finishDispatch(d, brain.Returned)
+	r.finishDispatch(d, brain.Completed)
 }
 
 // totalSize returns the number of bytes in parts.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -145,7 +145,7 @@
 	}
 	r.connectionsPerEngine = defaultConnectionsPerEngine
 	r.setDescriptorLimits()
-	r.brain.Clock(now)
+	r.brain.SetTime(now)
 	r.applyEngineList(r.follower.List())
 	r.queryList()
 	return r
@@ -200,7 +200,7 @@
 	if r.exited { // every batch is answered; nothing is accepted or sent while the last bytes are written
 		return r.effects[:0]
 	}
-	r.brain.Clock(r.now)
+	r.brain.SetTime(r.now)
 	switch e := event.(type) {
 	case ClientOpened:
 		r.clientOpened(e.Client, e.Protocol)
@@ -272,18 +272,18 @@
 	if e.Adaptive != r.adaptive {
 		r.adaptive = e.Adaptive
 		for _, known := range r.engines {
-			known.Limit = e.Adaptive.New()
+			known.ConcurrencyLimit = e.Adaptive.New()
 		}
 	}
 	retryBudget := e.RetryBudget.Fresh()
 	retryBudget.Adopt(r.retryBudget)
 	r.retryBudget, r.engineRetryBudget = retryBudget, e.EngineRetryBudget
-	r.brain.Budget(retryBudget)
+	r.brain.SetRetryBudget(retryBudget)
 	r.setPurses()
 	for _, known := range r.engines {
 		budget := e.EngineRetryBudget.Fresh()
-		budget.Adopt(known.Further)
-		known.Further = budget
+		budget.Adopt(known.RetryBudget)
+		known.RetryBudget = budget
 	}
 	r.log(Info, "routes", "count", len(e.Routes.Routes), "adaptive", e.Adaptive.Kind)
 }
@@ -308,7 +308,7 @@
 	}
 	if r.now >= r.wakeAt {
 		r.wakeAt = math.Inf(1)
-		r.brain.Woken()
+		r.brain.TimerFired()
 	}
 	r.sendQueues()
 	r.runDecisions()
@@ -368,7 +368,7 @@
 	for {
 		decision := r.brain.Next()
 		switch decision.Kind {
-		case brain.Nothing:
+		case brain.NoDecision:
 			return
 		case brain.Terms:
 			if b := r.batches[decision.Batch]; b != nil {
@@ -378,13 +378,13 @@
 			if b := r.batches[decision.Batch]; b != nil {
 				r.startDispatch(b, r.byBrainEngine[decision.Engine], decision)
 			}
-		case brain.PushBack:
+		case brain.Reject:
 			r.answerBatch(r.batches[decision.Batch], traffic.PushedBack, decision.Wait)
 		case brain.Fail:
 			r.answerBatch(r.batches[decision.Batch], traffic.Errored, 0)
 		case brain.Cancel:
 			if b := r.batches[decision.Batch]; b != nil && decision.Number < len(b.dispatches) {
-				r.abortDispatch(b.dispatches[decision.Number], brain.Withdrawn)
+				r.abortDispatch(b.dispatches[decision.Number], brain.Canceled)
 			}
 		case brain.Probe:
 			r.probe(r.byBrainEngine[decision.Engine])
@@ -472,15 +472,15 @@
 		known := r.engines[e.ID]
 		if known == nil {
 			known = &engine{name: e.ID, protocol: r.protocolOf(e), Engine: brain.Engine{ID: engineNumber(e.ID)}}
-			known.pool.Engine, known.Alone = known.ID, known.protocol.Alone
+			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.protocol.Alone
 			r.engines[e.ID] = known
 			r.byBrainEngine[&known.Engine] = known
 		}
-		if known.Limit == nil || known.StartedAt != e.StartedAt { // what was learned about the previous process does not apply
-			known.Limit = r.adaptive.New()
+		if known.ConcurrencyLimit == nil || known.StartedAt != e.StartedAt { // what was learned about the previous process does not apply
+			known.ConcurrencyLimit = r.adaptive.New()
 		}
-		if known.Further == nil {
-			known.Further = r.engineRetryBudget.Fresh()
+		if known.RetryBudget == nil {
+			known.RetryBudget = r.engineRetryBudget.Fresh()
 		}
 		if e.Address != "" && e.Address != known.address {
 			// The old address belongs to another engine, or soon will.
@@ -503,7 +503,7 @@
 		brainEngines = append(brainEngines, &known.Engine)
 		listed[known] = true
 	}
-	r.brain.Listed(brainEngines, true)
+	r.brain.UpdateEngines(brainEngines, true)
 	for _, name := range slices.Sorted(maps.Keys(r.engines)) { // sorted, so that the order does not depend on map iteration
 		e := r.engines[name]
 		if listed[e] || e.gone {
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -43,16 +43,16 @@
 	b := d.batch
 	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.resultSize, "why", err.Error())
 	r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
-	r.abortDispatch(d, brain.Withdrawn)
+	r.abortDispatch(d, brain.Canceled)
 }
 
 // startStreaming sends the buffered rows of a result to the client; later rows follow as they arrive. Hedged dispatches of the
 // batch are cancelled first, because rows of two dispatches can't be mixed. The decision module sends no others from here on.
 func (r *Router) startStreaming(d *dispatch) {
-	d.batch.Streams = true
+	d.batch.Streaming = true
 	for _, other := range slices.Clone(d.batch.dispatches) {
 		if other != d {
-			r.abortDispatch(other, brain.Withdrawn)
+			r.abortDispatch(other, brain.Canceled)
 		}
 	}
 	parts := d.pages
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -183,7 +183,7 @@
 	Pages, Page  int
 	Work, Memory float64 // seconds, MB
 	Load         *brain.Report
-	Note         brain.Note
+	Note         brain.Update
 	Level        float64
 	Rows         rows.Part
 	Why          string // of an error, for the client
