--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -364,7 +364,7 @@
 // checkRows reports whether the rows of a reply can be used: the protocol found no fault in them, and the result is within
 // the limits of its route and its protocol. Otherwise it ends the batch or the connection.
 func (r *Router) checkRows(d *dispatch, reply *traffic.Reply) bool {
-	if d.resultSize += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.Holds(d.resultSize) && d.batch.client != nil {
+	if d.resultSize += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.AllowsResult(d.resultSize) && d.batch.client != nil {
 		reply.Rows.Release()
 		r.failTooLarge(d, errRouteLimit)
 		return false
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -77,8 +77,8 @@
 	RoutesSet struct {
 		Routes            *limits.Table
 		Adaptive          limits.AdaptiveSettings // limits the dispatches outstanding at each engine
-		RetryBudget       *limits.Budget          // for the retries of all batches; nil: none
-		EngineRetryBudget *limits.Budget          // for the retries to each engine; nil: none
+		RetryBudget       *limits.RetryBudget     // for the retries of all batches; nil: none
+		EngineRetryBudget *limits.RetryBudget     // for the retries to each engine; nil: none
 	}
 	// PeerMessagingSet starts peer messaging with the other routers.
 	PeerMessagingSet struct {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -89,8 +89,8 @@
 	level             level         // level of reduced service
 	routes            *limits.Table // the operator's limits by route; nil: none
 	adaptive          limits.AdaptiveSettings
-	retryBudget       *limits.Budget // for the retries of all batches; nil: none
-	engineRetryBudget *limits.Budget // template of each engine's retry budget; nil: none
+	retryBudget       *limits.RetryBudget // for the retries of all batches; nil: none
+	engineRetryBudget *limits.RetryBudget // template of each engine's retry budget; nil: none
 
 	members     *members // the other routers of the fleet; nil: no peer messaging
 	quotas      *parts   // this router's shares of fleet-wide budgets; nil: a fixed division
@@ -266,8 +266,8 @@
 // setRoutes replaces the limits for batches that are accepted from now on. What was spent and is outstanding under the
 // old limits still counts.
 func (r *Router) setRoutes(e RoutesSet) {
-	e.Routes.Resolve(r.config.Settings.Kinds)
-	e.Routes.Adopt(r.routes)
+	e.Routes.ResolveEngineKinds(r.config.Settings.Kinds)
+	e.Routes.CarryOver(r.routes)
 	r.routes = e.Routes
 	if e.Adaptive != r.adaptive {
 		r.adaptive = e.Adaptive
@@ -275,14 +275,14 @@
 			known.ConcurrencyLimit = e.Adaptive.New()
 		}
 	}
-	retryBudget := e.RetryBudget.Fresh()
-	retryBudget.Adopt(r.retryBudget)
+	retryBudget := e.RetryBudget.CopyUnspent()
+	retryBudget.CarryOver(r.retryBudget)
 	r.retryBudget, r.engineRetryBudget = retryBudget, e.EngineRetryBudget
 	r.brain.SetRetryBudget(retryBudget)
 	r.setPurses()
 	for _, known := range r.engines {
-		budget := e.EngineRetryBudget.Fresh()
-		budget.Adopt(known.RetryBudget)
+		budget := e.EngineRetryBudget.CopyUnspent()
+		budget.CarryOver(known.RetryBudget)
 		known.RetryBudget = budget
 	}
 	r.log(Info, "routes", "count", len(e.Routes.Routes), "adaptive", e.Adaptive.Kind)
@@ -480,7 +480,7 @@
 			known.ConcurrencyLimit = r.adaptive.New()
 		}
 		if known.RetryBudget == nil {
-			known.RetryBudget = r.engineRetryBudget.Fresh()
+			known.RetryBudget = r.engineRetryBudget.CopyUnspent()
 		}
 		if e.Address != "" && e.Address != known.address {
 			// The old address belongs to another engine, or soon will.
