--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -149,7 +149,7 @@
 	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", lazyText{b.statement.Text})
 	b.receivedAt = r.now
 	r.brain.AddBatch(b.Batch)
-	r.level.came(b)
+	r.level.batchArrived(b)
 }
 
 // findRoute returns the operator's limits for a batch. The batch keeps them even if a reload replaces the routes.
@@ -200,7 +200,7 @@
 	c.activeAt = r.now
 	answer.Stream = b.stream
 	if b.Batch != nil {
-		r.level.answered(b, answer.Code, r.now)
+		r.level.batchAnswered(b, answer.Code, r.now)
 	}
 	r.detachClient(b)
 	if b.clientDeadline > 0 && r.now > b.clientDeadline+lateAnswerThreshold {
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -145,10 +145,10 @@
 		case len(c.open) > 0:
 		case c.partialSince > 0 && r.now-c.partialSince > silentTimeout:
 			r.closedClients.silent++
-			r.rejectClient(c, Silent)
+			r.rejectClient(c, FrameTimedOut)
 		case !c.hasSentMessage && r.now-c.activeAt > silentTimeout:
 			r.closedClients.silent++
-			r.closeClient(c, Silent)
+			r.closeClient(c, FrameTimedOut)
 		case r.now-c.activeAt > c.protocol.Idle && c.partialSince == 0:
 			r.closedClients.idle++
 			r.closeClient(c, ClosedIdle)
@@ -170,7 +170,7 @@
 }
 
 // closeClient closes a client connection.
-func (r *Router) closeClient(c *client, end End) {
+func (r *Router) closeClient(c *client, end CloseReason) {
 	r.emit(CloseClient{c.number, end})
 	r.clientEnded(c.number, end)
 }
@@ -178,7 +178,7 @@
 // rejectClient closes the connection of a client that broke the protocol or did not complete a message. A client that sends
 // unusable input is served nothing: its open batches get an error as their final answer, whatever their state, and the
 // connection gets an error that belongs to no batch.
-func (r *Router) rejectClient(c *client, end End) {
+func (r *Router) rejectClient(c *client, end CloseReason) {
 	why := "the connection ends: " + end.String()
 	for _, b := range c.openInOrder() {
 		b.lastError = why
@@ -200,7 +200,7 @@
 }
 
 // clientEnded handles the end of a client connection; the clients of its open batches no longer wait.
-func (r *Router) clientEnded(number uint64, end End) {
+func (r *Router) clientEnded(number uint64, end CloseReason) {
 	c := r.clients[number]
 	if c == nil {
 		return
@@ -213,7 +213,7 @@
 			ids = append(ids, b.id)
 		}
 		r.log(Warn, "client gone with open batches", "client", number, "open", len(open), "end", end.String(),
-			"ours", end.ours(), "since", r.now-open[0].receivedAt, "batches", strings.Join(ids, " "))
+			"ours", end.isLocal(), "since", r.now-open[0].receivedAt, "batches", strings.Join(ids, " "))
 	}
 	for _, b := range open {
 		r.clientLeft(b)
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -42,14 +42,14 @@
 // freeOverdue closes a connection whose engine has not reported in time that it is free.
 func (r *Router) freeOverdue(wait *freeWait) {
 	if conn := wait.conn; r.connections[conn.Number] == conn && conn.Get(freeWaitID) == any(wait) {
-		r.closeConnection(conn, Unanswered)
+		r.closeConnection(conn, CancelTimedOut)
 	}
 }
 
 // connectionFree handles the engine's report that a connection is free.
 func (r *Router) connectionFree(conn *engineConn) {
 	conn.Close(freeWaitID, false, r.now)
-	r.withdrawalsSettled(conn)
+	r.confirmCancellations(conn)
 	r.closeIfUnneeded(conn)
 }
 
@@ -63,17 +63,17 @@
 
 // pickConnection returns a connection to an engine for a dispatch or probe with this id, or dials a new one. If there is
 // none it returns nil and the reason.
-func (r *Router) pickConnection(e *engine, id string) (*engineConn, End) {
+func (r *Router) pickConnection(e *engine, id string) (*engineConn, CloseReason) {
 	existing := e.pool.Pick(id, r.multiplexLimit(e))
 	canDial := len(r.connections)+r.dialing+2 <= r.maxConnections
 	if existing != nil && (existing.Opened() == 0 && !existing.Unread || !canDial || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
 		return r.connections[existing.Number], 0
 	}
 	if e.address == "" {
-		return nil, Unaddressed
+		return nil, NoAddress
 	}
 	if !canDial {
-		return nil, NoDescriptor
+		return nil, NoDescriptors
 	}
 	r.dialing++
 	conn := &engineConn{Connection: e.pool.Add(r.nextNumber(), r.now), engine: e}
@@ -145,7 +145,7 @@
 	if conn.Idle() || conn.healthCheck != nil || !r.config.Settings.MayProbe || conn.engine.protocol.Alone {
 		return
 	}
-	conn.healthCheck = &probe{engine: conn.engine, line: conn, tag: probeTag(r.nextNumber())}
+	conn.healthCheck = &probe{engine: conn.engine, conn: conn, tag: probeTag(r.nextNumber())}
 	conn.Open(conn.healthCheck.tag, conn.healthCheck)
 	r.timers.add(r.now+r.config.Settings.DialTime, conn.healthCheck)
 	r.send(conn, conn.healthCheck)
@@ -179,7 +179,7 @@
 	}
 	switch {
 	case conn.Left:
-		r.closeConnection(conn, LeftAddress)
+		r.closeConnection(conn, StaleAddress)
 		return
 	case conn.Suspect:
 		r.closeConnection(conn, ClosedSuspect)
@@ -210,14 +210,14 @@
 }
 
 // closeConnection closes an engine connection.
-func (r *Router) closeConnection(conn *engineConn, end End) {
+func (r *Router) closeConnection(conn *engineConn, end CloseReason) {
 	r.emit(CloseEngine{conn.Number, end})
 	r.connectionEnded(conn, end)
 }
 
 // connectionEnded handles the end of an engine connection: it ends the probes and, in the order in which they were decided,
 // the dispatches that were open on it.
-func (r *Router) connectionEnded(conn *engineConn, end End) {
+func (r *Router) connectionEnded(conn *engineConn, end CloseReason) {
 	delete(r.connections, conn.Number)
 	r.timers.stop(conn.timer)
 	if !conn.Up {
@@ -232,16 +232,16 @@
 		case *dispatch:
 			dispatches = append(dispatches, item)
 		case *probe:
-			r.probed(item, false, nil, false)
+			r.finishProbe(item, false, nil, false)
 		}
 	}
 	slices.SortFunc(dispatches, func(a, b *dispatch) int {
 		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.batch.ID, b.batch.ID))
 	})
 	for _, d := range dispatches {
-		ending := outcomes[end].unwritten
+		ending := outcomesByReason[end].unwritten
 		if d.written {
-			ending = r.brokenOff(d, end)
+			ending = r.endingAfterClose(d, end)
 		}
 		r.endDispatch(d, ending, nil)
 	}
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -61,7 +61,7 @@
 // startDispatch carries out a decision to dispatch a batch to an engine.
 func (r *Router) startDispatch(b *batch, e *engine, decision brain.Decision) {
 	number, timeLimit := decision.Number, decision.Wait
-	d := &dispatch{batch: b, number: number, engine: e, sentAt: r.now, deadline: r.now + timeLimit, writeBy: r.by(), work: -1, memory: -1}
+	d := &dispatch{batch: b, number: number, engine: e, sentAt: r.now, deadline: r.now + timeLimit, writeBy: r.writeDeadline(), work: -1, memory: -1}
 	if decision.SendBefore > 0 {
 		d.writeBy = min(d.writeBy, decision.SendBefore)
 	}
@@ -72,7 +72,7 @@
 		"serial", r.follower.Serial(), "age", r.follower.Counts(r.now).Age)
 	conn, end := r.pickConnection(e, b.id)
 	if conn == nil {
-		r.endDispatch(d, outcomes[end].unwritten, nil)
+		r.endDispatch(d, outcomesByReason[end].unwritten, nil)
 		return
 	}
 	d.conn = conn
@@ -96,7 +96,7 @@
 		item.written, item.writtenAt = true, r.now
 		r.log(Debug, "written", "id", item.batch.id, "no", item.number, "engine", item.engine.name, "address", item.engine.address,
 			"connection", conn.Number, "waited", r.now-item.sentAt, "serial", r.follower.Serial())
-		r.emit(SendToEngine{conn.Number, item.order(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayHedge)})
+		r.emit(SendToEngine{conn.Number, item.request(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayHedge)})
 	case *probe:
 		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, Load: r.config.Settings.Loads}, math.Inf(1), Origin{}})
 	}
@@ -154,7 +154,7 @@
 	r.log(Warn, "request is taken back, it was not written", "id", d.batch.id, "engine", d.engine.name, "waited", r.now-d.sentAt)
 	d.written = false
 	id, conn := d.batch.id, d.conn
-	r.endDispatch(d, outcomes[Stopped].unwritten, nil)
+	r.endDispatch(d, outcomesByReason[RouterStopped].unwritten, nil)
 	conn.Close(id, false, r.now)
 	r.closeIfUnneeded(conn)
 }
@@ -218,7 +218,7 @@
 	if d.readingPaused {
 		r.setReadingPaused(d, false)
 	}
-	if d.written && r.mustConfirm(d) && r.withdraw(d, ending) {
+	if d.written && r.needsCancelConfirmation(d) && r.cancelAttempt(d, ending) {
 		return
 	}
 	if d.written {
@@ -270,7 +270,7 @@
 		r.handleReply(open, reply)
 	case *probe:
 		reply.Rows.Release()
-		r.probed(open, reply.Word == traffic.Fit, reply.Load, false)
+		r.finishProbe(open, reply.Word == traffic.Fit, reply.Load, false)
 	default: // a late reply to a dispatch that has ended
 		reply.Rows.Release()
 	}
@@ -295,7 +295,7 @@
 	if reply.Why != "" {
 		d.batch.lastError = reply.Why
 	}
-	if d.cancelled && r.withdrawnSaid(d, reply) {
+	if d.cancelled && r.handleReplyAfterCancel(d, reply) {
 		return
 	}
 	switch reply.Word {
@@ -427,7 +427,7 @@
 	if b.work = d.work; b.work < 0 {
 		b.work = (r.now - d.sentAt) * b.Group.Threads
 	}
-	r.level.finished(b.work, r.now)
+	r.level.workFinished(b.work, r.now)
 	if b.client != nil {
 		parts := d.pages
 		d.pages = nil
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -39,7 +39,7 @@
 	// ClientEnded reports the end of a client connection.
 	ClientEnded struct {
 		Client uint64
-		End    End
+		End    CloseReason
 	}
 	// EngineOpened reports that an engine connection that the router asked for is up.
 	EngineOpened struct{ Connection uint64 }
@@ -56,7 +56,7 @@
 	// EngineEnded reports the end of an engine connection, or that it could not be opened.
 	EngineEnded struct {
 		Connection uint64
-		End        End
+		End        CloseReason
 	}
 	// ListAnswered reports an engine list from the name service.
 	ListAnswered struct {
@@ -161,7 +161,7 @@
 	// CloseClient closes a client connection.
 	CloseClient struct {
 		Client uint64
-		End    End
+		End    CloseReason
 	}
 	// Dial opens an engine connection.
 	Dial struct {
@@ -187,7 +187,7 @@
 	// CloseEngine closes an engine connection.
 	CloseEngine struct {
 		Connection uint64
-		End        End
+		End        CloseReason
 	}
 	// QueryList asks the name service for the engine list.
 	QueryList struct{ QueryID uint16 }
@@ -207,7 +207,7 @@
 		LoadReports *news.Message   // nil: none
 	}
 	// ReportMembers publishes the state of the fleet as this router sees it.
-	ReportMembers struct{ Members Members }
+	ReportMembers struct{ Members FleetStatus }
 	// Log writes a log line.
 	Log struct {
 		Level  Level
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -86,15 +86,15 @@
 	nameServiceSilent  bool                // the name service does not answer, and that was logged
 	unusedAnswerLogged bool                // an unused answer of the name service was logged since the last usable one
 
-	level             level         // level of reduced service
+	level             serviceLevel  // level of reduced service
 	routes            *limits.Table // the operator's limits by route; nil: none
 	adaptive          limits.AdaptiveSettings
 	retryBudget       *limits.RetryBudget // for the retries of all batches; nil: none
 	engineRetryBudget *limits.RetryBudget // template of each engine's retry budget; nil: none
 
-	members     *members // the other routers of the fleet; nil: no peer messaging
-	quotas      *parts   // this router's shares of fleet-wide budgets; nil: a fixed division
-	loadReports *told    // load that the other routers report; nil: load reports are off
+	members     *fleet       // the other routers of the fleet; nil: no peer messaging
+	quotas      *quotas      // this router's shares of fleet-wide budgets; nil: a fixed division
+	loadReports *loadReports // load that the other routers report; nil: load reports are off
 
 	stopAt         float64 // when a stop was requested; 0: not stopping
 	answerDeadline float64 // when every batch must have its final answer; 0: not stopping
@@ -247,9 +247,9 @@
 	case LevelsSet:
 		r.setLevels(e)
 	case PeerMessagingSet:
-		r.setTalk(e)
+		r.startPeerMessaging(e)
 	case PeerMessageReceived:
-		r.talkCame(e)
+		r.receivePeerMessage(e)
 	case OrderRefused:
 		r.orderRefused(e)
 	case TimerFired:
@@ -279,7 +279,7 @@
 	retryBudget.CarryOver(r.retryBudget)
 	r.retryBudget, r.engineRetryBudget = retryBudget, e.EngineRetryBudget
 	r.brain.SetRetryBudget(retryBudget)
-	r.setPurses()
+	r.setQuotaLeases()
 	for _, known := range r.engines {
 		budget := e.EngineRetryBudget.CopyUnspent()
 		budget.CarryOver(known.RetryBudget)
@@ -313,9 +313,9 @@
 	r.sendQueues()
 	r.runDecisions()
 	if r.quotas != nil {
-		r.partsTurn()
+		r.updateQuotas()
 	}
-	r.stopping()
+	r.finishStop()
 	if at := min(r.timers.next(), r.wakeAt); at < r.timerAt {
 		r.timerAt = at
 		r.emit(SetTimer{at})
@@ -328,12 +328,12 @@
 	case *dispatch:
 		r.abortDispatch(value, brain.TimedOut)
 	case *probe:
-		if conn := value.line; !value.ended && conn.healthCheck == value {
+		if conn := value.conn; !value.ended && conn.healthCheck == value {
 			r.closeConnection(conn, ClosedSuspect)
 		}
-		r.probed(value, false, nil, true)
-	case withdrawalDue:
-		r.withdrawalExpired(value.dispatch)
+		r.finishProbe(value, false, nil, true)
+	case cancelConfirmDue:
+		r.cancelConfirmExpired(value.dispatch)
 	case pageTimeout:
 		r.pagesOverdue(value.dispatch)
 	case partialReply:
@@ -351,14 +351,14 @@
 	case clientCheck:
 		r.checkClients()
 	case levelCheck:
-		r.lookAtLevel()
-	case membersDue:
-		r.membersDue()
-	case membersTold:
-		r.tellMembers()
-	case partsDue: // endTurn handles quotas in every turn
-	case newsDue:
-		r.newsDue()
+		r.updateLevel()
+	case membershipDue:
+		r.wakeMembership()
+	case fleetReportDue:
+		r.reportFleet()
+	case quotasDue: // endTurn handles quotas in every turn
+	case loadReportDue:
+		r.sendLoadReport()
 	case stopCheck: // endTurn checks for the end of a stop in every turn
 	}
 }
@@ -387,7 +387,7 @@
 				r.abortDispatch(b.dispatches[decision.Number], brain.Canceled)
 			}
 		case brain.Probe:
-			r.probe(r.byBrainEngine[decision.Engine])
+			r.sendProbe(r.byBrainEngine[decision.Engine])
 		case brain.WakeAt:
 			r.wakeAt = min(r.wakeAt, decision.At)
 		case brain.Subscribe: // the engine list is queried all the time
@@ -538,12 +538,12 @@
 	for _, c := range slices.Clone(e.pool.Connections) {
 		conn := r.connections[c.Number]
 		if !c.Up {
-			r.closeConnection(conn, LeftAddress)
+			r.closeConnection(conn, StaleAddress)
 			continue
 		}
 		for _, item := range slices.Clone(conn.queue) {
 			if d, is := item.(*dispatch); is {
-				r.endDispatch(d, outcomes[LeftAddress].unwritten, nil)
+				r.endDispatch(d, outcomesByReason[StaleAddress].unwritten, nil)
 				conn.Close(d.batch.id, false, r.now)
 			}
 		}
