--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -100,7 +100,7 @@
 		m.settledCount = max(m.settledCount, n)
 	}
 	if r.quotas != nil {
-		r.quotas.machine.Fleet(m.machine.Count())
+		r.quotas.machine.ObserveFleetSize(m.machine.Count())
 	}
 	if m.settledCount != m.reportedCount {
 		m.reportedCount = m.settledCount
