--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -13,58 +13,64 @@
 	"pitchfield/internal/traffic"
 )
 
+// batch is a request of a client. It is kept until it has its final answer and none of its dispatches is outstanding.
 type batch struct {
 	*brain.Batch
-	client     *client // nil: nobody waits any more
-	stream     uint32
-	id, mark   string
-	said       *traffic.Statement
-	memory     float64 // for the next dispatch
-	dueAt      float64 // the client stops waiting then
-	dispatches []*dispatch
-	why        string // the last error that an engine told of
-	takenAt    float64
-	work       float64 // that it needed, once returned
+	client         *client // nil: the batch has its final answer, or the client has stopped waiting
+	stream         uint32  // its number on the client's connection
+	id, mark       string
+	statement      *traffic.Statement
+	memory         float64 // memory grant of the next dispatch, MB
+	clientDeadline float64 // when the client stops waiting
+	dispatches     []*dispatch
+	lastError      string // the last error that an engine reported
+	receivedAt     float64
+	work           float64 // seconds of work that it took; set when its result is complete
 }
 
 const (
-	mostLimits = 2.0  // times its group's time limit that a batch may be told to wait
-	lateAnswer = 0.02 // past the client's time: worth a line
+	// maxWaitFactor is how many times the time limit of its service group a batch may ask to wait.
+	maxWaitFactor = 2.0
+	// lateAnswerThreshold is how many seconds an answer may come after the client's deadline before that is logged. A
+	// cancellation that comes less than this before the deadline is logged too.
+	lateAnswerThreshold = 0.02
 )
 
-func (r *Router) clientSaid(number uint64, what traffic.Said) {
+// handleClientMessage handles a message that was read from the client connection with this number.
+func (r *Router) handleClientMessage(number uint64, message traffic.Said) {
 	c := r.clients[number]
 	if c == nil {
-		if ask, is := what.(*traffic.Ask); is {
+		if ask, is := message.(*traffic.Ask); is {
 			ask.Batch.Text.Release()
 		}
 		return
 	}
-	c.half, c.since, c.said = 0, r.now, true
-	switch said := what.(type) {
+	c.partialSince, c.activeAt, c.hasSentMessage = 0, r.now, true
+	switch message := message.(type) {
 	case *traffic.Ask:
-		r.take(c, said)
+		r.acceptBatch(c, message)
 	case traffic.Cancel:
-		if b := c.open[said.Stream]; b != nil {
-			if r.now > b.dueAt-lateAnswer {
-				r.log(Warn, "client left at its time limit", "id", b.id, "group", b.Group.Name, "left", b.dueAt-r.now,
+		if b := c.open[message.Stream]; b != nil {
+			if r.now > b.clientDeadline-lateAnswerThreshold {
+				r.log(Warn, "client left at its time limit", "id", b.id, "group", b.Group.Name, "left", b.clientDeadline-r.now,
 					"out", b.InFlight, "dispatches", len(b.dispatches))
 			}
-			r.left(b)
+			r.clientLeft(b)
 		}
 	case traffic.AskReady:
-		r.do(TellClient{number, traffic.Ready{Stream: said.Stream, Yes: r.ready()}})
+		r.emit(SendToClient{number, traffic.Ready{Stream: message.Stream, Yes: r.ready()}})
 	case traffic.Hello:
-		r.log(Debug, "client", "client", number, "speaks", c.speaks.Name, "who", said.Who)
+		r.log(Debug, "client", "client", number, "speaks", c.protocol.Name, "who", message.Who)
 		if r.stopAt > 0 {
-			r.do(TellClient{number, traffic.NoMore{}})
+			r.emit(SendToClient{number, traffic.NoMore{}})
 		}
 	case traffic.Unusable:
-		r.reject(c, said.Stream)
+		r.rejectBadInput(c, message.Stream)
 	}
 }
 
-// ready: batches that come now can be sent on. Without a list they could only be turned away, where other routers may have one.
+// ready reports whether new batches can be forwarded. Without any engine on its list the router could only reject them,
+// while another router may have a list.
 func (r *Router) ready() bool {
 	if r.stopAt > 0 {
 		return false
@@ -77,181 +83,186 @@
 	return false
 }
 
-// reject tells of an error that belongs to no batch and ends the connection.
-func (r *Router) reject(c *client, stream uint32) {
+// rejectBadInput closes the connection of a client that broke the protocol, with an error that belongs to no batch.
+func (r *Router) rejectBadInput(c *client, stream uint32) {
 	r.log(Warn, "client sent what can't be used", "client", c.number, "stream", stream)
-	r.refuseClient(c, BadInput)
+	r.rejectClient(c, BadInput)
 }
 
-func (r *Router) take(c *client, ask *traffic.Ask) {
-	told := &ask.Batch
-	// A number counts up, so it never comes twice; what breaks that, or the bound of open ones, is no client of ours.
-	if ask.Stream <= c.stream || len(c.open) >= c.speaks.Open {
-		told.Text.Release()
-		r.reject(c, ask.Stream)
+// acceptBatch validates a batch that a client asks for and hands it to the decision module. An unusable batch is answered
+// with an error; a batch beyond the router's capacity is rejected.
+func (r *Router) acceptBatch(c *client, ask *traffic.Ask) {
+	request := &ask.Batch
+	// Stream numbers only increase, so none is used twice. A client that breaks this rule or opens more batches than its
+	// protocol allows is disconnected.
+	if ask.Stream <= c.lastStream || len(c.open) >= c.protocol.Open {
+		request.Text.Release()
+		r.rejectBadInput(c, ask.Stream)
 		return
 	}
-	c.stream = ask.Stream
-	group := r.groups[told.Group]
-	if told.NoMark && r.unmarked[told.Group] != nil {
-		group = r.unmarked[told.Group]
+	c.lastStream = ask.Stream
+	group := r.groups[request.Group]
+	if request.NoMark && r.unmarkedGroups[request.Group] != nil {
+		group = r.unmarkedGroups[request.Group]
 	}
-	if told.Left == 0 && group != nil {
-		told.Left = group.Limit
+	if request.Left == 0 && group != nil {
+		request.Left = group.Limit
 	}
-	b := &batch{client: c, stream: ask.Stream, id: told.ID, mark: told.Mark, said: &told.Statement}
+	b := &batch{client: c, stream: ask.Stream, id: request.ID, mark: request.Mark, statement: &request.Statement}
 	err := ask.Bad
 	if err == nil {
-		err = r.usable(told, group)
+		err = r.validate(request, group)
 	}
 	if err != nil {
-		r.log(Warn, "batch can't be used", "client", c.number, "stream", ask.Stream, "group", told.Group, "why", err.Error())
-		r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
-		told.Text.Release()
-		if c.faults++; c.faults >= mostFaults && !c.speaks.Stream {
-			r.refuseClient(c, BadInput)
+		r.log(Warn, "batch can't be used", "client", c.number, "stream", ask.Stream, "group", request.Group, "why", err.Error())
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+		request.Text.Release()
+		if c.faults++; c.faults >= maxFaults && !c.protocol.Stream {
+			r.rejectClient(c, BadInput)
 		}
 		return
 	}
-	held, memory := r.settings.Settings.MostHeld, textShare*float64(r.settings.MemoryMB)*(1<<20)
-	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.Used()*buffers.Size) > memory {
-		// Beyond what the platform lets a router hold. Nothing of it has run, so a pushback is true.
-		r.reply(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.settings.Settings.MaxRetryDelay})
-		told.Text.Release()
+	maxBatches, maxTextBytes := r.config.Settings.MostHeld, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
+	if maxBatches > 0 && len(r.batches) >= maxBatches || maxTextBytes > 0 && float64(r.pool.Used()*buffers.Size) > maxTextBytes {
+		// The router has no capacity for the batch. Nothing of it has run, so it can be rejected as safe to retry.
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.MaxRetryDelay})
+		request.Text.Release()
 		return
 	}
-	left := told.Left
+	timeLeft := request.Left
 	if r.stopAt > 0 {
-		left = min(left, r.killAt-r.now) // nobody answers after that
+		timeLeft = min(timeLeft, r.answerDeadline-r.now) // no batch is answered after that
 	}
-	r.ids++
+	r.lastBatchID++
 	if b.id == "" {
-		b.id = r.drawID()
+		b.id = r.newBatchID()
 	}
-	b.Batch = &brain.Batch{ID: r.ids, Group: group, Client: slices.Index(r.settings.Settings.Clients, told.Client),
-		Key: told.Key, TimeLeft: max(left, 0.001), EstimatedWork: told.Cost, EstimatedMemory: told.Memory,
-		DataSet: float64(statement.DataSet(b.said.Text.Reader()))}
+	b.Batch = &brain.Batch{ID: r.lastBatchID, Group: group, Client: slices.Index(r.config.Settings.Clients, request.Client),
+		Key: request.Key, TimeLeft: max(timeLeft, 0.001), EstimatedWork: request.Cost, EstimatedMemory: request.Memory,
+		DataSet: float64(statement.DataSet(b.statement.Text.Reader()))}
 	if r.routes != nil {
-		b.Route = r.route(c, told, b.DataSet)
+		b.Route = r.findRoute(c, request, b.DataSet)
 	}
-	b.dueAt = r.now + told.Left
+	b.clientDeadline = r.now + request.Left
 	r.batches[b.Batch] = b
-	c.open[ask.Stream], r.open[b.id] = b, b
-	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", textOf{b.said.Text})
-	b.takenAt = r.now
+	c.open[ask.Stream], r.openByID[b.id] = b, b
+	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", lazyText{b.statement.Text})
+	b.receivedAt = r.now
 	r.brain.AddBatch(b.Batch)
 	r.level.batchArrived(b)
 }
 
-// route finds the operator's limits for a batch. It keeps them, whatever a reload brings meanwhile.
-func (r *Router) route(c *client, told *traffic.Batch, data float64) *limits.Route {
-	f := limits.Fields{Group: told.Group, Client: told.Client, Login: told.Login, Application: told.Application, Protocol: c.speaks.Name}
-	if data >= 0 {
-		f.DataSet = strconv.Itoa(int(data))
+// findRoute returns the operator's limits for a batch. The batch keeps them even if a reload replaces the routes.
+// dataSet is the number of the batch's data set; below 0: none.
+func (r *Router) findRoute(c *client, request *traffic.Batch, dataSet float64) *limits.Route {
+	fields := limits.Fields{Group: request.Group, Client: request.Client, Login: request.Login, Application: request.Application, Protocol: c.protocol.Name}
+	if dataSet >= 0 {
+		fields.DataSet = strconv.Itoa(int(dataSet))
 	}
-	return r.routes.Find(&f)
+	return r.routes.Find(&fields)
 }
 
-// drawID gives a batch an id that no open one has.
-func (r *Router) drawID() string {
+// newBatchID returns a random batch id that no open batch has.
+func (r *Router) newBatchID() string {
 	for {
-		if id := fmt.Sprintf("%016x", r.idsDrawn.Uint64()); r.open[id] == nil {
+		if id := fmt.Sprintf("%016x", r.idSource.Uint64()); r.openByID[id] == nil {
 			return id
 		}
 	}
 }
 
-// usable: an engine closes a connection that others share on what it can't read, so nothing of a batch goes on
-// before all of it is known to be good. An id that is open is somebody's else's answer.
-func (r *Router) usable(told *traffic.Batch, group *brain.ServiceGroup) error {
+// validate returns why a batch can't be used, or nil. An engine closes the whole connection, which other batches share,
+// when it can't read an order, so nothing of a batch is forwarded before all of it is validated. A second batch with the
+// id of an open one could receive the answer to that one.
+func (r *Router) validate(request *traffic.Batch, group *brain.ServiceGroup) error {
 	switch {
 	case group == nil:
-		return fmt.Errorf("no such service group: %.40q", told.Group)
-	case r.open[told.ID] != nil:
-		return errors.New("its id is open")
-	case group.Idempotency == brain.Deduplicated && told.Mark == "":
-		return errors.New("a referenced batch has no mark")
-	case told.Left > mostLimits*group.Limit:
-		return errors.New("it would wait far past its group's time limit")
+		return fmt.Errorf("no such service group: %.40q", request.Group)
+	case r.openByID[request.ID] != nil:
+		return errors.New("another open batch has the same id")
+	case group.Idempotency == brain.Deduplicated && request.Mark == "":
+		return errors.New("a referenced batch needs a mark")
+	case request.Left > maxWaitFactor*group.Limit:
+		return errors.New("the requested wait is far above the time limit of the service group")
 	}
 	return nil
 }
 
-// textOf is only made a text if it is logged.
-type textOf struct{ *buffers.Chain }
+// lazyText is a log value that is turned into a string only if its line is written.
+type lazyText struct{ *buffers.Chain }
 
-// reply gives the final answer.
-func (r *Router) reply(b *batch, a *traffic.Answer) {
+// sendAnswer sends the final answer of a batch to its client, unless the client has stopped waiting.
+func (r *Router) sendAnswer(b *batch, answer *traffic.Answer) {
 	if b.client == nil {
 		return
 	}
 	c := b.client
-	c.since = r.now
-	a.Stream = b.stream
+	c.activeAt = r.now
+	answer.Stream = b.stream
 	if b.Batch != nil {
-		r.level.batchAnswered(b, a.Code, r.now)
+		r.level.batchAnswered(b, answer.Code, r.now)
 	}
-	r.unwait(b)
-	if b.dueAt > 0 && r.now > b.dueAt+lateAnswer {
-		r.log(Warn, "answer is late", "id", b.id, "by", r.now-b.dueAt, "code", a.Code.String())
+	r.detachClient(b)
+	if b.clientDeadline > 0 && r.now > b.clientDeadline+lateAnswerThreshold {
+		r.log(Warn, "answer is late", "id", b.id, "by", r.now-b.clientDeadline, "code", answer.Code.String())
 	}
-	r.do(TellClient{c.number, a})
+	r.emit(SendToClient{c.number, answer})
 }
 
-// answer ends a batch for its client: once, and never after the client has left. What of its result is on its way
-// already ends here too.
-func (r *Router) answer(b *batch, what traffic.Code, wait float64) {
+// answerBatch sends the final answer of a batch and releases it. A client gets one final answer, and none after it has
+// left. The answer also ends a result of which rows are already sent.
+func (r *Router) answerBatch(b *batch, code traffic.Code, wait float64) {
 	if b == nil {
 		return
 	}
-	r.log(Debug, "answer", "id", b.id, "code", what.String(), "dispatches", len(b.dispatches))
-	why := b.why
-	if what == traffic.PushedBack {
+	r.log(Debug, "answer", "id", b.id, "code", code.String(), "dispatches", len(b.dispatches))
+	why := b.lastError
+	if code == traffic.PushedBack {
 		why = ""
 	}
-	r.reply(b, &traffic.Answer{Code: what, Wait: wait, Why: why})
-	r.forget(b)
+	r.sendAnswer(b, &traffic.Answer{Code: code, Wait: wait, Why: why})
+	r.releaseBatch(b)
 }
 
-// unwait: the client is not waiting any more.
-func (r *Router) unwait(b *batch) {
+// detachClient ends the wait of a batch's client.
+func (r *Router) detachClient(b *batch) {
 	delete(b.client.open, b.stream)
-	if r.open[b.id] == b {
-		delete(r.open, b.id)
+	if r.openByID[b.id] == b {
+		delete(r.openByID, b.id)
 	}
-	if d := b.streaming(); d != nil && d.held { // nobody reads, so nobody is slow
-		r.hold(d, false)
+	if d := b.streamingDispatch(); d != nil && d.readingPaused { // without a reader no backpressure is needed
+		r.setReadingPaused(d, false)
 	}
 	b.client = nil
 }
 
-// left: nobody waits for the batch any more. That is its final answer on record.
-func (r *Router) left(b *batch) {
+// clientLeft handles a client that has stopped waiting for a batch. The decision module records that as its final answer.
+func (r *Router) clientLeft(b *batch) {
 	r.log(Debug, "left", "id", b.id, "key", b.Key, "out", b.InFlight)
-	r.unwait(b)
+	r.detachClient(b)
 	r.brain.RemoveBatch(b.Batch)
 	for _, d := range b.dispatches {
 		switch {
 		case d.ended:
-		case !d.written: // it waits for its connection: nothing is sent for who has gone, and what it takes is given back
-			r.giveUp(d, brain.Canceled)
-		case d.missing > 0: // it has run, and nobody wants the rest of its pages
-			r.order(d.line, traffic.Enough{ID: b.id})
-			r.finish(d, brain.Completed)
+		case !d.written: // it waits for its connection; nothing is sent for a client that has gone, and its budgets are freed
+			r.abortDispatch(d, brain.Canceled)
+		case d.missingPages > 0: // it has run, and the rest of its pages is not needed
+			r.sendOrder(d.conn, traffic.Enough{ID: b.id})
+			r.finishDispatch(d, brain.Completed)
 		}
 	}
-	r.forget(b)
+	r.releaseBatch(b)
 }
 
-// forget drops what a batch that is over needs no more; its dispatches may still be out.
-func (r *Router) forget(b *batch) {
+// releaseBatch frees the text of a batch that has ended, and the batch itself once none of its dispatches is outstanding.
+func (r *Router) releaseBatch(b *batch) {
 	if b.client == nil {
 		if b.InFlight == 0 {
 			delete(r.batches, b.Batch)
 		}
-		if b.said.Text.Len() > 0 { // an order with it may still have to be written
-			r.do(Release{b.said.Text})
-			b.said.Text = nil
+		if b.statement.Text.Len() > 0 { // released by an effect: an order emitted before may still need it
+			r.emit(Release{b.statement.Text})
+			b.statement.Text = nil
 		}
 	}
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -8,91 +8,109 @@
 	"pitchfield/internal/traffic"
 )
 
-// What a connection of a client may cost; seconds.
+// Limits on client connections; times are in seconds.
 const (
-	lookEvery  = 0.25
-	lateLook   = 0.1  // so much later than planned: the process stood still
-	lookSoon   = 0.02 // until what came meanwhile has been read;
-	mostPutOff = 8    // so often in a row: it may stand still again at once, but one that always does looks in the end
-	tellEvery  = 10.0
-	silentTime = 2.0  // a new one has brought a whole frame by then, and so has one that has begun a frame
-	settled    = 0.05 // silent for so long, a new one was not opened to ask at once
-	mostFaults = 3    // batches on one that can't be used
-	mostNamed  = 4    // batches that a line names, the first that came
+	// clientCheckInterval is how often the client connections are checked.
+	clientCheckInterval = 0.25
+	// lateCheckThreshold is the delay of a check that shows that the process was paused.
+	lateCheckThreshold = 0.1
+	// recheckDelay is how long a late check is postponed, so that what arrived during the pause is read first.
+	recheckDelay = 0.02
+	// maxCheckDelays is how often in a row a check is postponed. The process may be paused again at once, but even if
+	// that happens every time the clients are checked in the end.
+	maxCheckDelays = 8
+	// closedClientsLogInterval is the least time between two log lines about closed connections.
+	closedClientsLogInterval = 10.0
+	// silentTimeout is how long a new connection may take to send a complete message, and any connection to complete a
+	// message that has begun.
+	silentTimeout = 2.0
+	// newClientGrace is how long a new connection counts as in use before its first message. A client that opens a
+	// connection to send a batch at once does so within this time.
+	newClientGrace = 0.05
+	// maxFaults is how many unusable batches close a connection.
+	maxFaults = 3
+	// maxLoggedBatches is how many batches a log line names; these are the ones that arrived first.
+	maxLoggedBatches = 4
 )
 
-// client is a connection of one.
+// client is a connection of a client.
 type client struct {
-	number uint64
-	speaks *traffic.ClientProtocol
-	open   map[uint32]*batch // unwait deletes
-	stream uint32            // the last batch's: they count up
-	since  float64           // it opened, said something whole, or got its last answer
-	half   float64           // a part of a frame has been there since; 0: none
-	said   bool              // something whole
-	faults int
+	number         uint64
+	protocol       *traffic.ClientProtocol
+	open           map[uint32]*batch // batches without a final answer, by stream; detachClient removes entries
+	lastStream     uint32            // of the last batch; stream numbers only increase
+	activeAt       float64           // when it was opened, sent a complete message or was sent an answer or rows, whichever came last
+	partialSince   float64           // when a message that is still incomplete began; 0: none
+	hasSentMessage bool              // it has sent a complete message
+	faults         int               // unusable batches
 }
 
-// crowd counts connections that were ended for the room they take.
-type crowd struct {
+// closedClientCounts counts client connections that were closed to free resources.
+type closedClientCounts struct {
 	silent, idle, crowded int
-	toldAt                float64
+	loggedAt              float64
 }
 
+// clientCheck is due when the client connections must be checked.
 type clientCheck struct{}
 
-// clientOpened lets a client in. Descriptors are few, and while none is left nobody is let in, so at the bound
-// one has to go: who never says anything first, then who has been idle longest (its next batch finds another
-// connection), then the newest that is silent. Batches that are open are never ended for it.
-func (r *Router) clientOpened(number uint64, speaks *traffic.ClientProtocol) {
-	c := &client{number: number, speaks: speaks, open: map[uint32]*batch{}, since: r.now}
+// clientOpened accepts a client connection. Without a free file descriptor no client could connect, so above the limit one
+// connection is closed: first one that has never sent a message, then the one that has been idle longest (its client opens
+// another connection for the next batch), then one that is new or in the middle of a message. If all others have open
+// batches the new connection is closed: open batches are never ended to free a descriptor.
+func (r *Router) clientOpened(number uint64, protocol *traffic.ClientProtocol) {
+	c := &client{number: number, protocol: protocol, open: map[uint32]*batch{}, activeAt: r.now}
 	r.clients[number] = c
-	if !r.looking {
-		r.looking, r.lookAt = true, r.now+lookEvery
-		r.timers.add(r.lookAt, clientCheck{})
+	if !r.clientCheckSet {
+		r.clientCheckSet, r.clientCheckAt = true, r.now+clientCheckInterval
+		r.timers.add(r.clientCheckAt, clientCheck{})
 	}
-	if r.mostClients > 0 && len(r.clients) > r.mostClients {
-		if worst := r.leastUsed(); r.use(worst) != inUse {
-			c = worst
+	if r.maxClients > 0 && len(r.clients) > r.maxClients {
+		if leastUsed := r.leastUsedClient(); r.clientUsage(leastUsed) != activeClient {
+			c = leastUsed
 		}
-		r.crowd.crowded++
+		r.closedClients.crowded++
 		r.closeClient(c, Crowded)
 	}
 }
 
-func (r *Router) leastUsed() *client {
-	return slices.MinFunc(r.all(), func(a, b *client) int {
-		return cmp.Or(cmp.Compare(r.use(a), r.use(b)), cmp.Compare(a.since, b.since), cmp.Compare(a.number, b.number))
+// leastUsedClient returns the connection to close first when there are too many.
+func (r *Router) leastUsedClient() *client {
+	return slices.MinFunc(r.unorderedClients(), func(a, b *client) int {
+		return cmp.Or(cmp.Compare(r.clientUsage(a), r.clientUsage(b)), cmp.Compare(a.activeAt, b.activeAt), cmp.Compare(a.number, b.number))
 	})
 }
 
+// How much a client connection is used, least first.
 const (
-	useless = iota
-	idle
-	young
-	inUse
+	unusedClient = iota // it has never sent a complete message and is not new
+	idleClient          // it has sent messages; nothing is open or incomplete on it
+	newClient           // it is new, or a message is incomplete
+	activeClient        // it has open batches
 )
 
-func (r *Router) use(c *client) int {
+// clientUsage returns how much a client connection is used.
+func (r *Router) clientUsage(c *client) int {
 	switch {
 	case len(c.open) > 0:
-		return inUse
-	case !c.said && r.now-max(c.since, c.half) > settled:
-		return useless
-	case c.said && c.half == 0:
-		return idle
+		return activeClient
+	case !c.hasSentMessage && r.now-max(c.activeAt, c.partialSince) > newClientGrace:
+		return unusedClient
+	case c.hasSentMessage && c.partialSince == 0:
+		return idleClient
 	}
-	return young
+	return newClient
 }
 
-// inOrder has them in one order, whatever a map makes of it.
-func (r *Router) inOrder() []*client {
-	all := r.all()
+// sortedClients returns the client connections by number, so that the order does not depend on map iteration.
+func (r *Router) sortedClients() []*client {
+	all := r.unorderedClients()
 	slices.SortFunc(all, func(a, b *client) int { return cmp.Compare(a.number, b.number) })
 	return all
 }
 
-func (r *Router) all() []*client {
+// unorderedClients returns the client connections in no particular order.
+func (r *Router) unorderedClients() []*client {
 	all := make([]*client, 0, len(r.clients))
 	for _, c := range r.clients {
 		all = append(all, c)
@@ -100,74 +118,79 @@
 	return all
 }
 
-// lookAtClients ends what only takes a descriptor: silent ones, frames that never become whole, idle ones.
-func (r *Router) lookAtClients() {
-	r.looking = len(r.clients) > 0
-	// Woken late we stood still ourselves, and what clients wrote meanwhile waits in their sockets: it is read first. A client
-	// whose half frame was whole long since lost all that it had asked behind it. This covers silent and idle ones too, and
-	// any cause of a standstill. It hurts little: they are ended a moment later.
-	if late := r.now - r.lookAt; r.looking && late > lateLook && r.putOff < mostPutOff {
-		r.putOff, r.lookAt = r.putOff+1, r.now+lookSoon
-		r.timers.add(r.lookAt, clientCheck{})
+// checkClients closes connections that use a descriptor to no purpose: those that never send a message, those that never
+// complete one, and idle ones. It also closes connections above the limit.
+func (r *Router) checkClients() {
+	r.clientCheckSet = len(r.clients) > 0
+	// If the timer fired late the process was paused, and what clients wrote meanwhile is still in the sockets. It must be
+	// read first; otherwise a connection whose message was completed during the pause would be closed, and all batches sent
+	// behind that message would be lost. The same holds for silent and idle connections. The cause of the pause does not
+	// matter. The cost is small: connections are closed a moment later.
+	if late := r.now - r.clientCheckAt; r.clientCheckSet && late > lateCheckThreshold && r.clientCheckDelays < maxCheckDelays {
+		r.clientCheckDelays, r.clientCheckAt = r.clientCheckDelays+1, r.now+recheckDelay
+		r.timers.add(r.clientCheckAt, clientCheck{})
 		return
 	}
-	r.putOff = 0
-	if r.looking {
-		r.lookAt = r.now + lookEvery
-		r.timers.add(r.lookAt, clientCheck{})
+	r.clientCheckDelays = 0
+	if r.clientCheckSet {
+		r.clientCheckAt = r.now + clientCheckInterval
+		r.timers.add(r.clientCheckAt, clientCheck{})
 	}
-	for _, c := range r.inOrder() {
+	for _, c := range r.sortedClients() {
 		switch {
-		// What is open gets its answers first: ending the connection would lose all of it. This covers clients and
-		// machines that stand still within a frame. It hurts little: behind half a frame nothing new can be asked, so
-		// what is open ends within its time, and then the half frame counts.
+		// Open batches get their answers first, because closing the connection would lose them. This protects
+		// clients that are paused in the middle of a message, alone or with their machine. The cost is small: no batch
+		// can be sent behind an incomplete message, so the open ones end within their time limit, and after that the
+		// incomplete message counts.
 		case len(c.open) > 0:
-		case c.half > 0 && r.now-c.half > silentTime:
-			r.crowd.silent++
-			r.refuseClient(c, FrameTimedOut)
-		case !c.said && r.now-c.since > silentTime:
-			r.crowd.silent++
+		case c.partialSince > 0 && r.now-c.partialSince > silentTimeout:
+			r.closedClients.silent++
+			r.rejectClient(c, FrameTimedOut)
+		case !c.hasSentMessage && r.now-c.activeAt > silentTimeout:
+			r.closedClients.silent++
 			r.closeClient(c, FrameTimedOut)
-		case r.now-c.since > c.speaks.Idle && c.half == 0:
-			r.crowd.idle++
+		case r.now-c.activeAt > c.protocol.Idle && c.partialSince == 0:
+			r.closedClients.idle++
 			r.closeClient(c, ClosedIdle)
 		}
 	}
-	for r.mostClients > 0 && len(r.clients) > r.mostClients { // a reload has set the bound lower
-		worst := r.leastUsed()
-		if r.use(worst) == inUse {
+	for r.maxClients > 0 && len(r.clients) > r.maxClients { // a reload has lowered the limit
+		leastUsed := r.leastUsedClient()
+		if r.clientUsage(leastUsed) == activeClient {
 			break
 		}
-		r.crowd.crowded++
-		r.closeClient(worst, Crowded)
+		r.closedClients.crowded++
+		r.closeClient(leastUsed, Crowded)
 	}
-	if w := &r.crowd; w.silent+w.idle+w.crowded > 0 && r.now > w.toldAt+tellEvery {
-		r.log(Info, "clients ended for room", "silent", w.silent, "idle", w.idle, "crowded", w.crowded,
+	if closed := &r.closedClients; closed.silent+closed.idle+closed.crowded > 0 && r.now > closed.loggedAt+closedClientsLogInterval {
+		r.log(Info, "clients ended for room", "silent", closed.silent, "idle", closed.idle, "crowded", closed.crowded,
 			"clients", len(r.clients))
-		*w = crowd{toldAt: r.now}
+		*closed = closedClientCounts{loggedAt: r.now}
 	}
 }
 
+// closeClient closes a client connection.
 func (r *Router) closeClient(c *client, end CloseReason) {
-	r.do(CloseClient{c.number, end})
+	r.emit(CloseClient{c.number, end})
 	r.clientEnded(c.number, end)
 }
 
-// refuseClient tells of an error that belongs to no batch and ends the connection. What was taken on it before gets its final
-// answer too, and no other than an error: whoever sends what can't be used is served nothing.
-func (r *Router) refuseClient(c *client, end CloseReason) {
+// rejectClient closes the connection of a client that broke the protocol or did not complete a message. A client that sends
+// unusable input is served nothing: its open batches get an error as their final answer, whatever their state, and the
+// connection gets an error that belongs to no batch.
+func (r *Router) rejectClient(c *client, end CloseReason) {
 	why := "the connection ends: " + end.String()
-	for _, b := range c.inTurn() {
-		b.why = why
+	for _, b := range c.openInOrder() {
+		b.lastError = why
 		r.brain.RemoveBatch(b.Batch)
-		r.answer(b, traffic.Errored, 0)
+		r.answerBatch(b, traffic.Errored, 0)
 	}
-	r.do(TellClient{c.number, traffic.Complaint{Why: why}})
+	r.emit(SendToClient{c.number, traffic.Complaint{Why: why}})
 	r.closeClient(c, end)
 }
 
-// inTurn has what is open there in the order in which it was taken.
-func (c *client) inTurn() []*batch {
+// openInOrder returns the open batches of a connection in the order in which they were accepted.
+func (c *client) openInOrder() []*batch {
 	open := make([]*batch, 0, len(c.open))
 	for _, b := range c.open {
 		open = append(open, b)
@@ -176,22 +199,23 @@
 	return open
 }
 
+// clientEnded handles the end of a client connection; the clients of its open batches no longer wait.
 func (r *Router) clientEnded(number uint64, end CloseReason) {
 	c := r.clients[number]
 	if c == nil {
 		return
 	}
 	delete(r.clients, number)
-	open := c.inTurn()
+	open := c.openInOrder()
 	if len(open) > 0 {
-		ids := make([]string, 0, mostNamed)
-		for _, b := range open[:min(len(open), mostNamed)] {
+		ids := make([]string, 0, maxLoggedBatches)
+		for _, b := range open[:min(len(open), maxLoggedBatches)] {
 			ids = append(ids, b.id)
 		}
 		r.log(Warn, "client gone with open batches", "client", number, "open", len(open), "end", end.String(),
-			"ours", end.isLocal(), "since", r.now-open[0].takenAt, "batches", strings.Join(ids, " "))
+			"ours", end.isLocal(), "since", r.now-open[0].receivedAt, "batches", strings.Join(ids, " "))
 	}
 	for _, b := range open {
-		r.left(b)
+		r.clientLeft(b)
 	}
 }
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -8,228 +8,241 @@
 )
 
 const (
-	// spread is how many connections to an engine are opened before batches share them. One spoilt or lost answer
-	// takes all with it that is open on its connection; each costs a handshake and descriptors.
-	spread = 8
-	// wholeReply is how long a reply that has begun may take to become whole; it comes in one piece.
-	wholeReply = 0.5
+	// defaultConnectionsPerEngine is how many connections to an engine are opened before batches share them. An unusable
+	// or lost reply ends every dispatch that is open on its connection, so few should share one; but each connection
+	// costs a handshake and descriptors.
+	defaultConnectionsPerEngine = 8
+	// replyTimeout is how many seconds a reply that has begun may take to become complete. Engines send a reply in one
+	// piece.
+	replyTimeout = 0.5
 )
 
-// halfReply is due when a reply that began at a time must be whole.
-type halfReply struct {
-	line *line
-	at   float64
+// partialReply is due when a reply that began at time since must be complete.
+type partialReply struct {
+	conn  *engineConn
+	since float64
 }
 
-// settling holds a connection on which a batch was given up, where only one at a time is there, until the engine says
-// that it is over. What is written before might be taken for a part of it.
-type settling struct{ line *line }
+// freeWait keeps a connection that takes one batch at a time in use after its batch was cancelled, until the engine reports
+// that the connection is free. The engine might take an order that is written earlier for a part of the cancelled batch.
+type freeWait struct{ conn *engineConn }
 
 const (
-	settleName = "settling"
-	settleTime = 1.0
+	freeWaitID  = "settling" // the id under which a freeWait is open on its connection
+	freeTimeout = 1.0        // seconds after which a connection that is not reported free is closed
 )
 
-func (r *Router) settle(l *line) {
-	s := &settling{l}
-	l.Open(settleName, s)
-	r.timers.add(r.now+settleTime, s)
+// awaitFree keeps a connection in use until its engine reports that it is free.
+func (r *Router) awaitFree(conn *engineConn) {
+	wait := &freeWait{conn}
+	conn.Open(freeWaitID, wait)
+	r.timers.add(r.now+freeTimeout, wait)
 }
 
-// settleDue: silence ends the connection.
-func (r *Router) settleDue(s *settling) {
-	if l := s.line; r.connections[l.Number] == l && l.Get(settleName) == any(s) {
-		r.closeLine(l, CancelTimedOut)
+// freeOverdue closes a connection whose engine has not reported in time that it is free.
+func (r *Router) freeOverdue(wait *freeWait) {
+	if conn := wait.conn; r.connections[conn.Number] == conn && conn.Get(freeWaitID) == any(wait) {
+		r.closeConnection(conn, CancelTimedOut)
 	}
 }
 
-func (r *Router) settled(l *line) {
-	l.Close(settleName, false, r.now)
-	r.confirmCancellations(l)
-	r.rest(l)
+// connectionFree handles the engine's report that a connection is free.
+func (r *Router) connectionFree(conn *engineConn) {
+	conn.Close(freeWaitID, false, r.now)
+	r.confirmCancellations(conn)
+	r.closeIfUnneeded(conn)
 }
 
-func (r *Router) multiplex(e *engine) int {
-	if e.speaks.Alone {
+// multiplexLimit returns how many batches may share a connection to an engine.
+func (r *Router) multiplexLimit(e *engine) int {
+	if e.protocol.Alone {
 		return 1
 	}
-	return r.settings.Settings.Multiplex
+	return r.config.Settings.Multiplex
 }
 
-// pick finds a connection for one more, or begins one.
-func (r *Router) pick(e *engine, id string) (*line, CloseReason) {
-	c := e.pool.Pick(id, r.multiplex(e))
-	room := len(r.connections)+r.dialing+2 <= r.most
-	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.spread, r.most/(2*max(len(r.engines), 1)))) {
-		return r.connections[c.Number], 0
+// pickConnection returns a connection to an engine for a dispatch or probe with this id, or dials a new one. If there is
+// none it returns nil and the reason.
+func (r *Router) pickConnection(e *engine, id string) (*engineConn, CloseReason) {
+	existing := e.pool.Pick(id, r.multiplexLimit(e))
+	canDial := len(r.connections)+r.dialing+2 <= r.maxConnections
+	if existing != nil && (existing.Opened() == 0 && !existing.Unread || !canDial || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
+		return r.connections[existing.Number], 0
 	}
 	if e.address == "" {
 		return nil, NoAddress
 	}
-	if !room {
+	if !canDial {
 		return nil, NoDescriptors
 	}
 	r.dialing++
-	l := &line{Connection: e.pool.Add(r.number(), r.now), engine: e}
-	r.connections[l.Number] = l
-	within := r.settings.Settings.DialTime
-	l.timer = r.timers.add(r.now+within, l)
-	r.log(Debug, "dial", "engine", e.name, "address", e.address, "connection", l.Number)
-	r.do(Dial{l.Number, e.address, within, e.speaks})
-	return l, 0
+	conn := &engineConn{Connection: e.pool.Add(r.nextNumber(), r.now), engine: e}
+	r.connections[conn.Number] = conn
+	timeout := r.config.Settings.DialTime
+	conn.timer = r.timers.add(r.now+timeout, conn)
+	r.log(Debug, "dial", "engine", e.name, "address", e.address, "connection", conn.Number)
+	r.emit(Dial{conn.Number, e.address, timeout, e.protocol})
+	return conn, 0
 }
 
-// Wants tells whether a connection that was asked for is still wanted.
-func (r *Router) Wants(number uint64) bool { return r.connections[number] != nil }
+// WantsConnection reports whether the engine connection with this number, which a Dial effect requested, is still needed.
+func (r *Router) WantsConnection(number uint64) bool { return r.connections[number] != nil }
 
+// engineOpened handles an engine connection that has come up; its queue is sent at the end of the turn.
 func (r *Router) engineOpened(number uint64) {
-	l := r.connections[number]
-	if l == nil {
-		r.log(Debug, "connection came up that nobody waits for", "connection", number)
-		r.do(CloseEngine{number, ClosedIdle})
+	conn := r.connections[number]
+	if conn == nil {
+		r.log(Debug, "connection came up that is no longer needed", "connection", number)
+		r.emit(CloseEngine{number, ClosedIdle})
 		return
 	}
-	r.log(Debug, "connected", "engine", l.engine.name, "connection", number, "waiting", len(l.queue))
+	r.log(Debug, "connected", "engine", conn.engine.name, "connection", number, "waiting", len(conn.queue))
 	r.dialing--
-	r.timers.stop(l.timer)
-	l.Up, l.Heard = true, r.now
-	r.writable = append(r.writable, l)
+	r.timers.stop(conn.timer)
+	conn.Up, conn.Heard = true, r.now
+	r.writable = append(r.writable, conn)
 }
 
-func (r *Router) engineRead(number uint64) {
-	if l := r.connections[number]; l != nil {
-		l.Unread = false
-		r.writable = append(r.writable, l)
+// engineWritable handles an engine that has read what was written; the connection's queue is sent at the end of the turn.
+func (r *Router) engineWritable(number uint64) {
+	if conn := r.connections[number]; conn != nil {
+		conn.Unread = false
+		r.writable = append(r.writable, conn)
 	}
 }
 
-// sendQueues sends what has waited for connections. It is done where decisions are made, at the end of a turn: by then all that
-// has come is known, and what must not be sent any more has been taken back.
+// sendQueues sends the queues of connections that came up or became writable. Like the decisions this happens at the end of
+// a turn: by then all events of the turn are handled, and what must not be sent any more has been withdrawn.
 func (r *Router) sendQueues() {
-	lines := r.writable
+	conns := r.writable
 	r.writable = nil
-	for _, l := range lines {
-		if r.connections[l.Number] == l {
-			r.sendQueue(l)
-			r.rest(l)
+	for _, conn := range conns {
+		if r.connections[conn.Number] == conn {
+			r.sendQueue(conn)
+			r.closeIfUnneeded(conn)
 		}
 	}
 }
 
-func (r *Router) sendQueue(l *line) {
-	queue := l.queue
-	l.queue = nil
-	for _, what := range queue {
-		if d, is := what.(*dispatch); is && d.batch.client == nil { // nobody waits, and its text is gone
-			r.giveUp(d, brain.Canceled)
+// sendQueue sends the dispatches and probes that are queued on a connection.
+func (r *Router) sendQueue(conn *engineConn) {
+	queue := conn.queue
+	conn.queue = nil
+	for _, item := range queue {
+		if d, isDispatch := item.(*dispatch); isDispatch && d.batch.client == nil { // its client has stopped waiting, and its text is released
+			r.abortDispatch(d, brain.Canceled)
 		} else {
-			r.send(l, what)
+			r.send(conn, item)
 		}
 	}
 }
 
-// suspect: what should have come did not, and nothing else came either. A connection on which an answer was lost may
-// stay open and of no use, as where a machine is cut off: an answer to a check tells, and so does none.
-func (r *Router) suspect(l *line) {
-	l.Suspect = true
-	if l.Idle() || l.check != nil || !r.settings.Settings.MayProbe || l.engine.speaks.Alone {
+// suspectConnection marks a connection on which an expected reply and everything else failed to arrive. It may stay open and
+// be useless, for example when the engine's machine is cut off. A probe on the connection finds out: without an answer in
+// time the connection is closed.
+func (r *Router) suspectConnection(conn *engineConn) {
+	conn.Suspect = true
+	if conn.Idle() || conn.healthCheck != nil || !r.config.Settings.MayProbe || conn.engine.protocol.Alone {
 		return
 	}
-	l.check = &probe{engine: l.engine, conn: l, tag: tag(r.number())}
-	l.Open(l.check.tag, l.check)
-	r.timers.add(r.now+r.settings.Settings.DialTime, l.check)
-	r.send(l, l.check)
+	conn.healthCheck = &probe{engine: conn.engine, conn: conn, tag: probeTag(r.nextNumber())}
+	conn.Open(conn.healthCheck.tag, conn.healthCheck)
+	r.timers.add(r.now+r.config.Settings.DialTime, conn.healthCheck)
+	r.send(conn, conn.healthCheck)
 }
 
-// halfDue: the rest of a reply never came, and nothing after it can be read.
-func (r *Router) halfDue(h halfReply) {
-	l := h.line
-	if r.connections[l.Number] != l || l.half != h.at {
+// partialReplyOverdue closes a connection on which a reply was not completed in time; nothing after it could be read.
+func (r *Router) partialReplyOverdue(reply partialReply) {
+	conn := reply.conn
+	if r.connections[conn.Number] != conn || conn.partialSince != reply.since {
 		return
 	}
-	held := false
-	for _, what := range l.Opens() {
-		if d, is := what.(*dispatch); is && d.held {
-			held = true
+	readingPaused := false
+	for _, open := range conn.Opens() {
+		if d, isDispatch := open.(*dispatch); isDispatch && d.readingPaused {
+			readingPaused = true
 		}
 	}
-	if held { // it is we who don't read
-		r.timers.add(r.now+wholeReply, h)
+	if readingPaused { // the router itself has paused reading
+		r.timers.add(r.now+replyTimeout, reply)
 	} else {
-		r.log(Warn, "reply stops short", "engine", l.engine.name)
-		r.closeLine(l, BadInput)
+		r.log(Warn, "reply stops short", "engine", conn.engine.name)
+		r.closeConnection(conn, BadInput)
 	}
 }
 
-// rest looks after a connection on which nothing is open any more.
-func (r *Router) rest(l *line) {
-	if !l.Idle() || r.connections[l.Number] != l {
+// closeIfUnneeded closes a connection that has nothing open and is suspect or leads to an old address. Any other connection
+// with nothing open gets an idle timer.
+func (r *Router) closeIfUnneeded(conn *engineConn) {
+	if !conn.Idle() || r.connections[conn.Number] != conn {
 		return
 	}
 	switch {
-	case l.Left:
-		r.closeLine(l, StaleAddress)
+	case conn.Left:
+		r.closeConnection(conn, StaleAddress)
 		return
-	case l.Suspect:
-		r.closeLine(l, ClosedSuspect)
+	case conn.Suspect:
+		r.closeConnection(conn, ClosedSuspect)
 		return
 	}
-	if idle := r.settings.Settings.IdleTime; idle > 0 && (l.timer == nil || l.timer.index < 0) {
-		l.timer = r.timers.add(r.now+idle*idleEarly, l)
+	if idle := r.config.Settings.IdleTime; idle > 0 && (conn.timer == nil || conn.timer.index < 0) {
+		conn.timer = r.timers.add(r.now+idle*idleCloseFraction, conn)
 	}
 }
 
-// lineDue: it did not come up in time, or it may have been idle for long enough.
-func (r *Router) lineDue(l *line) {
-	if r.connections[l.Number] != l {
+// connectionDue handles a connection's timer: it closes a connection that did not come up in time or was idle for too long.
+func (r *Router) connectionDue(conn *engineConn) {
+	if r.connections[conn.Number] != conn {
 		return
 	}
-	if !l.Up {
-		r.closeLine(l, DialTimedOut)
+	if !conn.Up {
+		r.closeConnection(conn, DialTimedOut)
 		return
 	}
-	if !l.Idle() {
+	if !conn.Idle() {
 		return
 	}
-	if at := l.IdleAt + r.settings.Settings.IdleTime*idleEarly; r.now < at {
-		l.timer = r.timers.add(at, l)
+	if at := conn.IdleAt + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
+		conn.timer = r.timers.add(at, conn)
 		return
 	}
-	r.closeLine(l, ClosedIdle)
+	r.closeConnection(conn, ClosedIdle)
 }
 
-func (r *Router) closeLine(l *line, end CloseReason) {
-	r.do(CloseEngine{l.Number, end})
-	r.lineEnded(l, end)
+// closeConnection closes an engine connection.
+func (r *Router) closeConnection(conn *engineConn, end CloseReason) {
+	r.emit(CloseEngine{conn.Number, end})
+	r.connectionEnded(conn, end)
 }
 
-// lineEnded ends all that was open on a connection, in the order it was sent.
-func (r *Router) lineEnded(l *line, end CloseReason) {
-	delete(r.connections, l.Number)
-	r.timers.stop(l.timer)
-	if !l.Up {
+// connectionEnded handles the end of an engine connection: it ends the probes and, in the order in which they were decided,
+// the dispatches that were open on it.
+func (r *Router) connectionEnded(conn *engineConn, end CloseReason) {
+	delete(r.connections, conn.Number)
+	r.timers.stop(conn.timer)
+	if !conn.Up {
 		r.dialing--
 	}
-	l.engine.pool.Remove(l.Connection)
-	open := l.Opens()
-	r.log(Debug, "connection ended", "engine", l.engine.name, "connection", l.Number, "end", end.String(), "open", len(open))
+	conn.engine.pool.Remove(conn.Connection)
+	open := conn.Opens()
+	r.log(Debug, "connection ended", "engine", conn.engine.name, "connection", conn.Number, "end", end.String(), "open", len(open))
 	var dispatches []*dispatch
-	for _, what := range open {
-		switch w := what.(type) {
+	for _, item := range open {
+		switch item := item.(type) {
 		case *dispatch:
-			dispatches = append(dispatches, w)
+			dispatches = append(dispatches, item)
 		case *probe:
-			r.finishProbe(w, false, nil, false)
+			r.finishProbe(item, false, nil, false)
 		}
 	}
 	slices.SortFunc(dispatches, func(a, b *dispatch) int {
 		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.batch.ID, b.batch.ID))
 	})
 	for _, d := range dispatches {
-		how := outcomesByReason[end].unwritten
+		ending := outcomesByReason[end].unwritten
 		if d.written {
-			how = r.endingAfterClose(d, end)
+			ending = r.endingAfterClose(d, end)
 		}
-		r.ended(d, how, nil)
+		r.endDispatch(d, ending, nil)
 	}
 }
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -10,91 +10,100 @@
 )
 
 const (
-	mostResult = 48000 // bytes of a result that has to be whole
-	pageAgain  = 0.1   // a page is there and comes at once; it is asked for again after this, doubled each time
-	// A request that was decided must be written within this part of a drain's grace, and within these seconds, else it is
-	// decided anew: the process may stand still in between, a drain be told and its client go. The rest is for answers on
-	// their way. A step takes a little, whatever the grace.
-	decisionShare            = 0.5
-	mostDecision, leastHolds = 0.05, 0.02
+	// maxResultBytes is the largest result of a protocol whose results must be complete before they are sent on.
+	maxResultBytes = 48000
+	// pageRetryInterval is how many seconds after the first request missing pages are requested again; it doubles with
+	// each request. An engine has its pages ready and sends them at once.
+	pageRetryInterval = 0.1
+	// decisionGraceShare is the part of the drain grace period within which a dispatch must be written after it was
+	// decided; otherwise the decision module decides again. In between the process may be paused, a drain may be
+	// reported and the client may leave. The rest of the grace period is for the answers.
+	decisionGraceShare = 0.5
+	// maxDecisionTime caps that time, in seconds.
+	maxDecisionTime = 0.05
+	// minDecisionTime is its lower bound, in seconds: a step of the event loop takes a moment even if the grace period
+	// is short.
+	minDecisionTime = 0.02
 )
 
-// missingPages is due when pages that were asked for should have come.
-type missingPages struct{ *dispatch }
+// pageTimeout is due when requested pages should have arrived.
+type pageTimeout struct{ *dispatch }
 
-// dispatch is one that is out until it has its ending.
+// dispatch is one attempt to run a batch on an engine. It is outstanding until it has ended.
 type dispatch struct {
-	batch        *batch
-	no           int
-	engine       *engine
-	line         *line
-	sentAt       float64
-	wroteAt      float64
-	endAt        float64
-	by           float64 // it has to be written before: engines forget its first then, or a part of the fleet's budget ends
-	written      bool
-	ended        bool
-	pages        []rows.Part // from the first on,
-	there        uint64      // one bit for each that has come
-	missing      int
-	askedAt      float64 // for pages
-	again        float64 // seconds until they are asked for again
-	paging       *timer
-	size         int  // of the rows that are there
-	streams      bool // rows of it have gone out to the client
-	held         bool // the engine's connection is not read, since the client is slow
-	answered     bool // its engine has ended it, with what can't be passed on
-	withdrawn    bool // its engine is told that it is given up, and has not shown that it has read that
-	withdrawnAs  brain.Outcome
-	work, memory float64
-	report       *brain.Report
-	timer        *timer
+	batch            *batch
+	number           int // its index in the batch's dispatches
+	engine           *engine
+	conn             *engineConn // nil: no connection could be had
+	sentAt           float64     // when it was decided
+	writtenAt        float64
+	deadline         float64
+	writeBy          float64 // when it must be written: later engines have forgotten the first attempt, or a quota share has ended
+	written          bool    // the order was emitted and not refused, so bytes of it may have left
+	ended            bool
+	pages            []rows.Part // pages by number, or the parts of a result that comes in parts and is not sent on yet
+	receivedPages    uint64      // one bit per page that has arrived
+	missingPages     int
+	pagesRequestedAt float64
+	pageRetryDelay   float64 // seconds until missing pages are requested again
+	pageTimer        *timer
+	resultSize       int  // bytes of the rows received
+	streaming        bool // rows of the result were sent to the client
+	readingPaused    bool // the engine's connection is not read because the client is slow
+	endedByEngine    bool // the engine has answered, but the answer is unusable
+	cancelled        bool // the engine was told to cancel it and has not confirmed that yet
+	cancelledAs      brain.Outcome
+	work, memory     float64 // reported by the engine: seconds and MB; below 0: unknown
+	report           *brain.Report
+	timer            *timer // at the deadline, or when a cancellation must be confirmed
 }
 
-func (r *Router) dispatch(b *batch, e *engine, what brain.Decision) {
-	no, wait := what.Number, what.Wait
-	d := &dispatch{batch: b, no: no, engine: e, sentAt: r.now, endAt: r.now + wait, by: r.writeDeadline(), work: -1, memory: -1}
-	if what.SendBefore > 0 {
-		d.by = min(d.by, what.SendBefore)
+// startDispatch carries out a decision to dispatch a batch to an engine.
+func (r *Router) startDispatch(b *batch, e *engine, decision brain.Decision) {
+	number, timeLimit := decision.Number, decision.Wait
+	d := &dispatch{batch: b, number: number, engine: e, sentAt: r.now, deadline: r.now + timeLimit, writeBy: r.writeDeadline(), work: -1, memory: -1}
+	if decision.SendBefore > 0 {
+		d.writeBy = min(d.writeBy, decision.SendBefore)
 	}
 	b.dispatches = append(b.dispatches, d)
-	e.out++
-	d.timer = r.timers.add(d.endAt, d)
-	r.log(Debug, "dispatch", "id", b.id, "no", no, "engine", e.name, "wait", wait, "memory", b.memory,
+	e.outstanding++
+	d.timer = r.timers.add(d.deadline, d)
+	r.log(Debug, "dispatch", "id", b.id, "no", number, "engine", e.name, "wait", timeLimit, "memory", b.memory,
 		"serial", r.follower.Serial(), "age", r.follower.Counts(r.now).Age)
-	l, end := r.pick(e, b.id)
-	if l == nil {
-		r.ended(d, outcomesByReason[end].unwritten, nil)
+	conn, end := r.pickConnection(e, b.id)
+	if conn == nil {
+		r.endDispatch(d, outcomesByReason[end].unwritten, nil)
 		return
 	}
-	d.line = l
-	l.Open(b.id, d)
-	r.send(l, d)
+	d.conn = conn
+	conn.Open(b.id, d)
+	r.send(conn, d)
 }
 
-// send orders what waits for the connection, or lines it up until the connection is there and its engine reads. What is
-// lined up is still ours: it can be taken back, and never ran.
-func (r *Router) send(l *line, what any) {
-	if _, request := what.(*dispatch); !l.Up || request && l.Unread {
-		l.queue = append(l.queue, what)
+// send sends a dispatch or a probe on a connection, or queues it until the connection is up and, for a dispatch, its engine
+// reads. A queued dispatch has not run and can still be withdrawn.
+func (r *Router) send(conn *engineConn, item any) {
+	if _, request := item.(*dispatch); !conn.Up || request && conn.Unread {
+		conn.queue = append(conn.queue, item)
 		return
 	}
-	switch w := what.(type) {
+	switch item := item.(type) {
 	case *dispatch:
-		if r.now >= w.by { // it waited for its connection
-			r.expired(w)
+		if r.now >= item.writeBy { // it waited too long for its connection
+			r.returnUnwritten(item)
 			return
 		}
-		w.written, w.wroteAt = true, r.now
-		r.log(Debug, "written", "id", w.batch.id, "no", w.no, "engine", w.engine.name, "address", w.engine.address,
-			"connection", l.Number, "waited", r.now-w.sentAt, "serial", r.follower.Serial())
-		r.do(OrderEngine{l.Number, w.request(r.now), min(w.by, r.now+r.decisionHolds()), w.batch.origin(!r.settings.Settings.MayHedge)})
+		item.written, item.writtenAt = true, r.now
+		r.log(Debug, "written", "id", item.batch.id, "no", item.number, "engine", item.engine.name, "address", item.engine.address,
+			"connection", conn.Number, "waited", r.now-item.sentAt, "serial", r.follower.Serial())
+		r.emit(SendToEngine{conn.Number, item.request(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayHedge)})
 	case *probe:
-		r.do(OrderEngine{l.Number, traffic.Probe{Tag: w.tag, Load: r.settings.Settings.Loads}, math.Inf(1), Origin{}})
+		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, Load: r.config.Settings.Loads}, math.Inf(1), Origin{}})
 	}
 }
 
-// origin is what its attempts are made for. Nobody waits for a batch without a client, and nothing may be sent for it.
+// origin returns the client request that the batch's attempts belong to. For a batch whose client has stopped waiting it is
+// empty, and no attempt may be sent. With single at most one attempt may be outstanding.
 func (b *batch) origin(single bool) Origin {
 	if b.client == nil {
 		return Origin{}
@@ -102,182 +111,191 @@
 	return Origin{Client: b.client.number, Stream: b.stream, OnceOnly: b.Group.Idempotency == brain.AtMostOnce, Single: single}
 }
 
-// orderRefused takes back a request that was not written. It never ran. Either the part of the fleet's budget by which it was
-// decided has ended, or the list of engines may have changed since, and it is decided anew; or its engine does not read, and
-// it waits for that.
+// orderRefused handles a dispatch that the host did not write; it never ran. If its engine does not read, the dispatch is
+// queued until it does. If the dispatch came too late, its quota share may have ended or the engine list may have changed, so
+// the decision module decides again.
 func (r *Router) orderRefused(e OrderRefused) {
-	l := r.connections[e.Connection]
-	if l == nil {
+	conn := r.connections[e.Connection]
+	if conn == nil {
 		return
 	}
-	d, is := l.Get(e.ID).(*dispatch)
-	if !is || d.ended {
+	d, isDispatch := conn.Get(e.ID).(*dispatch)
+	if !isDispatch || d.ended {
 		return
 	}
 	d.written = false
 	switch {
 	case d.batch.client == nil:
-		r.giveUp(d, brain.Canceled)
+		r.abortDispatch(d, brain.Canceled)
 	case e.Why == OrderInvalid:
-		r.abandon(d)
+		r.failInvalid(d)
 	case e.Why == OrderUnread:
-		l.Unread = true
-		l.queue = append(l.queue, d)
+		conn.Unread = true
+		conn.queue = append(conn.queue, d)
 	default:
-		r.expired(d)
+		r.returnUnwritten(d)
 	}
 }
 
-// abandon ends a request of which an attempt would have broken an invariant. Decided anew it would be withheld again, until its
-// time is over, so it gets its final answer: an error, which promises nothing.
-func (r *Router) abandon(d *dispatch) {
+// failInvalid ends a batch whose dispatch was refused because it would have violated an invariant. A new decision would be
+// refused again until the time limit, so the batch gets its final answer: an error, which does not say whether it ran.
+func (r *Router) failInvalid(d *dispatch) {
 	b := d.batch
-	r.expired(d)
+	r.returnUnwritten(d)
 	if b.client != nil {
 		r.brain.RemoveBatch(b.Batch)
-		b.why = "the router's state is in doubt"
-		r.answer(b, traffic.Errored, 0)
+		b.lastError = "internal error: sending the request would violate an invariant"
+		r.answerBatch(b, traffic.Errored, 0)
 	}
 }
 
-func (r *Router) expired(d *dispatch) {
+// returnUnwritten ends a dispatch that was not written in time; the decision module may decide about its batch again.
+func (r *Router) returnUnwritten(d *dispatch) {
 	r.log(Warn, "request is taken back, it was not written", "id", d.batch.id, "engine", d.engine.name, "waited", r.now-d.sentAt)
 	d.written = false
-	id, l := d.batch.id, d.line
-	r.ended(d, outcomesByReason[RouterStopped].unwritten, nil)
-	l.Close(id, false, r.now)
-	r.rest(l)
+	id, conn := d.batch.id, d.conn
+	r.endDispatch(d, outcomesByReason[RouterStopped].unwritten, nil)
+	conn.Close(id, false, r.now)
+	r.closeIfUnneeded(conn)
 }
 
-// decisionHolds is how long a request may take from its decision to its writing, in seconds.
-func (r *Router) decisionHolds() float64 {
-	return max(min(r.settings.Settings.DrainGrace*decisionShare, mostDecision), leastHolds)
+// decisionTime returns how many seconds a dispatch may take from the decision until it is written.
+func (r *Router) decisionTime() float64 {
+	return max(min(r.config.Settings.DrainGrace*decisionGraceShare, maxDecisionTime), minDecisionTime)
 }
 
-func (r *Router) order(l *line, what traffic.Order) {
-	if l.Up {
-		r.do(OrderEngine{l.Number, what, math.Inf(1), Origin{}})
+// sendOrder sends an order that is not a dispatch, if the connection is up.
+func (r *Router) sendOrder(conn *engineConn, order traffic.Order) {
+	if conn.Up {
+		r.emit(SendToEngine{conn.Number, order, math.Inf(1), Origin{}})
 	}
 }
 
-// ended tells the module how a dispatch ended; a batch that is over needs no more dispatches. One of which rows have
-// gone out is over with that: nothing can be sent again, and the client is told that its result is cut.
-func (r *Router) ended(d *dispatch, how brain.Outcome, report *brain.Report) {
+// endDispatch ends a dispatch and reports its ending to the decision module, which sends no more for a batch that has its
+// final answer. If rows of the result were already sent to the client, the batch can't be retried: the client gets an
+// error that says that its result is truncated.
+func (r *Router) endDispatch(d *dispatch, ending brain.Outcome, report *brain.Report) {
 	if d.ended {
 		return
 	}
 	d.ended = true
-	d.engine.out--
+	d.engine.outstanding--
 	r.timers.stop(d.timer)
-	r.timers.stop(d.paging)
+	r.timers.stop(d.pageTimer)
 	for _, p := range d.pages {
 		p.Release()
 	}
 	d.pages = nil
-	if d.line != nil {
-		d.line.queue = slices.DeleteFunc(d.line.queue, func(w any) bool { return w == any(d) })
+	if d.conn != nil {
+		d.conn.queue = slices.DeleteFunc(d.conn.queue, func(queued any) bool { return queued == any(d) })
 	}
 	b := d.batch
-	if d.streams && b.client != nil && how != brain.Completed {
-		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(how), "sent", d.size)
-		r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: "the result is cut: " + b.why})
-	}
-	r.log(Debug, "ended", "id", b.id, "no", d.no, "engine", d.engine.name, "how", int(how), "took", r.now-d.sentAt,
-		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missing, "connection", d.connection())
-	r.brain.DispatchEnded(b.Batch, d.no, how, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
-	r.forget(b)
+	if d.streaming && b.client != nil && ending != brain.Completed {
+		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(ending), "sent", d.resultSize)
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: "the result is cut: " + b.lastError})
+	}
+	r.log(Debug, "ended", "id", b.id, "no", d.number, "engine", d.engine.name, "how", int(ending), "took", r.now-d.sentAt,
+		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missingPages, "connection", d.connectionNumber())
+	r.brain.DispatchEnded(b.Batch, d.number, ending, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
+	r.releaseBatch(b)
 }
 
-func (d *dispatch) connection() uint64 {
-	if d.line == nil {
+// connectionNumber returns the number of the dispatch's connection; 0: none.
+func (d *dispatch) connectionNumber() uint64 {
+	if d.conn == nil {
 		return 0
 	}
-	return d.line.Number
+	return d.conn.Number
 }
 
-// giveUp ends a dispatch of ours before the engine did.
-func (r *Router) giveUp(d *dispatch, how brain.Outcome) {
-	if d.ended || d.withdrawn {
+// abortDispatch ends a dispatch that its engine has not ended, because of a timeout or because it is not needed any more.
+// If its end must be confirmed, the dispatch stays outstanding until the engine confirms that it is cancelled.
+func (r *Router) abortDispatch(d *dispatch, ending brain.Outcome) {
+	if d.ended || d.cancelled {
 		return
 	}
-	l := d.line
-	if d.held {
-		r.hold(d, false)
+	conn := d.conn
+	if d.readingPaused {
+		r.setReadingPaused(d, false)
 	}
-	if d.written && r.needsCancelConfirmation(d) && r.cancelAttempt(d, how) {
+	if d.written && r.needsCancelConfirmation(d) && r.cancelAttempt(d, ending) {
 		return
 	}
 	if d.written {
-		r.order(l, traffic.GiveUp{ID: d.batch.id})
+		r.sendOrder(conn, traffic.GiveUp{ID: d.batch.id})
 	} else {
-		how = unsent[how]
+		ending = unsentEnding[ending]
 	}
 	id := d.batch.id
-	r.ended(d, how, nil)
-	if l == nil {
+	r.endDispatch(d, ending, nil)
+	if conn == nil {
 		return
 	}
-	if l.engine.speaks.Alone {
+	if conn.engine.protocol.Alone {
 		if d.written {
-			r.settle(l) // before the close, lest it counts as free
+			r.awaitFree(conn) // before Close, so that the connection never counts as free
 		}
-		l.Close(id, false, r.now)
-		r.rest(l)
+		conn.Close(id, false, r.now)
+		r.closeIfUnneeded(conn)
 		return
 	}
-	l.Close(id, d.written, r.now)
-	if d.written && l.Heard <= d.wroteAt {
-		// Nothing came since the fetch was written: what is written next might lie in the same hole for long, as
-		// where a machine is cut off. What comes after goes on a new connection, which proves at once whether the
-		// engine can be reached. It costs a handshake where one was only slow and has no notes to tell.
-		r.suspect(l)
+	conn.Close(id, d.written, r.now)
+	if d.written && conn.Heard <= d.writtenAt {
+		// Nothing was received since the dispatch was written. If the engine's machine is cut off, later dispatches on
+		// this connection would be lost for long too. They go on a new connection, which shows at once whether the
+		// engine can be reached. If the engine was only slow and had no progress to report, this costs a handshake.
+		r.suspectConnection(conn)
 	}
-	r.rest(l)
+	r.closeIfUnneeded(conn)
 }
 
-// unsent is what giving up a dispatch proves whose bytes never left this router.
-var unsent = map[brain.Outcome]brain.Outcome{brain.TimedOut: brain.ConnectFailed, brain.Canceled: brain.NotSent}
+// unsentEnding maps the ending of an aborted dispatch to the one reported if no byte of it left this router. Both endings
+// prove that it never ran.
+var unsentEnding = map[brain.Outcome]brain.Outcome{brain.TimedOut: brain.ConnectFailed, brain.Canceled: brain.NotSent}
 
-func (r *Router) engineSaid(number uint64, reply *traffic.Reply) {
-	l := r.connections[number]
-	if l == nil {
+// engineReplied handles a reply that was read from the engine connection with this number.
+func (r *Router) engineReplied(number uint64, reply *traffic.Reply) {
+	conn := r.connections[number]
+	if conn == nil {
 		reply.Rows.Release()
 		return
 	}
-	l.Heard, l.Suspect, l.half = r.now, false, 0
+	conn.Heard, conn.Suspect, conn.partialSince = r.now, false, 0
 	if reply.Word == traffic.Free {
-		r.settled(l)
+		r.connectionFree(conn)
 		return
 	}
-	switch what := l.Get(reply.ID).(type) {
+	switch open := conn.Get(reply.ID).(type) {
 	case *dispatch:
-		r.said(what, reply)
+		r.handleReply(open, reply)
 	case *probe:
 		reply.Rows.Release()
-		r.finishProbe(what, reply.Word == traffic.Fit, reply.Load, false)
-	default: // late: the dispatch has ended
+		r.finishProbe(open, reply.Word == traffic.Fit, reply.Load, false)
+	default: // a late reply to a dispatch that has ended
 		reply.Rows.Release()
 	}
 }
 
-// finish ends a dispatch by what its engine said.
-func (r *Router) finish(d *dispatch, how brain.Outcome) {
-	l := d.line
-	r.ended(d, how, d.report)
-	// A second copy may follow: it must not end another dispatch of the batch, were that on this connection.
-	l.Close(d.batch.id, how != brain.Completed && d.batch.client != nil && !l.engine.speaks.Alone, r.now)
-	r.rest(l)
+// finishDispatch ends a dispatch as its engine has replied.
+func (r *Router) finishDispatch(d *dispatch, ending brain.Outcome) {
+	conn := d.conn
+	r.endDispatch(d, ending, d.report)
+	// The reply may arrive twice. Closing the id as one that may still get a reply keeps other dispatches of the batch off
+	// this connection, where the duplicate would end them.
+	conn.Close(d.batch.id, ending != brain.Completed && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
+	r.closeIfUnneeded(conn)
 }
 
-func (r *Router) said(d *dispatch, reply *traffic.Reply) {
+// handleReply handles a reply to a dispatch that has not ended.
+func (r *Router) handleReply(d *dispatch, reply *traffic.Reply) {
 	if d.report == nil {
 		d.report = reply.Load
 	}
 	body := reply.Rows
 	if reply.Why != "" {
-		d.batch.why = reply.Why
+		d.batch.lastError = reply.Why
 	}
-	if d.withdrawn && r.handleReplyAfterCancel(d, reply) {
+	if d.cancelled && r.handleReplyAfterCancel(d, reply) {
 		return
 	}
 	switch reply.Word {
@@ -286,121 +304,125 @@
 			body.Release()
 			return
 		}
-		if !r.usableRows(d, reply) {
+		if !r.checkRows(d, reply) {
 			return
 		}
 		d.work, d.memory = reply.Work, reply.Memory
-		if d.batch.client == nil { // nobody wants the pages
+		if d.batch.client == nil { // the client has stopped waiting, so the pages are not needed
 			if reply.Pages > 1 {
-				r.order(d.line, traffic.Enough{ID: d.batch.id})
+				r.sendOrder(d.conn, traffic.Enough{ID: d.batch.id})
 			}
 			body.Release()
-			r.finish(d, brain.Completed)
+			r.finishDispatch(d, brain.Completed)
 			return
 		}
 		d.pages = make([]rows.Part, reply.Pages)
-		d.missing = len(d.pages)
-		if d.again = pageAgain; d.missing > 1 {
-			r.askPages(d)
+		d.missingPages = len(d.pages)
+		if d.pageRetryDelay = pageRetryInterval; d.missingPages > 1 {
+			r.requestPages(d)
 		}
-		r.page(d, 0, body)
+		r.storePage(d, 0, body)
 	case traffic.More:
-		switch n := reply.Page; {
-		case n < 1 || n >= len(d.pages):
-			r.unusable(d, reply)
-		case d.there&(1<<n) != 0: // a second copy
+		switch number := reply.Page; {
+		case number < 1 || number >= len(d.pages):
+			r.rejectReply(d, reply)
+		case d.receivedPages&(1<<number) != 0: // a duplicate
 			body.Release()
-		case r.usableRows(d, reply):
-			r.page(d, n, body)
+		case r.checkRows(d, reply):
+			r.storePage(d, number, body)
 		}
 	case traffic.Some:
-		if r.usableRows(d, reply) {
-			r.some(d, body)
+		if r.checkRows(d, reply) {
+			r.storePart(d, body)
 		}
 	case traffic.Whole:
-		if !r.usableRows(d, reply) {
+		if !r.checkRows(d, reply) {
 			return
 		}
 		d.work, d.memory = reply.Work, reply.Memory
-		r.returned(d)
+		r.completeResult(d)
 	case traffic.Full, traffic.Late:
 		body.Release()
 		if d.pages != nil {
-			r.finish(d, brain.Errored)
+			r.finishDispatch(d, brain.Errored)
 		} else {
-			r.finish(d, brain.Rejected)
+			r.finishDispatch(d, brain.Rejected)
 		}
 	case traffic.Broke:
 		body.Release()
-		r.finish(d, brain.Errored)
+		r.finishDispatch(d, brain.Errored)
 	case traffic.News:
 		body.Release()
 		if reply.Note != 0 {
-			r.brain.DispatchUpdated(d.batch.Batch, d.no, reply.Note, reply.Level)
+			r.brain.DispatchUpdated(d.batch.Batch, d.number, reply.Note, reply.Level)
 		}
 	default:
-		r.unusable(d, reply)
+		r.rejectReply(d, reply)
 	}
 }
 
-// usableRows: the protocol has found no fault, and there is no more than a result holds.
-func (r *Router) usableRows(d *dispatch, reply *traffic.Reply) bool {
-	if d.size += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.AllowsResult(d.size) && d.batch.client != nil {
+// checkRows reports whether the rows of a reply can be used: the protocol found no fault in them, and the result is within
+// the limits of its route and its protocol. Otherwise it ends the batch or the connection.
+func (r *Router) checkRows(d *dispatch, reply *traffic.Reply) bool {
+	if d.resultSize += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.AllowsResult(d.resultSize) && d.batch.client != nil {
 		reply.Rows.Release()
-		r.tooLarge(d, errRoute)
+		r.failTooLarge(d, errRouteLimit)
 		return false
 	}
-	if reply.Bad == "" && (d.size <= mostResult || !d.engine.speaks.Bounded) {
+	if reply.Bad == "" && (d.resultSize <= maxResultBytes || !d.engine.protocol.Bounded) {
 		return true
 	}
-	r.unusable(d, reply)
+	r.rejectReply(d, reply)
 	return false
 }
 
-// unusable: an answer that can't be passed on. What comes after it on the connection can't be trusted either; what is
-// open there ends by the table.
-func (r *Router) unusable(d *dispatch, reply *traffic.Reply) {
+// rejectReply handles a reply that can't be passed on. What follows it on the connection can't be trusted either, so the
+// connection is closed; dispatches that are open on it end as the outcomes table says.
+func (r *Router) rejectReply(d *dispatch, reply *traffic.Reply) {
 	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Word), "why", reply.Bad,
 		"bytes", reply.Rows.Len())
 	reply.Rows.Release()
-	d.answered = reply.Word != traffic.Unknown
-	r.closeLine(d.line, BadInput)
+	d.endedByEngine = reply.Word != traffic.Unknown
+	r.closeConnection(d.conn, BadInput)
 }
 
-func (r *Router) askPages(d *dispatch) {
-	for n := 1; n < len(d.pages); n++ {
-		if d.there&(1<<n) == 0 {
-			r.order(d.line, traffic.AskPage{ID: d.batch.id, Page: n})
+// requestPages requests the missing pages of a result.
+func (r *Router) requestPages(d *dispatch) {
+	for number := 1; number < len(d.pages); number++ {
+		if d.receivedPages&(1<<number) == 0 {
+			r.sendOrder(d.conn, traffic.AskPage{ID: d.batch.id, Page: number})
 		}
 	}
-	d.askedAt = r.now
-	d.paging = r.timers.add(r.now+d.again, missingPages{d})
+	d.pagesRequestedAt = r.now
+	d.pageTimer = r.timers.add(r.now+d.pageRetryDelay, pageTimeout{d})
 }
 
-// pagesDue: answers get lost, and the engine still has its pages. Where nothing came at all since they were asked for,
-// the connection may be of no use. It hurts nothing: a page that comes twice is dropped.
-func (r *Router) pagesDue(d *dispatch) {
-	if d.ended || d.missing == 0 {
+// pagesOverdue requests the missing pages again: replies get lost, and the engine still has its pages. If nothing at all
+// was received since the last request, the connection is suspect. Requesting a page twice is harmless, because a
+// duplicate is dropped.
+func (r *Router) pagesOverdue(d *dispatch) {
+	if d.ended || d.missingPages == 0 {
 		return
 	}
-	if d.line.Heard <= d.askedAt {
-		r.suspect(d.line)
+	if d.conn.Heard <= d.pagesRequestedAt {
+		r.suspectConnection(d.conn)
 	}
-	d.again *= 2
-	r.askPages(d)
+	d.pageRetryDelay *= 2
+	r.requestPages(d)
 }
 
-// page takes a page in. Only with the last of them is the answer whole and the dispatch returned.
-func (r *Router) page(d *dispatch, n int, body rows.Part) {
-	d.pages[n] = body
-	d.there |= 1 << n
-	if d.missing--; d.missing == 0 {
-		r.returned(d)
+// storePage stores a page of a result. The last one completes the result and ends the dispatch.
+func (r *Router) storePage(d *dispatch, number int, body rows.Part) {
+	d.pages[number] = body
+	d.receivedPages |= 1 << number
+	if d.missingPages--; d.missingPages == 0 {
+		r.completeResult(d)
 	}
 }
 
-// returned: the result is whole. A result that the client's protocol can't express is an error, never an answer.
-func (r *Router) returned(d *dispatch) {
+// completeResult sends a complete result to the client and ends the dispatch. If the client's protocol can't express the
+// result, the client gets an error.
+func (r *Router) completeResult(d *dispatch) {
 	b := d.batch
 	if b.work = d.work; b.work < 0 {
 		b.work = (r.now - d.sentAt) * b.Group.Threads
@@ -410,30 +432,31 @@
 		parts := d.pages
 		d.pages = nil
 		var err error
-		if !d.streams {
-			if parts, err = b.client.speaks.Express(parts); err == nil && b.client.speaks.Most > 0 && sizeOf(parts) > b.client.speaks.Most {
+		if !d.streaming {
+			if parts, err = b.client.protocol.Express(parts); err == nil && b.client.protocol.Most > 0 && totalSize(parts) > b.client.protocol.Most {
 				rows.Release(parts)
-				err = errTooLarge
+				err = errProtocolLimit
 			}
 		}
 		if err != nil {
-			r.log(Warn, "result can't be expressed", "id", b.id, "engine", d.engine.name, "speaks", b.client.speaks.Name,
+			r.log(Warn, "result can't be expressed", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name,
 				"why", err.Error())
-			r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+			r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
 		} else {
 			r.log(Debug, "answer", "id", b.id, "code", traffic.Returned.String(), "pages", len(parts))
-			r.reply(b, &traffic.Answer{Code: traffic.Returned, Rows: parts})
+			r.sendAnswer(b, &traffic.Answer{Code: traffic.Returned, Rows: parts})
 		}
 	}
-	if d.held {
-		r.hold(d, false)
+	if d.readingPaused {
+		r.setReadingPaused(d, false)
 	}
-	r.finish(d, brain.Completed)
+	r.finishDispatch(d, brain.Completed)
 }
 
-func sizeOf(parts []rows.Part) (n int) {
+// totalSize returns the number of bytes in parts.
+func totalSize(parts []rows.Part) (size int) {
 	for _, p := range parts {
-		n += p.Len()
+		size += p.Len()
 	}
-	return n
+	return size
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,9 @@
-// Package router holds the state of the running router and the one reducer that changes it. It does no input or
-// output and knows no clock: events bring the time, and what is to be done comes back as effects.
+// Package router implements the router core as a reducer: Router holds the whole state, Reduce applies one event to it
+// and returns the effects that the host must carry out. The package does no input or output and reads no clock; the
+// current time comes with each event. All times and durations are in seconds.
+//
+// Package brain decides which batch goes to which engine and when; it is called the decision module here. This package
+// keeps the client and engine connections, their batches and dispatches, and the timers.
 package router
 
 import (
@@ -18,137 +22,152 @@
 	"pitchfield/internal/traffic"
 )
 
-// Facts of the protocol and the platform; seconds. Nothing here decides about a batch.
+// Properties of the protocols and the platform, in seconds unless a comment says otherwise. None of them influences a
+// decision about a batch.
 const (
-	keepGone  = 60.0 // what is known of an engine that has left the list is kept for so long
-	idleEarly = 0.8  // of the time after which engines close what is idle, lest a dispatch meets that close
-	quietStop = 0.75 // after a stop is asked for, batches still come for so long
-	killAfter = 0.7  // the process may be killed so long after the longest time limit,
-	killLimit = 3.0  // which counts for no more than this
-	killEarly = 0.3  // and all must be answered before,
-	lastBytes = 0.1  // and written
-	lateTimer = 0.02 // worth a line: the process or its machine stood still
+	// goneEngineRetention is how long the state of an engine is kept after it has left the engine list.
+	goneEngineRetention = 60.0
+	// idleCloseFraction is the part of the engines' idle timeout after which the router closes an idle connection. It
+	// is below 1 so that no dispatch is written while the engine closes the connection.
+	idleCloseFraction = 0.8
+	// stopGracePeriod is how long new batches may still arrive after a stop was requested.
+	stopGracePeriod = 0.75
+	// killDelay is added to the longest time limit of all service groups: the process may be killed that long after
+	// the stop was requested.
+	killDelay = 0.7
+	// maxKillWait caps the longest time limit in that sum.
+	maxKillWait = 3.0
+	// killMargin is how long before the expected kill every batch must have its final answer.
+	killMargin = 0.3
+	// flushTime is how long before the expected kill the last bytes must be written.
+	flushTime = 0.1
+	// lateTimerThreshold is the timer delay that is logged: the process or its machine was paused.
+	lateTimerThreshold = 0.02
 )
 
-// Router is the state. It changes in Reduce alone.
+// Router is the whole state of a router. Only Reduce changes it, and it must not be used by several goroutines at once.
 type Router struct {
-	brain    *brain.Router
-	settings config.Config
-	speaks   Speaks
-	groups   map[string]*brain.ServiceGroup
-	unmarked map[string]*brain.ServiceGroup // of the same name, once-only: for referenced batches without a mark
-	pool     *buffers.Pool
-	out      []Effect
-	now      float64
-	begun    bool
-
-	engines     map[string]*engine // forgetEngine deletes, from byBrain too
-	byBrain     map[*brain.Engine]*engine
-	connections map[uint64]*line // lineEnded deletes
-	numbers     uint64           // of connections to engines and of probes
-	most        int              // descriptors for connections to engines
-	spread      int              // connections to one engine before batches share them
-	writable    []*line          // connections that have come up, or been read, in this turn
-	dialing     int              // connections that are not up yet; each takes a second descriptor for a moment
-
-	clients     map[uint64]*client      // clientEnded deletes
-	crowd       crowd                   // what was done about too many of them, since the last line on it
-	mostClients int                     // connections
-	looking     bool                    // at them, by a timer,
-	lookAt      float64                 // that is due then,
-	putOff      int                     // how often in a row, as it came late
-	batches     map[*brain.Batch]*batch // forget deletes
-	open        map[string]*batch       // by id, while the client waits; unwait deletes
-	ids         uint64
-	idsDrawn    *rand.Rand // of batches whose protocol has none
+	brain          *brain.Router
+	config         config.Config
+	protocolOf     ProtocolFunc
+	groups         map[string]*brain.ServiceGroup
+	unmarkedGroups map[string]*brain.ServiceGroup // once-only variants, by name, for referenced batches without a mark
+	pool           *buffers.Pool
+	effects        []Effect // of the current call of Reduce; the slice is reused
+	now            float64
+	started        bool // Reduce has been called; until then effects holds those of New
+
+	engines              map[string]*engine        // by name; forgetEngine removes entries
+	byBrainEngine        map[*brain.Engine]*engine // the same engines; forgetEngine removes entries
+	connections          map[uint64]*engineConn    // by number; connectionEnded removes entries
+	lastNumber           uint64                    // last number given to an engine connection or a probe
+	maxConnections       int                       // descriptors available for engine connections
+	connectionsPerEngine int                       // connections opened to one engine before batches share them
+	writable             []*engineConn             // connections that came up or became writable in this turn
+	dialing              int                       // connections being dialed; each briefly takes a second descriptor
+
+	clients           map[uint64]*client      // by connection number; clientEnded removes entries
+	closedClients     closedClientCounts      // client connections closed to free resources, since the last log line
+	maxClients        int                     // client connections allowed; 0: unlimited
+	clientCheckSet    bool                    // a timer for the next check of the client connections is set
+	clientCheckAt     float64                 // when that timer is due
+	clientCheckDelays int                     // how often in a row the check was postponed because its timer fired late
+	batches           map[*brain.Batch]*batch // releaseBatch removes entries
+	openByID          map[string]*batch       // batches whose client waits, by id; detachClient removes entries
+	lastBatchID       uint64
+	idSource          *rand.Rand // source of ids for batches whose protocol has none
 
 	timers  timers
-	timerAt float64
-	wakeAt  float64
-
-	follower *directory.Follower // of the list of engines
-	asks     asking              // the timer that counts
-	silent   bool                // the name service
-	spell    bool                // answers that could not be used were told of
-
-	level          serviceLevel  // of reduced service
-	routes         *limits.Table // the operator's limits; nil: none
-	adaptive       limits.AdaptiveSettings
-	ofAll, further *limits.RetryBudget // of further dispatches: of all batches, and to each engine
-
-	members *fleet       // of its fleet; nil: there is no talk
-	parts   *quotas      // of what the fleet divides; nil: the division is fixed
-	news    *loadReports // of what the others have out; nil: nobody tells
-
-	stopAt, killAt float64 // 0: not stopping
-	exited         bool
+	timerAt float64 // the time set at the host by the last SetTimer; +Inf: none
+	wakeAt  float64 // when the decision module wants to be called; +Inf: not at a set time
+
+	follower           *directory.Follower // follows the engine list of the name service
+	currentQuery       queryTimer          // the valid query timer; earlier ones are ignored
+	nameServiceSilent  bool                // the name service does not answer, and that was logged
+	unusedAnswerLogged bool                // an unused answer of the name service was logged since the last usable one
+
+	level             serviceLevel  // level of reduced service
+	routes            *limits.Table // the operator's limits by route; nil: none
+	adaptive          limits.AdaptiveSettings
+	retryBudget       *limits.RetryBudget // for the retries of all batches; nil: none
+	engineRetryBudget *limits.RetryBudget // template of each engine's retry budget; nil: none
+
+	members     *fleet       // the other routers of the fleet; nil: no peer messaging
+	quotas      *quotas      // this router's shares of fleet-wide budgets; nil: a fixed division
+	loadReports *loadReports // load that the other routers report; nil: load reports are off
+
+	stopAt         float64 // when a stop was requested; 0: not stopping
+	answerDeadline float64 // when every batch must have its final answer; 0: not stopping
+	exited         bool    // the Exit effect was emitted; later events are ignored
 }
 
+// engine is an engine of the list, or one that left it less than goneEngineRetention ago.
 type engine struct {
 	brain.Engine
 	name, address string
-	speaks        *traffic.EngineProtocol
-	gone          bool
+	protocol      *traffic.EngineProtocol
+	gone          bool // it has left the engine list
 	pool          engines.Pool
-	out           int // dispatches without an outcome
+	outstanding   int // dispatches without an outcome
 }
 
-// line is a connection to an engine with what has to go out once it is up.
-type line struct {
+// engineConn is a connection to an engine with the orders that wait until it is up or writable.
+type engineConn struct {
 	*engines.Connection
-	engine *engine
-	queue  []any   // dispatches and probes, in order
-	timer  *timer  // to come up, or to close when idle
-	check  *probe  // whether it is of use, once that is in doubt
-	half   float64 // a reply has begun and is not whole since; 0: none
+	engine       *engine
+	queue        []any   // waiting dispatches and probes (*dispatch, *probe), in order
+	timer        *timer  // dial timeout; once the connection is up, idle timeout
+	healthCheck  *probe  // a probe that tests a suspect connection; nil: none
+	partialSince float64 // when a reply that is still incomplete began; 0: none
 }
 
-// Speaks gives the protocol of an engine; the same for it always.
-type Speaks func(directory.Engine) *traffic.EngineProtocol
-
-// New starts a router; its first effects come with the first event.
-func New(c config.Config, speaks Speaks, pool *buffers.Pool, now float64) *Router {
-	r := &Router{brain: brain.New(c.Settings.Settings, c.Seed, now), settings: c, speaks: speaks, pool: pool, now: now,
-		groups: map[string]*brain.ServiceGroup{}, unmarked: map[string]*brain.ServiceGroup{}, engines: map[string]*engine{},
-		byBrain: map[*brain.Engine]*engine{}, connections: map[uint64]*line{}, clients: map[uint64]*client{},
-		batches: map[*brain.Batch]*batch{}, open: map[string]*batch{}, timerAt: math.Inf(1), wakeAt: math.Inf(1), follower: directory.NewFollower(c.Known, c.Seed, now),
-		idsDrawn: rand.New(rand.NewPCG(c.Seed, 64))}
-	for _, g := range c.Settings.Groups {
-		if r.groups[g.Name] != nil {
-			r.unmarked[g.Name] = g
+// ProtocolFunc returns the protocol of an engine. It must always return the same one for the same engine.
+type ProtocolFunc func(directory.Engine) *traffic.EngineProtocol
+
+// New creates a router at time now. The effects of its start are returned by the first call of Reduce.
+func New(c config.Config, protocolOf ProtocolFunc, pool *buffers.Pool, now float64) *Router {
+	r := &Router{brain: brain.New(c.Settings.Settings, c.Seed, now), config: c, protocolOf: protocolOf, pool: pool, now: now,
+		groups: map[string]*brain.ServiceGroup{}, unmarkedGroups: map[string]*brain.ServiceGroup{}, engines: map[string]*engine{},
+		byBrainEngine: map[*brain.Engine]*engine{}, connections: map[uint64]*engineConn{}, clients: map[uint64]*client{},
+		batches: map[*brain.Batch]*batch{}, openByID: map[string]*batch{}, timerAt: math.Inf(1), wakeAt: math.Inf(1), follower: directory.NewFollower(c.Known, c.Seed, now),
+		idSource: rand.New(rand.NewPCG(c.Seed, 64))}
+	for _, group := range c.Settings.Groups {
+		if r.groups[group.Name] != nil {
+			r.unmarkedGroups[group.Name] = group
 		} else {
-			r.groups[g.Name] = g
+			r.groups[group.Name] = group
 		}
 	}
-	s := &r.settings.Settings
-	s.Multiplex = max(s.Multiplex, 1)
-	if s.DialTime <= 0 {
-		s.DialTime = 0.25
+	settings := &r.config.Settings
+	settings.Multiplex = max(settings.Multiplex, 1)
+	if settings.DialTime <= 0 {
+		settings.DialTime = 0.25
 	}
-	r.spread = spread
-	r.bound()
+	r.connectionsPerEngine = defaultConnectionsPerEngine
+	r.setDescriptorLimits()
 	r.brain.SetTime(now)
-	r.listed(r.follower.List())
-	r.ask()
+	r.applyEngineList(r.follower.List())
+	r.queryList()
 	return r
 }
 
 const (
-	spareDescriptors = 48
-	textShare        = 0.25 // of the memory limit: what batches may hold of it before more are pushed back
+	spareDescriptors = 48   // descriptors kept free for the Go runtime
+	batchMemoryShare = 0.25 // part of the memory limit that batch texts may use before new batches are rejected
 )
 
-func (r *Router) bound() {
-	// Clients are let in up to half of the descriptors, though they should hold a third; the runtime needs some.
-	n := r.settings.Descriptors
-	r.most, r.mostClients = max(n-n/2-spareDescriptors, 4), n/2
+// setDescriptorLimits divides the file descriptors between client and engine connections.
+func (r *Router) setDescriptorLimits() {
+	// Clients are expected to use a third of the descriptors and may use up to half. The Go runtime needs some too.
+	n := r.config.Descriptors
+	r.maxConnections, r.maxClients = max(n-n/2-spareDescriptors, 4), n/2
 }
 
-// reload takes what may change while the router runs: the name service's address, the limits, and a list that is
-// newer than ours. The list's number goes on. What decisions are made by is kept until the next start: batches that
-// are held or out were taken by it.
+// reload applies the settings that may change while the router runs: the address of the name service, the memory and
+// descriptor limits, and an engine list with a higher serial number than the current one. The settings of the decision
+// module stay until the next start, because the batches that are queued or dispatched were accepted under them.
 func (r *Router) reload(c config.Config) {
-	old := &r.settings
+	old := &r.config
 	r.log(Info, "configuration read again", "resolver", c.Resolver, "memory_mb", c.MemoryMB,
 		"descriptors", c.Descriptors, "serial", r.follower.Serial())
 	if c.Listen != old.Listen || c.SettingsText != old.SettingsText {
@@ -156,68 +175,69 @@
 	}
 	if c.MemoryMB != old.MemoryMB || c.Descriptors != old.Descriptors {
 		old.MemoryMB, old.Descriptors = c.MemoryMB, c.Descriptors
-		r.bound()
-		r.do(Bound{c.MemoryMB, c.Descriptors})
+		r.setDescriptorLimits()
+		r.emit(SetLimits{c.MemoryMB, c.Descriptors})
 	}
 	if r.follower.Configured(c.Known, r.now) {
-		r.listed(r.follower.List())
+		r.applyEngineList(r.follower.List())
 	}
 	if c.Resolver != old.Resolver {
 		old.Resolver = c.Resolver
-		r.follower.Moved(r.now) // the old address may still answer, with what it last knew
-		r.do(AskAt{c.Resolver})
+		r.follower.Moved(r.now) // the old address may still answer with an outdated list
+		r.emit(SetResolver{c.Resolver})
 	}
-	r.ask()
+	r.queryList()
 }
 
-// Reduce takes one event and gives what is to be done. The list is used again by the next call.
-func (r *Router) Reduce(now float64, what Event) []Effect {
-	if r.begun {
-		r.out = r.out[:0]
+// Reduce applies one event that happened at time now and returns the effects to carry out, in order. The returned slice
+// is valid until the next call. A time before that of an earlier call counts as that earlier time.
+func (r *Router) Reduce(now float64, event Event) []Effect {
+	if r.started {
+		r.effects = r.effects[:0]
 	}
-	r.begun = true
+	r.started = true
 	r.now = max(r.now, now)
-	if r.exited { // all is answered: what comes while the last bytes are written is neither taken nor sent on
-		return r.out[:0]
+	if r.exited { // every batch is answered; nothing is accepted or sent while the last bytes are written
+		return r.effects[:0]
 	}
 	r.brain.SetTime(r.now)
-	switch e := what.(type) {
+	switch e := event.(type) {
 	case ClientOpened:
-		r.clientOpened(e.Client, e.Speaks)
-	case ClientSaid:
-		r.clientSaid(e.Client, e.Said)
-	case ClientBegan:
+		r.clientOpened(e.Client, e.Protocol)
+	case ClientMessage:
+		r.handleClientMessage(e.Client, e.Message)
+	case ClientMessageStarted:
 		if c := r.clients[e.Client]; c != nil {
-			c.half = r.now
+			c.partialSince = r.now
 		}
-	case ClientSpoilt:
+	case ClientInvalid:
 		if c := r.clients[e.Client]; c != nil {
 			r.log(Warn, "client sent what can't be read", "client", e.Client, "open", len(c.open))
-			r.refuseClient(c, BadInput)
+			r.rejectClient(c, BadInput)
 		}
 	case ClientUnread:
-		r.unread(e.Client, e.Full)
+		r.clientUnread(e.Client, e.Full)
 	case ClientEnded:
 		r.clientEnded(e.Client, e.End)
 	case EngineOpened:
 		r.engineOpened(e.Connection)
-	case EngineSaid:
-		r.engineSaid(e.Connection, e.Reply)
-	case EngineRead:
-		r.engineRead(e.Connection)
-	case EngineBegan:
-		if l := r.connections[e.Connection]; l != nil {
-			l.half = r.now
-			r.timers.add(r.now+wholeReply, halfReply{l, r.now})
+	case EngineReplied:
+		r.engineReplied(e.Connection, e.Reply)
+	case EngineWritable:
+		r.engineWritable(e.Connection)
+	case EngineReplyStarted:
+		if conn := r.connections[e.Connection]; conn != nil {
+			conn.partialSince = r.now
+			r.timers.add(r.now+replyTimeout, partialReply{conn, r.now})
 		}
 	case EngineEnded:
-		if l := r.connections[e.Connection]; l != nil {
-			r.lineEnded(l, e.End)
+		if conn := r.connections[e.Connection]; conn != nil {
+			r.connectionEnded(conn, e.End)
 		}
 	case ListAnswered:
-		r.listAnswered(e.Query, e.List)
+		r.listAnswered(e.QueryID, e.List)
 	case ListUnusable:
-		r.listUnusable(e.Query)
+		r.listUnusable(e.QueryID)
 	case StopAsked:
 		r.stop()
 	case Reloaded:
@@ -226,26 +246,27 @@
 		r.setRoutes(e)
 	case LevelsSet:
 		r.setLevels(e)
-	case TalkSet:
+	case PeerMessagingSet:
 		r.startPeerMessaging(e)
-	case TalkCame:
+	case PeerMessageReceived:
 		r.receivePeerMessage(e)
 	case OrderRefused:
 		r.orderRefused(e)
 	case TimerFired:
-		if late := r.now - r.timerAt; late > lateTimer {
+		if late := r.now - r.timerAt; late > lateTimerThreshold {
 			r.log(Warn, "woken late", "by", late)
 		}
 		r.timerAt = math.Inf(1)
 	case TurnEnded:
-		r.turn()
+		r.endTurn()
 	}
-	return r.out
+	return r.effects
 }
 
-// setRoutes brings limits for what is taken from now on. What the old ones have spent and have out counts on.
+// setRoutes replaces the limits for batches that are accepted from now on. What was spent and is outstanding under the
+// old limits still counts.
 func (r *Router) setRoutes(e RoutesSet) {
-	e.Routes.ResolveEngineKinds(r.settings.Settings.Kinds)
+	e.Routes.ResolveEngineKinds(r.config.Settings.Kinds)
 	e.Routes.CarryOver(r.routes)
 	r.routes = e.Routes
 	if e.Adaptive != r.adaptive {
@@ -254,213 +275,215 @@
 			known.ConcurrencyLimit = e.Adaptive.New()
 		}
 	}
-	all := e.All.CopyUnspent()
-	all.CarryOver(r.ofAll)
-	r.ofAll, r.further = all, e.Engine
-	r.brain.SetRetryBudget(all)
+	retryBudget := e.RetryBudget.CopyUnspent()
+	retryBudget.CarryOver(r.retryBudget)
+	r.retryBudget, r.engineRetryBudget = retryBudget, e.EngineRetryBudget
+	r.brain.SetRetryBudget(retryBudget)
 	r.setQuotaLeases()
 	for _, known := range r.engines {
-		next := e.Engine.CopyUnspent()
-		next.CarryOver(known.RetryBudget)
-		known.RetryBudget = next
+		budget := e.EngineRetryBudget.CopyUnspent()
+		budget.CarryOver(known.RetryBudget)
+		known.RetryBudget = budget
 	}
 	r.log(Info, "routes", "count", len(e.Routes.Routes), "adaptive", e.Adaptive.Kind)
 }
 
-func (r *Router) do(e Effect) { r.out = append(r.out, e) }
+// emit appends an effect to the result of the current call of Reduce.
+func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
+// log emits a log line; fields are keys and values in turn.
 func (r *Router) log(level Level, text string, fields ...any) {
-	r.do(Log{level, text, fields})
+	r.emit(Log{level, text, fields})
 }
 
-// turn is the end of a loop turn: what is due, then the module's decisions, then the next timer.
-func (r *Router) turn() {
+// endTurn ends a turn of the event loop: it handles the timers that are due, sends queued orders, carries out the
+// decisions of the decision module and sets the next timer.
+func (r *Router) endTurn() {
 	for {
-		what := r.timers.due(r.now)
-		if what == nil {
+		value := r.timers.popDue(r.now)
+		if value == nil {
 			break
 		}
-		r.due(what)
+		r.handleTimer(value)
 	}
 	if r.now >= r.wakeAt {
 		r.wakeAt = math.Inf(1)
 		r.brain.TimerFired()
 	}
 	r.sendQueues()
-	r.pull()
-	if r.parts != nil {
+	r.runDecisions()
+	if r.quotas != nil {
 		r.updateQuotas()
 	}
 	r.finishStop()
 	if at := min(r.timers.next(), r.wakeAt); at < r.timerAt {
 		r.timerAt = at
-		r.do(SetTimer{at})
+		r.emit(SetTimer{at})
 	}
 }
 
-func (r *Router) due(what any) {
-	switch what := what.(type) {
+// handleTimer handles the value of a timer that is due.
+func (r *Router) handleTimer(value any) {
+	switch value := value.(type) {
 	case *dispatch:
-		r.giveUp(what, brain.TimedOut)
+		r.abortDispatch(value, brain.TimedOut)
 	case *probe:
-		if l := what.conn; !what.ended && l.check == what {
-			r.closeLine(l, ClosedSuspect)
+		if conn := value.conn; !value.ended && conn.healthCheck == value {
+			r.closeConnection(conn, ClosedSuspect)
 		}
-		r.finishProbe(what, false, nil, true)
+		r.finishProbe(value, false, nil, true)
 	case cancelConfirmDue:
-		r.cancelConfirmExpired(what.dispatch)
-	case missingPages:
-		r.pagesDue(what.dispatch)
-	case halfReply:
-		r.halfDue(what)
-	case *settling:
-		r.settleDue(what)
-	case *line:
-		r.lineDue(what)
-	case asking:
-		if what == r.asks {
-			r.ask()
+		r.cancelConfirmExpired(value.dispatch)
+	case pageTimeout:
+		r.pagesOverdue(value.dispatch)
+	case partialReply:
+		r.partialReplyOverdue(value)
+	case *freeWait:
+		r.freeOverdue(value)
+	case *engineConn:
+		r.connectionDue(value)
+	case queryTimer:
+		if value == r.currentQuery {
+			r.queryList()
 		}
 	case *engine:
-		r.forgetEngine(what)
+		r.forgetEngine(value)
 	case clientCheck:
-		r.lookAtClients()
+		r.checkClients()
 	case levelCheck:
 		r.updateLevel()
 	case membershipDue:
 		r.wakeMembership()
 	case fleetReportDue:
 		r.reportFleet()
-	case quotasDue: // the end of this turn looks after it
+	case quotasDue: // endTurn handles quotas in every turn
 	case loadReportDue:
 		r.sendLoadReport()
-	case stopCheck:
+	case stopCheck: // endTurn checks for the end of a stop in every turn
 	}
 }
 
-// pull does the module's decisions as they come.
-func (r *Router) pull() {
+// runDecisions carries out the decisions of the decision module until it has no more.
+func (r *Router) runDecisions() {
 	for {
-		d := r.brain.Next()
-		switch d.Kind {
+		decision := r.brain.Next()
+		switch decision.Kind {
 		case brain.NoDecision:
 			return
 		case brain.Terms:
-			if b := r.batches[d.Batch]; b != nil {
-				b.memory = d.Memory
+			if b := r.batches[decision.Batch]; b != nil {
+				b.memory = decision.Memory
 			}
 		case brain.Dispatch:
-			if b := r.batches[d.Batch]; b != nil {
-				r.dispatch(b, r.byBrain[d.Engine], d)
+			if b := r.batches[decision.Batch]; b != nil {
+				r.startDispatch(b, r.byBrainEngine[decision.Engine], decision)
 			}
 		case brain.Reject:
-			r.answer(r.batches[d.Batch], traffic.PushedBack, d.Wait)
+			r.answerBatch(r.batches[decision.Batch], traffic.PushedBack, decision.Wait)
 		case brain.Fail:
-			r.answer(r.batches[d.Batch], traffic.Errored, 0)
+			r.answerBatch(r.batches[decision.Batch], traffic.Errored, 0)
 		case brain.Cancel:
-			if b := r.batches[d.Batch]; b != nil && d.Number < len(b.dispatches) {
-				r.giveUp(b.dispatches[d.Number], brain.Canceled)
+			if b := r.batches[decision.Batch]; b != nil && decision.Number < len(b.dispatches) {
+				r.abortDispatch(b.dispatches[decision.Number], brain.Canceled)
 			}
 		case brain.Probe:
-			r.sendProbe(r.byBrain[d.Engine])
+			r.sendProbe(r.byBrainEngine[decision.Engine])
 		case brain.WakeAt:
-			r.wakeAt = min(r.wakeAt, d.At)
-		case brain.Subscribe: // the list is asked for all the time
+			r.wakeAt = min(r.wakeAt, decision.At)
+		case brain.Subscribe: // the engine list is queried all the time
 		case brain.Log:
-			r.log(Info, d.Text, "by", "decisions")
+			r.log(Info, decision.Text, "by", "decisions")
 		}
 	}
 }
 
-// The list of engines.
-
-// asking is due at the next question. The count tells which of them is void.
-type asking uint64
+// queryTimer is due when the engine list must be queried again. Only the timer equal to currentQuery is valid.
+type queryTimer uint64
 
-// ask sends the next question.
-func (r *Router) ask() {
+// queryList queries the name service for the engine list.
+func (r *Router) queryList() {
 	counts := r.follower.Counts(r.now)
-	q := r.follower.Ask(r.now)
-	if q.Elsewhere {
-		if !r.silent {
-			r.silent = true
-			r.log(Warn, "name service is silent, asked from another port", r.followed(counts)...)
+	query := r.follower.Ask(r.now)
+	if query.Elsewhere {
+		if !r.nameServiceSilent {
+			r.nameServiceSilent = true
+			r.log(Warn, "name service is silent, asked from another port", r.followFields(counts)...)
 		}
-		r.do(AskAt{r.settings.Resolver})
+		r.emit(SetResolver{r.config.Resolver})
 	}
-	r.do(AskList{q.ID})
-	r.askDue()
+	r.emit(QueryList{query.ID})
+	r.scheduleQuery()
 }
 
-// askDue sets the timer for the next question; the ones before are void.
-func (r *Router) askDue() {
-	r.asks++
-	r.timers.add(r.follower.Due(), r.asks)
+// scheduleQuery sets the timer for the next query and invalidates earlier ones.
+func (r *Router) scheduleQuery() {
+	r.currentQuery++
+	r.timers.add(r.follower.Due(), r.currentQuery)
 }
 
-// listAnswered takes an answer of the name service. Lost, failed and cut ones never get here.
-func (r *Router) listAnswered(query uint16, list directory.List) {
+// listAnswered handles an answer of the name service. Answers that are lost, failed or truncated never get here.
+func (r *Router) listAnswered(queryID uint16, list directory.List) {
 	counts := r.follower.Counts(r.now)
-	verdict, changed := r.follower.Answer(query, list, r.now)
-	fields := append(r.followed(counts), "told", list.Serial, "engines", len(list.Engines))
+	verdict, changed := r.follower.Answer(queryID, list, r.now)
+	fields := append(r.followFields(counts), "told", list.Serial, "engines", len(list.Engines))
 	switch verdict {
 	case directory.Same:
-		r.spell = false
+		r.unusedAnswerLogged = false
 	case directory.Adopted:
-		r.spell = false
+		r.unusedAnswerLogged = false
 		r.log(Info, "list of engines taken", fields...)
 	default:
 		level := Info
-		if verdict == directory.Unconfirmed && list.Serial > r.follower.Serial() { // as with every change
+		if verdict == directory.Unconfirmed && list.Serial > r.follower.Serial() { // expected at every change of the list
 			level = Debug
 		}
-		if !r.spell || level == Debug { // the first of a spell
-			r.spell = r.spell || level == Info
+		if !r.unusedAnswerLogged || level == Debug { // at level Info only the first of a series is logged
+			r.unusedAnswerLogged = r.unusedAnswerLogged || level == Info
 			r.log(level, "answer of the name service is not taken as it is", append(fields, "verdict", verdict.String())...)
 		}
 	}
-	if verdict != directory.Unmatched && r.silent {
-		r.silent = false
+	if verdict != directory.Unmatched && r.nameServiceSilent {
+		r.nameServiceSilent = false
 		r.log(Info, "name service is heard again", fields...)
 	}
 	if changed {
-		r.listed(r.follower.List())
+		r.applyEngineList(r.follower.List())
 	}
-	r.askDue()
+	r.scheduleQuery()
 }
 
-// listUnusable notes an answer that can't be read.
-func (r *Router) listUnusable(query uint16) {
-	r.follower.Unusable(query, r.now)
-	r.askDue()
+// listUnusable handles an answer of the name service that can't be decoded.
+func (r *Router) listUnusable(queryID uint16) {
+	r.follower.Unusable(queryID, r.now)
+	r.scheduleQuery()
 }
 
-// followed gives names and values for a line of the log: how the list was followed since one was last confirmed.
-func (r *Router) followed(c directory.Counts) []any {
-	return []any{"serial", r.follower.Serial(), "age", c.Age, "asked", c.Asked, "unusable", c.Unusable, "unmatched", c.Unmatched,
-		"overtaken", c.Overtaken, "unconfirmed", c.Unconfirmed}
+// followFields returns log fields with the counts of queries and answers since the engine list was last confirmed.
+func (r *Router) followFields(counts directory.Counts) []any {
+	return []any{"serial", r.follower.Serial(), "age", counts.Age, "asked", counts.Asked, "unusable", counts.Unusable, "unmatched", counts.Unmatched,
+		"overtaken", counts.Overtaken, "unconfirmed", counts.Unconfirmed}
 }
 
-// listed takes the engines as they are to be used from now on.
-func (r *Router) listed(list directory.List) {
-	var whole []*brain.Engine
-	there := map[*engine]bool{}
+// applyEngineList makes list the engine list in force.
+func (r *Router) applyEngineList(list directory.List) {
+	var brainEngines []*brain.Engine
+	listed := map[*engine]bool{}
 	for _, e := range list.Engines {
 		known := r.engines[e.ID]
 		if known == nil {
-			known = &engine{name: e.ID, speaks: r.speaks(e), Engine: brain.Engine{ID: hash(e.ID)}}
-			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.speaks.Alone
+			known = &engine{name: e.ID, protocol: r.protocolOf(e), Engine: brain.Engine{ID: engineNumber(e.ID)}}
+			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.protocol.Alone
 			r.engines[e.ID] = known
-			r.byBrain[&known.Engine] = known
+			r.byBrainEngine[&known.Engine] = known
 		}
-		if known.ConcurrencyLimit == nil || known.StartedAt != e.StartedAt { // what was learned of the process before is void
+		if known.ConcurrencyLimit == nil || known.StartedAt != e.StartedAt { // what was learned about the previous process does not apply
 			known.ConcurrencyLimit = r.adaptive.New()
 		}
 		if known.RetryBudget == nil {
-			known.RetryBudget = r.further.CopyUnspent()
+			known.RetryBudget = r.engineRetryBudget.CopyUnspent()
 		}
 		if e.Address != "" && e.Address != known.address {
-			// What listens at the old address is another one's, or will be.
+			// The old address belongs to another engine, or soon will.
 			known.address = e.Address
 			r.leaveAddress(known)
 		}
@@ -470,87 +493,93 @@
 		}
 		if known.gone || known.Phase != phase || known.StartedAt != e.StartedAt {
 			r.log(Info, "engine listed", "engine", e.ID, "number", known.ID, "address", known.address,
-				"draining", e.Draining, "started", e.StartedAt, "serial", list.Serial, "out", known.out,
+				"draining", e.Draining, "started", e.StartedAt, "serial", list.Serial, "out", known.outstanding,
 				"connections", len(known.pool.Connections))
 		}
-		s := &r.settings.Settings
+		settings := &r.config.Settings
 		known.gone = false
 		known.Phase, known.StartedAt, known.Size, known.Cell = phase, e.StartedAt, e.Weight, e.Cell
-		known.Zone, known.Kind = slices.Index(s.Zones, e.Zone), max(slices.Index(s.Kinds, e.Kind), 0)
-		whole = append(whole, &known.Engine)
-		there[known] = true
+		known.Zone, known.Kind = slices.Index(settings.Zones, e.Zone), max(slices.Index(settings.Kinds, e.Kind), 0)
+		brainEngines = append(brainEngines, &known.Engine)
+		listed[known] = true
 	}
-	r.brain.UpdateEngines(whole, true)
-	for _, name := range slices.Sorted(maps.Keys(r.engines)) { // in one order, whatever a map makes of it
+	r.brain.UpdateEngines(brainEngines, true)
+	for _, name := range slices.Sorted(maps.Keys(r.engines)) { // sorted, so that the order does not depend on map iteration
 		e := r.engines[name]
-		if there[e] || e.gone {
+		if listed[e] || e.gone {
 			if e.Phase == brain.Draining {
-				r.takeBack(e)
+				r.withdrawUnsent(e)
 			}
 			continue
 		}
-		r.log(Info, "engine gone", "engine", name, "number", e.ID, "serial", list.Serial, "out", e.out,
+		r.log(Info, "engine gone", "engine", name, "number", e.ID, "serial", list.Serial, "out", e.outstanding,
 			"connections", len(e.pool.Connections))
 		e.gone, e.Phase = true, brain.Gone
 		r.leaveAddress(e)
-		r.timers.add(r.now+keepGone, e)
+		r.timers.add(r.now+goneEngineRetention, e)
 	}
 }
 
-// leaveAddress: what has left an address, or the list, gets nothing more there. A connection that is not up yet might
-// come up at its successor; what is open on one that is up may still be answered, and then it closes.
+// leaveAddress stops sending to the old address of an engine that has moved or left the list. Connections that are not
+// up yet are closed, because the engine's successor at that address might accept them. Dispatches that are open on a
+// connection may still be answered; the connection is closed after that.
 func (r *Router) leaveAddress(e *engine) {
-	r.takeBack(e)
+	r.withdrawUnsent(e)
 	for _, c := range slices.Clone(e.pool.Connections) {
 		c.Left = true
-		r.rest(r.connections[c.Number])
+		r.closeIfUnneeded(r.connections[c.Number])
 	}
 }
 
-// takeBack takes what was decided for an engine and is not sent: what waits for a connection, which may take longer to come
-// up than a drain may still be sent to, and what waits for the engine to read. It never ran and goes elsewhere at once.
-func (r *Router) takeBack(e *engine) {
+// withdrawUnsent ends the dispatches to an engine that are not written yet: those that wait for a connection, which may
+// take longer to come up than a draining engine may be sent to, and those that wait until the engine reads. They never
+// ran, so the decision module may send their batches elsewhere at once.
+func (r *Router) withdrawUnsent(e *engine) {
 	for _, c := range slices.Clone(e.pool.Connections) {
-		l := r.connections[c.Number]
+		conn := r.connections[c.Number]
 		if !c.Up {
-			r.closeLine(l, StaleAddress)
+			r.closeConnection(conn, StaleAddress)
 			continue
 		}
-		for _, what := range slices.Clone(l.queue) {
-			if d, is := what.(*dispatch); is {
-				r.ended(d, outcomesByReason[StaleAddress].unwritten, nil)
-				l.Close(d.batch.id, false, r.now)
+		for _, item := range slices.Clone(conn.queue) {
+			if d, is := item.(*dispatch); is {
+				r.endDispatch(d, outcomesByReason[StaleAddress].unwritten, nil)
+				conn.Close(d.batch.id, false, r.now)
 			}
 		}
-		r.rest(l)
+		r.closeIfUnneeded(conn)
 	}
 }
 
-// forgetEngine: engines are replaced all day under new ids. What is gone for long, with nothing out and no connection,
-// is dropped; the module drops its own with the next list. One that flaps is the same one to the module until then.
+// forgetEngine removes an engine that has been off the list for goneEngineRetention and has no outstanding dispatch and
+// no connection; if it still has one, it tries again later. Engines are replaced all day under new ids, so their state
+// would accumulate. The decision module drops its own state with the next list. An engine that returns to the list
+// earlier is the same one to the decision module.
 func (r *Router) forgetEngine(e *engine) {
 	switch {
 	case !e.gone:
-	case e.out > 0 || len(e.pool.Connections) > 0:
-		r.timers.add(r.now+keepGone, e)
+	case e.outstanding > 0 || len(e.pool.Connections) > 0:
+		r.timers.add(r.now+goneEngineRetention, e)
 	default:
 		delete(r.engines, e.name)
-		delete(r.byBrain, &e.Engine)
+		delete(r.byBrainEngine, &e.Engine)
 	}
 }
 
-// hash gives an engine's number from its name, alike at every router.
-func hash(name string) uint32 {
-	h := uint32(2166136261)
-	for _, c := range []byte(name) {
-		h = (h ^ uint32(c)) * 16777619
+// engineNumber derives an engine's number from its name (32-bit FNV-1a), so that all routers use the same number.
+func engineNumber(name string) uint32 {
+	sum := uint32(2166136261)
+	for _, char := range []byte(name) {
+		sum = (sum ^ uint32(char)) * 16777619
 	}
-	return h
+	return sum
 }
 
-func (r *Router) number() uint64 {
-	r.numbers++
-	return r.numbers
+// nextNumber returns a new number for an engine connection or a probe.
+func (r *Router) nextNumber() uint64 {
+	r.lastNumber++
+	return r.lastNumber
 }
 
-func tag(n uint64) string { return "p" + strconv.FormatUint(n, 36) }
+// probeTag returns the id under which a probe is open on its connection.
+func probeTag(n uint64) string { return "p" + strconv.FormatUint(n, 36) }
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -9,89 +9,94 @@
 	"pitchfield/internal/traffic"
 )
 
-// A result that comes in parts is held until it is whole or passes this, in bytes. Until then the batch may go again;
-// from then on its rows go out as they come.
-const streamFrom = mostResult
+// streamThreshold is the size in bytes up to which a result that comes in parts is buffered. While it is buffered the batch
+// can be retried; above the threshold its rows are sent to the client as they arrive.
+const streamThreshold = maxResultBytes
 
 var (
-	errTooLarge = errors.New("the result is larger than its client's protocol carries")
-	errRoute    = errors.New("the result is larger than its route lets through")
+	errProtocolLimit = errors.New("the result is larger than its client's protocol allows")
+	errRouteLimit    = errors.New("the result is larger than its route allows")
 )
 
-// some takes in rows of a result that comes in parts.
-func (r *Router) some(d *dispatch, part rows.Part) {
+// storePart buffers or forwards rows of a result that comes in parts.
+func (r *Router) storePart(d *dispatch, part rows.Part) {
 	b := d.batch
 	switch {
-	case b.client == nil: // nobody wants them; the engine is let finish, or was told to stop
+	case b.client == nil: // the client has stopped waiting; the engine finishes, or was told to stop
 		part.Release()
-	case d.streams:
-		r.pass(d, part)
-	case d.size <= streamFrom:
+	case d.streaming:
+		r.forwardRows(d, part)
+	case d.resultSize <= streamThreshold:
 		d.pages = append(d.pages, part)
-	case b.client.speaks.Stream:
+	case b.client.protocol.Stream:
 		d.pages = append(d.pages, part)
-		r.stream(d)
+		r.startStreaming(d)
 	default:
 		part.Release()
-		r.tooLarge(d, errTooLarge)
+		r.failTooLarge(d, errProtocolLimit)
 	}
 }
 
-// tooLarge ends a batch whose result is more than somebody takes: another dispatch would bring as much.
-func (r *Router) tooLarge(d *dispatch, why error) {
+// failTooLarge answers a batch with an error because its result is larger than a limit. A retry would bring a result of the
+// same size.
+func (r *Router) failTooLarge(d *dispatch, err error) {
 	b := d.batch
-	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.speaks.Name, "bytes", d.size, "why", why.Error())
-	r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: why.Error()})
-	r.giveUp(d, brain.Canceled)
+	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.resultSize, "why", err.Error())
+	r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+	r.abortDispatch(d, brain.Canceled)
 }
 
-// stream begins to send what there is. A second copy of the batch is given up first: what of it comes later can't be
-// passed on beside this one's, and the module sends no other from here on.
-func (r *Router) stream(d *dispatch) {
+// startStreaming sends the buffered rows of a result to the client; later rows follow as they arrive. Hedged dispatches of the
+// batch are cancelled first, because rows of two dispatches can't be mixed. The decision module sends no others from here on.
+func (r *Router) startStreaming(d *dispatch) {
 	d.batch.Streaming = true
-	for _, o := range slices.Clone(d.batch.dispatches) {
-		if o != d {
-			r.giveUp(o, brain.Canceled)
+	for _, other := range slices.Clone(d.batch.dispatches) {
+		if other != d {
+			r.abortDispatch(other, brain.Canceled)
 		}
 	}
 	parts := d.pages
-	d.pages, d.streams = nil, true
+	d.pages, d.streaming = nil, true
 	r.log(Debug, "streams", "id", d.batch.id, "engine", d.engine.name)
 	for _, p := range parts {
-		r.pass(d, p)
+		r.forwardRows(d, p)
 	}
 }
 
-func (r *Router) pass(d *dispatch, part rows.Part) {
-	r.do(TellClient{d.batch.client.number, &traffic.Rows{Stream: d.batch.stream, Part: part}})
-	d.batch.client.since = r.now
+// forwardRows sends rows of a result to the client.
+func (r *Router) forwardRows(d *dispatch, part rows.Part) {
+	r.emit(SendToClient{d.batch.client.number, &traffic.Rows{Stream: d.batch.stream, Part: part}})
+	d.batch.client.activeAt = r.now
 }
 
-func (b *batch) streaming() *dispatch {
+// streamingDispatch returns the dispatch whose rows are being sent to the client; nil: none.
+func (b *batch) streamingDispatch() *dispatch {
 	for _, d := range b.dispatches {
-		if d.streams && !d.ended {
+		if d.streaming && !d.ended {
 			return d
 		}
 	}
 	return nil
 }
 
-// unread: a client that is slow holds its engine back, not the router's memory. Once it has read, the engine goes on.
-func (r *Router) unread(number uint64, full bool) {
+// clientUnread applies backpressure: while a client is too slow to read its rows (full), the router stops reading from the
+// engines that send them, so that rows don't fill the router's memory. Once the client has read, reading resumes.
+func (r *Router) clientUnread(number uint64, full bool) {
 	c := r.clients[number]
 	if c == nil {
 		return
 	}
 	for _, b := range c.open {
-		if d := b.streaming(); d != nil {
-			r.hold(d, full)
+		if d := b.streamingDispatch(); d != nil {
+			r.setReadingPaused(d, full)
 		}
 	}
 }
 
-func (r *Router) hold(d *dispatch, hold bool) {
-	if d.held != hold && d.engine.speaks.Held {
-		d.held = hold
-		r.do(HoldEngine{d.line.Number, hold})
+// setReadingPaused pauses or resumes reading from the connection of a dispatch, if the engine's protocol allows that.
+func (r *Router) setReadingPaused(d *dispatch, paused bool) {
+	if d.readingPaused != paused && d.engine.protocol.Held {
+		d.readingPaused = paused
+		r.emit(PauseReading{d.conn.Number, paused})
 	}
 }
