--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -32,19 +32,19 @@
 
 func (r *Router) settle(l *line) {
 	s := &settling{l}
-	l.Open(settleName, s)
+	l.AddPending(settleName, s)
 	r.timers.add(r.now+settleTime, s)
 }
 
 // settleDue: silence ends the connection.
 func (r *Router) settleDue(s *settling) {
-	if l := s.line; r.connections[l.Number] == l && l.Get(settleName) == any(s) {
+	if l := s.line; r.connections[l.Number] == l && l.Pending(settleName) == any(s) {
 		r.closeLine(l, Unanswered)
 	}
 }
 
 func (r *Router) settled(l *line) {
-	l.Close(settleName, false, r.now)
+	l.RemovePending(settleName, false, r.now)
 	r.withdrawalsSettled(l)
 	r.rest(l)
 }
@@ -60,7 +60,7 @@
 func (r *Router) pick(e *engine, id string) (*line, End) {
 	c := e.pool.Pick(id, r.multiplex(e))
 	room := len(r.connections)+r.dialing+2 <= r.most
-	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.spread, r.most/(2*max(len(r.engines), 1)))) {
+	if c != nil && (c.PendingCount() == 0 && !c.PeerNotReading || !room || len(e.pool.Connections) >= min(r.spread, r.most/(2*max(len(r.engines), 1)))) {
 		return r.connections[c.Number], 0
 	}
 	if e.address == "" {
@@ -92,13 +92,13 @@
 	r.log(Debug, "connected", "engine", l.engine.name, "connection", number, "waiting", len(l.queue))
 	r.dialing--
 	r.timers.stop(l.timer)
-	l.Up, l.Heard = true, r.now
+	l.Up, l.LastReceivedAt = true, r.now
 	r.writable = append(r.writable, l)
 }
 
 func (r *Router) engineRead(number uint64) {
 	if l := r.connections[number]; l != nil {
-		l.Unread = false
+		l.PeerNotReading = false
 		r.writable = append(r.writable, l)
 	}
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	l.check = &probe{engine: l.engine, line: l, tag: tag(r.number())}
-	l.Open(l.check.tag, l.check)
+	l.AddPending(l.check.tag, l.check)
 	r.timers.add(r.now+r.settings.Settings.DialTime, l.check)
 	r.send(l, l.check)
 }
@@ -148,7 +148,7 @@
 		return
 	}
 	held := false
-	for _, what := range l.Opens() {
+	for _, what := range l.AllPending() {
 		if d, is := what.(*dispatch); is && d.held {
 			held = true
 		}
@@ -167,7 +167,7 @@
 		return
 	}
 	switch {
-	case l.Left:
+	case l.StaleAddress:
 		r.closeLine(l, LeftAddress)
 		return
 	case l.Suspect:
@@ -191,7 +191,7 @@
 	if !l.Idle() {
 		return
 	}
-	if at := l.IdleAt + r.settings.Settings.IdleTime*idleEarly; r.now < at {
+	if at := l.IdleSince + r.settings.Settings.IdleTime*idleEarly; r.now < at {
 		l.timer = r.timers.add(at, l)
 		return
 	}
@@ -211,7 +211,7 @@
 		r.dialing--
 	}
 	l.engine.pool.Remove(l.Connection)
-	open := l.Opens()
+	open := l.AllPending()
 	r.log(Debug, "connection ended", "engine", l.engine.name, "connection", l.Number, "end", end.String(), "open", len(open))
 	var dispatches []*dispatch
 	for _, what := range open {
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -105,7 +105,7 @@
 func (h *host) agrees() {
 	open := map[*engine]int{}
 	for _, l := range h.connections {
-		for _, what := range l.Opens() {
+		for _, what := range l.AllPending() {
 			if d, is := what.(*dispatch); is {
 				open[l.engine]++
 				assert.False(h.t, d.ended)
@@ -125,7 +125,7 @@
 func (h *host) read(text string) {
 	for len(text) > 0 {
 		size := int(binary.LittleEndian.Uint32([]byte(text)))
-		if stream := binary.LittleEndian.Uint32([]byte(text[5:])); text[4] == clients.Answer {
+		if stream := binary.LittleEndian.Uint32([]byte(text[5:])); text[4] == clients.FrameAnswer {
 			assert.NotContains(h.t, h.answers, stream, "a second answer")
 			h.answers[stream] = text[9 : 4+size]
 		}
@@ -147,7 +147,7 @@
 func (h *host) batch(group string, left int) (uint32, string) {
 	h.ids++
 	id := fmt.Sprintf("%016x", 240+h.ids)
-	h.tell(h.said(1, standin.Frame(clients.Ask, uint32(h.ids), []string{"c", group, "i", id, "d", strconv.Itoa(left)},
+	h.tell(h.said(1, standin.Frame(clients.FrameBatch, uint32(h.ids), []string{"c", group, "i", id, "d", strconv.Itoa(left)},
 		"SELECT 1 FROM a_3.b")))
 	return uint32(h.ids), id
 }
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -17,7 +17,7 @@
 func (r *Router) probe(e *engine) {
 	p := &probe{engine: e, tag: tag(r.number())}
 	var l *line
-	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // its answer tells of the connection too
+	if c := e.pool.LongestSilent(r.multiplex(e)); c != nil { // its answer tells of the connection too
 		l = r.connections[c.Number]
 	} else {
 		l, _ = r.pick(e, p.tag)
@@ -28,7 +28,7 @@
 		return
 	}
 	p.line = l
-	l.Open(p.tag, p)
+	l.AddPending(p.tag, p)
 	r.timers.add(r.now+r.settings.Settings.DialTime, p)
 	r.send(l, p)
 }
@@ -53,6 +53,6 @@
 		r.settle(l)
 		late = false
 	}
-	p.line.Close(p.tag, late, r.now)
+	p.line.RemovePending(p.tag, late, r.now)
 	r.rest(p.line)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -502,7 +502,7 @@
 func (r *Router) leaveAddress(e *engine) {
 	r.takeBack(e)
 	for _, c := range slices.Clone(e.pool.Connections) {
-		c.Left = true
+		c.StaleAddress = true
 		r.rest(r.connections[c.Number])
 	}
 }
@@ -519,7 +519,7 @@
 		for _, what := range slices.Clone(l.queue) {
 			if d, is := what.(*dispatch); is {
 				r.ended(d, outcomes[LeftAddress].unwritten, nil)
-				l.Close(d.batch.id, false, r.now)
+				l.RemovePending(d.batch.id, false, r.now)
 			}
 		}
 		r.rest(l)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -160,7 +160,7 @@
 	h.tell(h.said(2, standin.Frame(77, 5, nil, "")))
 	assert.Equal(t, failure, h.answers[0])
 	h.tell(h.opened(3))
-	taken := standin.Frame(clients.Ask, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
+	taken := standin.Frame(clients.FrameBatch, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
 	h.tell(h.said(3, taken))
 	delete(h.answers, 0)
 	h.tell(h.said(3, taken))
@@ -296,7 +296,7 @@
 	for name, value := range told {
 		all = append(all, name, value)
 	}
-	h.tell(h.said(client, standin.Frame(clients.Ask, stream, all, "SELECT 1 FROM a_3.b")))
+	h.tell(h.said(client, standin.Frame(clients.FrameBatch, stream, all, "SELECT 1 FROM a_3.b")))
 }
 
 // Whoever sends what can't be used gets an error or a close, and nothing of it reaches an engine.
@@ -618,7 +618,7 @@
 	h.tell()
 	p := func() *probe {
 		h.probe(h.engines["s-1"])
-		return h.connections[h.numbers].Opens()[0].(*probe)
+		return h.connections[h.numbers].AllPending()[0].(*probe)
 	}()
 	h.speaks[p.line.Number] = engines.Session{}
 	h.tell(EngineOpened{p.line.Number})
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -35,7 +35,7 @@
 func (h *host) heavy() (uint32, string) {
 	h.ids++
 	id := strconv.Itoa(1000000000000000 + h.ids)
-	h.tell(h.said(1, standin.Frame(clients.Ask, uint32(h.ids), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
+	h.tell(h.said(1, standin.Frame(clients.FrameBatch, uint32(h.ids), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
 	return uint32(h.ids), id
 }
 
@@ -91,7 +91,7 @@
 	number := h.dials[0].Connection
 	h.tell(EngineOpened{number}, OrderRefused{Connection: number, ID: id, Why: OrderLate}) // the loop found that its time had come
 	require.NotContains(t, h.answers, stream)
-	assert.Zero(t, h.connections[number].Opened())
+	assert.Zero(t, h.connections[number].PendingCount())
 	first := h.asked().Number
 	h.pass(0.2)
 	again := h.asked()
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -50,7 +50,7 @@
 		return true
 	}
 	r.order(l, traffic.AskPage{ID: d.batch.id, Page: firstPage})
-	l.Suspect = l.Suspect || l.Heard <= d.wroteAt
+	l.Suspect = l.Suspect || l.LastReceivedAt <= d.wroteAt
 	return true
 }
 
@@ -68,7 +68,7 @@
 
 // withdrawalsSettled: an engine that takes one batch at a time has ended what was given up on a connection.
 func (r *Router) withdrawalsSettled(l *line) {
-	for _, what := range l.Opens() {
+	for _, what := range l.AllPending() {
 		if d, is := what.(*dispatch); is && d.withdrawn {
 			r.endWithdrawn(d, d.withdrawnAs)
 		}
@@ -83,7 +83,7 @@
 	r.log(Info, "engine has not shown that an attempt is given up", "id", d.batch.id, "no", d.no, "engine", d.engine.name,
 		"connection", d.line.Number)
 	l := d.line
-	silent := l.Heard <= d.wroteAt
+	silent := l.LastReceivedAt <= d.wroteAt
 	r.endWithdrawn(d, brain.Unconfirmed)
 	if silent && r.connections[l.Number] == l {
 		r.suspect(l)
@@ -94,7 +94,7 @@
 func (r *Router) endWithdrawn(d *dispatch, how brain.Outcome) {
 	l := d.line
 	r.ended(d, how, d.report)
-	l.Close(d.batch.id, true, r.now)
+	l.RemovePending(d.batch.id, true, r.now)
 	r.rest(l)
 }
 
