--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// newTestGuard returns a Guard with client 1 and the engine connections 7 and 8.
 func newTestGuard() *Guard {
 	g := New()
 	g.ClientOpened(1)
@@ -16,17 +17,18 @@
 	return g
 }
 
+// violationOf returns the kind of a *ViolationError, and any other error as it is.
 func violationOf(err error) any {
-	var broken *ViolationError
-	if errors.As(err, &broken) {
-		return broken.Violation
+	var violation *ViolationError
+	if errors.As(err, &violation) {
+		return violation.Violation
 	}
 	return err
 }
 
 func TestSendIsAllowedOnlyWhileRequestIsOpen(t *testing.T) {
 	g, r := newTestGuard(), Request{1, 5}
-	assert.Equal(t, SendAfterEnd, violationOf(g.Send(r, "a", 7, false)), "never taken")
+	assert.Equal(t, SendAfterEnd, violationOf(g.Send(r, "a", 7, false)), "never accepted")
 	g.RequestAccepted(r)
 	assert.NoError(t, g.Send(r, "a", 7, false))
 	assert.Equal(t, SendOnClosedConnection, violationOf(g.Send(r, "a", 9, false)))
@@ -39,7 +41,7 @@
 	g.RequestAccepted(Request{1, 7})
 	g.ClientClosed(1)
 	var gone *ClientGoneError
-	assert.ErrorAs(t, g.Send(Request{1, 7}, "c", 7, false), &gone, "the router has not heard of it")
+	assert.ErrorAs(t, g.Send(Request{1, 7}, "c", 7, false), &gone, "the router has not processed the disconnection")
 	assert.NoError(t, g.Answer(Request{1, 7}))
 	c := g.Counts()
 	assert.Equal(t, []int{3, 1, 1, 1}, []int{c.Accepted, c.Answered, c.Cancelled, c.Abandoned})
@@ -71,12 +73,12 @@
 	assert.NoError(t, g.Answer(Request{1, 1}))
 	g.ClientClosed(1)
 	assert.Equal(t, []Request{{2, 1}}, g.Exit())
-	assert.Equal(t, SendAfterEnd, violationOf(g.Send(Request{2, 1}, "a", 7, false)), "after the end")
+	assert.Equal(t, SendAfterEnd, violationOf(g.Send(Request{2, 1}, "a", 7, false)), "after exit")
 	assert.Equal(t, ReadyAfterExit, violationOf(g.Ready(Request{2, 0})))
 	assert.Equal(t, 2, g.Counts().Violations[CloseUnanswered])
 }
 
-// Whatever happens in whatever order: each request that was taken ends once, or is open.
+// Random sequences of events: each accepted request either ended exactly once or is still open.
 func TestRequestCountsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := New()
@@ -107,22 +109,23 @@
 	})
 }
 
-// Where no two attempts of a request may be out, only what its engine has shown ends one.
+// If a request must not have two attempts at a time, the next attempt is allowed only once its engine has shown that the
+// previous one has ended.
 func TestNextAttemptWaitsForConfirmedEndOfPrevious(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends  func(g *Guard)
 		ended bool
 	}{
-		"nothing came":                  {func(*Guard) {}, false},
-		"it is told to give it up":      {func(g *Guard) { g.CancelSent("a", 7) }, false},
-		"a page comes of itself":        {func(g *Guard) { g.PageReceived("a", 7) }, false},
-		"our side ends the connection":  {func(g *Guard) { g.CancelSent("a", 7); g.EngineDisconnected(7) }, false},
-		"another connection is settled": {func(g *Guard) { g.CancelSent("a", 7); g.CancellationsConfirmed(8) }, false},
-		"a page comes once it is told":  {func(g *Guard) { g.CancelSent("a", 7); g.PageReceived("a", 7) }, true},
-		"its engine has settled":        {func(g *Guard) { g.CancelSent("a", 7); g.CancellationsConfirmed(7) }, true},
-		"its engine has ended it":       {func(g *Guard) { g.AttemptEnded("a", 7) }, true},
-		"its engine turned it away":     {func(g *Guard) { g.AttemptNotRun("a", 7) }, true},
-		"its engine ends the connection": {func(g *Guard) {
+		"no event":                                      {func(*Guard) {}, false},
+		"cancellation sent":                             {func(g *Guard) { g.CancelSent("a", 7) }, false},
+		"page without cancellation":                     {func(g *Guard) { g.PageReceived("a", 7) }, false},
+		"router closes the connection":                  {func(g *Guard) { g.CancelSent("a", 7); g.EngineDisconnected(7) }, false},
+		"cancellations confirmed on another connection": {func(g *Guard) { g.CancelSent("a", 7); g.CancellationsConfirmed(8) }, false},
+		"page after cancellation":                       {func(g *Guard) { g.CancelSent("a", 7); g.PageReceived("a", 7) }, true},
+		"cancellations confirmed":                       {func(g *Guard) { g.CancelSent("a", 7); g.CancellationsConfirmed(7) }, true},
+		"attempt ended":                                 {func(g *Guard) { g.AttemptEnded("a", 7) }, true},
+		"attempt rejected":                              {func(g *Guard) { g.AttemptNotRun("a", 7) }, true},
+		"engine closes the connection": {func(g *Guard) {
 			g.EngineClosedConnection(7)
 			g.EngineDisconnected(7)
 		}, true},
