--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -12,15 +12,16 @@
 	"pitchfield/internal/traffic"
 )
 
+// firstPageReply is a reply with the first of two pages; its rows are not valid.
 const firstPageReply = "*4\r\n$2\r\nf1\r\n$4\r\nDONE\r\n$44\r\nsheets=2,toil=120,room=5,use=queue:3;x0:0.25\r\n$6\r\na\tb\r\n\n\r\n"
 
 func TestReadPartialAndConsecutiveReplies(t *testing.T) {
 	pool := &buffers.Pool{}
 	in := pool.Chain()
 	var got []*traffic.Reply
-	all := firstPageReply + "*3\r\n$2\r\nf2\r\n$4\r\nWAIT\r\n$1\r\n-\r\n"
-	for i := range len(all) {
-		in.WriteString(all[i : i+1])
+	stream := firstPageReply + "*3\r\n$2\r\nf2\r\n$4\r\nWAIT\r\n$1\r\n-\r\n"
+	for i := range len(stream) {
+		in.WriteString(stream[i : i+1])
 		r, err := Session{}.Read(in, nil)
 		require.NoError(t, err)
 		if r != nil {
@@ -28,7 +29,7 @@
 		}
 	}
 	require.Len(t, got, 2)
-	assert.Equal(t, "a\tb\r\n\n", got[0].Rows.Data.String(), "a line end inside a body ends nothing")
+	assert.Equal(t, "a\tb\r\n\n", got[0].Rows.Data.String(), "a line end inside a bulk string does not end it")
 	assert.Contains(t, got[0].Bad, "rows")
 	got[0].Rows.Release()
 	got[0].Rows.Data, got[0].Bad = nil, ""
@@ -57,24 +58,24 @@
 	Session{}.Order(out, d)
 	assert.Equal(t, "*4\r\n$5\r\nfetch\r\n$2\r\nf1\r\n$40\r\nqueue=report,budget=251,uniq=k9,allot=96\r\n"+
 		"$8\r\nSELECT 1\r\n", out.String())
-	assert.Equal(t, 8, text.Len(), "the text stays for another dispatch")
+	assert.Equal(t, 8, text.Len(), "the text is kept for a retry")
 }
 
 func TestPickNeverReusesAnIDOnAConnection(t *testing.T) {
-	p := &Pool{}
-	first, second := p.Add(1, 0), p.Add(2, 0)
+	pool := &Pool{}
+	first, second := pool.Add(1, 0), pool.Add(2, 0)
 	first.Up, second.Up = true, true
 	first.AddPending("a", 1)
-	assert.Same(t, second, p.Pick("b", 2), "the one with least open")
-	assert.Same(t, first, p.LongestSilent(2))
-	assert.Same(t, second, p.Pick("a", 2))
+	assert.Same(t, second, pool.Pick("b", 2), "the one with the fewest pending requests")
+	assert.Same(t, first, pool.LongestSilent(2))
+	assert.Same(t, second, pool.Pick("a", 2))
 	first.RemovePending("a", true, 5)
-	assert.Same(t, second, p.Pick("a", 2), "a late answer may still come on the first")
+	assert.Same(t, second, pool.Pick("a", 2), "a late reply may still arrive on the first")
 	first.AddPending("c", 1)
 	first.AddPending("d", 1)
-	assert.Same(t, second, p.Pick("e", 2), "the first is full")
+	assert.Same(t, second, pool.Pick("e", 2), "the first is full")
 	second.Suspect = true
-	assert.Nil(t, p.Pick("e", 2))
+	assert.Nil(t, pool.Pick("e", 2))
 }
 
 func FuzzRead(f *testing.F) {
--- a/internal/engines/pool.go
+++ b/internal/engines/pool.go
@@ -1,36 +1,38 @@
 package engines
 
-// Connection is one connection to an engine, as the router keeps it: no socket, only what is known of it.
+// Connection is the router's record of one connection to an engine: its state and pending requests, not its socket. Times are
+// in seconds. It is not safe for concurrent use.
 type Connection struct {
-	Number         uint64
-	Engine         uint32
-	Up             bool
-	Suspect        bool    // silent past a time limit: nothing new goes on it
-	PeerNotReading bool    // its engine has not read what was written: no further request leaves there now
-	StaleAddress   bool    // its engine is not at its address any more: nothing new, for good
-	LastReceivedAt float64 // when it last brought something
-	IdleSince      float64 // since when nothing is open on it
+	Number         uint64  // identifies the connection in the router
+	Engine         uint32  // id of the engine
+	Up             bool    // established
+	Suspect        bool    // silent past a time limit: gets no new requests
+	PeerNotReading bool    // its engine has not read all that was written: new requests are queued
+	StaleAddress   bool    // its engine has left this address: never gets new requests again
+	LastReceivedAt float64 // when data last arrived
+	IdleSince      float64 // since when nothing is pending; valid while Idle
 
-	pending    map[string]any
-	retiredIDs map[string]struct{} // ids that were given up on it, of which an answer may still come
+	pending    map[string]any      // requests that wait for a reply, by id
+	retiredIDs map[string]struct{} // ids of abandoned requests, for which a late reply may still arrive
 }
 
-// Pool holds the connections to one engine. It goes by the engine's id: an address may be another's next.
+// Pool holds the connections to one engine. It is kept by the engine's id, because an address may be reused by another engine.
+// It is not safe for concurrent use.
 type Pool struct {
 	Engine      uint32
 	Connections []*Connection
 }
 
-// maxRetiredIDs ids given up make a connection old: it takes nothing new then.
-const maxRetiredIDs = 256
+const maxRetiredIDs = 256 // per connection; one with this many gets no new requests
 
-// Pick gives the connection with the least open that can carry one more with this id, or none; those whose engine has not
-// read come last. Among equals it is the one used last, so that others may fall idle. One spoilt answer takes all with it
-// that is open on its connection.
-func (p *Pool) Pick(id string, most int) *Connection {
+// Pick returns the connection with the fewest pending requests that can take one more with this id, or nil if there is none.
+// limit is the number of pending requests that a connection may have. Connections whose engine does not read come last. Few
+// pending requests are preferred because a malformed reply fails all that are pending on its connection. Among equals,
+// established connections come first, then the most recently used one, so that the others can become idle.
+func (p *Pool) Pick(id string, limit int) *Connection {
 	var best *Connection
 	for _, c := range p.Connections {
-		if c.Suspect || c.StaleAddress || len(c.pending) >= most || len(c.retiredIDs) >= maxRetiredIDs || c.hasID(id) {
+		if c.Suspect || c.StaleAddress || len(c.pending) >= limit || len(c.retiredIDs) >= maxRetiredIDs || c.hasID(id) {
 			continue
 		}
 		if best == nil || best.PeerNotReading && !c.PeerNotReading {
@@ -48,54 +50,57 @@
 	return best
 }
 
-// LongestSilent gives the connection with something open that has brought nothing for longest, or none.
-func (p *Pool) LongestSilent(most int) *Connection {
+// LongestSilent returns the established connection with pending requests, fewer than limit, on which nothing has arrived for
+// the longest time, or nil if there is none.
+func (p *Pool) LongestSilent(limit int) *Connection {
 	var best *Connection
 	for _, c := range p.Connections {
-		if c.Up && !c.StaleAddress && len(c.pending) > 0 && len(c.pending) < most && (best == nil || c.LastReceivedAt < best.LastReceivedAt) {
+		if c.Up && !c.StaleAddress && len(c.pending) > 0 && len(c.pending) < limit && (best == nil || c.LastReceivedAt < best.LastReceivedAt) {
 			best = c
 		}
 	}
 	return best
 }
 
-// PendingCount tells how much is open on it.
+// PendingCount returns the number of pending requests.
 func (c *Connection) PendingCount() int { return len(c.pending) }
 
-// hasID: an id stands once on a connection, or nobody could tell whose answer it is.
+// hasID reports whether an id is pending or retired. An id must not be reused on a connection, because replies are matched to
+// requests by id.
 func (c *Connection) hasID(id string) bool {
-	_, open := c.pending[id]
-	_, used := c.retiredIDs[id]
-	return open || used
+	_, pending := c.pending[id]
+	_, retired := c.retiredIDs[id]
+	return pending || retired
 }
 
-// Add takes in a connection that is being made.
+// Add adds a connection that is being dialed and returns its record.
 func (p *Pool) Add(number uint64, now float64) *Connection {
 	c := &Connection{Number: number, Engine: p.Engine, IdleSince: now, pending: map[string]any{}, retiredIDs: map[string]struct{}{}}
 	p.Connections = append(p.Connections, c)
 	return c
 }
 
-// Remove drops a connection.
+// Remove removes a connection from the pool.
 func (p *Pool) Remove(c *Connection) {
-	for i, one := range p.Connections {
-		if one == c {
+	for i, other := range p.Connections {
+		if other == c {
 			p.Connections = append(p.Connections[:i], p.Connections[i+1:]...)
 			return
 		}
 	}
 }
 
-// AddPending notes what waits for an answer under an id.
-func (c *Connection) AddPending(id string, what any) { c.pending[id] = what }
+// AddPending adds a request that waits for a reply with this id.
+func (c *Connection) AddPending(id string, request any) { c.pending[id] = request }
 
-// Pending gives what waits under an id.
+// Pending returns the request that waits for a reply with this id, or nil.
 func (c *Connection) Pending(id string) any { return c.pending[id] }
 
-// RemovePending ends the wait for an id; with late, an answer may still come.
-func (c *Connection) RemovePending(id string, late bool, now float64) {
+// RemovePending removes the request with this id. If a reply may still arrive, the id is retired and is not reused on this
+// connection.
+func (c *Connection) RemovePending(id string, replyMayArrive bool, now float64) {
 	delete(c.pending, id)
-	if late {
+	if replyMayArrive {
 		c.retiredIDs[id] = struct{}{}
 	}
 	if len(c.pending) == 0 {
@@ -103,14 +108,14 @@
 	}
 }
 
-// AllPending gives all that waits.
+// AllPending returns all pending requests, in no order.
 func (c *Connection) AllPending() []any {
-	out := make([]any, 0, len(c.pending))
-	for _, what := range c.pending {
-		out = append(out, what)
+	requests := make([]any, 0, len(c.pending))
+	for _, request := range c.pending {
+		requests = append(requests, request)
 	}
-	return out
+	return requests
 }
 
-// Idle: nothing waits on it.
+// Idle reports whether no request is pending.
 func (c *Connection) Idle() bool { return len(c.pending) == 0 }
--- a/internal/engines/resp.go
+++ b/internal/engines/resp.go
@@ -1,4 +1,5 @@
-// Package engines speaks RESP with the sql engines and keeps the pools of connections to them.
+// Package engines implements the RESP protocol between the router and the SQL engines, the connection pool of an engine,
+// and the [[engine]] sections of the operator's settings.
 package engines
 
 import (
@@ -15,35 +16,40 @@
 	"pitchfield/internal/traffic"
 )
 
+// replyKinds maps the status word of a reply to its kind.
 var replyKinds = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
 	"PAST": traffic.Late, "TELL": traffic.News, "MORE": traffic.More, "FIT": traffic.Fit, "UNFIT": traffic.Unfit}
 
+// updateKinds maps the "detail" field of a progress reply to its kind.
 var updateKinds = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
 
-// Protocol is what the core must know of the engines' RESP.
+// Protocol returns the description of RESP for the router's core.
 func Protocol() *traffic.EngineProtocol {
 	return &traffic.EngineProtocol{Name: "resp", Bounded: true, New: func() traffic.Engine { return Session{} }}
 }
 
-// Session is a connection to an engine. It holds nothing: ids tell what belongs together.
+// Session is the protocol state of one connection to an engine. RESP needs none: ids match replies to requests.
 type Session struct{}
 
-// Open says nothing.
+// Open writes nothing, since RESP has no handshake: the connection is ready at once.
 func (Session) Open(*buffers.Chain) bool { return true }
 
-// ErrMalformedReply says that a connection's bytes are no answers: nothing after them can be read.
-var ErrMalformedReply = errors.New("not an answer")
+// ErrMalformedReply reports bytes that are not a reply. Nothing after them can be read on the connection.
+var ErrMalformedReply = errors.New("malformed reply")
 
+// Limits and sizes of replies.
 const (
-	maxElements    = 16
-	maxBulkBytes   = 8 << 10 // a page holds 6,000 bytes
-	rowColumns     = 3
-	maxHeaderBytes = 24
-	maxPages       = 64  // far more than the largest result has
-	maxTextBytes   = 512 // bytes of id, word and fields that count
+	maxElements    = 16      // of the array that is a reply
+	maxBulkBytes   = 8 << 10 // of a bulk string; a page of a result holds 6,000 bytes
+	rowColumns     = 3       // of a result
+	maxHeaderBytes = 24      // of a line with a length
+	maxPages       = 64      // of a result; far more than the largest result has
+	maxTextBytes   = 512     // of the id, the status word and the fields that are read; the rest is ignored
 )
 
-// Read reads an answer off the stream; none while it is not whole.
+// Read removes the next reply from in and returns it, or nil if the reply is not complete yet. A reply is an array of id,
+// status word, fields and rows; the last two may be missing. Any error is an ErrMalformedReply. A complete reply whose content
+// is not valid is returned with the reason noted in it.
 func (Session) Read(in, _ *buffers.Chain) (*traffic.Reply, error) {
 	at := 0
 	count, ok, err := readHeader(in, &at, '*', maxElements)
@@ -65,9 +71,9 @@
 		}
 	}
 	if count < 2 {
-		return nil, fmt.Errorf("%w: %d parts", ErrMalformedReply, count)
+		return nil, fmt.Errorf("%w: %d elements", ErrMalformedReply, count)
 	}
-	text := func(i int) string {
+	text := func(i int) string { // empty: the element is missing
 		if i >= count {
 			return ""
 		}
@@ -89,30 +95,33 @@
 	return r, nil
 }
 
-func readHeader(in *buffers.Chain, at *int, mark byte, most int) (n int, ok bool, err error) {
+// readHeader reads a line with a type byte and a length of at most limit, and moves at behind it. Without an error, ok is false
+// while the line is not complete.
+func readHeader(in *buffers.Chain, at *int, typeByte byte, limit int) (n int, ok bool, err error) {
 	end := in.Index(*at, '\n', maxHeaderBytes)
 	if end < 0 {
 		if in.Len()-*at >= maxHeaderBytes {
-			return 0, false, fmt.Errorf("%w: a length without end", ErrMalformedReply)
+			return 0, false, fmt.Errorf("%w: unterminated length", ErrMalformedReply)
 		}
 		return 0, false, nil
 	}
 	var line [maxHeaderBytes]byte
-	l := line[:in.Peek(*at, line[:end-*at])]
-	if len(l) < 3 || l[0] != mark || l[len(l)-1] != '\r' {
-		return 0, false, fmt.Errorf("%w: %q where a length belongs", ErrMalformedReply, l)
+	header := line[:in.Peek(*at, line[:end-*at])]
+	if len(header) < 3 || header[0] != typeByte || header[len(header)-1] != '\r' {
+		return 0, false, fmt.Errorf("%w: %q instead of a length", ErrMalformedReply, header)
 	}
-	n, err = strconv.Atoi(string(l[1 : len(l)-1]))
-	if err != nil || n < 0 || n > most {
-		return 0, false, fmt.Errorf("%w: length %q", ErrMalformedReply, l)
+	n, err = strconv.Atoi(string(header[1 : len(header)-1]))
+	if err != nil || n < 0 || n > limit {
+		return 0, false, fmt.Errorf("%w: invalid length %q", ErrMalformedReply, header)
 	}
 	*at = end + 1
 	return n, true, nil
 }
 
-// ValidRows tells whether a page holds whole rows of three text columns. Noise shows where a byte is none of text.
+// ValidRows reports whether a page consists of complete rows of three text columns. Control characters other than tab and
+// line feed make it invalid: corrupted pages are recognized by them.
 func ValidRows(page *buffers.Chain) bool {
-	var b byte
+	var last byte
 	if page.Len() == 0 {
 		return false
 	}
@@ -120,9 +129,9 @@
 	for {
 		c, err := in.ReadByte()
 		if err != nil {
-			return b == '\n'
+			return last == '\n'
 		}
-		switch b = c; {
+		switch last = c; {
 		case c == '\t':
 			tabs++
 		case c == '\n':
@@ -136,25 +145,26 @@
 	}
 }
 
-// EachField goes through the fields of a list such as "name=value,name=value".
+// EachField calls take for each field of a list, such as "name=value,name=value". Items without a name are skipped. The list "-"
+// has no fields.
 func EachField(list string, separator, equals byte, take func(name, value string)) {
 	if list == "-" {
 		return
 	}
 	for len(list) > 0 {
-		one := list
+		item := list
 		if i := strings.IndexByte(list, separator); i >= 0 {
-			one, list = list[:i], list[i+1:]
+			item, list = list[:i], list[i+1:]
 		} else {
 			list = ""
 		}
-		if i := strings.IndexByte(one, equals); i > 0 {
-			take(one[:i], one[i+1:])
+		if i := strings.IndexByte(item, equals); i > 0 {
+			take(item[:i], item[i+1:])
 		}
 	}
 }
 
-// parseFields takes what the fields tell.
+// parseFields stores the fields of a reply in it. Fields with other names are ignored.
 func parseFields(r *traffic.Reply, list string) {
 	EachField(list, ',', '=', func(name, value string) {
 		switch name {
@@ -163,7 +173,7 @@
 		case "sheet":
 			r.Page = parseCount(value)
 		case "toil":
-			r.Work = ParseNumber(value) / 1000
+			r.Work = ParseNumber(value) / 1000 // sent in milliseconds
 		case "room":
 			r.Memory = ParseNumber(value)
 		case "use":
@@ -176,41 +186,43 @@
 	})
 }
 
-// validate says why an answer can't be passed on, if it can't.
+// validate notes in a reply why it can't be passed on, if it can't.
 func validate(r *traffic.Reply, fields string) {
-	why := ""
+	reason := ""
 	switch r.Word {
 	case traffic.Done:
 		if r.Pages < 1 || r.Pages > maxPages {
-			why = "number of pages"
+			reason = "number of pages"
 		} else if r.Rows.Len() == 0 && r.Pages == 1 {
 			return
 		} else if !ValidRows(r.Rows.Data) {
-			why = "rows"
+			reason = "rows"
 		}
 	case traffic.More:
 		if r.Page < 1 || r.Page >= maxPages {
-			why = "number of a page"
+			reason = "page number"
 		} else if !ValidRows(r.Rows.Data) {
-			why = "rows"
+			reason = "rows"
 		}
 	case traffic.Unknown:
-		why = "word"
+		reason = "word"
 	}
-	if why != "" {
-		r.Bad = fmt.Sprintf("%s; fields %q", why, fields)
+	if reason != "" {
+		r.Bad = fmt.Sprintf("%s; fields %q", reason, fields)
 	}
 }
 
+// parseLoad reads a load report, such as "queue:3;x0:0.25"; nil: there is none.
 func parseLoad(text string) *brain.Report {
 	if text == "" {
 		return nil
 	}
-	rep := settings.NoReport()
-	EachField(text, ';', ':', func(name, value string) { settings.Report(rep, name, ParseNumber(value)) })
-	return rep
+	load := settings.NoReport()
+	EachField(text, ';', ':', func(name, value string) { settings.Report(load, name, ParseNumber(value)) })
+	return load
 }
 
+// parseCount reads a count; -1: the text is not one.
 func parseCount(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 0 {
@@ -219,7 +231,7 @@
 	return n
 }
 
-// ParseNumber reads a figure; one that is none is below 0.
+// ParseNumber reads a finite number. It returns -1 for text that is not one.
 func ParseNumber(s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
@@ -228,9 +240,9 @@
 	return v
 }
 
-// Order asks an engine for something. The wait is rounded up, lest the engine gives up before the router does.
-func (Session) Order(out *buffers.Chain, what traffic.Order) {
-	switch o := what.(type) {
+// Order writes a command to an engine.
+func (Session) Order(out *buffers.Chain, order traffic.Order) {
+	switch o := order.(type) {
 	case *traffic.Dispatch:
 		writeFetch(out, o)
 	case traffic.GiveUp:
@@ -248,6 +260,8 @@
 	}
 }
 
+// writeFetch writes the command that runs a statement. Its time limit is sent in whole milliseconds and rounded up, so that the
+// engine doesn't stop before the router does.
 func writeFetch(out *buffers.Chain, d *traffic.Dispatch) {
 	fields := "queue=" + d.Group + ",budget=" + strconv.Itoa(max(int(math.Ceil(d.Wait*1000)), 1))
 	if d.Mark != "" {
@@ -261,20 +275,21 @@
 		out.WriteString("$" + strconv.Itoa(d.Text.Len()) + "\r\n")
 		out.Append(d.Text)
 	} else {
-		// What can't be written as a literal was refused before it was taken.
+		// A parameter that can't be written as a literal was rejected before the batch was accepted.
 		text, _ := rows.Inline(d.Text.String(), d.Parameters)
 		out.WriteString("$" + strconv.Itoa(len(d.Ahead)+len(text)) + "\r\n" + d.Ahead + text)
 	}
 	out.WriteString("\r\n")
 }
 
-func writeCommand(out *buffers.Chain, parts ...string) {
-	n := len(parts)
-	if parts[0] == "fetch" {
+// writeCommand writes an array of bulk strings. After "fetch" the caller adds one more, the text of the statement.
+func writeCommand(out *buffers.Chain, elements ...string) {
+	n := len(elements)
+	if elements[0] == "fetch" {
 		n++ // the text follows
 	}
 	out.WriteString("*" + strconv.Itoa(n) + "\r\n")
-	for _, p := range parts {
-		out.WriteString("$" + strconv.Itoa(len(p)) + "\r\n" + p + "\r\n")
+	for _, element := range elements {
+		out.WriteString("$" + strconv.Itoa(len(element)) + "\r\n" + element + "\r\n")
 	}
 }
--- a/internal/engines/section.go
+++ b/internal/engines/section.go
@@ -8,7 +8,7 @@
 	"pitchfield/internal/findings"
 )
 
-// EngineSections are [[engine]] of an operator's settings.
+// EngineSections holds the [[engine]] sections of the operator's settings, as they are decoded.
 type EngineSections struct {
 	Engine []struct {
 		ID         string  `toml:"id"`
@@ -26,58 +26,61 @@
 	} `toml:"engine"`
 }
 
-// Settings say how those that match are spoken to. The first that matches decides; none: RESP.
+// Settings says how the router communicates with the engines that match. The first Settings that match an engine apply to it;
+// without a match it is RESP.
 type Settings struct {
-	ID, Kind, Zone                string // patterns
-	Protocol                      string // resp or tds
-	User, Password, Database      string
-	PacketSize                    int
-	ProbeStatement, LoadStatement string
-	RejectionCodes                []int32
+	ID, Kind, Zone           string  // patterns in which * matches any text; empty: any
+	Protocol                 string  // resp or tds; the fields below are used with tds only
+	User, Password, Database string  // of the login
+	PacketSize               int     // bytes
+	ProbeStatement           string  // run as a health check
+	LoadStatement            string  // its first row is the load report; empty: none
+	RejectionCodes           []int32 // error numbers that say that a batch has not run
 }
 
-// Matches tells whether these are an engine's settings.
-func (e *Settings) Matches(one directory.Engine) bool {
-	return assign.Match(e.ID, one.ID) && assign.Match(e.Kind, one.Kind) && assign.Match(e.Zone, one.Zone)
+// Matches reports whether an engine's id, kind and zone match the patterns.
+func (e *Settings) Matches(engine directory.Engine) bool {
+	return assign.Match(e.ID, engine.ID) && assign.Match(e.Kind, engine.Kind) && assign.Match(e.Zone, engine.Zone)
 }
 
 const defaultProbeStatement = "SELECT 1"
 
-// Validate gives how engines are spoken to.
-func (f *EngineSections) Validate(c findings.To) (out []Settings) {
+// Validate returns the settings of each section, with defaults filled in, and reports errors to checker. Passwords may come from
+// environment variables.
+func (f *EngineSections) Validate(checker findings.To) (all []Settings) {
 	for i, e := range f.Engine {
-		at := fmt.Sprintf("engine[%d]", i)
-		one := Settings{ID: e.ID, Kind: e.Kind, Zone: e.Zone, Protocol: e.Protocol, User: e.User, Password: e.Password,
+		section := fmt.Sprintf("engine[%d]", i)
+		settings := Settings{ID: e.ID, Kind: e.Kind, Zone: e.Zone, Protocol: e.Protocol, User: e.User, Password: e.Password,
 			Database: e.Database, PacketSize: e.Packet, ProbeStatement: e.Probe, LoadStatement: e.Load, RejectionCodes: e.TurnedAway}
 		switch e.Protocol {
 		case "resp":
 			if e.User != "" || e.Password != "" || e.FromEnv != "" || e.Load != "" || e.Probe != "" {
-				c.Found(at, "user, password, probe and load are of protocol tds alone")
+				checker.Found(section, "user, password, probe and load apply to protocol tds only")
 			}
 		case "tds":
 			if e.User == "" {
-				c.Found(at+".user", "an engine that speaks TDS wants a login")
+				checker.Found(section+".user", "protocol tds requires a login")
 			}
 			if e.FromEnv != "" {
-				if one.Password = c.Getenv(e.FromEnv); one.Password == "" || e.Password != "" {
-					c.Found(at+".password-from", "the environment has no %q, or password stands beside it", e.FromEnv)
+				if settings.Password = checker.Getenv(e.FromEnv); settings.Password == "" || e.Password != "" {
+					checker.Found(section+".password-from", "environment variable %q is not set, or password is set as well", e.FromEnv)
 				}
 			}
 		default:
-			c.Found(at+".protocol", "%q is neither resp nor tds", e.Protocol)
+			checker.Found(section+".protocol", "%q is neither resp nor tds", e.Protocol)
 		}
-		if one.ProbeStatement == "" {
-			one.ProbeStatement = defaultProbeStatement
+		if settings.ProbeStatement == "" {
+			settings.ProbeStatement = defaultProbeStatement
 		}
-		if one.RejectionCodes == nil {
-			one.RejectionCodes = []int32{40501, 10928, 10929}
+		if settings.RejectionCodes == nil {
+			settings.RejectionCodes = []int32{40501, 10928, 10929} // service busy; resource limit reached; server too busy
 		}
-		if one.PacketSize == 0 {
-			one.PacketSize = 4096
-		} else if one.PacketSize < 512 || one.PacketSize > 32767 {
-			c.Found(at+".packet", "%d is not from 512 to 32767 bytes", e.Packet)
+		if settings.PacketSize == 0 {
+			settings.PacketSize = 4096 // bytes
+		} else if settings.PacketSize < 512 || settings.PacketSize > 32767 {
+			checker.Found(section+".packet", "%d is not from 512 to 32767 bytes", e.Packet)
 		}
-		out = append(out, one)
+		all = append(all, settings)
 	}
-	return out
+	return all
 }
