--- a/internal/clients/frames.go
+++ b/internal/clients/frames.go
@@ -1,4 +1,7 @@
-// Package clients speaks the frames between clients and the router.
+// Package clients implements the binary frame protocol between clients and the router. All numbers are little-endian. A frame
+// is its length (4 bytes, not counting itself), a type (1 byte), a stream number (4 bytes) and a payload. The payload of a batch
+// is a count of fields (1 byte), the fields, each a name with a 1-byte length and a value with a 2-byte length, and the text of
+// the statement.
 package clients
 
 import (
@@ -14,80 +17,85 @@
 	"pitchfield/internal/traffic"
 )
 
-// The types of frames.
+// Frame types.
 const (
-	FrameBatch          = 10 // a batch
-	FrameAnswer         = 11
+	FrameBatch          = 10 // batch of a client
+	FrameAnswer         = 11 // answer to a batch
 	FrameCancel         = 12 // the client has stopped waiting
-	FrameReadinessQuery = 20
-	FrameReadiness      = 21
-	FrameGoAway         = 30 // no new batch on this connection
+	FrameReadinessQuery = 20 // asks whether the router is ready
+	FrameReadiness      = 21 // answer to that
+	FrameGoAway         = 30 // the router accepts no new batch on this connection
 )
 
 // Codes of an answer.
 const (
 	CodeSucceeded = 0
-	CodeRejected  = 11
+	CodeRejected  = 11 // the batch may be sent again
 	CodeFailed    = 5
 )
 
 const (
-	headerBytes                    = 9 // length, type, stream
-	minFrameLength, maxFrameLength = 5, 262144
-	maxFields                      = 64
-	lengthBytes                    = 4
+	headerBytes    = 9      // length, type, stream
+	minFrameLength = 5      // bytes; type and stream without payload
+	maxFrameLength = 262144 // bytes
+	maxFields      = 64     // of a batch
+	lengthBytes    = 4
 
-	idDigits, maxOrderKeyBytes = 16, 64
-	maxCostMillis, maxMemoryMB = 1e7, 1e7 // milliseconds and MB: no engine has so much
-	maxResultBytes             = 48000    // bytes
+	idDigits         = 16 // hexadecimal
+	maxOrderKeyBytes = 64
+	maxCostMillis    = 1e7 // more than any engine can do
+	maxMemoryMB      = 1e7 // more than any engine has
+	maxResultBytes   = 48000
 
-	// IdempotencyKeyDigits is how long a mark is.
+	// IdempotencyKeyDigits is the number of hexadecimal digits of an idempotency key.
 	IdempotencyKeyDigits = 32
 )
 
-// ErrMalformedFrame says that a connection's bytes are no frames: nothing after them can be read.
-var ErrMalformedFrame = errors.New("not a frame")
+// ErrMalformedFrame reports bytes that are not a frame. Nothing after them can be read on the connection.
+var ErrMalformedFrame = errors.New("malformed frame")
 
-// Protocol is what the core must know of frames. Idle: clients close what is idle for 4 s themselves, so who keeps it
-// longer keeps it for good.
+// Protocol returns the description of the frame protocol for the router's core. Clients close a connection themselves after 4 s
+// idle; one that leaves it open for longer would keep it forever, so the router closes it after 5 s.
 func Protocol(pool *buffers.Pool) *traffic.ClientProtocol {
 	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: maxResultBytes,
 		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
 		New:     func() traffic.Client { return Session{} }}
 }
 
-// Session is a connection of a client. It holds nothing: frames stand for themselves.
+// Session is the protocol state of one client connection. Frames need none: each is complete in itself.
 type Session struct{}
 
-// Half is never so: what is not whole stays where it is.
+// Half returns false: an incomplete frame stays in the input buffer.
 func (Session) Half() bool { return false }
 
-// Read reads a frame off the stream; nothing while it is not whole.
+// Read removes the next frame from in and returns its message, or nil if the frame is not complete yet. Any error is an
+// ErrMalformedFrame. A complete batch with invalid fields is returned with an error of its own, so that the connection stays
+// usable.
 func (Session) Read(in, _ *buffers.Chain) (traffic.Said, error) {
-	var head [headerBytes]byte
-	if in.Peek(0, head[:]) < lengthBytes {
+	var header [headerBytes]byte
+	if in.Peek(0, header[:]) < lengthBytes {
 		return nil, nil
 	}
-	size := int(binary.LittleEndian.Uint32(head[:]))
+	size := int(binary.LittleEndian.Uint32(header[:]))
 	if size < minFrameLength || size > maxFrameLength {
 		return nil, fmt.Errorf("%w: length %d", ErrMalformedFrame, size)
 	}
 	if in.Len() < lengthBytes+size {
 		return nil, nil
 	}
-	stream := binary.LittleEndian.Uint32(head[5:])
+	stream := binary.LittleEndian.Uint32(header[5:])
 	in.Discard(headerBytes)
-	if head[4] == FrameBatch {
-		ask := &traffic.Ask{Stream: stream}
-		ask.Batch.Text = in.Cut(size - minFrameLength)
+	if header[4] == FrameBatch {
+		request := &traffic.Ask{Stream: stream}
+		request.Batch.Text = in.Cut(size - minFrameLength)
 		var f fields
-		if ask.Bad = f.read(ask.Batch.Text); ask.Bad == nil {
-			ask.Bad = f.decode(&ask.Batch)
+		if request.Bad = f.read(request.Batch.Text); request.Bad == nil {
+			request.Bad = f.decode(&request.Batch)
 		}
-		return ask, nil
+		return request, nil
 	}
 	in.Discard(size - minFrameLength)
-	switch head[4] {
+	switch header[4] {
 	case FrameCancel:
 		return traffic.Cancel{Stream: stream}, nil
 	case FrameReadinessQuery:
@@ -96,10 +104,20 @@
 	return traffic.Unusable{Stream: stream}, nil
 }
 
-// fields are the values that a batch is made of.
-type fields struct{ id, group, client, idempotencyKey, orderKey, timeLeft, cost, memory string }
+// fields holds the fields of a batch as text; empty: absent.
+type fields struct {
+	id             string
+	group          string
+	client         string
+	idempotencyKey string
+	orderKey       string
+	timeLeft       string // milliseconds
+	cost           string // milliseconds of work
+	memory         string // MB
+}
 
-func (f *fields) lookup(name []byte) (into *string, bit uint) {
+// lookup returns where the value of a field is stored and a bit that stands for the field, or nil and 0 if the name is unknown.
+func (f *fields) lookup(name []byte) (destination *string, bit uint) {
 	switch string(name) {
 	case "i":
 		return &f.id, 1
@@ -121,15 +139,15 @@
 	return nil, 0
 }
 
-// typicalFieldBytes is how many bytes fields take at most, usually: so many are read without an allocation.
+// typicalFieldBytes is a size that the fields of a batch rarely exceed. Fields up to this size are read without an allocation.
 const typicalFieldBytes = 512
 
-// read takes the fields off the front of a body. Names that nobody knows count too: none may stand twice.
+// read removes the fields from the front of a payload and stores them. No name may occur twice, not even an unknown one.
 func (f *fields) read(in *buffers.Chain) error {
-	var usual [typicalFieldBytes]byte
-	b := usual[:in.Peek(0, usual[:])]
+	var buffer [typicalFieldBytes]byte
+	b := buffer[:in.Peek(0, buffer[:])]
 	used, err := f.parse(b)
-	if err != nil && len(b) == typicalFieldBytes { // there may be more of them
+	if err != nil && len(b) == typicalFieldBytes { // the fields may be longer
 		*f = fields{}
 		used, err = f.parse(in.Bytes())
 	}
@@ -137,20 +155,21 @@
 	return err
 }
 
+// parse stores the fields at the front of b and returns the number of bytes that they take.
 func (f *fields) parse(b []byte) (used int, err error) {
 	all := len(b)
-	text := func(wide int) (out []byte, ok bool) { // a size of so many bytes, then the text
-		if len(b) < wide {
+	text := func(width int) (out []byte, ok bool) { // reads a length of width bytes and text of that length
+		if len(b) < width {
 			return nil, false
 		}
 		n := int(b[0])
-		if wide == 2 {
+		if width == 2 {
 			n |= int(b[1]) << 8
 		}
-		if len(b) < wide+n {
+		if len(b) < width+n {
 			return nil, false
 		}
-		out, b = b[wide:wide+n], b[wide+n:]
+		out, b = b[width:width+n], b[width+n:]
 		return out, true
 	}
 	if len(b) == 0 {
@@ -158,56 +177,56 @@
 	}
 	count := int(b[0])
 	if b = b[1:]; count > maxFields {
-		return 1, fmt.Errorf("%d fields", count)
+		return 1, fmt.Errorf("%d fields are too many", count)
 	}
-	var known uint
-	var others []string
+	var seen uint // bits of the known fields that have occurred
+	var unknown []string
 	for range count {
 		name, ok := text(1)
 		if !ok {
 			return all, errors.New("fields are cut short")
 		}
-		into, bit := f.lookup(name)
-		twice := known&bit != 0
-		if known |= bit; into == nil {
-			twice = slices.Contains(others, string(name))
-			others = append(others, string(name))
+		destination, bit := f.lookup(name)
+		duplicate := seen&bit != 0
+		if seen |= bit; destination == nil {
+			duplicate = slices.Contains(unknown, string(name))
+			unknown = append(unknown, string(name))
 		}
-		if twice {
-			return all, fmt.Errorf("two fields %.8q", name)
+		if duplicate {
+			return all, fmt.Errorf("duplicate field %.8q", name)
 		}
 		value, ok := text(2)
 		if !ok {
 			return all, errors.New("fields are cut short")
 		}
-		if into != nil {
-			*into = string(value)
+		if destination != nil {
+			*destination = string(value)
 		}
 	}
 	return all - len(b), nil
 }
 
-// decode reads what the fields say.
+// decode validates the fields and stores their values in a batch.
 func (f *fields) decode(b *traffic.Batch) error {
 	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.idempotencyKey
 	if !IsHex(b.ID, idDigits) {
 		return errors.New("field i is not an id")
 	}
 	if b.Mark != "" && !IsHex(b.Mark, IdempotencyKeyDigits) {
-		return errors.New("field k is no mark")
+		return errors.New("field k is not an idempotency key")
 	}
-	left, err := strconv.ParseUint(f.timeLeft, 10, 31)
-	if err != nil || left == 0 {
-		return errors.New("field d is no time")
+	millis, err := strconv.ParseUint(f.timeLeft, 10, 31)
+	if err != nil || millis == 0 {
+		return errors.New("field d is not a time in milliseconds")
 	}
-	b.Left = float64(left) / 1000
-	cost, ok := ParseNonNegative(f.cost, maxCostMillis)
-	memory, ok2 := ParseNonNegative(f.memory, maxMemoryMB)
-	if !ok || !ok2 {
-		return errors.New("fields h or mb are no figures")
+	b.Left = float64(millis) / 1000
+	cost, costOK := ParseNonNegative(f.cost, maxCostMillis)
+	memory, memoryOK := ParseNonNegative(f.memory, maxMemoryMB)
+	if !costOK || !memoryOK {
+		return errors.New("field h or mb is not a number in its range")
 	}
 	if b.Text.Len() == 0 {
-		return errors.New("no statement")
+		return errors.New("statement is missing")
 	}
 	b.Cost, b.Memory = cost/1000, memory
 	if len(f.orderKey) > maxOrderKeyBytes {
@@ -217,19 +236,21 @@
 	return nil
 }
 
-// HashOrderKey gives the number of a key, alike for every protocol; 0: there is none.
+// HashOrderKey returns the FNV-1a hash of an order key, the same for every protocol. It is 0 only for an empty key, which means
+// that there is none.
 func HashOrderKey(text string) uint64 {
 	if text == "" {
 		return 0
 	}
-	h := uint64(14695981039346656037)
+	hash := uint64(14695981039346656037) // FNV-1a offset basis
 	for _, c := range []byte(text) {
-		h = (h ^ uint64(c)) * 1099511628211
+		hash = (hash ^ uint64(c)) * 1099511628211 // FNV-1a prime
 	}
-	return max(h, 1)
+	return max(hash, 1)
 }
 
-// IsHex: it is so many digits, and can stand in an engine's fields without changing their meaning.
+// IsHex reports whether s consists of exactly this many lower-case hexadecimal digits. Text of such digits can be inserted in the
+// fields of an engine's command without changing their meaning.
 func IsHex(s string, digits int) bool {
 	for _, c := range []byte(s) {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') {
@@ -239,8 +260,9 @@
 	return len(s) == digits
 }
 
-// ParseNonNegative reads a plain figure from 0 to the most; none at all is 0.
-func ParseNonNegative(s string, most float64) (float64, bool) {
+// ParseNonNegative reads a decimal number from 0 to limit, without sign or exponent, and reports whether s is one. An empty text
+// is 0.
+func ParseNonNegative(s string, limit float64) (float64, bool) {
 	if s == "" {
 		return 0, true
 	}
@@ -250,31 +272,32 @@
 		}
 	}
 	v, err := strconv.ParseFloat(s, 64)
-	return v, err == nil && v <= most
+	return v, err == nil && v <= limit
 }
 
+// writeHeader writes the header of a frame whose payload has this many bytes.
 func writeHeader(out *buffers.Chain, kind uint8, stream uint32, payload int) {
-	var h [headerBytes]byte
-	binary.LittleEndian.PutUint32(h[:], uint32(minFrameLength+payload))
-	h[4] = kind
-	binary.LittleEndian.PutUint32(h[5:], stream)
-	out.Write(h[:])
+	var header [headerBytes]byte
+	binary.LittleEndian.PutUint32(header[:], uint32(minFrameLength+payload))
+	header[4] = kind
+	binary.LittleEndian.PutUint32(header[5:], stream)
+	out.Write(header[:])
 }
 
-// answerCodes gives the code that stands for an ending.
+// answerCodes maps the outcome of a batch to its code on the wire.
 var answerCodes = [...]byte{traffic.Returned: CodeSucceeded, traffic.PushedBack: CodeRejected, traffic.Errored: CodeFailed}
 
-// Tell frames what a client is told. An error that belongs to no batch is an answer to stream 0.
-func (Session) Tell(out *buffers.Chain, what traffic.Tell) {
-	switch w := what.(type) {
+// Tell writes a message to a client as a frame. An error that belongs to no batch is sent as an answer to stream 0.
+func (Session) Tell(out *buffers.Chain, message traffic.Tell) {
+	switch m := message.(type) {
 	case *traffic.Answer:
-		writeAnswer(out, w)
+		writeAnswer(out, m)
 	case traffic.Ready:
 		code := byte(CodeSucceeded)
-		if !w.Yes {
+		if !m.Yes {
 			code = CodeRejected
 		}
-		writeHeader(out, FrameReadiness, w.Stream, 2)
+		writeHeader(out, FrameReadiness, m.Stream, 2)
 		out.Write([]byte{code, 0})
 	case traffic.NoMore:
 		writeHeader(out, FrameGoAway, 0, 0)
@@ -283,20 +306,21 @@
 	}
 }
 
-// writeAnswer frames the answer to a batch; parts of the body follow each other. The wait is told in milliseconds.
+// writeAnswer writes the answer to a batch, with the parts of its result one after the other. The delay after which the client may
+// try again is sent in whole milliseconds, rounded up.
 func writeAnswer(out *buffers.Chain, a *traffic.Answer) {
 	fields := []byte{answerCodes[a.Code], 0}
 	if a.Wait > 0 {
-		v := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
-		fields = append([]byte{answerCodes[a.Code], 1, 1, 'w', byte(len(v)), 0}, v...)
+		millis := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
+		fields = append([]byte{answerCodes[a.Code], 1, 1, 'w', byte(len(millis)), 0}, millis...)
 	}
 	size := len(fields)
-	for _, p := range a.Rows {
-		size += p.Len()
+	for _, part := range a.Rows {
+		size += part.Len()
 	}
 	writeHeader(out, FrameAnswer, a.Stream, size)
 	out.Write(fields)
-	for _, p := range a.Rows {
-		out.Append(p.Data)
+	for _, part := range a.Rows {
+		out.Append(part.Data)
 	}
 }
--- a/internal/clients/frames_test.go
+++ b/internal/clients/frames_test.go
@@ -13,43 +13,45 @@
 	"pitchfield/internal/traffic"
 )
 
+// frame encodes a frame.
 func frame(kind byte, stream uint32, payload string) string {
 	out := binary.LittleEndian.AppendUint32(nil, uint32(5+len(payload)))
 	out = binary.LittleEndian.AppendUint32(append(out, kind), stream)
 	return string(out) + payload
 }
 
+// batchPayload is the payload of a valid batch.
 const batchPayload = "\x04\x01c\x06\x00lookup\x01i\x10\x0000000000000000f1\x01d\x04\x001500\x02mb\x02\x0096SELECT 1"
 
 func TestReadPartialAndConsecutiveFrames(t *testing.T) {
 	pool := &buffers.Pool{}
 	in := pool.Chain()
 	var got []traffic.Said
-	all := frame(FrameBatch, 7, batchPayload) + frame(FrameCancel, 7, "") + frame(FrameReadinessQuery, 8, "\x00") + frame(99, 4, "?")
-	for i := range len(all) {
-		in.WriteString(all[i : i+1])
+	stream := frame(FrameBatch, 7, batchPayload) + frame(FrameCancel, 7, "") + frame(FrameReadinessQuery, 8, "\x00") + frame(99, 4, "?")
+	for i := range len(stream) {
+		in.WriteString(stream[i : i+1])
 		f, err := Session{}.Read(in, nil)
 		require.NoError(t, err)
 		if f != nil {
 			got = append(got, f)
 		}
 	}
-	in.WriteString(all)
+	in.WriteString(stream)
 	for range 4 {
 		f, err := Session{}.Read(in, nil)
 		require.NoError(t, err)
 		got = append(got, f)
 	}
-	for _, four := range [][]traffic.Said{got[:4], got[4:]} {
-		a := four[0].(*traffic.Ask)
+	for _, messages := range [][]traffic.Said{got[:4], got[4:]} {
+		a := messages[0].(*traffic.Ask)
 		require.NoError(t, a.Bad)
 		assert.Equal(t, "SELECT 1", a.Batch.Text.String())
 		a.Batch.Text.Release()
 		a.Batch.Text = nil
 		assert.Equal(t, traffic.Batch{ID: "00000000000000f1", Group: "lookup", Left: 1.5, Memory: 96}, a.Batch)
-		assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: 7}, traffic.AskReady{Stream: 8}, traffic.Unusable{Stream: 4}}, four[1:])
+		assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: 7}, traffic.AskReady{Stream: 8}, traffic.Unusable{Stream: 4}}, messages[1:])
 	}
-	assert.Zero(t, pool.Used(), "all buffers are back")
+	assert.Zero(t, pool.Used(), "all buffers are released")
 }
 
 func TestMalformedFrameIsAnError(t *testing.T) {
@@ -61,7 +63,8 @@
 	}
 }
 
-// One field that an engine can't use would close a connection that other batches share.
+// An invalid field fails its batch only: sent on to an engine, it could close a connection that other batches share, and the
+// client's connection carries other batches too.
 func TestInvalidFieldsKeepTheConnection(t *testing.T) {
 	field := func(name, value string) string {
 		return string(byte(len(name))) + name + string(byte(len(value))) + "\x00" + value
@@ -76,12 +79,12 @@
 	}
 	bad := []string{"\x01\x01c\xff\xffx", "\xff", "", "\x01\x01i", payload(append(good, "d", "900")...), payload(good[2:]...),
 		payload(good...)[:len(payload(good...))-len("SELECT 1")]}
-	for at, values := range map[int][]string{1: {"", "a", "00000000000000f1a", "00000000000000F1", "0000000000000,=1"},
+	for position, values := range map[int][]string{1: {"", "a", "00000000000000f1a", "00000000000000F1", "0000000000000,=1"},
 		3: {"", "0", "-4", "NaN", "1e3", "99999999999", "9.5"}, 5: {"-820", "1e300", "NaN", "99999999999", "x"},
 		7: {"-1", "Inf", "99999999999"}, 9: {"a=b", "5c0f"}} {
 		for _, v := range values {
 			fields := slices.Clone(good)
-			fields[at] = v
+			fields[position] = v
 			bad = append(bad, payload(fields...))
 		}
 	}
@@ -119,12 +122,12 @@
 		in := pool.Chain()
 		in.Write(text)
 		for {
-			one, err := Session{}.Read(in, nil)
-			if one == nil || err != nil {
+			message, err := Session{}.Read(in, nil)
+			if message == nil || err != nil {
 				break
 			}
-			if a, is := one.(*traffic.Ask); is {
-				a.Batch.Text.Release()
+			if request, ok := message.(*traffic.Ask); ok {
+				request.Batch.Text.Release()
 			}
 		}
 		in.Release()
