--- a/internal/clients/frames.go
+++ b/internal/clients/frames.go
@@ -1,4 +1,7 @@
-// Package clients speaks the frames between clients and the router.
+// Package clients implements the binary frame protocol between clients and the router. All numbers are little-endian. A frame
+// is its length (4 bytes, not counting itself), a type (1 byte), a stream number (4 bytes) and a payload. The payload of a batch
+// is a count of fields (1 byte), the fields, each a name with a 1-byte length and a value with a 2-byte length, and the text of
+// the statement.
 package clients
 
 import (
@@ -14,92 +17,107 @@
 	"pitchfield/internal/traffic"
 )
 
-// The types of frames.
+// Frame types.
 const (
-	Ask      = 10 // a batch
-	Answer   = 11
-	Cancel   = 12 // the client has stopped waiting
-	AskReady = 20
-	Ready    = 21
-	NoMore   = 30 // no new batch on this connection
+	FrameBatch          = 10 // batch of a client
+	FrameAnswer         = 11 // answer to a batch
+	FrameCancel         = 12 // the client has stopped waiting
+	FrameReadinessQuery = 20 // asks whether the router is ready
+	FrameReadiness      = 21 // answer to that
+	FrameGoAway         = 30 // the router accepts no new batch on this connection
 )
 
 // Codes of an answer.
 const (
-	Served  = 0
-	Refused = 11
-	Failed  = 5
+	CodeSucceeded = 0
+	CodeRejected  = 11 // the batch may be sent again
+	CodeFailed    = 5
 )
 
 const (
-	headSize            = 9 // length, type, stream
-	leastSize, mostSize = 5, 262144
-	mostFields          = 64
-	lengthSize          = 4
+	headerBytes    = 9      // length, type, stream
+	minFrameLength = 5      // bytes; type and stream without payload
+	maxFrameLength = 262144 // bytes
+	maxFields      = 64     // of a batch
+	lengthBytes    = 4
 
-	idDigits, mostKey    = 16, 64
-	mostCost, mostMemory = 1e7, 1e7 // milliseconds and MB: no engine has so much
-	mostResult           = 48000    // bytes
+	idDigits         = 16 // hexadecimal
+	maxOrderKeyBytes = 64
+	maxCostMillis    = 1e7 // more than any engine can do
+	maxMemoryMB      = 1e7 // more than any engine has
+	maxResultBytes   = 48000
 
-	// MarkDigits is how long a mark is.
-	MarkDigits = 32
+	// IdempotencyKeyDigits is the number of hexadecimal digits of an idempotency key.
+	IdempotencyKeyDigits = 32
 )
 
-// ErrFrame says that a connection's bytes are no frames: nothing after them can be read.
-var ErrFrame = errors.New("not a frame")
+// ErrMalformedFrame reports bytes that are not a frame. Nothing after them can be read on the connection.
+var ErrMalformedFrame = errors.New("malformed frame")
 
-// Protocol is what the core must know of frames. Idle: clients close what is idle for 4 s themselves, so who keeps it
-// longer keeps it for good.
+// Protocol returns the description of the frame protocol for the router's core. Clients close a connection themselves after 4 s
+// idle; one that leaves it open for longer would keep it forever, so the router closes it after 5 s.
 func Protocol(pool *buffers.Pool) *traffic.ClientProtocol {
-	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: mostResult,
+	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: maxResultBytes,
 		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
 		New:     func() traffic.Client { return Session{} }}
 }
 
-// Session is a connection of a client. It holds nothing: frames stand for themselves.
+// Session is the protocol state of one client connection. Frames need none: each is complete in itself.
 type Session struct{}
 
-// Half is never so: what is not whole stays where it is.
+// Half returns false: an incomplete frame stays in the input buffer.
 func (Session) Half() bool { return false }
 
-// Read reads a frame off the stream; nothing while it is not whole.
+// Read removes the next frame from in and returns its message, or nil if the frame is not complete yet. Any error is an
+// ErrMalformedFrame. A complete batch with invalid fields is returned with an error of its own, so that the connection stays
+// usable.
 func (Session) Read(in, _ *buffers.Chain) (traffic.Said, error) {
-	var head [headSize]byte
-	if in.Peek(0, head[:]) < lengthSize {
+	var header [headerBytes]byte
+	if in.Peek(0, header[:]) < lengthBytes {
 		return nil, nil
 	}
-	size := int(binary.LittleEndian.Uint32(head[:]))
-	if size < leastSize || size > mostSize {
-		return nil, fmt.Errorf("%w: length %d", ErrFrame, size)
+	size := int(binary.LittleEndian.Uint32(header[:]))
+	if size < minFrameLength || size > maxFrameLength {
+		return nil, fmt.Errorf("%w: length %d", ErrMalformedFrame, size)
 	}
-	if in.Len() < lengthSize+size {
+	if in.Len() < lengthBytes+size {
 		return nil, nil
 	}
-	stream := binary.LittleEndian.Uint32(head[5:])
-	in.Discard(headSize)
-	if head[4] == Ask {
-		ask := &traffic.Ask{Stream: stream}
-		ask.Batch.Text = in.Cut(size - leastSize)
+	stream := binary.LittleEndian.Uint32(header[5:])
+	in.Discard(headerBytes)
+	if header[4] == FrameBatch {
+		request := &traffic.Ask{Stream: stream}
+		request.Batch.Text = in.Cut(size - minFrameLength)
 		var f fields
-		if ask.Bad = f.read(ask.Batch.Text); ask.Bad == nil {
-			ask.Bad = f.batch(&ask.Batch)
+		if request.Bad = f.read(request.Batch.Text); request.Bad == nil {
+			request.Bad = f.decode(&request.Batch)
 		}
-		return ask, nil
+		return request, nil
 	}
-	in.Discard(size - leastSize)
-	switch head[4] {
-	case Cancel:
+	in.Discard(size - minFrameLength)
+	switch header[4] {
+	case FrameCancel:
 		return traffic.Cancel{Stream: stream}, nil
-	case AskReady:
+	case FrameReadinessQuery:
 		return traffic.AskReady{Stream: stream}, nil
 	}
 	return traffic.Unusable{Stream: stream}, nil
 }
 
-// fields are the values that a batch is made of.
-type fields struct{ id, group, client, mark, key, left, cost, memory string }
+// fields holds the fields of a batch as text; empty: absent.
+type fields struct {
+	id             string
+	group          string
+	client         string
+	idempotencyKey string
+	orderKey       string
+	timeLeft       string // milliseconds
+	cost           string // milliseconds of work
+	memory         string // MB
+}
 
-func (f *fields) named(name []byte) (into *string, bit uint) {
+// lookup returns where the value of a field is stored and a bit that stands for the field, or nil and 0 if the name is unknown.
+func (f *fields) lookup(name []byte) (destination *string, bit uint) {
 	switch string(name) {
 	case "i":
 		return &f.id, 1
@@ -108,11 +126,11 @@
 	case "t":
 		return &f.client, 4
 	case "k":
-		return &f.mark, 8
+		return &f.idempotencyKey, 8
 	case "o":
-		return &f.key, 16
+		return &f.orderKey, 16
 	case "d":
-		return &f.left, 32
+		return &f.timeLeft, 32
 	case "h":
 		return &f.cost, 64
 	case "mb":
@@ -121,15 +139,15 @@
 	return nil, 0
 }
 
-// usualFields is how many bytes fields take at most, usually: so many are read without an allocation.
-const usualFields = 512
+// typicalFieldBytes is a size that the fields of a batch rarely exceed. Fields up to this size are read without an allocation.
+const typicalFieldBytes = 512
 
-// read takes the fields off the front of a body. Names that nobody knows count too: none may stand twice.
+// read removes the fields from the front of a payload and stores them. No name may occur twice, not even an unknown one.
 func (f *fields) read(in *buffers.Chain) error {
-	var usual [usualFields]byte
-	b := usual[:in.Peek(0, usual[:])]
+	var buffer [typicalFieldBytes]byte
+	b := buffer[:in.Peek(0, buffer[:])]
 	used, err := f.parse(b)
-	if err != nil && len(b) == usualFields { // there may be more of them
+	if err != nil && len(b) == typicalFieldBytes { // the fields may be longer
 		*f = fields{}
 		used, err = f.parse(in.Bytes())
 	}
@@ -137,100 +155,103 @@
 	return err
 }
 
+// parse stores the fields at the front of b and returns the number of bytes that they take.
 func (f *fields) parse(b []byte) (used int, err error) {
 	all := len(b)
-	text := func(wide int) (out []byte, ok bool) { // a size of so many bytes, then the text
-		if len(b) < wide {
+	text := func(width int) (out []byte, ok bool) { // reads a length of width bytes and text of that length
+		if len(b) < width {
 			return nil, false
 		}
 		n := int(b[0])
-		if wide == 2 {
+		if width == 2 {
 			n |= int(b[1]) << 8
 		}
-		if len(b) < wide+n {
+		if len(b) < width+n {
 			return nil, false
 		}
-		out, b = b[wide:wide+n], b[wide+n:]
+		out, b = b[width:width+n], b[width+n:]
 		return out, true
 	}
 	if len(b) == 0 {
 		return 0, nil
 	}
 	count := int(b[0])
-	if b = b[1:]; count > mostFields {
-		return 1, fmt.Errorf("%d fields", count)
+	if b = b[1:]; count > maxFields {
+		return 1, fmt.Errorf("%d fields are too many", count)
 	}
-	var known uint
-	var others []string
+	var seen uint // bits of the known fields that have occurred
+	var unknown []string
 	for range count {
 		name, ok := text(1)
 		if !ok {
 			return all, errors.New("fields are cut short")
 		}
-		into, bit := f.named(name)
-		twice := known&bit != 0
-		if known |= bit; into == nil {
-			twice = slices.Contains(others, string(name))
-			others = append(others, string(name))
+		destination, bit := f.lookup(name)
+		duplicate := seen&bit != 0
+		if seen |= bit; destination == nil {
+			duplicate = slices.Contains(unknown, string(name))
+			unknown = append(unknown, string(name))
 		}
-		if twice {
-			return all, fmt.Errorf("two fields %.8q", name)
+		if duplicate {
+			return all, fmt.Errorf("duplicate field %.8q", name)
 		}
 		value, ok := text(2)
 		if !ok {
 			return all, errors.New("fields are cut short")
 		}
-		if into != nil {
-			*into = string(value)
+		if destination != nil {
+			*destination = string(value)
 		}
 	}
 	return all - len(b), nil
 }
 
-// batch reads what the fields say.
-func (f *fields) batch(b *traffic.Batch) error {
-	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.mark
-	if !Hex(b.ID, idDigits) {
+// decode validates the fields and stores their values in a batch.
+func (f *fields) decode(b *traffic.Batch) error {
+	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.idempotencyKey
+	if !IsHex(b.ID, idDigits) {
 		return errors.New("field i is not an id")
 	}
-	if b.Mark != "" && !Hex(b.Mark, MarkDigits) {
-		return errors.New("field k is no mark")
+	if b.Mark != "" && !IsHex(b.Mark, IdempotencyKeyDigits) {
+		return errors.New("field k is not an idempotency key")
 	}
-	left, err := strconv.ParseUint(f.left, 10, 31)
-	if err != nil || left == 0 {
-		return errors.New("field d is no time")
+	millis, err := strconv.ParseUint(f.timeLeft, 10, 31)
+	if err != nil || millis == 0 {
+		return errors.New("field d is not a time in milliseconds")
 	}
-	b.Left = float64(left) / 1000
-	cost, ok := Figure(f.cost, mostCost)
-	memory, ok2 := Figure(f.memory, mostMemory)
-	if !ok || !ok2 {
-		return errors.New("fields h or mb are no figures")
+	b.Left = float64(millis) / 1000
+	cost, costOK := ParseNonNegative(f.cost, maxCostMillis)
+	memory, memoryOK := ParseNonNegative(f.memory, maxMemoryMB)
+	if !costOK || !memoryOK {
+		return errors.New("field h or mb is not a number in its range")
 	}
 	if b.Text.Len() == 0 {
-		return errors.New("no statement")
+		return errors.New("statement is missing")
 	}
 	b.Cost, b.Memory = cost/1000, memory
-	if len(f.key) > mostKey {
+	if len(f.orderKey) > maxOrderKeyBytes {
 		return errors.New("field o is too long")
 	}
-	b.Key = Key(f.key)
+	b.Key = HashOrderKey(f.orderKey)
 	return nil
 }
 
-// Key gives the number of a key, alike for every protocol; 0: there is none.
-func Key(text string) uint64 {
+// HashOrderKey returns the FNV-1a hash of an order key, the same for every protocol. It is 0 only for an empty key, which means
+// that there is none.
+func HashOrderKey(text string) uint64 {
 	if text == "" {
 		return 0
 	}
-	h := uint64(14695981039346656037)
+	hash := uint64(14695981039346656037) // FNV-1a offset basis
 	for _, c := range []byte(text) {
-		h = (h ^ uint64(c)) * 1099511628211
+		hash = (hash ^ uint64(c)) * 1099511628211 // FNV-1a prime
 	}
-	return max(h, 1)
+	return max(hash, 1)
 }
 
-// Hex: it is so many digits, and can stand in an engine's fields without changing their meaning.
-func Hex(s string, digits int) bool {
+// IsHex reports whether s consists of exactly this many lower-case hexadecimal digits. Text of such digits can be inserted in the
+// fields of an engine's command without changing their meaning.
+func IsHex(s string, digits int) bool {
 	for _, c := range []byte(s) {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 			return false
@@ -239,8 +260,9 @@
 	return len(s) == digits
 }
 
-// Figure reads a plain figure from 0 to the most; none at all is 0.
-func Figure(s string, most float64) (float64, bool) {
+// ParseNonNegative reads a decimal number from 0 to limit, without sign or exponent, and reports whether s is one. An empty text
+// is 0.
+func ParseNonNegative(s string, limit float64) (float64, bool) {
 	if s == "" {
 		return 0, true
 	}
@@ -250,53 +272,55 @@
 		}
 	}
 	v, err := strconv.ParseFloat(s, 64)
-	return v, err == nil && v <= most
+	return v, err == nil && v <= limit
 }
 
-func head(out *buffers.Chain, kind uint8, stream uint32, payload int) {
-	var h [headSize]byte
-	binary.LittleEndian.PutUint32(h[:], uint32(leastSize+payload))
-	h[4] = kind
-	binary.LittleEndian.PutUint32(h[5:], stream)
-	out.Write(h[:])
+// writeHeader writes the header of a frame whose payload has this many bytes.
+func writeHeader(out *buffers.Chain, kind uint8, stream uint32, payload int) {
+	var header [headerBytes]byte
+	binary.LittleEndian.PutUint32(header[:], uint32(minFrameLength+payload))
+	header[4] = kind
+	binary.LittleEndian.PutUint32(header[5:], stream)
+	out.Write(header[:])
 }
 
-// codes gives the code that stands for an ending.
-var codes = [...]byte{traffic.Returned: Served, traffic.PushedBack: Refused, traffic.Errored: Failed}
+// answerCodes maps the outcome of a batch to its code on the wire.
+var answerCodes = [...]byte{traffic.Returned: CodeSucceeded, traffic.PushedBack: CodeRejected, traffic.Errored: CodeFailed}
 
-// Tell frames what a client is told. An error that belongs to no batch is an answer to stream 0.
-func (Session) Tell(out *buffers.Chain, what traffic.Tell) {
-	switch w := what.(type) {
+// Tell writes a message to a client as a frame. An error that belongs to no batch is sent as an answer to stream 0.
+func (Session) Tell(out *buffers.Chain, message traffic.Tell) {
+	switch m := message.(type) {
 	case *traffic.Answer:
-		answer(out, w)
+		writeAnswer(out, m)
 	case traffic.Ready:
-		code := byte(Served)
-		if !w.Yes {
-			code = Refused
+		code := byte(CodeSucceeded)
+		if !m.Yes {
+			code = CodeRejected
 		}
-		head(out, Ready, w.Stream, 2)
+		writeHeader(out, FrameReadiness, m.Stream, 2)
 		out.Write([]byte{code, 0})
 	case traffic.NoMore:
-		head(out, NoMore, 0, 0)
+		writeHeader(out, FrameGoAway, 0, 0)
 	case traffic.Complaint:
-		answer(out, &traffic.Answer{Code: traffic.Errored})
+		writeAnswer(out, &traffic.Answer{Code: traffic.Errored})
 	}
 }
 
-// answer frames the answer to a batch; parts of the body follow each other. The wait is told in milliseconds.
-func answer(out *buffers.Chain, a *traffic.Answer) {
-	fields := []byte{codes[a.Code], 0}
+// writeAnswer writes the answer to a batch, with the parts of its result one after the other. The delay after which the client may
+// try again is sent in whole milliseconds, rounded up.
+func writeAnswer(out *buffers.Chain, a *traffic.Answer) {
+	fields := []byte{answerCodes[a.Code], 0}
 	if a.Wait > 0 {
-		v := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
-		fields = append([]byte{codes[a.Code], 1, 1, 'w', byte(len(v)), 0}, v...)
+		millis := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
+		fields = append([]byte{answerCodes[a.Code], 1, 1, 'w', byte(len(millis)), 0}, millis...)
 	}
 	size := len(fields)
-	for _, p := range a.Rows {
-		size += p.Len()
+	for _, part := range a.Rows {
+		size += part.Len()
 	}
-	head(out, Answer, a.Stream, size)
+	writeHeader(out, FrameAnswer, a.Stream, size)
 	out.Write(fields)
-	for _, p := range a.Rows {
-		out.Append(p.Data)
+	for _, part := range a.Rows {
+		out.Append(part.Data)
 	}
 }
--- a/internal/engines/resp.go
+++ b/internal/engines/resp.go
@@ -1,4 +1,5 @@
-// Package engines speaks RESP with the sql engines and keeps the pools of connections to them.
+// Package engines implements the RESP protocol between the router and the SQL engines, the connection pool of an engine,
+// and the [[engine]] sections of the operator's settings.
 package engines
 
 import (
@@ -15,44 +16,49 @@
 	"pitchfield/internal/traffic"
 )
 
-var words = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
+// replyKinds maps the status word of a reply to its kind.
+var replyKinds = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
 	"PAST": traffic.Late, "TELL": traffic.News, "MORE": traffic.More, "FIT": traffic.Fit, "UNFIT": traffic.Unfit}
 
-var notes = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
+// updateKinds maps the "detail" field of a progress reply to its kind.
+var updateKinds = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
 
-// Protocol is what the core must know of the engines' RESP.
+// Protocol returns the description of RESP for the router's core.
 func Protocol() *traffic.EngineProtocol {
 	return &traffic.EngineProtocol{Name: "resp", Bounded: true, New: func() traffic.Engine { return Session{} }}
 }
 
-// Session is a connection to an engine. It holds nothing: ids tell what belongs together.
+// Session is the protocol state of one connection to an engine. RESP needs none: ids match replies to requests.
 type Session struct{}
 
-// Open says nothing.
+// Open writes nothing, since RESP has no handshake: the connection is ready at once.
 func (Session) Open(*buffers.Chain) bool { return true }
 
-// ErrReply says that a connection's bytes are no answers: nothing after them can be read.
-var ErrReply = errors.New("not an answer")
+// ErrMalformedReply reports bytes that are not a reply. Nothing after them can be read on the connection.
+var ErrMalformedReply = errors.New("malformed reply")
 
+// Limits and sizes of replies.
 const (
-	mostParts = 16
-	mostBulk  = 8 << 10 // a page holds 6,000 bytes
-	columns   = 3
-	mostLine  = 24
-	mostPages = 64  // far more than the largest result has
-	shown     = 512 // bytes of id, word and fields that count
+	maxElements    = 16      // of the array that is a reply
+	maxBulkBytes   = 8 << 10 // of a bulk string; a page of a result holds 6,000 bytes
+	rowColumns     = 3       // of a result
+	maxHeaderBytes = 24      // of a line with a length
+	maxPages       = 64      // of a result; far more than the largest result has
+	maxTextBytes   = 512     // of the id, the status word and the fields that are read; the rest is ignored
 )
 
-// Read reads an answer off the stream; none while it is not whole.
+// Read removes the next reply from in and returns it, or nil if the reply is not complete yet. A reply is an array of id,
+// status word, fields and rows; the last two may be missing. Any error is an ErrMalformedReply. A complete reply whose content
+// is not valid is returned with the reason noted in it.
 func (Session) Read(in, _ *buffers.Chain) (*traffic.Reply, error) {
 	at := 0
-	count, ok, err := header(in, &at, '*', mostParts)
+	count, ok, err := readHeader(in, &at, '*', maxElements)
 	if !ok {
 		return nil, err
 	}
-	var starts, sizes [mostParts]int
+	var starts, sizes [maxElements]int
 	for i := range count {
-		if sizes[i], ok, err = header(in, &at, '$', mostBulk); !ok {
+		if sizes[i], ok, err = readHeader(in, &at, '$', maxBulkBytes); !ok {
 			return nil, err
 		}
 		starts[i] = at
@@ -61,23 +67,23 @@
 		}
 		var end [2]byte
 		if in.Peek(at-2, end[:]); end != [2]byte{'\r', '\n'} {
-			return nil, fmt.Errorf("%w: bulk string %d does not end", ErrReply, i)
+			return nil, fmt.Errorf("%w: bulk string %d does not end", ErrMalformedReply, i)
 		}
 	}
 	if count < 2 {
-		return nil, fmt.Errorf("%w: %d parts", ErrReply, count)
+		return nil, fmt.Errorf("%w: %d elements", ErrMalformedReply, count)
 	}
-	text := func(i int) string {
+	text := func(i int) string { // empty: the element is missing
 		if i >= count {
 			return ""
 		}
-		out := make([]byte, min(sizes[i], shown))
+		out := make([]byte, min(sizes[i], maxTextBytes))
 		in.Peek(starts[i], out)
 		return string(out)
 	}
-	r := &traffic.Reply{ID: text(0), Word: words[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
+	r := &traffic.Reply{ID: text(0), Word: replyKinds[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
 	fields := text(2)
-	read(r, fields)
+	parseFields(r, fields)
 	if count > 3 {
 		in.Discard(starts[3])
 		r.Rows.Data = in.Cut(sizes[3])
@@ -85,34 +91,37 @@
 	} else {
 		in.Discard(at)
 	}
-	check(r, fields)
+	validate(r, fields)
 	return r, nil
 }
 
-func header(in *buffers.Chain, at *int, mark byte, most int) (n int, ok bool, err error) {
-	end := in.Index(*at, '\n', mostLine)
+// readHeader reads a line with a type byte and a length of at most limit, and moves at behind it. Without an error, ok is false
+// while the line is not complete.
+func readHeader(in *buffers.Chain, at *int, typeByte byte, limit int) (n int, ok bool, err error) {
+	end := in.Index(*at, '\n', maxHeaderBytes)
 	if end < 0 {
-		if in.Len()-*at >= mostLine {
-			return 0, false, fmt.Errorf("%w: a length without end", ErrReply)
+		if in.Len()-*at >= maxHeaderBytes {
+			return 0, false, fmt.Errorf("%w: unterminated length", ErrMalformedReply)
 		}
 		return 0, false, nil
 	}
-	var line [mostLine]byte
-	l := line[:in.Peek(*at, line[:end-*at])]
-	if len(l) < 3 || l[0] != mark || l[len(l)-1] != '\r' {
-		return 0, false, fmt.Errorf("%w: %q where a length belongs", ErrReply, l)
+	var line [maxHeaderBytes]byte
+	header := line[:in.Peek(*at, line[:end-*at])]
+	if len(header) < 3 || header[0] != typeByte || header[len(header)-1] != '\r' {
+		return 0, false, fmt.Errorf("%w: %q instead of a length", ErrMalformedReply, header)
 	}
-	n, err = strconv.Atoi(string(l[1 : len(l)-1]))
-	if err != nil || n < 0 || n > most {
-		return 0, false, fmt.Errorf("%w: length %q", ErrReply, l)
+	n, err = strconv.Atoi(string(header[1 : len(header)-1]))
+	if err != nil || n < 0 || n > limit {
+		return 0, false, fmt.Errorf("%w: invalid length %q", ErrMalformedReply, header)
 	}
 	*at = end + 1
 	return n, true, nil
 }
 
-// Rows tells whether a page holds whole rows of three text columns. Noise shows where a byte is none of text.
-func Rows(page *buffers.Chain) bool {
-	var b byte
+// ValidRows reports whether a page consists of complete rows of three text columns. Control characters other than tab and
+// line feed make it invalid: corrupted pages are recognized by them.
+func ValidRows(page *buffers.Chain) bool {
+	var last byte
 	if page.Len() == 0 {
 		return false
 	}
@@ -120,13 +129,13 @@
 	for {
 		c, err := in.ReadByte()
 		if err != nil {
-			return b == '\n'
+			return last == '\n'
 		}
-		switch b = c; {
+		switch last = c; {
 		case c == '\t':
 			tabs++
 		case c == '\n':
-			if tabs != columns-1 {
+			if tabs != rowColumns-1 {
 				return false
 			}
 			tabs = 0
@@ -136,82 +145,85 @@
 	}
 }
 
-// Each goes through the fields of a list such as "name=value,name=value".
-func Each(list string, separator, equals byte, take func(name, value string)) {
+// EachField calls take for each field of a list, such as "name=value,name=value". Items without a name are skipped. The list "-"
+// has no fields.
+func EachField(list string, separator, equals byte, take func(name, value string)) {
 	if list == "-" {
 		return
 	}
 	for len(list) > 0 {
-		one := list
+		item := list
 		if i := strings.IndexByte(list, separator); i >= 0 {
-			one, list = list[:i], list[i+1:]
+			item, list = list[:i], list[i+1:]
 		} else {
 			list = ""
 		}
-		if i := strings.IndexByte(one, equals); i > 0 {
-			take(one[:i], one[i+1:])
+		if i := strings.IndexByte(item, equals); i > 0 {
+			take(item[:i], item[i+1:])
 		}
 	}
 }
 
-// read takes what the fields tell.
-func read(r *traffic.Reply, list string) {
-	Each(list, ',', '=', func(name, value string) {
+// parseFields stores the fields of a reply in it. Fields with other names are ignored.
+func parseFields(r *traffic.Reply, list string) {
+	EachField(list, ',', '=', func(name, value string) {
 		switch name {
 		case "sheets":
-			r.Pages = whole(value)
+			r.Pages = parseCount(value)
 		case "sheet":
-			r.Page = whole(value)
+			r.Page = parseCount(value)
 		case "toil":
-			r.Work = Number(value) / 1000
+			r.Work = ParseNumber(value) / 1000 // sent in milliseconds
 		case "room":
-			r.Memory = Number(value)
+			r.Memory = ParseNumber(value)
 		case "use":
-			r.Load = report(value)
+			r.Load = parseLoad(value)
 		case "detail":
-			r.Note = notes[value]
+			r.Note = updateKinds[value]
 		case "val":
-			r.Level = Number(value)
+			r.Level = ParseNumber(value)
 		}
 	})
 }
 
-// check says why an answer can't be passed on, if it can't.
-func check(r *traffic.Reply, fields string) {
-	why := ""
+// validate notes in a reply why it can't be passed on, if it can't.
+func validate(r *traffic.Reply, fields string) {
+	reason := ""
 	switch r.Word {
 	case traffic.Done:
-		if r.Pages < 1 || r.Pages > mostPages {
-			why = "number of pages"
+		if r.Pages < 1 || r.Pages > maxPages {
+			reason = "number of pages"
 		} else if r.Rows.Len() == 0 && r.Pages == 1 {
 			return
-		} else if !Rows(r.Rows.Data) {
-			why = "rows"
+		} else if !ValidRows(r.Rows.Data) {
+			reason = "rows"
 		}
 	case traffic.More:
-		if r.Page < 1 || r.Page >= mostPages {
-			why = "number of a page"
-		} else if !Rows(r.Rows.Data) {
-			why = "rows"
+		if r.Page < 1 || r.Page >= maxPages {
+			reason = "page number"
+		} else if !ValidRows(r.Rows.Data) {
+			reason = "rows"
 		}
 	case traffic.Unknown:
-		why = "word"
+		reason = "word"
 	}
-	if why != "" {
-		r.Bad = fmt.Sprintf("%s; fields %q", why, fields)
+	if reason != "" {
+		r.Bad = fmt.Sprintf("%s; fields %q", reason, fields)
 	}
 }
 
-func report(text string) *brain.Report {
+// parseLoad reads a load report, such as "queue:3;x0:0.25"; nil: there is none.
+func parseLoad(text string) *brain.Report {
 	if text == "" {
 		return nil
 	}
-	rep := settings.NoReport()
-	Each(text, ';', ':', func(name, value string) { settings.Report(rep, name, Number(value)) })
-	return rep
+	load := settings.NoReport()
+	EachField(text, ';', ':', func(name, value string) { settings.Report(load, name, ParseNumber(value)) })
+	return load
 }
 
-func whole(s string) int {
+// parseCount reads a count; -1: the text is not one.
+func parseCount(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 0 {
 		return -1
@@ -219,8 +231,8 @@
 	return n
 }
 
-// Number reads a figure; one that is none is below 0.
-func Number(s string) float64 {
+// ParseNumber reads a finite number. It returns -1 for text that is not one.
+func ParseNumber(s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 		return -1
@@ -228,27 +240,29 @@
 	return v
 }
 
-// Order asks an engine for something. The wait is rounded up, lest the engine gives up before the router does.
-func (Session) Order(out *buffers.Chain, what traffic.Order) {
-	switch o := what.(type) {
+// Order writes a command to an engine.
+func (Session) Order(out *buffers.Chain, order traffic.Order) {
+	switch o := order.(type) {
 	case *traffic.Dispatch:
-		fetch(out, o)
+		writeFetch(out, o)
 	case traffic.GiveUp:
-		open(out, "abort", o.ID)
+		writeCommand(out, "abort", o.ID)
 	case traffic.AskPage:
-		open(out, "more", o.ID, strconv.Itoa(o.Page))
+		writeCommand(out, "more", o.ID, strconv.Itoa(o.Page))
 	case traffic.Enough:
-		open(out, "done", o.ID)
+		writeCommand(out, "done", o.ID)
 	case traffic.Probe:
 		if o.Load {
-			open(out, "stats", o.Tag)
+			writeCommand(out, "stats", o.Tag)
 		} else {
-			open(out, "alive", o.Tag)
+			writeCommand(out, "alive", o.Tag)
 		}
 	}
 }
 
-func fetch(out *buffers.Chain, d *traffic.Dispatch) {
+// writeFetch writes the command that runs a statement. Its time limit is sent in whole milliseconds and rounded up, so that the
+// engine doesn't stop before the router does.
+func writeFetch(out *buffers.Chain, d *traffic.Dispatch) {
 	fields := "queue=" + d.Group + ",budget=" + strconv.Itoa(max(int(math.Ceil(d.Wait*1000)), 1))
 	if d.Mark != "" {
 		fields += ",uniq=" + d.Mark
@@ -256,25 +270,26 @@
 	if d.Memory > 0 {
 		fields += ",allot=" + strconv.Itoa(int(math.Ceil(d.Memory)))
 	}
-	open(out, "fetch", d.ID, fields)
+	writeCommand(out, "fetch", d.ID, fields)
 	if d.Ahead == "" && len(d.Parameters) == 0 {
 		out.WriteString("$" + strconv.Itoa(d.Text.Len()) + "\r\n")
 		out.Append(d.Text)
 	} else {
-		// What can't be written as a literal was refused before it was taken.
+		// A parameter that can't be written as a literal was rejected before the batch was accepted.
 		text, _ := rows.Inline(d.Text.String(), d.Parameters)
 		out.WriteString("$" + strconv.Itoa(len(d.Ahead)+len(text)) + "\r\n" + d.Ahead + text)
 	}
 	out.WriteString("\r\n")
 }
 
-func open(out *buffers.Chain, parts ...string) {
-	n := len(parts)
-	if parts[0] == "fetch" {
+// writeCommand writes an array of bulk strings. After "fetch" the caller adds one more, the text of the statement.
+func writeCommand(out *buffers.Chain, elements ...string) {
+	n := len(elements)
+	if elements[0] == "fetch" {
 		n++ // the text follows
 	}
 	out.WriteString("*" + strconv.Itoa(n) + "\r\n")
-	for _, p := range parts {
-		out.WriteString("$" + strconv.Itoa(len(p)) + "\r\n" + p + "\r\n")
+	for _, element := range elements {
+		out.WriteString("$" + strconv.Itoa(len(element)) + "\r\n" + element + "\r\n")
 	}
 }
