--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,4 +1,5 @@
-// Package directory follows the list of engines: what the configuration holds of it, and the name service by DNS.
+// Package directory tracks the list of engines: it reads the list in the configuration and the DNS messages of the name
+// service, and decides which of its answers take effect.
 package directory
 
 import (
@@ -7,23 +8,25 @@
 	"net/netip"
 )
 
-// Engine is one line of the list.
+// Engine is one entry of the list.
 type Engine struct {
-	ID, Zone, Kind string
-	Address        string // host:port; empty: not told
+	ID, Zone, Kind string // Kind is the machine type
+	Address        string // host:port; empty: not reported
 	Cell           int
 	Draining       bool
 	Weight         float64
-	StartedAt      float64 // seconds; 0: long ago
+	StartedAt      float64 // Unix seconds; 0: long ago
 }
 
-// List is the whole list and the number of the last event in it.
+// List is a complete list of engines and the serial number of the last event that it includes.
 type List struct {
 	Serial  uint32
 	Engines []Engine
 }
 
-// ParseConfigured reads the events of the configuration into the list of the start.
+// ParseConfigured applies the events in the "known" section of the configuration in order and returns the resulting list, with
+// which the router starts. Empty text gives an empty list. Events that are not JSON, and addresses that are not IP:port, are
+// errors.
 func ParseConfigured(text []byte) (List, error) {
 	var file struct {
 		Pos     uint32 `json:"pos"`
@@ -68,6 +71,7 @@
 	return list, nil
 }
 
+// update replaces or adds an engine; if present is false, it removes it.
 func (l *List) update(engine Engine, present bool) {
 	for i := range l.Engines {
 		if l.Engines[i].ID == engine.ID {
--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -6,105 +6,108 @@
 	"slices"
 )
 
-// When the name service is asked; seconds. A list counts as told once an answer with it is sent, and a drain has to be
-// known soon after.
+// Query timing, in seconds unless a comment says otherwise. A drain counts as reported once an answer that contains it has
+// been sent, and the router has to know of it soon after.
 const (
-	queryInterval   = 0.1   // after an answer
-	retryInterval   = 0.04  // without one: datagrams are lost
-	earlyQueryDelay = 0.005 // after an answer that could not be used or has to be confirmed
-	maxEarlyQueries = 6     // such questions in a row: the service may have nothing better to say
-	maxFastRetries  = 5     // questions without an answer, from which on askEvery holds: more would only crowd a slow service
-	silenceTimeout  = 0.95  // without any answer for so long, the next question goes from another port, after a second that is
-	maxOpenQueries  = 64    // questions that an answer may still come for
+	queryInterval   = 0.1   // from one query to the next while answers arrive
+	retryInterval   = 0.04  // from one query to the next while none is answered: datagrams get lost
+	earlyQueryDelay = 0.005 // until the next query after an answer that is malformed or needs confirmation
+	maxEarlyQueries = 6     // consecutive early queries: the service may have nothing better to report
+	maxFastRetries  = 5     // unanswered queries at retryInterval; then queryInterval, so as not to burden a slow service
+	silenceTimeout  = 0.95  // without any answer, after which the next query uses a new port: in effect after a second
+	maxOpenQueries  = 64    // queries for which an answer is still accepted
 )
 
-// What an answer has to show before it counts. A number tells only lists of one start of this router apart: an answer that
-// was made before the start, or for somebody else, may have any.
+// What is required before an answer takes effect. Serial numbers order only the lists that were made for one run of this
+// router: an answer that was made before the router started, or for another client, may carry any number.
 const (
-	newerSerialAnswers    = 2    // answers in a row with the same list, where its number is newer
-	otherSerialAnswers    = 3    // where it is not
-	drainReleaseTime      = 1.0  // seconds for which no answer has said that an engine drains, before one that did is ready again,
-	drainReleaseAnswers   = 8    // and answers in a row, all with the list in force, which says that it is ready
-	unlistedDrainLifetime = 60.0 // seconds after which the drain of an engine that is not listed is forgotten
+	newerSerialAnswers    = 2    // consecutive answers with the same list if its serial is newer than the current one
+	otherSerialAnswers    = 3    // consecutive answers with the same list if its serial is not newer
+	drainReleaseTime      = 1.0  // seconds without an answer that reports a drain before its engine is ready again
+	drainReleaseAnswers   = 8    // consecutive answers with the current list, which reports the engine ready; also required
+	unlistedDrainLifetime = 60.0 // seconds for which the drain of an engine that is not listed is remembered
 )
 
-// Verdict is what became of an answer.
+// Verdict classifies an answer of the name service.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts of HandleAnswer.
 const (
-	Unmatched   Verdict = iota // to no open question
-	Overtaken                  // to a question before one that is answered already: only drains count
-	Same                       // the list in force
-	Unconfirmed                // another list: drains count at once, all else once further answers agree
-	Adopted                    // another list, which is in force from now on
+	Unmatched   Verdict = iota // matches no open query; ignored
+	Overtaken                  // answers an older query than one already answered: only its restrictions (drains, new starts) count
+	Same                       // contains the current list
+	Unconfirmed                // contains another list: its restrictions count at once, all else once further answers agree
+	Adopted                    // contains another list, which has become the current one
 )
 
 var verdictNames = []string{"unmatched", "overtaken", "same", "unconfirmed", "adopted"}
 
+// String returns the name that logs use.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Query is one query to be sent.
+// Query is one query to send to the name service.
 type Query struct {
-	ID      uint16
-	NewPort bool // from another port: nothing was heard for long
+	ID      uint16 // of the DNS message
+	NewPort bool   // send it from a new socket: the service has been silent for long
 }
 
-// Counts tells how the list was followed since a list was last confirmed; for logs.
+// Counts holds statistics for logs: queries sent and answers by kind since a list was last confirmed.
 type Counts struct {
 	Asked, Unusable, Unmatched, Overtaken, Unconfirmed int
-	Age                                                float64 // seconds since a list was last confirmed; below 0: never
+	Age                                                float64 // seconds since a list was last confirmed; -1 if never
 }
 
-// Follower follows the list of engines: it decides when the name service is asked, which of its answers count, and which
-// engines may be sent to. It is a pure state machine; times are Unix seconds and come from its caller. It is not safe for
-// concurrent use.
+// Follower tracks the list of engines: it decides when the name service is queried, which of its answers take effect, and
+// which engines may receive batches. It is a pure state machine without I/O; times are Unix seconds and are passed in by the
+// caller. It is not safe for concurrent use.
 //
-// A drain that any answer has told holds, and so does a new start of an engine, whatever lists come after it under whatever
-// number: lists that are late, repeated, older than they claim to be or numbered by another start can add restrictions, never
-// lift one. What lifts them (a new engine, one that is ready again) has to be told by several answers in a row. So no single
-// answer can make the router send where it must not, or more than a cold engine bears, and none can hide the answers after it.
+// A restriction (a drain, or a new start of an engine, which makes it cold) takes effect with the first answer that reports
+// it and is not undone by later lists, whatever their serial: lists that are late, repeated, older than their serial claims
+// or numbered for another run can add restrictions but never lift one. Lifting one, or adding an engine, takes several
+// consecutive answers that agree. So no single answer can make the router send to an engine that drains, or send a cold
+// engine more than it can take, and none can suppress the answers that follow it.
 type Follower struct {
 	idGenerator  *rand.Rand
-	openQueries  []openQuery // the oldest first
+	openQueries  []openQuery // oldest first
 	nextQueryAt  float64
-	earlyQueries int // questions in a row that were sent before their time
+	earlyQueries int // early queries scheduled since a list was last confirmed
 
-	silentSince         float64 // the last answer to an open question, or when another port was taken
-	lastAnsweredQueryAt float64 // when the latest question that is answered was asked
-	unanswered          int     // questions since an answer
-	confirmedAt         float64 // when the list in force was last told; 0: never
+	silentSince         float64 // time of the last answer to an open query, or of the last change of port or server
+	lastAnsweredQueryAt float64 // when the most recent query that has an answer was sent
+	unanswered          int     // queries since the last answer
+	confirmedAt         float64 // when an answer last confirmed the current list; 0: never
 
 	current         List
-	currentHash     uint64
-	agreeingAnswers int // answers in a row with it
-	candidate       *candidate
-	drains          map[string]drain       // by the engine's id
-	startTimes      map[string]*startTimes // of engines in force
+	currentHash     uint64                 // fingerprint of current
+	agreeingAnswers int                    // consecutive answers that contain current
+	candidate       *candidate             // nil: no other list is awaiting confirmation
+	drains          map[string]drain       // by engine ID
+	startTimes      map[string]*startTimes // by engine ID; only engines of current
 	counts          Counts
 }
 
+// openQuery is a query that has been sent and not been answered.
 type openQuery struct {
 	id     uint16
 	sentAt float64
 }
 
-// candidate is a list other than the one in force that answers have told.
+// candidate is a list other than the current one that is awaiting confirmation by further answers.
 type candidate struct {
 	list    List
-	hash    uint64
-	answers int // in a row
+	hash    uint64 // fingerprint of list
+	answers int    // consecutive answers that contain it
 }
 
-// drain is what was told of an engine's process.
+// drain records that a process of an engine was reported as draining.
 type drain struct {
-	startedAt      float64
-	lastReportedAt float64 // last
+	startedAt      float64 // identifies the process
+	lastReportedAt float64
 }
 
 var fingerprintSeed = maphash.MakeSeed()
 
-// fingerprint is the same for the same engines in any order.
+// fingerprint returns a hash of the engines of a list that does not depend on their order.
 func fingerprint(l List) (sum uint64) {
 	for _, e := range l.Engines {
 		sum += maphash.Comparable(fingerprintSeed, e)
@@ -112,20 +115,20 @@
 	return sum
 }
 
-// NewFollower begins with the list of the configuration. The seed is for the numbers of questions.
+// NewFollower returns a follower whose current list is that of the configuration. The seed is for the random query IDs.
 func NewFollower(configured List, seed uint64, now float64) *Follower {
 	follower := &Follower{idGenerator: rand.New(rand.NewPCG(seed, 16)), nextQueryAt: now, silentSince: now, drains: map[string]drain{}, startTimes: map[string]*startTimes{}}
 	follower.adopt(configured, fingerprint(configured), now)
 	return follower
 }
 
-// Serial is the number of the list in force.
+// Serial returns the serial number of the current list.
 func (f *Follower) Serial() uint32 { return f.current.Serial }
 
-// NextQueryAt is when the next question is to be sent.
+// NextQueryAt returns the time at which the next query is due.
 func (f *Follower) NextQueryAt() float64 { return f.nextQueryAt }
 
-// Counts gives what has come of asking since a list was last confirmed.
+// Counts returns the statistics since a list was last confirmed.
 func (f *Follower) Counts(now float64) Counts {
 	c := f.counts
 	if c.Age = -1; f.confirmedAt > 0 {
@@ -134,14 +137,15 @@
 	return c
 }
 
-// Silent tells whether nothing was heard for so long that another port is tried.
+// Silent reports whether no answer has arrived for longer than silenceTimeout, so that the next query uses a new port.
 func (f *Follower) Silent(now float64) bool { return now-f.silentSince > silenceTimeout }
 
-// NextQuery makes the next question. Its number is drawn: next to one another, an answer to somebody else's would be taken for
-// ours.
+// NextQuery returns the next query and counts it as sent. Its ID is random: with consecutive IDs, an answer to another
+// client's query could be taken for one to ours.
 //
-// What was connected long ago may lie in a hole, as where something between forgot the way back, while a new socket would be
-// heard. A service that is down costs a socket a second.
+// After a long silence the query asks for a new port: packets of a socket that was connected long ago may be lost for good,
+// for example after a NAT device or firewall has dropped its entry for it, while a new socket would get answers. While the
+// service is down this costs one new socket a second.
 func (f *Follower) NextQuery(now float64) Query {
 	q := Query{ID: uint16(f.idGenerator.Uint32()), NewPort: f.Silent(now)}
 	if q.NewPort {
@@ -160,21 +164,21 @@
 	return q
 }
 
-// HandleServerChange drops all open questions: the service is asked at another address from now on, and what the old one still says does
-// not count.
+// HandleServerChange drops all open queries: the name service has another address from now on, and late answers from the
+// old one are ignored. The next query is due at once.
 func (f *Follower) HandleServerChange(now float64) {
 	f.openQueries, f.silentSince, f.nextQueryAt = nil, now, now
 }
 
-// HandleConfigured takes a list that the configuration tells while the router runs, if it is newer by number. It counts as one
-// answer: a file may be older than what the name service tells, and numbered by another start. It reports whether List has
-// changed.
+// HandleConfigured processes the list of a configuration that is reloaded while the router runs; it is ignored unless its
+// serial is newer. It counts as one answer only, because the file may be older than the answers of the name service and its
+// serial may be that of another run. It reports whether the result of List has changed.
 func (f *Follower) HandleConfigured(list List, now float64) bool {
 	if list.Serial <= f.current.Serial {
 		return false
 	}
 	hash := fingerprint(list)
-	if len(f.current.Engines) == 0 { // there is nothing to go by
+	if len(f.current.Engines) == 0 { // no list is known yet
 		f.adopt(list, hash, now)
 		return true
 	}
@@ -183,7 +187,7 @@
 	return true
 }
 
-// HandleUnusable notes an answer that can't be read; id is that of its question, if that much of it is there.
+// HandleUnusable processes a malformed answer; id is that of its query, or 0 if the answer is too short to contain one.
 func (f *Follower) HandleUnusable(id uint16, now float64) {
 	f.counts.Unusable++
 	if _, _, open := f.closeQuery(id); open {
@@ -191,7 +195,8 @@
 	}
 }
 
-// closeQuery closes a question and tells when it was asked and whether it was the last one.
+// closeQuery removes an open query and returns when it was sent and whether it was the latest one; open is false if there is
+// none with this ID.
 func (f *Follower) closeQuery(id uint16) (sentAt float64, latest, open bool) {
 	i := slices.IndexFunc(f.openQueries, func(q openQuery) bool { return q.id == id })
 	if i < 0 {
@@ -202,6 +207,7 @@
 	return sentAt, latest, true
 }
 
+// scheduleEarlyQuery brings the next query forward, unless too many early ones have been scheduled already.
 func (f *Follower) scheduleEarlyQuery(now float64) {
 	if f.earlyQueries < maxEarlyQueries {
 		f.earlyQueries++
@@ -209,7 +215,8 @@
 	}
 }
 
-// HandleAnswer takes an answer to a question. It reports what became of it, and whether List has changed.
+// HandleAnswer processes an answer to the query with this ID. It returns its verdict and whether the result of List has
+// changed.
 func (f *Follower) HandleAnswer(id uint16, list List, now float64) (verdict Verdict, changed bool) {
 	sentAt, latest, open := f.closeQuery(id)
 	if !open {
@@ -253,7 +260,7 @@
 	return Adopted, true
 }
 
-// adopt puts a list in force. What drained by the one before counts as said until now.
+// adopt makes a list the current one. Drains of the previous current list count as reported until now.
 func (f *Follower) adopt(list List, hash uint64, now float64) {
 	f.recordDrains(f.current, now)
 	f.current, f.currentHash, f.candidate = list, hash, nil
@@ -270,8 +277,8 @@
 	f.expireDrains(now)
 }
 
-// confirmStartTimes goes back to the starts of the list in force once answers agree on it: an answer with another start was an old
-// one. It reports whether an engine's start is another by that.
+// confirmStartTimes resets the engines' start times to those of the current list once enough consecutive answers agree on
+// it: an answer with another start time was outdated. It reports whether a start time has changed.
 func (f *Follower) confirmStartTimes() (changed bool) {
 	if f.agreeingAnswers < newerSerialAnswers {
 		return false
@@ -282,7 +289,8 @@
 	return changed
 }
 
-// applyRestrictions takes from a list what counts at once, and reports whether anything of it is new.
+// applyRestrictions applies the parts of a list that need no confirmation (new starts and drains) and reports whether any of
+// them is new.
 func (f *Follower) applyRestrictions(list List, now float64) (changed bool) {
 	for _, e := range list.Engines {
 		if known := f.startTimes[e.ID]; known != nil {
@@ -292,7 +300,7 @@
 	return f.recordDrains(list, now) || changed
 }
 
-// recordDrains keeps what a list says of drains, and reports whether anything of it is new.
+// recordDrains records the drains that a list reports and reports whether any of them is new.
 func (f *Follower) recordDrains(list List, now float64) (changed bool) {
 	for _, e := range list.Engines {
 		if !e.Draining {
@@ -308,14 +316,16 @@
 	return changed
 }
 
-// processEnded tells whether a process has surely ended: one that started long ago, once a start was told. Of two that were told nobody
-// knows which is the later one, so a drain of either holds.
+// processEnded reports whether an engine's process with this start time has certainly ended: one without a start time (it
+// started long ago), once a start time has been reported. Of two processes with start times it is unknown which is the later
+// one, so a drain of either counts.
 func (f *Follower) processEnded(id string, start float64) bool {
 	known := f.startTimes[id]
 	return start == 0 && known != nil && known.current != 0
 }
 
-// expireDrains forgets drains that no answer has told for long enough, and reports whether an engine is ready by that.
+// expireDrains removes drains that no answer has reported for long enough, and those of processes that have ended. It reports
+// whether an engine became ready because a drain was no longer reported.
 func (f *Follower) expireDrains(now float64) (changed bool) {
 	if len(f.drains) == 0 {
 		return false
@@ -327,7 +337,7 @@
 	for id, d := range f.drains {
 		e, present := listed[id]
 		switch {
-		case present && e.Draining: // said by the list in force
+		case present && e.Draining: // the current list reports it
 		case present && f.processEnded(id, d.startedAt):
 			delete(f.drains, id)
 		case present && now-d.lastReportedAt >= drainReleaseTime && f.agreeingAnswers >= drainReleaseAnswers:
@@ -340,8 +350,9 @@
 	return changed
 }
 
-// List gives the engines of the list in force, each with the start that was told last. One to which nothing new may be sent is told as
-// draining: by this list, by any answer before or since, or because it is missing from a list that is not confirmed yet.
+// List returns the current list, with the latest known start time of each engine. An engine to which no new batch may be
+// sent is marked as draining: the current list or another answer reports it as draining, or a candidate list whose serial is
+// not older lacks it.
 func (f *Follower) List() List {
 	out := List{Serial: f.current.Serial, Engines: slices.Clone(f.current.Engines)}
 	var inCandidate map[string]bool
@@ -354,9 +365,9 @@
 	for i := range out.Engines {
 		e := &out.Engines[i]
 		e.StartedAt = f.startTimes[e.ID].current
-		d, drains := f.drains[e.ID]
+		d, hasDrain := f.drains[e.ID]
 		missing := inCandidate != nil && !inCandidate[e.ID]
-		if missing || drains && !f.processEnded(e.ID, d.startedAt) {
+		if missing || hasDrain && !f.processEnded(e.ID, d.startedAt) {
 			e.Draining = true
 		}
 	}
--- a/internal/directory/starts.go
+++ b/internal/directory/starts.go
@@ -1,16 +1,18 @@
 package directory
 
-// maxStartTimes are remembered of one engine; with more of them all but the present one are forgotten, and would count as new.
+// maxStartTimes is the number of start times remembered for one engine. When it is reached, all but the current one are
+// forgotten and would count as new if they were reported again.
 const maxStartTimes = 16
 
-// startTimes are those that were told of one engine. A start is a wall time of another machine, which may be set back or ahead: it names
-// a process, and says nothing of which process is the later one. The zero value knows of none.
+// startTimes holds the start times that were reported for one engine, in Unix seconds. A start time comes from the wall clock
+// of another machine, which may be set back or forward: it identifies a process but does not tell which of two processes is
+// the later one. The zero value holds none.
 type startTimes struct {
 	known   map[float64]bool
-	current float64 // of the process that is taken to run; 0: none was told, it started long ago
+	current float64 // start time of the process assumed to be running; 0: none was reported, it started long ago
 }
 
-// add takes note of a start. One that is new is that of the present process. It reports whether it is new.
+// add records a reported start time and reports whether it is new. A new one becomes the current one; 0 is ignored.
 func (s *startTimes) add(start float64) bool {
 	if start == 0 || s.known[start] {
 		return false
@@ -22,7 +24,7 @@
 	return true
 }
 
-// confirm takes a start for that of the present process. It reports whether another one was.
+// confirm makes a start time the current one and reports whether that is a change; 0 is ignored.
 func (s *startTimes) confirm(start float64) bool {
 	if start == 0 || start == s.current {
 		return false
