--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings turns the settings' JSON into those of the decision module and the facts its hosts need.
+// Package settings decodes the platform's settings, a JSON document, into the settings of the decision module (package brain)
+// and the further values that the programs around it need.
 package settings
 
 import (
@@ -12,7 +13,7 @@
 	"pitchfield/brain"
 )
 
-// options are the settings as the wire words them, in milliseconds.
+// options mirrors the JSON document; fields are named after its keys, and times are in milliseconds.
 type options struct {
 	Zone      int      `json:"az"`
 	Zones     []string `json:"dcs"`
@@ -84,7 +85,7 @@
 	Tick float64 `json:"tick-ms"`
 }
 
-// The words that settings use; an empty one stands for what is not told, and means what asks most care.
+// Values of enumerated settings. The empty string is a setting that is absent; it maps to the most cautious choice.
 var (
 	idempotencies  = map[string]brain.Idempotency{"idempotent": brain.Idempotent, "deduplicated": brain.Deduplicated, "at_most_once": brain.AtMostOnce, "": brain.AtMostOnce}
 	dedupScopes    = map[string]brain.DedupScope{"all": brain.WithinAll, "zone": brain.WithinZone, "cell": brain.WithinCell, "": brain.WithinCell}
@@ -93,7 +94,8 @@
 	reportsLoad    = map[string]bool{"answers": true, "probe": true, "none": false, "": true}
 )
 
-// lookup finds a word; one that nobody knows can't be used, whatever it may mean.
+// lookup returns the value for a word of an enumerated setting. An unknown word is an error, as its meaning can't be guessed;
+// the error is stored in firstErr unless there is one already.
 func lookup[T any](values map[string]T, word, key string, firstErr *error) T {
 	v, ok := values[word]
 	if !ok && *firstErr == nil {
@@ -102,13 +104,14 @@
 	return v
 }
 
-// namedValue is what a setting tells, with its name.
+// namedValue is a numeric setting with its key.
 type namedValue struct {
 	name  string
 	value float64
 }
 
-// validate: no figure of the settings is below zero, and a class has time to be answered in.
+// validate checks that no numeric setting is negative and that each service group (a grade) has both times and a deadline
+// above 0.
 func (o *options) validate() error {
 	values := []namedValue{{"balancers", float64(o.Balancers)}, {"over-share-worth", o.OverShare}, {"tick-ms", o.Tick},
 		{"specifics.largest-share", o.Specifics.Largest}, {"specifics.progress-pace-ms", o.Specifics.Pace},
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// knownKeys are the keys that the wire's page has, used here or not; later settings may have more.
+// knownKeys lists all keys of the specification of the settings, used here or not; later versions may have more.
 const knownKeys = `az balancers clients clients.marks-retry customers customers.name customers.quota-per-s customers.share dcs
 discovery feedback feedback.how feedback.names flavors goal goal.whole goal.worst-class goal.worst-tenant goal.worst-window
 grades grades.aim-stretch grades.by-arrival grades.deadline-ms grades.flavors-allowed grades.group grades.idempotency
@@ -156,7 +159,7 @@
 specifics.overbooked specifics.progress-pace-ms specifics.report-x0 specifics.report-x1 specifics.takes-priority
 specifics.writes-tables specifics.yields-to-loads stage tick-ms tiers weight-kind worth-by`
 
-// unknownKeys gives the keys that are not known, each once, in order.
+// unknownKeys returns the keys of the document that are not in knownKeys, each once, in the order of a sorted traversal.
 func unknownKeys(text []byte) []string {
 	var document any
 	if json.Unmarshal(text, &document) != nil {
@@ -190,6 +193,7 @@
 	return out
 }
 
+// elementOrZero returns the element with this index, or the zero value if the list is too short.
 func elementOrZero[T any](list []T, i int) (v T) {
 	if i >= 0 && i < len(list) {
 		v = list[i]
@@ -197,6 +201,7 @@
 	return v
 }
 
+// valueOrZero returns the number that p points to, or 0 if p is nil.
 func valueOrZero(p *float64) float64 {
 	if p == nil {
 		return 0
@@ -204,19 +209,24 @@
 	return *p
 }
 
-// Settings are the module's, and what its hosts are told besides. Times are seconds.
+// Settings holds the settings of the decision module and those of the programs around it. Times are in seconds.
 type Settings struct {
 	brain.Settings
-	ReportFields                       []string // the names of a report's values, in their order
-	Zones, Kinds, Clients              []string
-	DialTimeout, IdleTimeout           float64
-	DrainGrace                         float64 // seconds for which requests may still be sent after a drain was told
-	MaxStreamsPerConnection, MaxQueued int
-	EnginesReportLoad                  bool     // engines report their load
-	UnknownKeys                        []string // keys that nobody here knows; they were passed over
+	ReportFields            []string // names of the values of a load report, in their order
+	Zones                   []string // names, by index
+	Kinds                   []string // names of the machine types, by index
+	Clients                 []string // names, by index
+	DialTimeout             float64  // seconds to connect to an engine
+	IdleTimeout             float64  // seconds after which an idle connection is closed; 0: never
+	DrainGrace              float64  // seconds for which batches may still be sent after a drain was reported
+	MaxStreamsPerConnection int      // concurrent batches on one connection to an engine
+	MaxQueued               int      // batches that a router accepts at the same time; 0: no limit
+	EnginesReportLoad       bool
+	UnknownKeys             []string // keys that are not in the specification; they are ignored
 }
 
-// SetReportField fills the value with this name into a report; what nobody decides by is passed over.
+// SetReportField sets the field of a load report that a value with this name belongs to. Names that no decision uses are
+// ignored.
 func SetReportField(report *brain.Report, name string, value float64) {
 	switch name {
 	case "active", "inflight":
@@ -232,12 +242,13 @@
 	}
 }
 
-// EmptyReport is one of which nothing is told.
+// EmptyReport returns a load report in which all values are absent (-1).
 func EmptyReport() *brain.Report {
 	return &brain.Report{InFlight: -1, Waiting: -1, CPU: -1, Memory: -1, Disks: -1}
 }
 
-// Decode reads the settings.
+// Decode reads the JSON document and returns the settings. Numbers that are negative, unknown words, a missing or zero deadline
+// and a document without service groups are errors; the first one is returned. Unknown keys are not errors.
 func Decode(text []byte) (Settings, error) {
 	var o options
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -268,7 +279,7 @@
 	for i, grade := range o.Grades {
 		prefix := fmt.Sprintf("grades[%d] (%s).", i, grade.Name)
 		idempotency, dedupScope := lookup(idempotencies, grade.Idempotency, prefix+"idempotency", &err), brain.WithinCell
-		if idempotency == brain.Deduplicated { // it says nothing of others
+		if idempotency == brain.Deduplicated { // the key has no meaning for other groups
 			dedupScope = lookup(dedupScopes, grade.Group, prefix+"group", &err)
 		}
 		decoded.Groups = append(decoded.Groups, &brain.ServiceGroup{Name: grade.Name, Idempotency: idempotency, DedupScope: dedupScope,
@@ -277,8 +288,8 @@
 			LocksDataSet: elementOrZero(o.Specifics.Writes, i), WaitsForLock: elementOrZero(o.Specifics.Yields, i), InOrder: grade.ByArrival,
 			Zones: grade.RunsIn, Kinds: grade.Flavors})
 	}
-	for i, customer := range o.Specifics.Cores {
-		decoded.EngineKinds = append(decoded.EngineKinds, brain.EngineKind{Cores: customer, Memory: elementOrZero(o.Specifics.Memory, i)})
+	for i, cores := range o.Specifics.Cores {
+		decoded.EngineKinds = append(decoded.EngineKinds, brain.EngineKind{Cores: cores, Memory: elementOrZero(o.Specifics.Memory, i)})
 	}
 	var clientNames []string
 	for _, customer := range o.Customers {
@@ -291,9 +302,10 @@
 		EnginesReportLoad: lookup(reportsLoad, o.Feedback.How, "feedback.how", &err) && len(o.Feedback.Names) > 0}, err
 }
 
-// defaultDrainGrace stands in where the settings tell none: the shortest that any deployment has, in seconds.
+// defaultDrainGrace is the drain grace if the settings have none, in seconds: the shortest of any deployment.
 const defaultDrainGrace = 0.25
 
+// drainGraceSeconds converts the configured drain grace from milliseconds; nil gives the default.
 func drainGraceSeconds(configured *float64) float64 {
 	if configured == nil {
 		return defaultDrainGrace
@@ -301,8 +313,9 @@
 	return *configured / 1000
 }
 
-// AddAtMostOnceGroups adds a second group beside each referenced one, of the same name and once-only: what has no mark can't
-// be told from its repeats, so it must not be sent again. Only protocols that may lack a mark need it.
+// AddAtMostOnceGroups adds, for each deduplicated service group, an at-most-once group of the same name. It is for batches
+// without a deduplication mark: engines can't recognize their repeats, so they must not be sent again. Only protocols in which
+// the mark is optional need it.
 func (s *Settings) AddAtMostOnceGroups() {
 	for _, g := range slices.Clone(s.Groups) {
 		if g.Idempotency == brain.Deduplicated {
@@ -313,7 +326,7 @@
 	}
 }
 
-// GroupNames gives the names of the service groups, each once.
+// GroupNames returns the names of the service groups, each once.
 func (s *Settings) GroupNames() (names []string) {
 	for _, g := range s.Groups {
 		if !slices.Contains(names, g.Name) {
