--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a router is told at its start: the RELAY_ variables and the file they name.
+// Package config reads the configuration of a router: the RELAY_ environment variables and the file that RELAY_CONFIG names.
 package config
 
 import (
@@ -12,22 +12,26 @@
 	"pitchfield/internal/settings"
 )
 
-// Config is all that a router is told.
+// Config is the configuration of a router.
 type Config struct {
-	Name, Listen, Resolver string
-	Seed                   uint64
-	Cores                  float64
-	MemoryMB, Descriptors  int
-	KnownEngines           directory.List
-	Settings               settings.Settings
-	SettingsText           string // as they were written
+	Name         string
+	Listen       string // address for clients, IP:port
+	Resolver     string // address of the name service, IP:port
+	Seed         uint64 // of the random numbers
+	Cores        float64
+	MemoryMB     int
+	Descriptors  int            // limit of open sockets
+	KnownEngines directory.List // used until the name service has answered
+	Settings     settings.Settings
+	SettingsText string // the JSON text of Settings as it stands in the file
 }
 
-// Load reads the file that RELAY_CONFIG names; RELAY_NAME and RELAY_LISTEN stand in for what it lacks.
+// Load reads the file that RELAY_CONFIG names. RELAY_NAME and RELAY_LISTEN are used for a name or listen address that the file
+// lacks.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
-		return Config{}, fmt.Errorf("RELAY_CONFIG names no file")
+		return Config{}, fmt.Errorf("RELAY_CONFIG is not set to the path of a file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +53,7 @@
 	return c, nil
 }
 
-// Parse reads the file's text.
+// Parse reads the text of the file, which is JSON. It does not check the listen address, which Load may still have to fill in.
 func Parse(text []byte) (Config, error) {
 	var file struct {
 		Name   string `json:"name"`
--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -1,19 +1,21 @@
-// Package findings is what a section of an operator's settings is proven with. Each package declares, decodes and proves its own
-// section; what gathers the file knows lines and words, and no key.
+// Package findings declares the interface with which packages validate their section of an operator's settings file. Each
+// package declares, decodes and validates its own section; package installation, which reads the file, implements the
+// interface and knows lines and types but no keys.
 package findings
 
-// Reporter is told what is wrong, and reads what is worded alike in all sections. Keys are written as a.b[2].c, from the file's top.
+// Reporter collects the errors in a settings file and parses the values that have the same form in all sections. Keys are full
+// paths from the top of the file, such as a.b[2].c.
 type Reporter interface {
-	// Found notes what is wrong with a key, or with the table that lacks it.
+	// Errorf records an error in a key, or in the table that lacks it.
 	Errorf(key, format string, args ...any)
-	// Seconds reads a duration above 0 and up to the most; 0 where nothing is told.
+	// Seconds parses a duration above 0 and up to most seconds. It returns 0 for an empty text and after recording an error.
 	Seconds(key, text string, most float64) float64
-	// Megabytes reads a size; 0 where nothing is told.
+	// Megabytes parses a size. It returns 0 for an empty text and after recording an error.
 	Megabytes(key, text string) float64
-	// Within finds what is out of bounds; a figure that is none is.
-	CheckRange(key string, v, least, most float64)
-	// Line is where a key stands, or the nearest table around it.
+	// CheckRange records an error if v is not from min to max; NaN never is.
+	CheckRange(key string, v, min, max float64)
+	// Line returns the line number of a key, or of the nearest table around it.
 	Line(key string) int
-	// Getenv gives a variable of the environment.
+	// Getenv returns the value of an environment variable.
 	Getenv(name string) string
 }
