--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -1,5 +1,6 @@
-// Package installation reads the settings that are not the platform's but ours: a TOML file that an operator writes. It
-// is strict: what is unknown, of the wrong type or impossible is told with file, line and a sentence, all of it at once.
+// Package installation reads the settings file of an installation: a TOML file that its operator writes, beside the settings
+// that come from the platform. It is strict: unknown keys, wrong types and impossible values are errors, each with file, line
+// and an explanation, and all that can be found are reported together.
 package installation
 
 import (
@@ -25,25 +26,25 @@
 	"pitchfield/internal/tds"
 )
 
-// Installation is what the file says.
+// Installation holds the validated contents of the settings file.
 type Installation struct {
-	TDS     *tds.Settings // nil: nobody speaks it here
+	TDS     *tds.Settings // nil: the TDS protocol is not served
 	Rules   assign.Rules
 	Engines []engines.Settings
-	Routes  *limits.Table    // of limits
-	Limits  limits.Set       // all that is told of limits
-	Status  string           // where the status page listens; empty: nowhere
-	Levels  *levels.Settings // of reduced service; nil: none
-	Fleet   *fleet.Settings  // other routers; nil: there is no talk
-	Shares  *shares.Settings // what is divided with them; nil: nothing
-	// LevelsOver is the time in seconds over which what levels are entered by fades.
+	Routes  *limits.Table    // limits by route
+	Limits  limits.Set       // all sections about limits
+	Status  string           // address of the status page; empty: there is none
+	Levels  *levels.Settings // levels of reduced service; nil: none
+	Fleet   *fleet.Settings  // messaging with the other routers; nil: none
+	Shares  *shares.Settings // quotas shared with the other routers; nil: none
+	// LevelDecayTime is the time in seconds over which the measures that conditions of levels refer to decay.
 	LevelDecayTime float64
 
-	keyLine func(key string) int // where a key stands in the source
-	source  *source
+	keyLine func(key string) int // line number of a key in source; nil without a file
+	source  *source              // nil without a file
 }
 
-// file is what each package declares of it.
+// file combines the sections that the packages declare.
 type file struct {
 	tds.FrontSection
 	assign.RuleSections
@@ -55,9 +56,11 @@
 	levels.LevelSections
 }
 
+// maxTotalSize is the size limit in bytes for a file and all files that it includes.
 const maxTotalSize = 4 << 20
 
-// Load reads the file at a path, and those that it includes.
+// Load reads the file with this path and those that it includes. getenv looks up environment variables that the file names.
+// The error joins all that were found.
 func Load(path string, getenv func(string) string) (*Installation, error) {
 	s, err := readSource(path)
 	if err != nil {
@@ -66,11 +69,12 @@
 	return s.parse(getenv)
 }
 
-// Parse reads the file's text. The error joins all that was found.
+// Parse reads the text of a file without included files; path is for error messages. The error joins all that were found.
 func Parse(path string, text []byte, getenv func(string) string) (*Installation, error) {
 	return (&source{text: text, files: []sourceFile{{path, 1}}}).parse(getenv)
 }
 
+// parse decodes and validates the source.
 func (s *source) parse(getenv func(string) string) (*Installation, error) {
 	var f file
 	d := toml.NewDecoder(strings.NewReader(string(s.text)))
@@ -101,8 +105,9 @@
 	return out, errors.Join(c.errs...)
 }
 
-// ValidateAgainst checks all against the platform's settings: whether its groups are there, and whether routes could break a
-// rule. All that is found is told.
+// ValidateAgainst checks the installation against the platform's settings: whether the service groups that it names exist and
+// whether a route could break a rule of the platform. path is for the error messages of an installation without a file. The
+// error joins all that were found.
 func (i *Installation) ValidateAgainst(path string, s settings.Settings) error {
 	errs := []error{i.CheckGroups(path, s.GroupNames())}
 	p := limits.Platform{Known: true, Dispatches: max(s.MaxDispatches, 1), Clients: s.Clients, Rationed: s.LimitRetries, Free: s.FreeRetries,
@@ -118,7 +123,8 @@
 	return errors.Join(errs...)
 }
 
-// CheckGroups checks the rules against the service groups that the platform names.
+// CheckGroups checks that the service groups named in rules and levels are among those of the platform, and sets Rules.Groups to
+// the latter.
 func (i *Installation) CheckGroups(path string, names []string) error {
 	i.Rules.Groups = map[string]bool{}
 	for _, n := range names {
@@ -137,7 +143,7 @@
 	return errors.Join(errs...)
 }
 
-// position gives a line as file and line; settings made without a file have none.
+// position returns a line as file:line, or only the path for an installation without a file.
 func (i *Installation) position(path string, line int) string {
 	if i.source == nil {
 		return path
@@ -145,6 +151,7 @@
 	return i.source.position(line)
 }
 
+// keyPosition returns the position of a key as file:line, or only the path for an installation without a file.
 func (i *Installation) keyPosition(path, key string) string {
 	if i.keyLine == nil {
 		return path
@@ -152,20 +159,20 @@
 	return i.position(path, i.keyLine(key))
 }
 
-// checker is what sections are proven with.
+// checker implements findings.Reporter for one source.
 type checker struct {
 	source *source
-	lines  map[string]int
+	lines  map[string]int // line numbers by key, from keyLines
 	getenv func(string) string
 	errs   []error
 }
 
-// Errorf notes what is wrong with a key, or with the table that lacks it.
+// Errorf records an error in a key, or in the table that lacks it.
 func (c *checker) Errorf(key, format string, args ...any) {
 	c.errs = append(c.errs, fmt.Errorf("%s: %s: %s", c.source.position(c.Line(key)), key, fmt.Sprintf(format, args...)))
 }
 
-// Line is where a key stands, or the nearest table around it.
+// Line returns the line number of a key, or of the nearest table around it.
 func (c *checker) Line(key string) (line int) {
 	for line == 0 && key != "" {
 		line = c.lines[key]
@@ -174,7 +181,7 @@
 	return max(line, 1)
 }
 
-// Seconds reads a duration; 0 where nothing is told.
+// Seconds parses a duration above 0 and up to most seconds. It returns 0 for an empty text and after recording an error.
 func (c *checker) Seconds(key, text string, most float64) float64 {
 	if text == "" {
 		return 0
@@ -186,7 +193,7 @@
 	return v
 }
 
-// Megabytes reads a size; 0 where nothing is told.
+// Megabytes parses a size. It returns 0 for an empty text and after recording an error.
 func (c *checker) Megabytes(key, text string) float64 {
 	if text == "" {
 		return 0
@@ -198,17 +205,18 @@
 	return v
 }
 
-// CheckRange finds what is out of bounds; a figure that is none is.
+// CheckRange records an error if v is not from min to max; NaN never is.
 func (c *checker) CheckRange(key string, v, min, max float64) {
 	if !(v >= min && v <= max) {
-		c.Errorf(key, "%g is not from %g to %g", v, min, max)
+		c.Errorf(key, "%g is out of range, it must be from %g to %g", v, min, max)
 	}
 }
 
-// Getenv gives a variable of the environment.
+// Getenv returns the value of an environment variable.
 func (c *checker) Getenv(name string) string { return c.getenv(name) }
 
-// translateError words the library's errors as ours: the key, what stands there and what is wanted.
+// translateError turns an error of the TOML library into one that names the key, the value found and the type expected,
+// without terms of Go.
 func (s *source) translateError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -235,13 +243,13 @@
 	return fmt.Errorf("%s: %w", s.files[0].path, err)
 }
 
-// hasSyntaxError tells whether the text can't be read as TOML at all, whatever is wanted of it.
+// hasSyntaxError reports whether the text is not valid TOML, regardless of keys and types.
 func hasSyntaxError(text []byte) bool {
-	var any map[string]any
-	return toml.Unmarshal(text, &any) != nil
+	var document map[string]any
+	return toml.Unmarshal(text, &document) != nil
 }
 
-// valueOnLine is what a line of the text says after its key, shortened.
+// valueOnLine returns the text after the key on a line, shortened for error messages.
 func valueOnLine(text []byte, row int) string {
 	const maxLength = 40
 	lines := strings.Split(string(text), "\n")
@@ -255,31 +263,32 @@
 	return line
 }
 
-// findMismatch finds the key of an inline table of which the value is not what is wanted; the library tells the table only.
-func findMismatch(key []string, text string) (inner, want, actual string) {
+// findMismatch returns the first key of an inline table whose value has the wrong type, the expected type and the actual value.
+// The library names only the table.
+func findMismatch(key []string, text string) (inner, expected, actual string) {
 	var table struct{ X map[string]any }
 	if !strings.HasPrefix(text, "{") || toml.Unmarshal([]byte("X = "+text), &table) != nil {
 		return "", "", ""
 	}
 	for _, k := range slices.Sorted(maps.Keys(table.X)) {
-		want := expectedType(reflect.TypeFor[file](), append(slices.Clone(key), k))
+		expected := expectedType(reflect.TypeFor[file](), append(slices.Clone(key), k))
 		ok := true
 		switch v := table.X[k].(type) {
 		case string:
-			ok, actual = want == "text in quotes", fmt.Sprintf("%q", v)
+			ok, actual = expected == "text in quotes", fmt.Sprintf("%q", v)
 		case float64, int64:
-			ok, actual = strings.HasSuffix(want, "number"), fmt.Sprint(v)
+			ok, actual = strings.HasSuffix(expected, "number"), fmt.Sprint(v)
 		case bool:
-			ok, actual = want == "true or false", fmt.Sprint(v)
+			ok, actual = expected == "true or false", fmt.Sprint(v)
 		}
-		if want != "" && !ok {
-			return k, want, actual
+		if expected != "" && !ok {
+			return k, expected, actual
 		}
 	}
 	return "", "", ""
 }
 
-// expectedType words what a key takes; empty: there is no such key.
+// expectedType describes the type of the value of a key in terms of TOML; the empty string means that there is no such key.
 func expectedType(typ reflect.Type, key []string) string {
 	for typ.Kind() == reflect.Pointer {
 		typ = typ.Elem()
@@ -289,8 +298,8 @@
 		for i := range typ.NumField() {
 			f := typ.Field(i)
 			if f.Anonymous {
-				if want := expectedType(f.Type, key); want != "" {
-					return want
+				if expected := expectedType(f.Type, key); expected != "" {
+					return expected
 				}
 			}
 			if f.Tag.Get("toml") == key[0] || f.Tag.Get("toml") == "" && strings.EqualFold(f.Name, key[0]) {
@@ -322,7 +331,8 @@
 	return ""
 }
 
-// keyLines finds the line of each key and table, as a.b[2].c. The text has been read once already.
+// keyLines returns the line number of each key and table by its full path, such as a.b[2].c. The text has to be valid TOML:
+// errors of the parser are not checked again.
 func keyLines(text []byte) map[string]int {
 	lines, counts := map[string]int{}, map[string]int{}
 	parser := unstable.Parser{}
@@ -343,7 +353,7 @@
 			}
 			name += string(part.Data)
 			if expression.Kind != unstable.KeyValue {
-				if !keyParts.IsLast() && counts[name] > 0 { // inside the last of these
+				if !keyParts.IsLast() && counts[name] > 0 { // belongs to the latest element of this array of tables
 					name = fmt.Sprintf("%s[%d]", name, counts[name]-1)
 				}
 			}
--- a/internal/installation/source.go
+++ b/internal/installation/source.go
@@ -12,39 +12,43 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// source is the text of a file with all that it includes behind it, and where each line of it stands.
+// source is the text of a file followed by those of all files that it includes, and the origin of each line.
 type source struct {
 	text  []byte
 	files []sourceFile
 }
 
+// sourceFile is one file in a source.
 type sourceFile struct {
 	path      string
-	firstLine int // number of its first line in the whole, from 1
+	firstLine int // line number in the whole text, from 1
 }
 
-// position gives a line of the whole as file and line.
+// position returns a line number of the whole text as file:line.
 func (s *source) position(line int) string {
 	file := sourceFile{firstLine: 1}
-	for _, p := range s.files {
-		if p.firstLine <= line {
-			file = p
+	for _, f := range s.files {
+		if f.firstLine <= line {
+			file = f
 		}
 	}
 	return fmt.Sprintf("%s:%d", file.path, line-file.firstLine+1)
 }
 
+// maxFiles is the largest number of files in a source.
 const maxFiles = 64
 
-// includeLine is a key of the top of a file: further files, by paths that count from its own folder.
+// includeLine matches the key include, which stands before the first table of a file and lists further files. Relative paths are
+// relative to the folder of the file.
 var includeLine = regexp.MustCompile(`^\s*include\s*=`)
 
-// readSource reads a file and what it includes, each once.
+// readSource reads a file and the files that it includes, directly or not.
 func readSource(path string) (*source, error) {
 	s := &source{}
 	return s, s.add(path, nil)
 }
 
+// add appends a file and the files that it includes. chain holds the paths of the files through which it was included.
 func (s *source) add(path string, chain []string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -55,7 +59,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if info.Size()+int64(len(s.text)) > maxTotalSize {
-		return fmt.Errorf("%s: larger than %d bytes, with what includes it", path, maxTotalSize)
+		return fmt.Errorf("%s: larger than %d bytes together with the files read before it", path, maxTotalSize)
 	}
 	chain = append(slices.Clone(chain), filepath.Clean(path))
 	first := strings.Count(string(s.text), "\n") + 1
@@ -75,8 +79,8 @@
 		switch {
 		case slices.Contains(chain, filepath.Clean(target)):
 			errs = append(errs, fmt.Errorf("%s%q includes itself: %s", prefix, include.path, strings.Join(append(chain, filepath.Clean(target)), ", then ")))
-		case slices.ContainsFunc(s.files, func(p sourceFile) bool { return filepath.Clean(p.path) == filepath.Clean(target) }):
-			errs = append(errs, fmt.Errorf("%s%q is included already; each file counts once", prefix, include.path))
+		case slices.ContainsFunc(s.files, func(f sourceFile) bool { return filepath.Clean(f.path) == filepath.Clean(target) }):
+			errs = append(errs, fmt.Errorf("%s%q is included already; a file may be included only once", prefix, include.path))
 		case len(s.files) >= maxFiles:
 			errs = append(errs, fmt.Errorf("%smore than %d files", prefix, maxFiles))
 		default:
@@ -88,12 +92,14 @@
 	return errors.Join(errs...)
 }
 
+// includedFile is an entry of an include list and the line on which it stands.
 type includedFile struct {
 	path string
 	line int
 }
 
-// extractIncludes takes the includes out of a text; its lines keep their numbers.
+// extractIncludes returns the files that a text includes, and the text with the include line blanked so that line numbers stay
+// the same.
 func extractIncludes(path string, text []byte) (files []includedFile, rest []byte, err error) {
 	lines := strings.Split(string(text), "\n")
 	for i, line := range lines {
@@ -110,8 +116,8 @@
 			return nil, nil, fmt.Errorf("%s:%d: include: a list of which each is text in quotes is wanted, once and on one line, not %s",
 				path, i+1, valueOnLine(text, i+1))
 		}
-		for _, path := range parsed.Include {
-			files = append(files, includedFile{path, i + 1})
+		for _, included := range parsed.Include {
+			files = append(files, includedFile{included, i + 1})
 		}
 		lines[i] = ""
 	}
