--- a/internal/installation/routes_test.go
+++ b/internal/installation/routes_test.go
@@ -13,7 +13,7 @@
 	"pitchfield/internal/settings"
 )
 
-func platform() settings.Settings {
+func platformSettings() settings.Settings {
 	group := func(name string, effect brain.Idempotency, limit, window float64) *brain.ServiceGroup {
 		return &brain.ServiceGroup{Name: name, Idempotency: effect, Limit: limit, DedupWindow: window}
 	}
@@ -27,16 +27,16 @@
 			group("upload", brain.Deduplicated, 25, 15), group("once", brain.AtMostOnce, 9, 0)}}}
 }
 
-func proven(text string) (*Installation, error) {
+func parseAndValidate(text string) (*Installation, error) {
 	i, err := Parse("x.toml", []byte(text), env)
 	if err == nil {
-		err = i.ValidateAgainst("x.toml", platform())
+		err = i.ValidateAgainst("x.toml", platformSettings())
 	}
 	return i, err
 }
 
-// Each is a file that could break a rule, can't be meant, or can't be read: what is told, and at which line.
-func TestBadFilesOfLimitsAreEachToldByRuleAndLine(t *testing.T) {
+// Each file could break a rule, makes no sense or can't be read. It is listed with the line and part of the text of the error.
+func TestInvalidLimitsAreReportedByRuleAndLine(t *testing.T) {
 	route := "[[route]]\nname = \"r\"\n"
 	budget := "[[budget]]\nname = \"b\"\n"
 	lookup, bound := route+"group = \"lookup\"\n", "[[concurrency]]\nname = \"c\"\n"
@@ -63,7 +63,7 @@
 		{budget + "share = nan", "1", "share from 0 to 1"}, {budget + "free = inf", "1", "rule 7"}, {budget + "free = 1e300", "1", "rule 7"}, {budget + "window = \"10ms\"", "1", "its window"},
 		{budget + "window = \"2h\"", "3", "of at most 3600s"}, {budget + "window = 10", "3", "window"}, {budget + budget, "4", "there twice"}, {"[[budget]]\nfree = 1.0", "1", "empty"},
 		{route + "budget = \"other\"", "3", "no budget"}, {budget + "sahre = 0.1", "3", "no such key"},
-		// Second copies.
+		// Hedges (second copies).
 		{route + "copies = {after = 0.9, share = 0.05}", "1", "rule 2: the effect of a second copy"}, {route + "group = \"upload\"\ncopies = {after = 0.9, share = 0.05}", "1", "rule 2: the effect"},
 		{route + "group = \"once\"\ncopies = {after = 0.9, share = 0.05}", "1", "rule 2: the effect"}, {route + "group = \"l*\"\ncopies = {after = 0.4, share = 0.05}", "1", "quantile from 0.5"},
 		{lookup + "copies = {after = 1.0, share = 0.05}", "1", "quantile from 0.5"}, {lookup + "copies = {after = 95, share = 0.05}", "1", "quantile from 0.5"},
@@ -86,7 +86,7 @@
 		// Budgets of all batches and by engine.
 		{"[further]", "1", "neither all nor engine"}, {"[further]\nall = {share = 0.3}", "2", "rule 7"}, {"[further.engine]\nfree = 30", "1", "rule 7"}, {"[further]\neach = {share = 0.1}", "2", "no such key"},
 		{"[further]\nall = 3", "2", "a table is wanted, not 3"}, {"[further]\nengine = {window = \"1ms\"}", "2", "its window"}, {"[further]\nall = {share = \"x\"}", "2", "a number is wanted, not \"x\""},
-		// What all routers divide.
+		// Quotas shared by all routers.
 		{budget + "free = 2.0\nfleet = true", "4", "[fleet] and [shares] have to be there"}, {"[further.all]\nfree = 2.0\nfleet = true", "3", "[fleet] and [shares] have to be there"},
 		{bound + "routers = 4", "3", "[fleet] and [shares] have to be there"}, {bound + "routers = 0", "3", "rule 1: with none out"}, {bound + "routers = 4\nfleet = 5", "1", "can't be reached with 4"},
 		{"[further.engine]\nfree = 2.0\nfleet = true", "3", "to one engine each router has a budget of its own"}, {budget + "share = 0.1\nfleet = true", "1", "all routers divide the free ones, and 0 is none"},
@@ -102,14 +102,14 @@
 		{route + "engine = \"x\"", "3", "no such key"}, {route + route, "3", "as exact as"}, {route + "[[route]]\nname = \"s\"", "3", "as exact as route \"r\""},
 		{route + "group = \"report\"\n[[route]]\nname = \"s\"\nclient = \"farm\"", "4", "as exact as"}, {route + "login = \"a*\"\n[[route]]\nname = \"s\"\nlogin = \"*b\"", "4", "as exact as"},
 		{"[[route]]\ngroup = \"report\"", "1", "needs a name"}, {route + "group = \"report\"\n" + route + "group = \"lookup\"", "4", "that no other has"},
-		// What is no file.
+		// Invalid TOML and structure.
 		{route + "group = \"report", "3", ""}, {"[[route]\nname = \"r\"", "1", ""}, {route + "name = \"s\"", "3", ""}, {budget + "free = \"3\"", "3", "free"}, {"route = 7", "1", ""},
 		{"[[route]]\nname = \"r\"\ngroup = \"re", "3", ""},
 	}
 	t.Logf("%d bad files", len(bad))
 	assert.GreaterOrEqual(t, len(bad), 111)
 	for _, b := range bad {
-		_, err := proven(b.text)
+		_, err := parseAndValidate(b.text)
 		if assert.Error(t, err, b.text) {
 			assert.Contains(t, err.Error(), "x.toml:"+b.line+":", b.text)
 			assert.Contains(t, err.Error(), b.why, b.text)
@@ -117,7 +117,7 @@
 				assert.NotContains(t, err.Error(), inside, b.text)
 			}
 		}
-		// What needs no platform is found without one.
+		// Errors that do not depend on the platform's settings are found without them.
 		needs := slices.ContainsFunc([]string{"time-outs of", "once-only", "a pause of up to", "than the platform's budget", "no service group", "no client",
 			"the effect of a second copy", "is above the platform's budget", "no kind of engine", "rule 6"},
 			func(text string) bool { return err != nil && strings.Contains(err.Error(), text) })
@@ -127,8 +127,8 @@
 	}
 }
 
-// A message says the key, what stands there and what is wanted.
-func TestWrongTypesAreToldInTheOperatorsWords(t *testing.T) {
+// A message names the key, the value found and the type expected.
+func TestWrongTypesAreReportedInTermsOfTOML(t *testing.T) {
 	for text, want := range map[string]string{
 		"[[budget]]\nname = \"b\"\nshare = \"10%\"":        `x.toml:3: budget.share: a number is wanted, not "10%"`,
 		"[[route]]\ndispatches = \"two\"":                  `x.toml:2: route.dispatches: a whole number is wanted, not "two"`,
@@ -146,11 +146,12 @@
 	}
 	i, err := Parse("x.toml", []byte("[tds]\nlisten = \"127.0.0.1:1433\"\n[[tds.login]]\nuser = \"a\"\nhash = \"$2a$10$obcctzJPUUAKyuTm1Xvcl.ixFB6FhcFaoMeQ2ZTjwxxWDhgnAj5ji\"\n[default]\ngroup = \"raport\"\n"), env)
 	require.NoError(t, err)
-	assert.EqualError(t, i.ValidateAgainst("x.toml", platform()), `x.toml:7: default.group: the platform's settings have no service group "raport"`)
+	assert.EqualError(t, i.ValidateAgainst("x.toml", platformSettings()), `x.toml:7: default.group: the platform's settings have no service group "raport"`)
 }
 
-// Each is a file that holds, with what a batch gets by it: route, dispatches, and time of a dispatch that would have 10 s.
-func TestGoodFilesOfLimitsAreResolved(t *testing.T) {
+// Each file is valid. It is listed with what a batch gets: the route, the maximum number of dispatches out of 3, and the time for a
+// dispatch in seconds out of 10.
+func TestValidLimitsAreResolved(t *testing.T) {
 	route := "[[route]]\nname = \"r\"\n"
 	report, upload := limits.Fields{Group: "report", Client: "farm", Login: "ann", Application: "my grid", Protocol: "tds", DataSet: "7"}, limits.Fields{Group: "upload", Protocol: "frames"}
 	for n, good := range []struct {
@@ -172,7 +173,7 @@
 		{route + "dispatches = 1\n[[route]]\nname = \"s\"\ngroup = \"report\"\ndispatches = 2", upload, "r", 1, 10},
 		{"[[route]]\nname = \"p\"\ngroup = \"rep*\"\n[[route]]\nname = \"e\"\ngroup = \"report\"\nclient = \"farm\"\ndispatches = 2", report, "e", 2, 10},
 	} {
-		i, err := proven(good.text)
+		i, err := parseAndValidate(good.text)
 		require.NoError(t, err, "%d: %s", n, good.text)
 		r := i.Routes.Find(&good.fields)
 		name := ""
@@ -186,12 +187,12 @@
 }
 
 func FuzzFile(f *testing.F) {
-	f.Add(good)
-	f.Add(level)
+	f.Add(validFile)
+	f.Add(levelSection)
 	f.Add("[[route]]\nname = \"r\"\ngroup = \"*\"\ntime-out = \"1s\"\n[[budget]]\nname = \"b\"\nwindow = \"1s\"\n")
 	f.Fuzz(func(_ *testing.T, text string) {
 		if i, err := Parse("x.toml", []byte(text), env); err == nil {
-			_ = i.ValidateAgainst("x.toml", platform())
+			_ = i.ValidateAgainst("x.toml", platformSettings())
 			i.Routes.Explain(&limits.Fields{Group: "report"})
 		}
 	})
--- a/internal/installation/source_test.go
+++ b/internal/installation/source_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestIncludesCountOnceAndFindingsNameTheirFile(t *testing.T) {
+func TestFilesAreIncludedOnceAndErrorsNameTheirFile(t *testing.T) {
 	for name, c := range map[string]struct {
 		files map[string]string
-		want  string // of the error; empty: it can be used
+		want  string // part of the error; empty: none
 	}{
 		"a route uses another file's budget": {files: map[string]string{"main.toml": "include = [\"routes.toml\", \"sub/budgets.toml\"]\n",
 			"routes.toml": "[[route]]\nname = \"r\"\nbudget = \"b\"\n", "sub/budgets.toml": "[[budget]]\nname = \"b\"\n"}},
-		"a finding in an included file": {files: map[string]string{"main.toml": "include = [\"routes.toml\"]\n[[budget]]\nname = \"b\"\n",
+		"an error in an included file": {files: map[string]string{"main.toml": "include = [\"routes.toml\"]\n[[budget]]\nname = \"b\"\n",
 			"routes.toml": "# ours\n[[route]]\nname = \"r\"\ndispatches = 4\n"}, want: "routes.toml:2: route \"r\": rule 2: 4 dispatches"},
 		"an unknown key in one": {files: map[string]string{"main.toml": "include = [\"a.toml\"]\n", "a.toml": "[[budget]]\nname = \"b\"\nshaer = 1\n"},
 			want: "a.toml:3: budget.shaer: no such key"},
 		"a wrong type in one": {files: map[string]string{"main.toml": "include = [\"a.toml\"]\n", "a.toml": "[[budget]]\nname = \"b\"\nshare = \"x\"\n"},
 			want: "a.toml:3: budget.share: a number is wanted, not \"x\""},
-		"a finding behind it": {files: map[string]string{"main.toml": "include = [\"a.toml\"]\n[[route]]\nname = \"r\"\nbudget = \"other\"", "a.toml": "[[budget]]\nname = \"b\"\n"},
+		"an error after an include": {files: map[string]string{"main.toml": "include = [\"a.toml\"]\n[[route]]\nname = \"r\"\nbudget = \"other\"", "a.toml": "[[budget]]\nname = \"b\"\n"},
 			want: "main.toml:4: route[0].budget"},
 		"itself":      {files: map[string]string{"main.toml": "include = [\"main.toml\"]\n"}, want: "main.toml:1: include: \"main.toml\" includes itself"},
 		"in a circle": {files: map[string]string{"main.toml": "\ninclude = [\"a.toml\"]\n", "a.toml": "include = [\"./main.toml\"]\n"}, want: "a.toml:1: include: \"./main.toml\" includes itself"},
