--- a/brain/brain.go
+++ b/brain/brain.go
@@ -250,17 +250,17 @@
 	}
 	// Only the first batch of its key is answered at once: another one's answer could overtake that of the one before.
 	first := len(batch.keyQueue.batches) == 0 && batch.keyQueue.inFlight == 0
-	limitAction := batch.Route.Comes(r.now)
-	if batch.Shed = first && limitAction == limits.Wait && r.shouldShed(batch); batch.Shed || first && limitAction != limits.Wait {
+	limitAction := batch.Route.ActionOnArrival(r.now)
+	if batch.Shed = first && limitAction == limits.QueueBatch && r.shouldShed(batch); batch.Shed || first && limitAction != limits.QueueBatch {
 		decision := r.giveUp(batch)
-		if limitAction == limits.Refuse {
+		if limitAction == limits.FailBatch {
 			decision = Decision{Kind: Fail, Batch: batch}
 		}
 		r.pending = append(r.pending, decision)
 		return
 	}
-	batch.Route.Took(r.now)
-	r.retryBudget.Took(r.now)
+	batch.Route.CountBatch(r.now)
+	r.retryBudget.CountBatch(r.now)
 	batch.keyQueue.batches, r.arrivals = append(batch.keyQueue.batches, batch), append(r.arrivals, r.now)
 	r.probeCredit = min(r.probeCredit+1, 8*r.probeCost())
 	r.enqueue(batch)
@@ -279,7 +279,7 @@
 
 // maxTries returns how many dispatches a batch may have in all.
 func (r *Router) maxTries(b *Batch) int {
-	maxTries := b.Route.Most(r.maxDispatches)
+	maxTries := b.Route.DispatchLimit(r.maxDispatches)
 	if r.reduced.MaxRetries != 0 {
 		maxTries = min(maxTries, 1+max(r.reduced.MaxRetries, 0))
 	}
@@ -293,14 +293,14 @@
 func (r *Router) enqueue(b *Batch) {
 	i := sort.Search(len(r.queue), func(i int) bool { return r.queue[i].demand > b.demand })
 	r.queue = slices.Insert(r.queue, i, b)
-	b.Route.Uses(r.now, 0, 1)
+	b.Route.CountUsage(r.now, 0, 1)
 }
 
 // dequeue removes a batch from the queue, if it is there.
 func (r *Router) dequeue(b *Batch) {
 	n := len(r.queue)
 	r.queue = without(r.queue, b)
-	b.Route.Uses(r.now, 0, len(r.queue)-n)
+	b.Route.CountUsage(r.now, 0, len(r.queue)-n)
 }
 
 // RemoveBatch ends a batch: its client has left or it was answered. Dispatches in flight still end by DispatchEnded.
@@ -321,9 +321,9 @@
 	attempt, engine := batch.dispatches[number], batch.dispatches[number].engine
 	attempt.ended, attempt.outcome, engine.inFlight = true, outcome, without(engine.inFlight, attempt)
 	batch.InFlight, batch.keyQueue.inFlight = batch.InFlight-1, batch.keyQueue.inFlight-1
-	batch.Route.Uses(r.now, -1, 0)
+	batch.Route.CountUsage(r.now, -1, 0)
 	if engine.ConcurrencyLimit != nil && outcome != Canceled && outcome != NotSent {
-		engine.ConcurrencyLimit.Ended(attempt.sample(r.now, took, work))
+		engine.ConcurrencyLimit.Observe(attempt.sample(r.now, took, work))
 	}
 	r.recordReport(engine, report)
 	mayStillRun := outcome == TimedOut || outcome == ConnectionLost || outcome == Canceled || outcome == Unconfirmed
@@ -359,7 +359,7 @@
 		}
 	} else if r.dequeue(batch); !batch.Done && batch.InFlight == 0 {
 		if batch.Route != nil {
-			batch.wantsQuota, batch.reconsiderAt = false, r.now+batch.Route.Rest(r.randomFloat())
+			batch.wantsQuota, batch.reconsiderAt = false, r.now+batch.Route.JitteredRetryDelay(r.randomFloat())
 		}
 		r.enqueue(batch)
 		r.nextSweepAt = r.now
@@ -614,7 +614,7 @@
 	// meet the same failure. Drawback: the failure may end the next moment.
 	return !b.unconfirmed && len(b.dispatches) < r.maxTries(b) && r.safeToRetry(b, r.tick) &&
 		(b.InFlight == 0 || r.load < maxHedgeLoad) &&
-		(len(b.dispatches) == 0 || b.Route.May(r.now) && r.retryBudget.May(r.now))
+		(len(b.dispatches) == 0 || b.Route.MayRetrySoon(r.now) && r.retryBudget.MayRetrySoon(r.now))
 }
 
 // safeToRetry reports whether a batch can't have run, or may run again within delay seconds from now.
@@ -677,7 +677,7 @@
 			mayRetry := group.Idempotency == Idempotent ||
 				group.Idempotency == Deduplicated && r.now+1 < attempt.sentAt+group.DedupWindow
 			mayRetry = mayRetry && len(attempt.batch.dispatches) < r.maxTries(attempt.batch) &&
-				attempt.batch.Route.May(r.now) && !attempt.batch.Done
+				attempt.batch.Route.MayRetrySoon(r.now) && !attempt.batch.Done
 			if r.mayCancel && !attempt.cancelRequested && mayRetry && r.shouldRestart(attempt) {
 				attempt.cancelRequested = true
 				r.pending = append(r.pending, Decision{Kind: Cancel, Batch: attempt.batch, Number: attempt.number})
@@ -743,9 +743,9 @@
 // copies bounds that.
 func (r *Router) shouldHedge(attempt *dispatch) bool {
 	b := attempt.batch
-	return b.Route.MayCopy(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 && !b.Streaming &&
+	return b.Route.MayHedge(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 && !b.Streaming &&
 		!attempt.cancelRequested && r.reduced.isZero() && r.load < maxHedgeLoad && !slices.Contains(r.queue, b) &&
-		r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Copies.After, 8)
+		r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Hedging.AfterQuantile, 8)
 }
 
 // nextDispatch returns the batch to dispatch next and its engine, or nil while the gate is closed or nothing fits. A batch
@@ -789,7 +789,7 @@
 	for _, b := range r.queue {
 		if b.reconsiderAt > r.now || !r.isNextOfKey(b) ||
 			len(b.dispatches) > 0 && (!r.mayDispatch(b) || r.limitRetries && r.retriesExhausted() ||
-				!b.Route.Ready(r.now) || !r.retryBudget.Ready(r.now)) || !b.Route.Room(r.now) {
+				!b.Route.MayRetryNow(r.now) || !r.retryBudget.MayRetryNow(r.now)) || !b.Route.HasCapacity(r.now) {
 			continue
 		}
 		first = cmp.Or(first, b)
@@ -871,7 +871,7 @@
 // kinds, and for a batch that may have run the scope of its deduplication.
 func (r *Router) allowed(b *Batch, e *Engine) bool {
 	g, at := b.Group, b.mayHaveRunOn
-	return e.Phase == Ready && b.Route.Goes(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
+	return e.Phase == Ready && b.Route.AllowsEngineKind(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
 		(g.Kinds == nil || slices.Contains(g.Kinds, e.Kind)) &&
 		(at == nil || g.Idempotency != Deduplicated || (g.DedupScope != WithinZone || e.Zone == at.Zone) &&
 			(g.DedupScope != WithinCell || e.Cell == at.Cell))
@@ -895,11 +895,11 @@
 // ejected: if nearly all fail, the cause is more likely the network or this router.
 func (r *Router) canAccept(batch *Batch, engine *Engine) bool {
 	conflicts := func(d *dispatch) bool { // a copy must not go to the engine, or the zone, of the first dispatch
-		return !d.ended && (d.engine == engine || batch.Route.OtherZone() && d.engine.Zone == engine.Zone)
+		return !d.ended && (d.engine == engine || batch.Route.HedgesToOtherZone() && d.engine.Zone == engine.Zone)
 	}
 	if batch.InFlight > 0 && slices.ContainsFunc(batch.dispatches, conflicts) ||
-		!batch.Route.RoomAt(engine.countSharing(batch)) ||
-		len(batch.dispatches) > 0 && !engine.RetryBudget.May(r.now) || // retries must not all go to one engine
+		!batch.Route.HasEngineCapacity(engine.countSharing(batch)) ||
+		len(batch.dispatches) > 0 && !engine.RetryBudget.MayRetrySoon(r.now) || // retries must not all go to one engine
 		engine.ConcurrencyLimit != nil && float64(len(engine.inFlight)) >= engine.ConcurrencyLimit.Limit() {
 		return false
 	}
@@ -968,16 +968,16 @@
 	r.dequeue(batch)
 	if len(batch.dispatches) > 0 {
 		r.retries = append(r.retries, r.now)
-		batch.Route.Again(r.now)
-		r.retryBudget.Again(r.now)
-		engine.RetryBudget.Again(r.now)
+		batch.Route.CountRetry(r.now)
+		r.retryBudget.CountRetry(r.now)
+		engine.RetryBudget.CountRetry(r.now)
 	} else {
-		engine.RetryBudget.Took(r.now)
+		engine.RetryBudget.CountBatch(r.now)
 	}
 	if batch.InFlight > 0 {
-		batch.Route.Copied(r.now)
+		batch.Route.CountHedge(r.now)
 	}
-	batch.Route.Uses(r.now, 1, 0)
+	batch.Route.CountUsage(r.now, 1, 0)
 	attempt := &dispatch{
 		batch:        batch,
 		engine:       engine,
@@ -1011,7 +1011,7 @@
 		}
 	}
 	if batch.Group.Idempotency != AtMostOnce { // such a batch can't be retried, so a time-out would only lose its answer
-		wait = batch.Route.Within(wait)
+		wait = batch.Route.CapTimeout(wait)
 	}
 	decision := Decision{Kind: Dispatch, Batch: batch, Engine: engine, Number: attempt.number, Wait: wait}
 	if group.Idempotency == Deduplicated && batch.mayHaveRunOn != nil {
--- a/brain/figures.go
+++ b/brain/figures.go
@@ -39,7 +39,7 @@
 // countSharing counts the dispatches in flight at an engine under the same concurrency limit as the batch's route.
 func (e *Engine) countSharing(b *Batch) (n int) {
 	for _, d := range e.inFlight {
-		if b.Route.Shares(d.batch.Route) {
+		if b.Route.SharesLimitWith(d.batch.Route) {
 			n++
 		}
 	}
@@ -58,7 +58,7 @@
 		alone = work / d.batch.Group.Threads
 	}
 	bad := d.outcome == TimedOut || d.outcome == ConnectionLost || d.outcome == Rejected || d.outcome == Errored || d.outcome == ConnectFailed
-	return limits.Sample{Now: now, Took: took, Alone: alone, Out: len(d.engine.inFlight) + 1, Bad: bad}
+	return limits.Sample{Now: now, Elapsed: took, Unloaded: alone, InFlight: len(d.engine.inFlight) + 1, Failed: bad}
 }
 
 // add returns the sum of a and b multiplied by times.
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -54,7 +54,7 @@
 }
 
 // SetRetryBudget sets the operators' budget for the retries of all batches; nil: none.
-func (r *Router) SetRetryBudget(all *limits.Budget) { r.retryBudget = all }
+func (r *Router) SetRetryBudget(all *limits.RetryBudget) { r.retryBudget = all }
 
 // Deadline returns when a batch must have its final answer, in seconds on the clock of SetTime.
 func (b *Batch) Deadline() float64 { return b.deadline }
--- a/brain/types.go
+++ b/brain/types.go
@@ -115,8 +115,8 @@
 	Kind                  int
 	Zone                  int
 	OneBatchPerConnection bool
-	ConcurrencyLimit      limits.Adaptive // bounds the dispatches in flight there; nil: none
-	RetryBudget           *limits.Budget  // bounds the retries sent there; nil: none
+	ConcurrencyLimit      limits.AdaptiveLimit // bounds the dispatches in flight there; nil: none
+	RetryBudget           *limits.RetryBudget  // bounds the retries sent there; nil: none
 
 	engineState
 }
@@ -369,5 +369,5 @@
 	probeCredit        float64    // batches that may still be spent on probes
 	wakeAt             float64    // of the timer that is set; infinite: none
 	reduced            ReducedService
-	retryBudget        *limits.Budget // bounds the retries of all batches; nil: none
+	retryBudget        *limits.RetryBudget // bounds the retries of all batches; nil: none
 }
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -32,7 +32,7 @@
 	Rules   assign.Rules
 	Engines []engines.Settings
 	Routes  *limits.Table    // limits by route
-	Limits  limits.Set       // all sections about limits
+	Limits  limits.Config    // all sections about limits
 	Status  string           // address of the status page; empty: there is none
 	Levels  *levels.Settings // levels of reduced service; nil: none
 	Fleet   *fleet.Settings  // messaging with the other routers; nil: none
@@ -91,16 +91,16 @@
 	} else {
 		out.Shares = f.ShareSections.Prove(c, "", nil)
 	}
-	out.Levels, out.LevelDecayTime = f.LevelSections.Prove(c)
-	out.Limits = f.LimitSections.Prove(c)
+	out.Levels, out.LevelDecayTime = f.LevelSections.Validate(c)
+	out.Limits = f.LimitSections.Validate(c)
 	if out.Shares == nil {
-		for _, key := range f.LimitSections.Divided() {
+		for _, key := range f.LimitSections.FleetWideKeys() {
 			c.Errorf(key, "all routers divide it, for which they have to talk: [fleet] and [shares] have to be there")
 		}
 	}
 	out.Routes = limits.NewTable(out.Limits.Routes)
 	for _, found := range limits.Check(out.Limits, limits.Platform{}) {
-		c.errs = append(c.errs, fmt.Errorf("%s: %s", s.position(found.Line), found.Text))
+		c.errs = append(c.errs, fmt.Errorf("%s: %s", s.position(found.Line), found.Message))
 	}
 	return out, errors.Join(c.errs...)
 }
@@ -110,15 +110,15 @@
 // error joins all that were found.
 func (i *Installation) ValidateAgainst(path string, s settings.Settings) error {
 	errs := []error{i.CheckGroups(path, s.GroupNames())}
-	p := limits.Platform{Known: true, Dispatches: max(s.MaxDispatches, 1), Clients: s.Clients, Rationed: s.LimitRetries, Free: s.FreeRetries,
-		Share: s.RetryRatio, Window: s.RetryWindow, Copies: s.MayHedge, Kinds: s.Kinds}
-	i.Routes.Resolve(s.Kinds)
+	p := limits.Platform{Known: true, MaxDispatches: max(s.MaxDispatches, 1), Clients: s.Clients, RetriesLimited: s.LimitRetries, FreeRetries: s.FreeRetries,
+		RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, AllowsHedging: s.MayHedge, EngineKinds: s.Kinds}
+	i.Routes.ResolveEngineKinds(s.Kinds)
 	for _, g := range s.Groups {
 		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Idempotency == brain.Idempotent, Referenced: g.Idempotency == brain.Deduplicated,
-			Limit: g.Limit, Window: g.DedupWindow, Kinds: g.Kinds})
+			TimeLimit: g.Limit, DedupWindow: g.DedupWindow, EngineKinds: g.Kinds})
 	}
 	for _, f := range limits.Check(i.Limits, p) {
-		errs = append(errs, fmt.Errorf("%s: %s", i.position(path, f.Line), f.Text))
+		errs = append(errs, fmt.Errorf("%s: %s", i.position(path, f.Line), f.Message))
 	}
 	return errors.Join(errs...)
 }
@@ -138,7 +138,7 @@
 	}
 	i.Rules.GroupsOf(check)
 	if i.Levels != nil {
-		i.Levels.GroupsOf(check)
+		i.Levels.ForEachGroup(check)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -345,7 +345,7 @@
 
 // usableRows: the protocol has found no fault, and there is no more than a result holds.
 func (r *Router) usableRows(d *dispatch, reply *traffic.Reply) bool {
-	if d.size += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.Holds(d.size) && d.batch.client != nil {
+	if d.size += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.AllowsResult(d.size) && d.batch.client != nil {
 		reply.Rows.Release()
 		r.tooLarge(d, errRoute)
 		return false
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -150,7 +150,7 @@
 	if own == nil {
 		return nil
 	}
-	return &router.RoutesSet{Routes: own.Routes, Adaptive: own.Limits.Adaptive, All: own.Limits.All, Engine: own.Limits.Engine}
+	return &router.RoutesSet{Routes: own.Routes, Adaptive: own.Limits.Adaptive, All: own.Limits.AllRetries, Engine: own.Limits.EngineRetries}
 }
 
 // speaks gives each engine's protocol: one object for each line of the settings, since connections are alike there.
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -58,7 +58,7 @@
 		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Held: s.Seen.Queued,
 		Out: s.Seen.InFlight, Engines: s.Seen.Engines, Cold: s.Seen.Cold, Aside: s.Seen.Ejected, Draining: s.Seen.Draining,
 		Load: s.Seen.Load, Mark: s.Seen.AdmissionThreshold}
-	for m, name := range levels.Names {
+	for m, name := range levels.MeasureNames {
 		out.Measures[name] = s.Measures[m]
 	}
 	return out
@@ -74,7 +74,7 @@
 	}
 	fmt.Fprintf(t, "shed\t%d\nbatches\t%d, %d held, %d out\nclients\t%d\nengines\t%d, %d cold, %d aside, %d draining\n", s.Shed, s.Batches,
 		s.Held, s.Out, s.Clients, s.Engines, s.Cold, s.Aside, s.Draining)
-	for _, name := range levels.Names {
+	for _, name := range levels.MeasureNames {
 		fmt.Fprintf(t, "%s\t%.3g\n", name, s.Measures[name])
 	}
 	if s.Stopping {
