--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -68,9 +68,9 @@
 
 // answerBeforeClose gives what is open on a client's connection its final answer before we end it. Whoever does not read could not
 // be told, and one whose bytes can't be read has broken the protocol.
-func (l *Loop) answerBeforeClose(p *peer, why router.End) {
+func (l *Loop) answerBeforeClose(p *peer, why router.CloseReason) {
 	switch why {
-	case router.Unread, router.NoMemory, router.BadInput, router.LoginRefused:
+	case router.PeerNotReading, router.BufferLimitExceeded, router.BadInput, router.LoginRefused:
 		return
 	}
 	l.answerAll(l.guard.Close(p.number), guard.CloseUnanswered)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -275,7 +275,7 @@
 }
 
 // endOf tells by its error who has ended a connection.
-func endOf(err error) router.End {
+func endOf(err error) router.CloseReason {
 	switch {
 	case err == nil, errors.Is(err, io.EOF):
 		return router.ClosedByPeer
@@ -300,14 +300,14 @@
 
 // end closes a connection of ours; what it would tell of that is known already. A client that does not read, or takes too
 // much memory, does not linger.
-func (l *Loop) end(p *peer, why router.End) {
+func (l *Loop) end(p *peer, why router.CloseReason) {
 	switch p.kind {
 	case toEngine:
 		delete(l.engines, p.number)
 	case toClient:
 		delete(l.clients, p.number)
 		l.guard.ClientGone(p.number)
-		if !p.opening && why != router.Unread && why != router.NoMemory {
+		if !p.opening && why != router.PeerNotReading && why != router.BufferLimitExceeded {
 			p.refuses = why != router.BadInput && why != router.LoginRefused
 			l.linger(p, time.Now().Add(flushTime))
 			return
@@ -366,7 +366,7 @@
 		}
 	}
 	if l.here(p) && p.in.Len() > buffers.Size && l.pool.Used()*buffers.Size > l.mostHeld {
-		l.broken(p, router.NoMemory)
+		l.broken(p, router.BufferLimitExceeded)
 	}
 }
 
@@ -420,7 +420,7 @@
 }
 
 // broken ends a connection that is of no more use.
-func (l *Loop) broken(p *peer, end router.End) {
+func (l *Loop) broken(p *peer, end router.CloseReason) {
 	if p.lingers {
 		l.close(p)
 		return
@@ -644,7 +644,7 @@
 		return
 	}
 	if p.stream.Unsent()+data.Len() > l.peerUnread {
-		l.broken(p, router.Unread)
+		l.broken(p, router.PeerNotReading)
 		return
 	}
 	p.stream.Write(data.Parts())
@@ -659,7 +659,7 @@
 				worst = other
 			}
 		}
-		l.broken(worst, router.Unread)
+		l.broken(worst, router.PeerNotReading)
 	}
 }
 
@@ -685,9 +685,9 @@
 		end := router.ResetByPeer
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
-			end = router.RefusedDial
+			end = router.DialRefused
 		case transient.Is(err): // says nothing of the engine
-			end = router.NoDescriptor
+			end = router.NoDescriptors
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, syscall.ETIMEDOUT):
 			end = router.DialTimedOut
 		}
--- a/internal/loop/orders.go
+++ b/internal/loop/orders.go
@@ -78,7 +78,7 @@
 func (l *Loop) takeBack(p *peer, request *traffic.Dispatch) {
 	l.guard.NeverRan(request.ID, p.number)
 	l.post(router.OrderRefused{Connection: p.number, ID: request.ID, Why: router.OrderLate})
-	l.broken(p, router.Unread)
+	l.broken(p, router.PeerNotReading)
 }
 
 // tellRead tells the router of engines that have read all, and whether others have not.
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -24,7 +24,7 @@
 	News     *news.Settings                    // of what is out, as they tell it; nil: they don't
 	Networks []netip.Prefix                    // who may talk
 	Via      map[netip.AddrPort]netip.AddrPort // by which address one is reached, where it is not the one it tells
-	Members  func(router.Members, Talked)      // is told how the fleet stands; nil: nobody asks
+	Members  func(router.FleetStatus, Talked)  // is told how the fleet stands; nil: nobody asks
 }
 
 // Talked counts datagrams and bytes since the start.
@@ -129,7 +129,7 @@
 	return t.socket.SendTo(data, to) //nolint:wrapcheck // it says what it is
 }
 
-func (l *Loop) tellMembers(m router.Members) {
+func (l *Loop) tellMembers(m router.FleetStatus) {
 	if l.talk.Members != nil {
 		l.talk.Members(m, l.talk.talked)
 	}
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -57,7 +57,7 @@
 	Unsent      int     `json:"unsent"`
 }
 
-func newMembers(m router.Members, t loop.Talked, before *Members) *Members {
+func newMembers(m router.FleetStatus, t loop.Talked, before *Members) *Members {
 	v := m.View
 	out := &Members{Router: m.Name, At: at(m.Now), Certainty: v.State.String(), CertainAt: at(v.StateAt), Count: len(v.Members),
 		View: fmt.Sprintf("%016x", v.Hash), Changes: v.Number, Same: m.Now - v.Since, Agree: v.Agree, Differ: v.Differ,
@@ -86,7 +86,7 @@
 	return out
 }
 
-func (p *statusPage) setMembers(m router.Members, t loop.Talked) {
+func (p *statusPage) setMembers(m router.FleetStatus, t loop.Talked) {
 	p.members.Store(newMembers(m, t, p.members.Load()))
 	if m.Shares != nil {
 		p.shares.Store(newShares(m))
--- a/internal/serve/shares.go
+++ b/internal/serve/shares.go
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("%s, engine %d started %s (%s)", k.Kind, k.Of, at(math.Float64frombits(k.At)).Format("15:04:05.000"), shares.Kinds[k.Kind].Unit)
 }
 
-func newShares(m router.Members) *Shares {
+func newShares(m router.FleetStatus) *Shares {
 	s := m.Shares
 	out := &Shares{Router: m.Name, At: at(m.Now), Bursar: s.Bursar, Office: s.Office, Since: at(s.Since), Keeper: s.Keeper, Counts: s.Stats}
 	if s.Stats.Given > 0 {
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -55,9 +55,9 @@
 
 func newStatus(s router.Status) *Status {
 	out := &Status{Router: s.Name, At: at(s.Now), Level: s.Level, Reason: s.Reason, Since: at(s.Since), Trial: s.Step, Shed: s.Shed,
-		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Held: s.Seen.Queued,
-		Out: s.Seen.InFlight, Engines: s.Seen.Engines, Cold: s.Seen.Cold, Aside: s.Seen.Ejected, Draining: s.Seen.Draining,
-		Load: s.Seen.Load, Mark: s.Seen.AdmissionThreshold}
+		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Held: s.Decisions.Queued,
+		Out: s.Decisions.InFlight, Engines: s.Decisions.Engines, Cold: s.Decisions.Cold, Aside: s.Decisions.Ejected, Draining: s.Decisions.Draining,
+		Load: s.Decisions.Load, Mark: s.Decisions.AdmissionThreshold}
 	for m, name := range levels.MeasureNames {
 		out.Measures[name] = s.Measures[m]
 	}
