--- a/internal/clients/frames.go
+++ b/internal/clients/frames.go
@@ -57,21 +57,21 @@
 // Protocol returns the description of the frame protocol for the router's core. Clients close a connection themselves after 4 s
 // idle; one that leaves it open for longer would keep it forever, so the router closes it after 5 s.
 func Protocol(pool *buffers.Pool) *traffic.ClientProtocol {
-	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: maxResultBytes,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
-		New:     func() traffic.Client { return Session{} }}
+	return &traffic.ClientProtocol{Name: "frames", IdleTimeout: 5, MaxOpenBatches: 32, MaxResultBytes: maxResultBytes,
+		ConvertResult: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
+		New:           func() traffic.Client { return Session{} }}
 }
 
 // Session is the protocol state of one client connection. Frames need none: each is complete in itself.
 type Session struct{}
 
-// Half returns false: an incomplete frame stays in the input buffer.
-func (Session) Half() bool { return false }
+// HasPartial returns false: an incomplete frame stays in the input buffer.
+func (Session) HasPartial() bool { return false }
 
 // Read removes the next frame from in and returns its message, or nil if the frame is not complete yet. Any error is an
 // ErrMalformedFrame. A complete batch with invalid fields is returned with an error of its own, so that the connection stays
 // usable.
-func (Session) Read(in, _ *buffers.Chain) (traffic.Said, error) {
+func (Session) Read(in, _ *buffers.Chain) (traffic.ClientMessage, error) {
 	var header [headerBytes]byte
 	if in.Peek(0, header[:]) < lengthBytes {
 		return nil, nil
@@ -86,11 +86,11 @@
 	stream := binary.LittleEndian.Uint32(header[5:])
 	in.Discard(headerBytes)
 	if header[4] == FrameBatch {
-		request := &traffic.Ask{Stream: stream}
+		request := &traffic.BatchRequest{Stream: stream}
 		request.Batch.Text = in.Cut(size - minFrameLength)
 		var f fields
-		if request.Bad = f.read(request.Batch.Text); request.Bad == nil {
-			request.Bad = f.decode(&request.Batch)
+		if request.Err = f.read(request.Batch.Text); request.Err == nil {
+			request.Err = f.decode(&request.Batch)
 		}
 		return request, nil
 	}
@@ -99,9 +99,9 @@
 	case FrameCancel:
 		return traffic.Cancel{Stream: stream}, nil
 	case FrameReadinessQuery:
-		return traffic.AskReady{Stream: stream}, nil
+		return traffic.ReadinessQuery{Stream: stream}, nil
 	}
-	return traffic.Unusable{Stream: stream}, nil
+	return traffic.InvalidMessage{Stream: stream}, nil
 }
 
 // fields holds the fields of a batch as text; empty: absent.
@@ -208,18 +208,18 @@
 
 // decode validates the fields and stores their values in a batch.
 func (f *fields) decode(b *traffic.Batch) error {
-	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.idempotencyKey
+	b.ID, b.Group, b.Client, b.IdempotencyKey = f.id, f.group, f.client, f.idempotencyKey
 	if !IsHex(b.ID, idDigits) {
 		return errors.New("field i is not an id")
 	}
-	if b.Mark != "" && !IsHex(b.Mark, IdempotencyKeyDigits) {
+	if b.IdempotencyKey != "" && !IsHex(b.IdempotencyKey, IdempotencyKeyDigits) {
 		return errors.New("field k is not an idempotency key")
 	}
 	millis, err := strconv.ParseUint(f.timeLeft, 10, 31)
 	if err != nil || millis == 0 {
 		return errors.New("field d is not a time in milliseconds")
 	}
-	b.Left = float64(millis) / 1000
+	b.TimeLeft = float64(millis) / 1000
 	cost, costOK := ParseNonNegative(f.cost, maxCostMillis)
 	memory, memoryOK := ParseNonNegative(f.memory, maxMemoryMB)
 	if !costOK || !memoryOK {
@@ -232,7 +232,7 @@
 	if len(f.orderKey) > maxOrderKeyBytes {
 		return errors.New("field o is too long")
 	}
-	b.Key = HashOrderKey(f.orderKey)
+	b.OrderKey = HashOrderKey(f.orderKey)
 	return nil
 }
 
@@ -285,10 +285,10 @@
 }
 
 // answerCodes maps the outcome of a batch to its code on the wire.
-var answerCodes = [...]byte{traffic.Returned: CodeSucceeded, traffic.PushedBack: CodeRejected, traffic.Errored: CodeFailed}
+var answerCodes = [...]byte{traffic.Succeeded: CodeSucceeded, traffic.Rejected: CodeRejected, traffic.Failed: CodeFailed}
 
-// Tell writes a message to a client as a frame. An error that belongs to no batch is sent as an answer to stream 0.
-func (Session) Tell(out *buffers.Chain, message traffic.Tell) {
+// Encode writes a message to a client as a frame. An error that belongs to no batch is sent as an answer to stream 0.
+func (Session) Encode(out *buffers.Chain, message traffic.ClientReply) {
 	switch m := message.(type) {
 	case *traffic.Answer:
 		writeAnswer(out, m)
@@ -299,10 +299,10 @@
 		}
 		writeHeader(out, FrameReadiness, m.Stream, 2)
 		out.Write([]byte{code, 0})
-	case traffic.NoMore:
+	case traffic.GoAway:
 		writeHeader(out, FrameGoAway, 0, 0)
-	case traffic.Complaint:
-		writeAnswer(out, &traffic.Answer{Code: traffic.Errored})
+	case traffic.ConnectionError:
+		writeAnswer(out, &traffic.Answer{Code: traffic.Failed})
 	}
 }
 
@@ -310,8 +310,8 @@
 // try again is sent in whole milliseconds, rounded up.
 func writeAnswer(out *buffers.Chain, a *traffic.Answer) {
 	fields := []byte{answerCodes[a.Code], 0}
-	if a.Wait > 0 {
-		millis := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
+	if a.RetryAfter > 0 {
+		millis := strconv.Itoa(int(math.Ceil(a.RetryAfter * 1000)))
 		fields = append([]byte{answerCodes[a.Code], 1, 1, 'w', byte(len(millis)), 0}, millis...)
 	}
 	size := len(fields)
--- a/internal/directory/starts.go
+++ b/internal/directory/starts.go
@@ -1,32 +1,34 @@
 package directory
 
-// mostStarts are remembered of one engine; with more of them all but the present one are forgotten, and would count as new.
-const mostStarts = 16
+// maxStartTimes is the number of start times remembered for one engine. When it is reached, all but the current one are
+// forgotten and would count as new if they were reported again.
+const maxStartTimes = 16
 
-// starts are those that were told of one engine. A start is a wall time of another machine, which may be set back or ahead: it names
-// a process, and says nothing of which process is the later one. The zero value knows of none.
-type starts struct {
-	heard   map[float64]bool
-	present float64 // of the process that is taken to run; 0: none was told, it started long ago
+// startTimes holds the start times that were reported for one engine, in Unix seconds. A start time comes from the wall clock
+// of another machine, which may be set back or forward: it identifies a process but does not tell which of two processes is
+// the later one. The zero value holds none.
+type startTimes struct {
+	known   map[float64]bool
+	current float64 // start time of the process assumed to be running; 0: none was reported, it started long ago
 }
 
-// hear takes note of a start. One that is new is that of the present process. It reports whether it is new.
-func (s *starts) hear(start float64) bool {
-	if start == 0 || s.heard[start] {
+// add records a reported start time and reports whether it is new. A new one becomes the current one; 0 is ignored.
+func (s *startTimes) add(start float64) bool {
+	if start == 0 || s.known[start] {
 		return false
 	}
-	if s.heard == nil || len(s.heard) >= mostStarts {
-		s.heard = map[float64]bool{s.present: true}
+	if s.known == nil || len(s.known) >= maxStartTimes {
+		s.known = map[float64]bool{s.current: true}
 	}
-	s.heard[start], s.present = true, start
+	s.known[start], s.current = true, start
 	return true
 }
 
-// confirm takes a start for that of the present process. It reports whether another one was.
-func (s *starts) confirm(start float64) bool {
-	if start == 0 || start == s.present {
+// confirm makes a start time the current one and reports whether that is a change; 0 is ignored.
+func (s *startTimes) confirm(start float64) bool {
+	if start == 0 || start == s.current {
 		return false
 	}
-	s.present = start
+	s.current = start
 	return true
 }
--- a/internal/engines/resp.go
+++ b/internal/engines/resp.go
@@ -17,15 +17,15 @@
 )
 
 // replyKinds maps the status word of a reply to its kind.
-var replyKinds = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
-	"PAST": traffic.Late, "TELL": traffic.News, "MORE": traffic.More, "FIT": traffic.Fit, "UNFIT": traffic.Unfit}
+var replyKinds = map[string]traffic.ReplyKind{"DONE": traffic.ReplyFirstPage, "WAIT": traffic.ReplyOverloaded, "BROKE": traffic.ReplyFailed,
+	"PAST": traffic.ReplyTooLate, "TELL": traffic.ReplyProgress, "MORE": traffic.ReplyPage, "FIT": traffic.ReplyHealthy, "UNFIT": traffic.ReplyUnhealthy}
 
 // updateKinds maps the "detail" field of a progress reply to its kind.
 var updateKinds = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
 
 // Protocol returns the description of RESP for the router's core.
 func Protocol() *traffic.EngineProtocol {
-	return &traffic.EngineProtocol{Name: "resp", Bounded: true, New: func() traffic.Engine { return Session{} }}
+	return &traffic.EngineProtocol{Name: "resp", BoundedResult: true, New: func() traffic.Engine { return Session{} }}
 }
 
 // Session is the protocol state of one connection to an engine. RESP needs none: ids match replies to requests.
@@ -50,7 +50,7 @@
 // Read removes the next reply from in and returns it, or nil if the reply is not complete yet. A reply is an array of id,
 // status word, fields and rows; the last two may be missing. Any error is an ErrMalformedReply. A complete reply whose content
 // is not valid is returned with the reason noted in it.
-func (Session) Read(in, _ *buffers.Chain) (*traffic.Reply, error) {
+func (Session) Read(in, _ *buffers.Chain) (*traffic.EngineReply, error) {
 	at := 0
 	count, ok, err := readHeader(in, &at, '*', maxElements)
 	if !ok {
@@ -81,7 +81,7 @@
 		in.Peek(starts[i], out)
 		return string(out)
 	}
-	r := &traffic.Reply{ID: text(0), Word: replyKinds[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
+	r := &traffic.EngineReply{ID: text(0), Kind: replyKinds[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
 	fields := text(2)
 	parseFields(r, fields)
 	if count > 3 {
@@ -165,7 +165,7 @@
 }
 
 // parseFields stores the fields of a reply in it. Fields with other names are ignored.
-func parseFields(r *traffic.Reply, list string) {
+func parseFields(r *traffic.EngineReply, list string) {
 	EachField(list, ',', '=', func(name, value string) {
 		switch name {
 		case "sheets":
@@ -187,10 +187,10 @@
 }
 
 // validate notes in a reply why it can't be passed on, if it can't.
-func validate(r *traffic.Reply, fields string) {
+func validate(r *traffic.EngineReply, fields string) {
 	reason := ""
-	switch r.Word {
-	case traffic.Done:
+	switch r.Kind {
+	case traffic.ReplyFirstPage:
 		if r.Pages < 1 || r.Pages > maxPages {
 			reason = "number of pages"
 		} else if r.Rows.Len() == 0 && r.Pages == 1 {
@@ -198,17 +198,17 @@
 		} else if !ValidRows(r.Rows.Data) {
 			reason = "rows"
 		}
-	case traffic.More:
+	case traffic.ReplyPage:
 		if r.Page < 1 || r.Page >= maxPages {
 			reason = "page number"
 		} else if !ValidRows(r.Rows.Data) {
 			reason = "rows"
 		}
-	case traffic.Unknown:
+	case traffic.ReplyUnknown:
 		reason = "word"
 	}
 	if reason != "" {
-		r.Bad = fmt.Sprintf("%s; fields %q", reason, fields)
+		r.Invalid = fmt.Sprintf("%s; fields %q", reason, fields)
 	}
 }
 
@@ -217,8 +217,8 @@
 	if text == "" {
 		return nil
 	}
-	load := settings.NoReport()
-	EachField(text, ';', ':', func(name, value string) { settings.Report(load, name, ParseNumber(value)) })
+	load := settings.EmptyReport()
+	EachField(text, ';', ':', func(name, value string) { settings.SetReportField(load, name, ParseNumber(value)) })
 	return load
 }
 
@@ -240,19 +240,19 @@
 	return v
 }
 
-// Order writes a command to an engine.
-func (Session) Order(out *buffers.Chain, order traffic.Order) {
+// Encode writes a command to an engine.
+func (Session) Encode(out *buffers.Chain, order traffic.EngineCommand) {
 	switch o := order.(type) {
 	case *traffic.Dispatch:
 		writeFetch(out, o)
-	case traffic.GiveUp:
+	case traffic.CancelDispatch:
 		writeCommand(out, "abort", o.ID)
-	case traffic.AskPage:
+	case traffic.FetchPage:
 		writeCommand(out, "more", o.ID, strconv.Itoa(o.Page))
-	case traffic.Enough:
+	case traffic.CloseResult:
 		writeCommand(out, "done", o.ID)
 	case traffic.Probe:
-		if o.Load {
+		if o.WantLoad {
 			writeCommand(out, "stats", o.Tag)
 		} else {
 			writeCommand(out, "alive", o.Tag)
@@ -264,20 +264,20 @@
 // engine doesn't stop before the router does.
 func writeFetch(out *buffers.Chain, d *traffic.Dispatch) {
 	fields := "queue=" + d.Group + ",budget=" + strconv.Itoa(max(int(math.Ceil(d.Wait*1000)), 1))
-	if d.Mark != "" {
-		fields += ",uniq=" + d.Mark
+	if d.IdempotencyKey != "" {
+		fields += ",uniq=" + d.IdempotencyKey
 	}
 	if d.Memory > 0 {
 		fields += ",allot=" + strconv.Itoa(int(math.Ceil(d.Memory)))
 	}
 	writeCommand(out, "fetch", d.ID, fields)
-	if d.Ahead == "" && len(d.Parameters) == 0 {
+	if d.SessionSetup == "" && len(d.Parameters) == 0 {
 		out.WriteString("$" + strconv.Itoa(d.Text.Len()) + "\r\n")
 		out.Append(d.Text)
 	} else {
 		// A parameter that can't be written as a literal was rejected before the batch was accepted.
 		text, _ := rows.Inline(d.Text.String(), d.Parameters)
-		out.WriteString("$" + strconv.Itoa(len(d.Ahead)+len(text)) + "\r\n" + d.Ahead + text)
+		out.WriteString("$" + strconv.Itoa(len(d.SessionSetup)+len(text)) + "\r\n" + d.SessionSetup + text)
 	}
 	out.WriteString("\r\n")
 }
--- a/internal/engines/section.go
+++ b/internal/engines/section.go
@@ -47,7 +47,7 @@
 
 // Validate returns the settings of each section, with defaults filled in, and reports errors to checker. Passwords may come from
 // environment variables.
-func (f *EngineSections) Validate(checker findings.To) (all []Settings) {
+func (f *EngineSections) Validate(checker findings.Reporter) (all []Settings) {
 	for i, e := range f.Engine {
 		section := fmt.Sprintf("engine[%d]", i)
 		settings := Settings{ID: e.ID, Kind: e.Kind, Zone: e.Zone, Protocol: e.Protocol, User: e.User, Password: e.Password,
@@ -55,19 +55,19 @@
 		switch e.Protocol {
 		case "resp":
 			if e.User != "" || e.Password != "" || e.FromEnv != "" || e.Load != "" || e.Probe != "" {
-				checker.Found(section, "user, password, probe and load apply to protocol tds only")
+				checker.Errorf(section, "user, password, probe and load apply to protocol tds only")
 			}
 		case "tds":
 			if e.User == "" {
-				checker.Found(section+".user", "protocol tds requires a login")
+				checker.Errorf(section+".user", "protocol tds requires a login")
 			}
 			if e.FromEnv != "" {
 				if settings.Password = checker.Getenv(e.FromEnv); settings.Password == "" || e.Password != "" {
-					checker.Found(section+".password-from", "environment variable %q is not set, or password is set as well", e.FromEnv)
+					checker.Errorf(section+".password-from", "environment variable %q is not set, or password is set as well", e.FromEnv)
 				}
 			}
 		default:
-			checker.Found(section+".protocol", "%q is neither resp nor tds", e.Protocol)
+			checker.Errorf(section+".protocol", "%q is neither resp nor tds", e.Protocol)
 		}
 		if settings.ProbeStatement == "" {
 			settings.ProbeStatement = defaultProbeStatement
@@ -78,7 +78,7 @@
 		if settings.PacketSize == 0 {
 			settings.PacketSize = 4096 // bytes
 		} else if settings.PacketSize < 512 || settings.PacketSize > 32767 {
-			checker.Found(section+".packet", "%d is not from 512 to 32767 bytes", e.Packet)
+			checker.Errorf(section+".packet", "%d is not from 512 to 32767 bytes", e.Packet)
 		}
 		all = append(all, settings)
 	}
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -243,17 +243,17 @@
 	h.advance(2)
 	assert.Equal(t, 2, strings.Count(h.written[c], "more\r\n"), "no page is requested again")
 	assert.Empty(t, h.answers)
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 func TestReadyOnceEnginesAreListed(t *testing.T) {
 	h := newHost(t)
 	ready := func() bool {
 		h.emitted = nil
-		h.deliver(ClientMessage{1, traffic.AskReady{Stream: 7}})
+		h.deliver(ClientMessage{1, traffic.ReadinessQuery{Stream: 7}})
 		return h.countEffects(func(e Effect) bool {
 			sent, is := e.(SendToClient)
-			return is && sent.Message == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
+			return is && sent.Message == traffic.ClientReply(traffic.Ready{Stream: 7, Yes: true})
 		}) == 1
 	}
 	assert.False(t, ready(), "without engines every batch would be rejected")
@@ -284,7 +284,7 @@
 		h.engineReply(c, "00000000000000aa", "DONE", "sheets=1", "a\t2\t3\n")
 		assert.Equal(t, answerFailed, h.answers[1], name)
 		assert.Empty(t, h.batches, name)
-		assert.Zero(t, h.pool.Used(), name)
+		assert.Zero(t, h.pool.InUse(), name)
 	}
 }
 
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -56,7 +56,7 @@
 func newHostWith(t *testing.T, settings string, listed ...directory.Engine) *host {
 	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + settings + `}`))
 	require.NoError(t, err)
-	c.Known = directory.List{Serial: 1, Engines: listed}
+	c.KnownEngines = directory.List{Serial: 1, Engines: listed}
 	h := &host{t: t, now: 100, pool: &buffers.Pool{}, nextTimer: 1e9, written: map[uint64]string{}, answers: map[uint32]string{},
 		sessions: map[uint64]traffic.Engine{}}
 	resp := engines.Protocol()
@@ -88,12 +88,12 @@
 				h.queries = append(h.queries, w.QueryID)
 			case SendToEngine:
 				out := h.pool.Chain()
-				h.sessions[w.Connection].Order(out, w.Order)
+				h.sessions[w.Connection].Encode(out, w.Order)
 				h.written[w.Connection] += out.String()
 				out.Release()
 			case SendToClient:
 				out := h.pool.Chain()
-				h.clientSession.Tell(out, w.Message)
+				h.clientSession.Encode(out, w.Message)
 				h.readAnswers(out.String())
 				out.Release()
 				if a, is := w.Message.(*traffic.Answer); is {
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -50,8 +50,8 @@
 func newPath(t testing.TB, front func(*buffers.Pool) *traffic.ClientProtocol, back func(*buffers.Pool) *traffic.EngineProtocol) *path {
 	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + pathSettings + `}`))
 	require.NoError(t, err)
-	c.Known = directory.List{Serial: 1, Engines: []directory.Engine{{ID: "s-1", Address: "10.0.0.1:80", Zone: "east", Kind: "std", Weight: 1}}}
-	p := &path{t: t, pool: &buffers.Pool{Keep: 64}, now: 100}
+	c.KnownEngines = directory.List{Serial: 1, Engines: []directory.Engine{{ID: "s-1", Address: "10.0.0.1:80", Zone: "east", Kind: "std", Weight: 1}}}
+	p := &path{t: t, pool: &buffers.Pool{MaxFree: 64}, now: 100}
 	p.clientInput, p.engineInput, p.output = p.pool.Chain(), p.pool.Chain(), p.pool.Chain()
 	engineProtocol, clientProtocol := back(p.pool), front(p.pool)
 	p.engineProtocol, p.client = engineProtocol, clientProtocol.New()
@@ -65,15 +65,15 @@
 	for _, effect := range p.Reduce(p.now, e) {
 		switch w := effect.(type) {
 		case router.SendToClient:
-			p.client.Tell(p.output, w.Message)
+			p.client.Encode(p.output, w.Message)
 			if a, is := w.Message.(*traffic.Answer); is {
-				require.Equal(p.t, traffic.Returned, a.Code, a.Why)
+				require.Equal(p.t, traffic.Succeeded, a.Code, a.Reason)
 				p.answers++
 				rows.Release(a.Rows)
 			}
 			p.output.Release()
 		case router.SendToEngine:
-			p.engine.Order(p.output, w.Order)
+			p.engine.Encode(p.output, w.Order)
 			p.output.Release()
 		case router.Release:
 			w.Chain.Release()
@@ -124,7 +124,7 @@
 		if reply == nil {
 			break
 		}
-		if reply.Word == traffic.Up {
+		if reply.Kind == traffic.ReplyReady {
 			p.deliver(router.EngineOpened{Connection: 1})
 		} else {
 			p.deliver(router.EngineReplied{Connection: 1, Reply: reply})
@@ -155,9 +155,9 @@
 // tdsBytes returns the bytes that a TDS client sends to log in and with a batch, and the bytes that an engine answers to each.
 func tdsBytes(t testing.TB) (prelogin, login, batch, greeting, welcome, result []byte) {
 	pool := &buffers.Pool{}
-	access := &tds.Access{Pool: pool, User: "ann", Password: "p", Packet: 4096}
-	client, server, out, back := access.Engine(), (&tds.Front{Pool: pool, Admit: func(string, string) (string, error) { return "", nil },
-		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "lookup"}} }}).Session(), pool.Chain(), pool.Chain()
+	access := &tds.EngineConfig{Pool: pool, User: "ann", Password: "p", PacketSize: 4096}
+	client, server, out, back := access.NewEngine(), (&tds.Server{Pool: pool, Authenticate: func(string, string) (string, error) { return "", nil },
+		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "lookup"}} }}).NewSession(), pool.Chain(), pool.Chain()
 	step := func() (sent, received []byte) {
 		sent = out.Bytes()
 		said, err := server.Read(out, back)
@@ -165,7 +165,7 @@
 			_, err = v.Done(nil, back)
 		}
 		require.NoError(t, err)
-		if a, is := said.(*traffic.Ask); is {
+		if a, is := said.(*traffic.BatchRequest); is {
 			part := rows.Part{Form: rows.Values, Data: pool.Chain()}
 			for _, name := range []string{"a", "b", "c"} {
 				part.Columns = append(part.Columns, rows.Column{Name: name, Type: rows.Type{Kind: rows.Text, Size: 40}})
@@ -175,7 +175,7 @@
 					rows.Append(part.Data, []byte(v))
 				}
 			}
-			server.Tell(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
+			server.Encode(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 		}
 		received = back.Bytes()
 		_, err = client.Read(back, out)
@@ -193,7 +193,7 @@
 // tdsFront returns the TDS protocol for clients, with every batch in the group "lookup".
 func tdsFront(pool *buffers.Pool) *traffic.ClientProtocol {
 	rules := &assign.Rules{Default: &assign.Terms{Group: "lookup", Limit: 2}}
-	f := &tds.Front{Pool: pool, Admit: func(string, string) (string, error) { return "", nil }, Rules: func() *assign.Rules { return rules }}
+	f := &tds.Server{Pool: pool, Authenticate: func(string, string) (string, error) { return "", nil }, Rules: func() *assign.Rules { return rules }}
 	return f.Protocol(600)
 }
 
@@ -201,7 +201,7 @@
 func tdsPath(t testing.TB) (*path, func(n int)) {
 	prelogin, login, batch, greeting, welcome, result := tdsBytes(t)
 	p := newPath(t, tdsFront, func(pool *buffers.Pool) *traffic.EngineProtocol {
-		return (&tds.Access{Pool: pool, User: "ann", Packet: 4096, Probe: "SELECT 1"}).Protocol()
+		return (&tds.EngineConfig{Pool: pool, User: "ann", PacketSize: 4096, ProbeQuery: "SELECT 1"}).Protocol()
 	})
 	p.fromClient(prelogin)
 	p.fromClient(login)
@@ -224,7 +224,7 @@
 			runBatch(n)
 		}
 		require.Equal(t, 50, p.answers)
-		require.Zero(t, p.pool.Used(), "no buffers are kept")
+		require.Zero(t, p.pool.InUse(), "no buffers are kept")
 	}
 }
 
@@ -288,7 +288,7 @@
 // BenchmarkIdleSession measures the heap bytes that a TDS client session holds between batches.
 func BenchmarkIdleSession(b *testing.B) {
 	prelogin, login, batch, _, _, _ := tdsBytes(b)
-	pool := &buffers.Pool{Keep: 64}
+	pool := &buffers.Pool{MaxFree: 64}
 	protocol := tdsFront(pool)
 	in, out := pool.Chain(), pool.Chain()
 	sessions := make([]traffic.Client, b.N)
@@ -304,9 +304,9 @@
 			switch w := said.(type) {
 			case *traffic.Verify:
 				w.Done(nil, out) //nolint:errcheck
-			case *traffic.Ask:
+			case *traffic.BatchRequest:
 				w.Batch.Text.Release()
-				s.Tell(out, &traffic.Answer{Stream: w.Stream})
+				s.Encode(out, &traffic.Answer{Stream: w.Stream})
 			}
 			out.Release()
 		}
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -31,7 +31,7 @@
 	}
 	p.conn = l
 	l.AddPending(p.tag, p)
-	r.timers.add(r.now+r.config.Settings.DialTime, p)
+	r.timers.add(r.now+r.config.Settings.DialTimeout, p)
 	r.send(l, p)
 }
 
@@ -52,8 +52,8 @@
 	} else {
 		p.conn.healthCheck = nil
 	}
-	if l := p.conn; late && l.engine.protocol.Alone && l.Up && r.connections[l.Number] == l {
-		r.sendOrder(l, traffic.GiveUp{ID: p.tag})
+	if l := p.conn; late && l.engine.protocol.OneAtATime && l.Up && r.connections[l.Number] == l {
+		r.sendOrder(l, traffic.CancelDispatch{ID: p.tag})
 		r.awaitFree(l)
 		late = false
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -29,7 +29,7 @@
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
-	assert.Zero(t, h.pool.Used(), "no buffers are kept")
+	assert.Zero(t, h.pool.InUse(), "no buffers are kept")
 	assert.Empty(t, h.batches)
 }
 
@@ -87,7 +87,7 @@
 	assert.Contains(t, h.written[c], "abort\r\n$16\r\n00000000000000f1")
 	h.engineReply(c, id, "DONE", "sheets=1", "late\t2\t3\n")
 	assert.Equal(t, answerFailed, h.answers[stream])
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 // Clients leave exactly at their time limit, so an answer that is sent in the last millisecond reaches them too late.
@@ -149,7 +149,7 @@
 	h.engineReply(c, other, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Empty(t, h.answers)
 	assert.Empty(t, h.batches)
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 func TestBadInputEndsOnlyItsConnection(t *testing.T) {
@@ -199,7 +199,7 @@
 			}
 			h.engineReply(h.connectLast(), id, "DONE", "sheets=1", row)
 			assert.Equal(t, answerOK+row, h.answers[stream])
-			assert.Zero(t, h.pool.Used())
+			assert.Zero(t, h.pool.InUse())
 		}
 	}
 }
@@ -216,7 +216,7 @@
 		h.engineReply(c, id, "MORE", "sheet="+strconv.Itoa(n), page)
 	}
 	assert.Equal(t, []CloseReason{BadInput}, h.engineCloseReasons())
-	assert.Zero(t, h.pool.Used()-1, "except the text of the batch that is retried")
+	assert.Zero(t, h.pool.InUse()-1, "except the text of the batch that is retried")
 }
 
 func TestPartialReplyClosesConnection(t *testing.T) {
@@ -247,7 +247,7 @@
 	assert.Equal(t, 1, strings.Count(h.written[c], more+"2"))
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 // A connection on which an answer was lost may stay open: a probe on it shows whether it still works.
@@ -314,7 +314,7 @@
 	assert.Equal(t, answerFailed, h.answers[103])
 	assert.NotContains(t, h.clients, uint64(2), "closed after the third invalid batch")
 	h.deliver(h.clientOpenedEvent(3))
-	for n := range uint32(h.clientProtocol.Open + 1) {
+	for n := range uint32(h.clientProtocol.MaxOpenBatches + 1) {
 		delete(h.answers, 0)
 		h.sendRequest(3, n+201, fmt.Sprintf("%016x", 4000+n))
 	}
@@ -401,7 +401,7 @@
 	assert.Equal(t, answerFailed, h.answers[0], "partial frame")
 	h.engineReply(h.dials[0].Connection, id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
-	h.advance(h.clientProtocol.Idle - 1)
+	h.advance(h.clientProtocol.IdleTimeout - 1)
 	assert.Contains(t, h.clients, uint64(1))
 	h.advance(2)
 	assert.Empty(t, h.clients, "idle clients are closed after their last answer")
@@ -496,11 +496,11 @@
 	h.config.MemoryMB = 1
 	refused, n := 0, 0
 	for ; n < 100; n++ {
-		if n%h.clientProtocol.Open == 0 {
-			h.deliver(h.clientOpenedEvent(uint64(n/h.clientProtocol.Open) + 2))
+		if n%h.clientProtocol.MaxOpenBatches == 0 {
+			h.deliver(h.clientOpenedEvent(uint64(n/h.clientProtocol.MaxOpenBatches) + 2))
 		}
 		stream := uint32(n + 1)
-		h.sendRequest(uint64(n/h.clientProtocol.Open)+2, stream, fmt.Sprintf("%016x", n+1))
+		h.sendRequest(uint64(n/h.clientProtocol.MaxOpenBatches)+2, stream, fmt.Sprintf("%016x", n+1))
 		if h.answers[stream] != "" {
 			refused++
 			assert.Equal(t, answerRejected+"\x01\x01w\x03\x00500", h.answers[stream], "with the time after which to retry")
@@ -562,7 +562,7 @@
 	c := h.connectLast()
 	before := h.queries[len(h.queries)-1]
 	next := h.config
-	next.Resolver, next.Descriptors, next.Known = "127.0.0.1:3", 256, directory.List{Serial: 1}
+	next.Resolver, next.Descriptors, next.KnownEngines = "127.0.0.1:3", 256, directory.List{Serial: 1}
 	h.deliver(Reloaded{next})
 	assert.Contains(t, h.emitted, SetResolver{"127.0.0.1:3"})
 	assert.Contains(t, h.emitted, SetLimits{0, 256})
@@ -596,7 +596,7 @@
 	earlyStream, id := h.sendBatch("lookup", 2000)
 	c := h.connectLast()
 	h.deliver(StopAsked{})
-	h.deliver(ClientMessage{1, traffic.AskReady{Stream: 99}})
+	h.deliver(ClientMessage{1, traffic.ReadinessQuery{Stream: 99}})
 	h.advance(0.5)
 	lateStream, _ := h.sendBatch("lookup", 2000)
 	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
