--- a/internal/buffers/buffers.go
+++ b/internal/buffers/buffers.go
@@ -8,17 +8,17 @@
 
 // Pool hands out buffers and takes them back. It belongs to one event loop.
 type Pool struct {
-	Keep int // buffers that wait to be used again, at most
+	MaxFree int // buffers that wait to be used again, at most
 
-	free [][]byte
-	used int
+	free  [][]byte
+	inUse int
 }
 
-// Used tells how many buffers are out.
-func (p *Pool) Used() int { return p.used }
+// InUse tells how many buffers are out.
+func (p *Pool) InUse() int { return p.inUse }
 
 func (p *Pool) get() []byte {
-	p.used++
+	p.inUse++
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -28,18 +28,18 @@
 }
 
 func (p *Pool) put(b []byte) {
-	p.used--
-	if len(p.free) < p.Keep { // what a burst needed beyond that goes back to the collector
+	p.inUse--
+	if len(p.free) < p.MaxFree { // what a burst needed beyond that goes back to the collector
 		p.free = append(p.free, b[:0])
 	}
 }
 
 // Chain is a message or a stream of any length in pooled buffers. Whoever holds it releases it.
 type Chain struct {
-	pool  *Pool
-	parts [][]byte // the whole buffers
-	from  int      // bytes of the first that are read already
-	size  int
+	pool       *Pool
+	parts      [][]byte // the whole buffers
+	readOffset int      // bytes of the first that are read already
+	size       int
 }
 
 // Chain gives an empty chain.
@@ -64,9 +64,9 @@
 			last++
 		}
 		b := c.parts[last]
-		took := min(Size-len(b), len(p))
-		c.parts[last] = append(b, p[:took]...)
-		p = p[took:]
+		count := min(Size-len(b), len(p))
+		c.parts[last] = append(b, p[:count]...)
+		p = p[count:]
 	}
 	return n, nil
 }
@@ -79,7 +79,7 @@
 	out := make([][]byte, 0, len(c.parts))
 	for i, b := range c.parts {
 		if i == 0 {
-			b = b[c.from:]
+			b = b[c.readOffset:]
 		}
 		if len(b) > 0 {
 			out = append(out, b)
@@ -89,43 +89,43 @@
 }
 
 // Append copies all of another chain, which stays as it is.
-func (c *Chain) Append(o *Chain) {
-	if o == nil {
+func (c *Chain) Append(other *Chain) {
+	if other == nil {
 		return
 	}
-	for i, b := range o.parts {
+	for i, b := range other.parts {
 		if i == 0 {
-			b = b[o.from:]
+			b = b[other.readOffset:]
 		}
 		c.Write(b)
 	}
 }
 
 // Peek copies bytes from an offset on, without reading them; it tells how many there were.
-func (c *Chain) Peek(at int, into []byte) int {
-	at += c.from
+func (c *Chain) Peek(offset int, dst []byte) int {
+	offset += c.readOffset
 	n := 0
-	for i := at / Size; i < len(c.parts) && n < len(into); i++ { // only the last part may be short
+	for i := offset / Size; i < len(c.parts) && n < len(dst); i++ { // only the last part may be short
 		b := c.parts[i]
-		if skip := at - i*Size; skip > 0 {
+		if skip := offset - i*Size; skip > 0 {
 			b = b[min(skip, len(b)):]
 		}
-		n += copy(into[n:], b)
+		n += copy(dst[n:], b)
 	}
 	return n
 }
 
 // Index finds a byte from an offset on, within so many bytes; below 0: it is not there.
-func (c *Chain) Index(at int, what byte, within int) int {
-	var one [64]byte
-	for end := min(at+within, c.size); at < end; {
-		n := min(c.Peek(at, one[:]), end-at)
-		for i, b := range one[:n] {
-			if b == what {
-				return at + i
+func (c *Chain) Index(offset int, target byte, limit int) int {
+	var window [64]byte
+	for end := min(offset+limit, c.size); offset < end; {
+		n := min(c.Peek(offset, window[:]), end-offset)
+		for i, b := range window[:n] {
+			if b == target {
+				return offset + i
 			}
 		}
-		at += n
+		offset += n
 	}
 	return -1
 }
@@ -134,14 +134,14 @@
 func (c *Chain) Discard(n int) {
 	n = min(n, c.size)
 	c.size -= n
-	c.from += n
-	for len(c.parts) > 0 && (c.from >= Size || c.size == 0) {
-		c.from = max(c.from-Size, 0)
+	c.readOffset += n
+	for len(c.parts) > 0 && (c.readOffset >= Size || c.size == 0) {
+		c.readOffset = max(c.readOffset-Size, 0)
 		c.pool.put(c.parts[0])
 		c.parts = c.parts[1:]
 	}
 	if c.size == 0 {
-		c.from, c.parts = 0, nil
+		c.readOffset, c.parts = 0, nil
 	}
 }
 
@@ -152,11 +152,11 @@
 	for left, i := n, 0; left > 0; i++ {
 		b := c.parts[i]
 		if i == 0 {
-			b = b[c.from:]
+			b = b[c.readOffset:]
 		}
-		took := min(left, len(b))
-		out.Write(b[:took])
-		left -= took
+		count := min(left, len(b))
+		out.Write(b[:count])
+		left -= count
 	}
 	c.Discard(n)
 	return out
@@ -177,22 +177,22 @@
 }
 
 // Reader reads the chain byte by byte and leaves it as it is.
-func (c *Chain) Reader() *Reader { return &Reader{c: c, at: c.from} }
+func (c *Chain) Reader() *Reader { return &Reader{chain: c, offset: c.readOffset} }
 
 // Reader reads a chain.
 type Reader struct {
-	c        *Chain
-	part, at int
+	chain        *Chain
+	part, offset int
 }
 
 // ReadByte gives the next byte.
 func (r *Reader) ReadByte() (byte, error) {
-	for r.part < len(r.c.parts) {
-		if b := r.c.parts[r.part]; r.at < len(b) {
-			r.at++
-			return b[r.at-1], nil
+	for r.part < len(r.chain.parts) {
+		if b := r.chain.parts[r.part]; r.offset < len(b) {
+			r.offset++
+			return b[r.offset-1], nil
 		}
-		r.part, r.at = r.part+1, 0
+		r.part, r.offset = r.part+1, 0
 	}
 	return 0, io.EOF
 }
@@ -212,16 +212,16 @@
 		c.Release()
 		return
 	}
-	for over := c.size - size; over > 0; {
+	for excess := c.size - size; excess > 0; {
 		last := len(c.parts) - 1
 		b := c.parts[last]
 		start := 0
 		if last == 0 {
-			start = c.from
+			start = c.readOffset
 		}
-		took := min(over, len(b)-start)
-		c.parts[last] = b[:len(b)-took]
-		c.size, over = c.size-took, over-took
+		count := min(excess, len(b)-start)
+		c.parts[last] = b[:len(b)-count]
+		c.size, excess = c.size-count, excess-count
 		if len(c.parts[last]) == start && last > 0 {
 			c.pool.put(c.parts[last])
 			c.parts = c.parts[:last]
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -114,7 +114,7 @@
 		return
 	}
 	held, memory := r.settings.Settings.MostHeld, textShare*float64(r.settings.MemoryMB)*(1<<20)
-	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.Used()*buffers.Size) > memory {
+	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.InUse()*buffers.Size) > memory {
 		// Beyond what the platform lets a router hold. Nothing of it has run, so a pushback is true.
 		r.reply(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.settings.Settings.MaxRetryDelay})
 		told.Text.Release()
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// every is how long Retry waits between two tries.
-const every = 10 * time.Millisecond
+// retryInterval is how long Retry waits between two tries.
+const retryInterval = 10 * time.Millisecond
 
 // Is tells whether an error says that this machine or process is short of something at this moment, or that a call was
 // interrupted. It proves nothing about a peer, a file or an address.
 func Is(err error) bool {
-	var number syscall.Errno
-	if !errors.As(err, &number) {
+	var errno syscall.Errno
+	if !errors.As(err, &errno) {
 		return false
 	}
-	switch number {
+	switch errno {
 	case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 		syscall.EAGAIN, syscall.EINTR, syscall.EIO, syscall.ENETDOWN, syscall.EPERM:
 		return true
@@ -28,10 +28,10 @@
 
 // Retry does something until it succeeds, fails with an error that will not pass, or has failed for so long. It gives the
 // last error.
-func Retry(within time.Duration, what func() error) error {
-	for began := time.Now(); ; time.Sleep(every) {
-		err := what()
-		if err == nil || !Is(err) || time.Since(began) > within {
+func Retry(timeout time.Duration, operation func() error) error {
+	for start := time.Now(); ; time.Sleep(retryInterval) {
+		err := operation()
+		if err == nil || !Is(err) || time.Since(start) > timeout {
 			return err
 		}
 	}
