--- a/internal/reactor/datagram.go
+++ b/internal/reactor/datagram.go
@@ -9,17 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-const maxDatagramsPerCall = 64 // of one socket in a row
+const maxDatagramsPerCall = 64 // datagrams read from one socket in a row
 
 // DatagramSocket is a UDP socket. An error of it, as where nobody listens at the other end, does not end it.
 type DatagramSocket struct {
 	registration
 	reactor   *Reactor
-	peer      netip.AddrPort // of a connected socket
+	peer      netip.AddrPort // the peer of a connected socket; else invalid
 	onReceive func(data []byte, from netip.AddrPort)
 }
 
-// ListenDatagrams takes datagrams at an address, from anybody.
+// ListenDatagrams opens a socket that receives datagrams at an address from any sender. The data passed to onReceive is valid
+// only until it returns.
 func (r *Reactor) ListenDatagrams(address string, onReceive func(data []byte, from netip.AddrPort)) (*DatagramSocket, error) {
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -32,7 +33,8 @@
 	return r.newDatagramSocket(fd, netip.AddrPort{}, onReceive), nil
 }
 
-// ConnectDatagrams sends datagrams to an address, and takes them from there alone.
+// ConnectDatagrams opens a socket that sends datagrams to an address and receives datagrams only from there. The data passed to
+// onReceive is valid only until it returns.
 func (r *Reactor) ConnectDatagrams(address string, onReceive func(data []byte, from netip.AddrPort)) (*DatagramSocket, error) {
 	to, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -59,16 +61,16 @@
 // Close closes the socket.
 func (d *DatagramSocket) Close() { d.reactor.closeDescriptor(d) }
 
-// Send sends to where it is connected. A datagram that can't be sent is lost, as on the way.
+// Send sends a datagram to the connected peer. A datagram that can't be sent is dropped, as if the network had lost it.
 func (d *DatagramSocket) Send(data []byte) error { return d.send(data, nil) }
 
-// SendTo sends to an address.
+// SendTo sends a datagram to an address.
 func (d *DatagramSocket) SendTo(data []byte, to netip.AddrPort) error {
 	return d.send(data, socketAddress(to))
 }
 
 func (d *DatagramSocket) send(data []byte, to unix.Sockaddr) (err error) {
-	for range maxAttempts { // a connected socket tells of an earlier datagram's end first
+	for range maxAttempts { // a connected socket first returns the pending error of an earlier datagram
 		if to == nil {
 			_, err = unix.Write(d.fd, data)
 		} else {
@@ -85,7 +87,8 @@
 
 func (d *DatagramSocket) tryIO() { d.Receive() }
 
-// Receive takes in what has come by now. The loop does so by itself; it is for whoever can't wait for that.
+// Receive reads the datagrams that have arrived, at most maxDatagramsPerCall. The loop calls it when the socket is readable;
+// others call it to process datagrams without waiting for the loop.
 func (d *DatagramSocket) Receive() {
 	for range maxDatagramsPerCall {
 		if d.closed {
@@ -97,7 +100,7 @@
 			d.reactor.progress = true
 			d.onReceive(d.reactor.readBuffer[:n], from)
 		case errors.Is(err, unix.EINTR):
-		case errors.Is(err, unix.ECONNREFUSED): // of a datagram that was sent
+		case errors.Is(err, unix.ECONNREFUSED): // caused by a datagram that was sent earlier
 			d.reactor.progress = true
 		default:
 			d.reactor.reportFailure("recvfrom", err)
@@ -106,16 +109,18 @@
 	}
 }
 
-// readDatagram reads one datagram. On a connected socket its address is known, and not asked for: that is a system call more.
+// readDatagram reads one datagram and its sender. On a connected socket the sender is known, and a plain read saves the system
+// call that decodes the address.
 func (d *DatagramSocket) readDatagram() (n int, from netip.AddrPort, err error) {
 	if d.peer.IsValid() {
 		n, err = unix.Read(d.fd, d.reactor.readBuffer)
-		return n, d.peer, err //nolint:wrapcheck // judged by the caller
+		return n, d.peer, err //nolint:wrapcheck // the caller classifies it
 	}
 	n, address, err := unix.Recvfrom(d.fd, d.reactor.readBuffer, 0)
-	return n, addrPortOf(address), err //nolint:wrapcheck // the same
+	return n, addrPortOf(address), err //nolint:wrapcheck // as above
 }
 
+// addrPortOf converts a socket address; an unknown family gives the invalid address.
 func addrPortOf(from unix.Sockaddr) netip.AddrPort {
 	switch a := from.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/reactor/dial.go
+++ b/internal/reactor/dial.go
@@ -13,23 +13,23 @@
 	"pitchfield/internal/transient"
 )
 
-const maxAttempts = 3 // of a call that sets an option, which may fail for a moment
+const maxAttempts = 3 // attempts of a setsockopt or a datagram send, which may fail temporarily
 
-// Dialing is a connection that is being made.
+// Dialing is a TCP connection attempt that is in progress. Only the loop may call its methods.
 type Dialing struct {
 	registration
 	reactor  *Reactor
 	target   unix.Sockaddr
 	deadline time.Time
 	done     func(*Stream, error)
-	timer    *time.Timer
-	lastErr  error // of the try before
-	finished bool
+	timer    *time.Timer // fires at the deadline; nil if the address could not be resolved
+	lastErr  error       // error of the previous attempt; nil if a connect is in progress
+	finished bool        // done was called, or the dial was cancelled
 }
 
-// Dial makes a connection to an IP address and port. Done is called on the loop, once: with the stream, which has no handler
-// yet, or with an error; os.ErrDeadlineExceeded where it did not come up in time. What the system is short of is tried again
-// until then.
+// Dial starts a connection to an IP address and port. The loop calls done once, with the stream, which has no handler yet, or
+// with an error. Transient errors, such as a shortage of descriptors, are retried until the timeout. On a timeout done gets the
+// error of the last attempt, or os.ErrDeadlineExceeded if there was none. Only the loop may call Dial.
 func (r *Reactor) Dial(address string, timeout time.Duration, done func(*Stream, error)) *Dialing {
 	d := &Dialing{registration: registration{fd: -1}, reactor: r, deadline: time.Now().Add(timeout), done: done}
 	remote, err := netip.ParseAddrPort(address)
@@ -47,7 +47,7 @@
 	return d
 }
 
-// Cancel gives it up. Done is not called any more.
+// Cancel abandons the attempt. The done callback will not be called.
 func (d *Dialing) Cancel() {
 	if d.finished {
 		return
@@ -87,7 +87,7 @@
 	d.done(s, err)
 }
 
-// retryLater begins again with a new socket.
+// retryLater closes the socket and starts again with a new one after retryInterval.
 func (d *Dialing) retryLater(call string, err error) {
 	d.reactor.reportFailure(call, err)
 	d.lastErr = err
@@ -115,7 +115,7 @@
 	switch {
 	case err == nil, errors.Is(err, unix.EINPROGRESS), errors.Is(err, unix.EALREADY), errors.Is(err, unix.EINTR), errors.Is(err, unix.EISCONN):
 		d.lastErr = nil
-		d.reactor.add(d) // whether it is connected is seen there
+		d.reactor.add(d) // tryIO checks whether it is connected
 	case transient.Is(err):
 		d.retryLater("connect", err)
 	default:
@@ -125,12 +125,12 @@
 
 func (d *Dialing) handleEvents(uint32) { d.tryIO() }
 
-// tryIO looks whether the connection is up.
+// tryIO checks whether the connection is established.
 func (d *Dialing) tryIO() {
 	d.reactor.progress = true
 	errno, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
-		d.reactor.reportFailure("getsockopt", err) // epoll tells it again
+		d.reactor.reportFailure("getsockopt", err) // epoll reports the event again
 		return
 	}
 	if connectErr := unix.Errno(errno); errno != 0 {
@@ -142,28 +142,28 @@
 		return
 	}
 	if _, err := unix.Getpeername(d.fd); err != nil {
-		if !d.added { // epoll could not be told, and this is a mere look
+		if !d.added { // called without an epoll event, so the connect may still be in progress
 			return
 		}
-		d.retryLater("connect", err) // the system call was interrupted before it began
+		d.retryLater("connect", err) // the connect system call was interrupted before it started
 		return
 	}
 	d.handOver()
 }
 
-// handOver hands the descriptor over to a stream.
+// handOver moves the connected descriptor to a new stream and finishes the dial.
 func (d *Dialing) handOver() {
 	s := &Stream{registration: d.registration, reactor: d.reactor}
 	s.interest = readEvents
 	delete(d.reactor.pendingRetry, d)
-	d.closed = true // it is the stream's now
+	d.closed = true // the stream owns the descriptor now
 	d.finish(s, nil)
 	if !s.closed {
 		d.reactor.add(s)
 	}
 }
 
-// newSocket gives a socket of an address's family.
+// newSocket opens a non-blocking socket of the address's family.
 func newSocket(kind int, address unix.Sockaddr) (int, error) {
 	family := unix.AF_INET
 	if _, isIPv6 := address.(*unix.SockaddrInet6); isIPv6 {
@@ -171,11 +171,13 @@
 	}
 	fd, err := unix.Socket(family, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, err //nolint:wrapcheck // callers judge by it
+		return -1, err //nolint:wrapcheck // callers classify it
 	}
 	return fd, nil
 }
 
+// socketAddress converts an address for system calls. An invalid address becomes the IPv4 wildcard address.
+// socketAddress converts an address for system calls. An invalid address becomes the IPv4 wildcard address.
 func socketAddress(to netip.AddrPort) unix.Sockaddr {
 	if ip := to.Addr().Unmap(); ip.Is4() || !to.Addr().IsValid() {
 		address := &unix.SockaddrInet4{Port: int(to.Port())}
@@ -187,12 +189,16 @@
 	return &unix.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}
 }
 
+// setNoDelay disables Nagle's algorithm.
+// setNoDelay disables Nagle's algorithm.
 func setNoDelay(fd int) { setTCPOption(fd, unix.TCP_NODELAY) }
 
-// setNotSentLowWatermark has the system take no more bytes for a connection than it can send: what a peer's window does not let out stays
-// with us. Where the option is missing the system holds back some, and all else is as with it.
+// setNotSentLowWatermark makes the kernel accept hardly more bytes for a connection than it can send now, so that bytes beyond
+// the peer's window stay in Stream.unsent. Without the option the kernel buffers some of them; nothing else changes.
 func setNotSentLowWatermark(fd int) { setTCPOption(fd, unix.TCP_NOTSENT_LOWAT) }
 
+// setTCPOption sets a TCP option to 1. Errors are ignored after maxAttempts attempts.
+// setTCPOption sets a TCP option to 1. Errors are ignored after maxAttempts attempts.
 func setTCPOption(fd, name int) {
 	for range maxAttempts {
 		if unix.SetsockoptInt(fd, unix.IPPROTO_TCP, name, 1) == nil {
--- a/internal/reactor/listener.go
+++ b/internal/reactor/listener.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	listenBacklog     = 4096 // the system cuts it to its own bound
-	maxAcceptsPerCall = 16   // in a row: the others wait
+	listenBacklog     = 4096 // the kernel caps it at its own limit
+	maxAcceptsPerCall = 16   // accepts in a row, so that a listener does not starve other sockets
 )
 
 // listener is a TCP listener.
@@ -21,11 +21,12 @@
 	registration
 	reactor  *Reactor
 	onAccept func(*Stream) StreamHandler
-	closing  bool // once nothing waits to be accepted
+	closing  bool // close the listener as soon as its accept queue is empty
 }
 
-// Listen accepts connections at an address. Accepted gives who is told what happens on one; nil: it is closed at once. What
-// fails for a moment as the listener is made is done again; the error is of what went on failing.
+// Listen accepts TCP connections at an address. For each connection the loop calls onAccept, which returns the stream's handler,
+// or nil to close the connection immediately. Transient errors of the setup are retried for startTimeout; Listen returns the
+// last error if they persist. Only the loop may call it, or the caller before Run starts.
 func (r *Reactor) Listen(address string, onAccept func(*Stream) StreamHandler) error {
 	to, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -35,7 +36,7 @@
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
-	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) //nolint:errcheck // accepted ones are set again
+	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) //nolint:errcheck // the option is set again on accepted sockets
 	if err := transient.Retry(startTimeout, func() error { return unix.Listen(fd, listenBacklog) }); err != nil {
 		unix.Close(fd)
 		return fmt.Errorf("listen on %s: %w", address, err)
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// StopListening closes all listeners, each once all that its machine has accepted has been handed over: a plain close resets what
-// waits there, with the requests on it.
+// StopListening closes each listener after all connections in its kernel accept queue have been accepted. Closing it earlier
+// would reset these connections and lose the requests on them.
 func (r *Reactor) StopListening() {
 	for _, l := range r.listeners {
 		l.closing = true
@@ -55,7 +56,7 @@
 	}
 }
 
-// Listening tells whether a listener is open.
+// Listening reports whether a listener is open.
 func (r *Reactor) Listening() bool {
 	for _, l := range r.listeners {
 		if !l.closed {
@@ -65,15 +66,15 @@
 	return false
 }
 
-// bindSocket gives a socket at a local address, which other sockets may share.
+// bindSocket opens a socket that is bound to a local address, which other sockets may share (SO_REUSEPORT).
 func bindSocket(kind int, address unix.Sockaddr) (fd int, err error) {
 	err = transient.Retry(startTimeout, func() error {
 		fd, err = newSocket(kind, address)
 		if err != nil {
 			return err
 		}
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) //nolint:errcheck // bind tells whether it matters
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) //nolint:errcheck // the same
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) //nolint:errcheck // bind fails if the option was needed
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) //nolint:errcheck // as above
 		if err = unix.Bind(fd, address); err != nil {
 			unix.Close(fd)
 		}
@@ -84,7 +85,8 @@
 
 func (l *listener) handleEvents(uint32) { l.tryIO() }
 
-// tryIO accepts what is there. An error of accept is of one connection that has gone, or of this moment: the next try tells.
+// tryIO accepts waiting connections. An error of accept concerns one connection that is gone, or is temporary, so accept is
+// tried again later.
 func (l *listener) tryIO() {
 	for range maxAcceptsPerCall {
 		if l.closed {
@@ -110,15 +112,15 @@
 	l.retryClosing()
 }
 
-// retryClosing has a listener that closes try again, also where epoll has nothing to tell.
+// retryClosing schedules another tryIO if the listener is closing, since epoll may report no further event for it.
 func (l *listener) retryClosing() {
 	if l.closing {
 		time.AfterFunc(retryInterval, func() { l.reactor.Post(l.tryIO) })
 	}
 }
 
-// accept takes one connection. It asks for no address: the library's call wants a further system call for that, and closes the
-// connection where that one fails.
+// accept accepts one connection without its peer address. unix.Accept4 decodes the address, which needs another system call, and
+// closes the connection if that call fails.
 func accept(listener int) (int, error) {
 	fd, _, errno := unix.Syscall6(unix.SYS_ACCEPT4, uintptr(listener), 0, 0, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0, 0)
 	if errno != 0 {
@@ -127,6 +129,7 @@
 	return int(fd), nil
 }
 
+// handleAccepted creates the stream of an accepted connection.
 func (l *listener) handleAccepted(fd int) {
 	setNoDelay(fd)
 	s := l.reactor.newStream(fd, nil)
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -1,7 +1,8 @@
-// Package reactor runs non-blocking sockets on one event loop over epoll. Whatever runs on the loop is called by it alone, so
-// handlers need no locks. Its rule is that a system call which fails ends a connection only if the error says that the
-// connection is over; any other failure, of any call, is waited out and the call is done again. Nothing but Stop ends the
-// loop.
+// Package reactor runs non-blocking TCP and UDP sockets on a single-threaded event loop over epoll. The loop runs all handlers
+// and tasks one after another, so they need no locks.
+//
+// A failing system call closes a connection only if the error says that the connection has ended. After any other error of
+// any call, the call is retried later. Only Stop ends the loop.
 package reactor
 
 import (
@@ -18,58 +19,64 @@
 )
 
 const (
-	maxEventsPerWait = 256
-	startTimeout     = 3 * time.Second      // for a call at a start that fails for a moment
-	retryInterval    = 2 * time.Millisecond // how soon a call that could not be done is done again
+	maxEventsPerWait = 256                  // events that one epoll_wait returns
+	startTimeout     = 3 * time.Second      // how long transient errors are retried while the loop or a listener is set up
+	retryInterval    = 2 * time.Millisecond // delay before a failed call is retried
 	readEvents       = unix.EPOLLIN | unix.EPOLLRDHUP
 	allEvents        = readEvents | unix.EPOLLOUT
-	closeEvents      = unix.EPOLLERR | unix.EPOLLHUP
+	closeEvents      = unix.EPOLLERR | unix.EPOLLHUP // epoll reports these whether requested or not
 )
 
-// pollable is a descriptor on the loop.
+// pollable is a file descriptor that the loop watches.
 type pollable interface {
-	// ready is called with the epoll events that hold.
+	// handleEvents is called with the epoll events that are ready.
 	handleEvents(events uint32)
-	// again is called where epoll could not be told what is wanted: it tries all that may be possible.
+	// tryIO attempts every operation that may be possible now. The loop calls it while it could not register the descriptor's
+	// interest with epoll.
 	tryIO()
+	// epollRegistration returns the descriptor's registration.
 	epollRegistration() *registration
 }
 
-// registration is what epoll should know of a descriptor, and what it does know.
+// registration holds the epoll events that a descriptor is interested in and the events that are registered with epoll. The
+// two differ after a failed epoll_ctl.
 type registration struct {
 	fd         int
-	interest   uint32
-	registered uint32 // 0 with added false: nothing
-	added      bool
+	interest   uint32 // events that epoll should report
+	registered uint32 // events that epoll does report; valid only if added
+	added      bool   // the descriptor is registered with epoll
 	closed     bool
 }
 
 func (reg *registration) epollRegistration() *registration { return reg }
 
-// Reactor is the event loop.
+// Reactor is an event loop over epoll. Only Post may be called from any goroutine; everything else belongs to the loop, or to
+// the caller before Run starts.
 type Reactor struct {
 	epoll, wakeup int
 	byFD          map[int]pollable
 	listeners     []*listener
-	pendingRetry  map[pollable]struct{} // epoll could not be told what is wanted of them, or a call has to be done again
-	readBuffer    []byte                // to read into
-	onFailure     func(Failure)
-	failures      int
-	progress      bool // something was done in this round,
-	callFailed    bool // or a call failed that is done again
+	pendingRetry  map[pollable]struct{} // descriptors whose interest could not be registered with epoll
+	readBuffer    []byte                // shared by all sockets for reading
+	onFailure     func(Failure)         // may be nil
+	failures      int                   // reported failures since the start
+	progress      bool                  // some call succeeded in this iteration
+	callFailed    bool                  // some call failed in this iteration and will be retried
 	stopped       bool
 
-	deferred []func() // by the loop itself
+	deferred []func() // tasks from Defer
 
-	mutex      sync.Mutex // of what follows
-	posted     []func()
-	wakeupSent bool // the wakeup descriptor has been written since tasks ran last
-	closed     bool // the descriptors are closed, their numbers may be somebody else's
+	mutex      sync.Mutex // guards the fields below
+	posted     []func()   // tasks from Post
+	wakeupSent bool       // the wakeup descriptor was written since the tasks last ran
+	closed     bool       // the descriptors are closed and their numbers may have been reused
 }
 
-// New makes a loop. Failures of system calls that are not ordinary are told to observe, on the loop; nil: to nobody.
-func New(readSize int, observe func(Failure)) (*Reactor, error) {
-	r := &Reactor{byFD: map[int]pollable{}, pendingRetry: map[pollable]struct{}{}, readBuffer: make([]byte, readSize), onFailure: observe}
+// New creates a loop whose sockets read up to readSize bytes per call. The loop calls onFailure, unless it is nil, for
+// each failed system call that does not end a connection, except for expected errors such as EAGAIN. Transient errors of the
+// setup are retried for startTimeout.
+func New(readSize int, onFailure func(Failure)) (*Reactor, error) {
+	r := &Reactor{byFD: map[int]pollable{}, pendingRetry: map[pollable]struct{}{}, readBuffer: make([]byte, readSize), onFailure: onFailure}
 	err := transient.Retry(startTimeout, func() (err error) {
 		r.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 		return err
@@ -96,7 +103,7 @@
 	return r, nil
 }
 
-// Post runs something on the loop. It may be called from anywhere. Once the loop has ended it does nothing.
+// Post queues a task to run on the loop. It is safe for concurrent use. After the loop has ended, the task is dropped.
 func (r *Reactor) Post(task func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -110,7 +117,7 @@
 	}
 }
 
-// wake has the loop return from epoll. A wake-up that is lost would hold up all tasks for good, so it is done until it is done.
+// wake makes epoll_wait return. A lost wakeup would block all tasks for good, so the write is retried until it succeeds.
 func (r *Reactor) wake() {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
@@ -123,33 +130,33 @@
 	}
 }
 
-// wakeupPending tells whether the counter is full, so that epoll returns anyway.
+// wakeupPending reports whether the eventfd is readable, so that epoll_wait returns without another write.
 func (r *Reactor) wakeupPending() bool {
 	fds := []unix.PollFd{{Fd: int32(r.wakeup), Events: unix.POLLIN}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// Defer runs something on the loop once the sockets have been looked at again. Only the loop may call it.
+// Defer queues a task to run after the next poll of the sockets. Only the loop may call it.
 func (r *Reactor) Defer(task func()) { r.deferred = append(r.deferred, task) }
 
-// Stop ends Run once what is under way has returned. Only the loop may call it.
+// Stop makes Run return after the current handlers and tasks. Only the loop may call it.
 func (r *Reactor) Stop() { r.stopped = true }
 
-// Failures tells how many system calls have failed since the start. Only the loop may call it.
+// Failures returns how many failures were reported to New's onFailure since the start. Only the loop may call it.
 func (r *Reactor) Failures() int { return r.failures }
 
-// Run runs the loop until Stop; then it closes all descriptors.
+// Run runs the loop until Stop is called, then closes all descriptors.
 func (r *Reactor) Run() {
 	defer r.close()
 	events := make([]unix.EpollEvent, maxEventsPerWait)
-	hadEvents := false // events came in the round before, so more may be there
+	hadEvents := false // the previous iteration had events, so more may be ready: poll without blocking
 	for !r.stopped {
 		tasksPending := len(r.deferred) > 0
 		n, err := unix.EpollWait(r.epoll, events, r.timeout(hadEvents, tasksPending))
 		if n <= 0 && err == nil && hadEvents && !tasksPending {
 			hadEvents = false
-			runtime.Gosched() // whoever waits for this thread runs before it blocks
+			runtime.Gosched() // lets other goroutines run on this thread before epoll_wait blocks it
 			continue
 		}
 		if err != nil && !errors.Is(err, unix.EINTR) {
@@ -164,14 +171,14 @@
 		if tasksPending {
 			r.runTasks()
 		}
-		if r.callFailed && !r.progress && !tasksPending { // the same would fail again at once
+		if r.callFailed && !r.progress && !tasksPending { // an immediate retry would fail again
 			time.Sleep(retryInterval)
 		}
 		hadEvents = n > 0
 	}
 }
 
-// timeout is in milliseconds, as epoll wants it; -1: none.
+// timeout returns the timeout of epoll_wait in milliseconds; -1 blocks until there is an event.
 func (r *Reactor) timeout(hadEvents, tasksPending bool) int {
 	switch {
 	case hadEvents || tasksPending:
@@ -182,12 +189,12 @@
 	return -1
 }
 
-// dispatch hands an event to its descriptor. It tells whether tasks were posted.
+// dispatch passes an event to its descriptor. It reports whether the event was a wakeup, so that posted tasks are due.
 func (r *Reactor) dispatch(event *unix.EpollEvent) (posted bool) {
 	fd := int(event.Fd)
 	if fd == r.wakeup {
 		var count [8]byte
-		unix.Read(r.wakeup, count[:]) //nolint:errcheck // it comes again if it was not read
+		unix.Read(r.wakeup, count[:]) //nolint:errcheck // if the read fails, epoll reports the event again
 		r.progress = true
 		return true
 	}
@@ -197,7 +204,7 @@
 	return false
 }
 
-// runTasks runs what was posted, and what that posts.
+// runTasks runs the posted and deferred tasks, and the tasks that these add, until none is left or the loop is stopped.
 func (r *Reactor) runTasks() {
 	for !r.stopped {
 		r.mutex.Lock()
@@ -215,13 +222,14 @@
 	}
 }
 
-// add brings a descriptor to the loop.
+// add registers a descriptor with the loop.
 func (r *Reactor) add(p pollable) {
 	r.byFD[p.epollRegistration().fd] = p
 	r.applyInterest(p)
 }
 
-// applyInterest tells epoll what is wanted. Where that fails it is done again, and meanwhile the descriptor is tried without epoll.
+// applyInterest registers the descriptor's interest with epoll. If that fails it is retried, and until it succeeds the loop
+// tries the descriptor's I/O without epoll.
 func (r *Reactor) applyInterest(p pollable) {
 	reg := p.epollRegistration()
 	if reg.closed || reg.added && reg.interest == reg.registered {
@@ -242,7 +250,7 @@
 	r.pendingRetry[p] = struct{}{}
 }
 
-// retryPending does again what could not be done.
+// retryPending tries the I/O and the epoll registration of each descriptor in pendingRetry.
 func (r *Reactor) retryPending() {
 	if len(r.pendingRetry) == 0 {
 		return
@@ -258,7 +266,8 @@
 	}
 }
 
-// closeDescriptor takes a descriptor off the loop and closes it. Linux closes a descriptor whatever close says, and epoll forgets it.
+// closeDescriptor removes a descriptor from the loop and closes it. Linux closes the descriptor even if close returns an
+// error, and epoll then drops its registration.
 func (r *Reactor) closeDescriptor(p pollable) {
 	reg := p.epollRegistration()
 	if reg.closed {
@@ -272,6 +281,8 @@
 	}
 }
 
+// close closes all descriptors of the loop.
+// close closes all descriptors of the loop.
 func (r *Reactor) close() {
 	for _, p := range r.byFD {
 		r.closeDescriptor(p)
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -15,9 +15,9 @@
 	"golang.org/x/sys/unix"
 )
 
-const testTimeout = 10 * time.Second // no time is asserted: only that something comes at all
+const testTimeout = 10 * time.Second // generous: tests check that an event happens, not how fast
 
-// startReactor is a loop that runs until the test ends.
+// startReactor starts a loop that runs until the test ends.
 func startReactor(t *testing.T) *Reactor {
 	r, err := New(4096, nil)
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	return r
 }
 
-// runOnLoop runs something on the loop and waits for it.
+// runOnLoop runs a task on the loop and waits until it has returned.
 func runOnLoop(r *Reactor, task func()) {
 	done := make(chan struct{})
 	r.Post(func() {
@@ -43,12 +43,12 @@
 	<-done
 }
 
-// recorder keeps what it is told; the ends are written to a channel.
+// recorder is a StreamHandler that records the received data and sends the errors passed to Ended to a channel.
 type recorder struct {
 	mutex        sync.Mutex
 	data         []byte
 	ends         chan error
-	dataReceived chan struct{} // a token once something came
+	dataReceived chan struct{} // holds a token after data was received
 }
 
 func newRecorder() *recorder {
@@ -73,7 +73,7 @@
 	return bytes.Clone(r.data)
 }
 
-// newStreamPair is a stream on a loop and its peer.
+// newStreamPair returns a connected stream on the loop, its recorder, and the peer's connection.
 func newStreamPair(t *testing.T, r *Reactor) (*Stream, *recorder, *net.TCPConn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -96,15 +96,15 @@
 	return s, seen, peer.(*net.TCPConn)
 }
 
-// Incident 2: an error that says something of the moment was taken for the end of a connection.
+// Regression test for incident 2: a temporary error was treated as the end of a connection.
 func TestOnlyListedErrorsEndConnection(t *testing.T) {
 	for errno := syscall.Errno(1); errno < 134; errno++ {
 		err := fmt.Errorf("a call: %w", errno)
 		assert.Equal(t, connectionErrors[errno], endsConnection(err), "%s", errno)
 		r, newErr := New(16, nil)
 		require.NoError(t, newErr)
-		fds, pairErr := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
-		require.NoError(t, pairErr)
+		fds, socketpairErr := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
+		require.NoError(t, socketpairErr)
 		seen := newRecorder()
 		s := r.newStream(fds[0], seen)
 		r.add(s)
@@ -118,21 +118,21 @@
 		r.close()
 		unix.Close(fds[1]) //nolint:errcheck
 	}
-	assert.True(t, endsConnection(io.EOF), "what is no error of the system is the end")
+	assert.True(t, endsConnection(io.EOF), "an error that is not a system call error ends the connection")
 }
 
 func TestWriteKeepsOrderWithSlowPeer(t *testing.T) {
 	r := startReactor(t)
 	s, _, peer := newStreamPair(t, r)
 	var sent []byte
-	for i := range 4000 { // far more than the system takes at once
+	for i := range 4000 { // far more than the socket buffers hold
 		sent = append(sent, bytes.Repeat([]byte{byte(i)}, 1000)...)
 	}
 	runOnLoop(r, func() {
 		for i := 0; i < len(sent); i += 40000 {
 			s.Write([][]byte{sent[i : i+10000], sent[i+10000 : i+40000]})
 		}
-		assert.Positive(t, s.Unsent(), "it waits for the peer to read")
+		assert.Positive(t, s.Unsent(), "bytes wait for the peer to read")
 	})
 	got := make([]byte, len(sent))
 	peer.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck
@@ -154,7 +154,7 @@
 		_, err := peer.Write([]byte{byte(i)})
 		require.NoError(t, err)
 	}
-	for range 3 { // rounds of the loop with bytes there
+	for range 3 { // loop iterations while data is available
 		runOnLoop(r, func() {})
 	}
 	assert.Empty(t, seen.bytes())
@@ -172,7 +172,7 @@
 	require.NoError(t, err)
 	peer.Close()
 	assert.ErrorIs(t, <-seen.ends, io.EOF)
-	assert.Equal(t, "last words", string(seen.bytes()), "what came before the end is read first")
+	assert.Equal(t, "last words", string(seen.bytes()), "data before the close is received first")
 
 	_, seen, peer = newStreamPair(t, r)
 	require.NoError(t, peer.SetLinger(0))
@@ -184,7 +184,7 @@
 	_, err = io.ReadAll(peer)
 	require.NoError(t, err)
 	runOnLoop(r, func() {})
-	assert.Empty(t, seen.ends, "an end of ours is not told")
+	assert.Empty(t, seen.ends, "Ended is not called after Close")
 }
 
 func TestReadContinuesAfterCloseWrite(t *testing.T) {
@@ -233,7 +233,7 @@
 	accepted := 0
 	require.NoError(t, r.Listen(address, func(*Stream) StreamHandler { accepted++; return newRecorder() }))
 	const waiting = 5
-	for range waiting { // the loop does not run: the machine accepts them
+	for range waiting { // the loop is not running: the kernel completes the handshakes and queues the connections
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer c.Close()
@@ -261,7 +261,7 @@
 	r.Post(r.Stop)
 	r.Run()
 	var fds [2]int
-	require.NoError(t, unix.Pipe2(fds[:], unix.O_NONBLOCK)) // may get the number of the loop's wake-up
+	require.NoError(t, unix.Pipe2(fds[:], unix.O_NONBLOCK)) // may reuse the descriptor number of the loop's eventfd
 	r.Post(func() {})
 	_, err = unix.Read(fds[0], make([]byte, 8))
 	assert.ErrorIs(t, err, unix.EAGAIN)
--- a/internal/reactor/stream.go
+++ b/internal/reactor/stream.go
@@ -9,56 +9,58 @@
 )
 
 const (
-	maxReadsPerCall  = 16              // of one connection in a row: the others wait
-	maxReceiveRounds = 16              // of so many reads, where all that is there is wanted
-	maxFailingTime   = 5 * time.Second // a connection whose calls have failed for so long, with nothing between, is over
-	maxIovecs        = 1024            // what writev takes at a time
+	maxReadsPerCall  = 16              // reads of one connection in a row, so that it does not starve the others
+	maxReceiveRounds = 16              // rounds of maxReadsPerCall reads in one Receive
+	maxFailingTime   = 5 * time.Second // a connection is closed after failing this long without a successful call
+	maxIovecs        = 1024            // buffers that one writev accepts
 )
 
-// StreamHandler is told what happens on a stream, on the loop.
+// StreamHandler receives the events of a stream. The loop calls it.
 type StreamHandler interface {
-	// Received brings bytes, which are good until it returns.
+	// Received is called with received bytes. The slice is valid only until Received returns.
 	Received(data []byte)
-	// Ended tells that the peer or the network has ended the connection: io.EOF where its peer closed it. The stream is closed
-	// by then. It is not called after Close.
+	// Ended is called once when the peer or the network has ended the connection; err is io.EOF if the peer closed it. The
+	// stream is already closed. Ended is not called after Close.
 	Ended(err error)
 }
 
-// Stream is one TCP connection.
+// Stream is a TCP connection. Only the loop may call its methods.
 type Stream struct {
 	registration
 	reactor      *Reactor
 	handler      StreamHandler
-	unsent       []byte
-	readPaused   bool
-	drainReads   bool
-	failingSince time.Time // since when reading or writing has failed; zero: it does not
+	unsent       []byte    // bytes that wait until the socket is writable
+	readPaused   bool      // no data is read; see Pause
+	drainReads   bool      // see EnableDrain
+	failingSince time.Time // first failure since the last successful call; zero if the last call did not fail
 }
 
 func (r *Reactor) newStream(fd int, h StreamHandler) *Stream {
 	return &Stream{registration: registration{fd: fd, interest: readEvents}, reactor: r, handler: h}
 }
 
-// SetHandler says who is told what happens. It has to be called before the loop goes on.
+// SetHandler sets the handler of the stream's events. Call it in the same task or callback that received the stream, before
+// the loop polls again.
 func (s *Stream) SetHandler(h StreamHandler) { s.handler = h }
 
-// EnableDrain has everything read that is there before the loop goes on, so that a peer's end is known as soon as what it sent before. It
-// costs a read more each time. Without it what is left is read in the next round.
+// EnableDrain makes each read event read until the socket has no more data (at most maxReadsPerCall reads), so that a close by
+// the peer is noticed together with the data before it. This costs one more read per event. Without it, a read that does not
+// fill the buffer ends the event, and the rest is read in the next iteration.
 func (s *Stream) EnableDrain() { s.drainReads = true }
 
-// Unsent tells how many bytes wait to be written.
+// Unsent returns the number of bytes that wait to be written.
 func (s *Stream) Unsent() int { return len(s.unsent) }
 
-// Failing tells whether the last call on it failed, so that bytes may wait to be read.
+// Failing reports whether the last read or write failed with an error that is retried, so that unread bytes may be waiting.
 func (s *Stream) Failing() bool { return !s.failingSince.IsZero() }
 
-// Close closes the connection at once. What waits to be written is dropped.
+// Close closes the connection immediately and drops unsent bytes.
 func (s *Stream) Close() {
 	s.unsent = nil
 	s.reactor.closeDescriptor(s)
 }
 
-// CloseWrite ends our side.
+// CloseWrite shuts down the sending direction. The stream still receives.
 func (s *Stream) CloseWrite() error {
 	for {
 		err := unix.Shutdown(s.fd, unix.SHUT_WR)
@@ -68,13 +70,13 @@
 	}
 }
 
-// Pause has nothing read, or reading go on.
+// Pause stops reading (true) or resumes it (false).
 func (s *Stream) Pause(paused bool) {
 	s.readPaused = paused
 	s.updateInterest()
 }
 
-// Write takes bytes to be written, in order. What can't be written now waits. It copies what it keeps.
+// Write sends the buffers in order. Bytes that the socket does not accept now are copied and sent later.
 func (s *Stream) Write(parts [][]byte) {
 	if s.closed {
 		return
@@ -103,7 +105,7 @@
 	}
 }
 
-// bufferUnsent has the parts, without so many bytes of the first, wait for the peer to read.
+// bufferUnsent copies the parts, without the first skip bytes, to be written when the socket is writable.
 func (s *Stream) bufferUnsent(parts [][]byte, skip int) {
 	for _, part := range parts {
 		s.unsent = append(s.unsent, part[skip:]...)
@@ -112,7 +114,7 @@
 	s.updateInterest()
 }
 
-// updateInterest has epoll tell what this stream waits for.
+// updateInterest registers the events that the stream waits for with epoll.
 func (s *Stream) updateInterest() {
 	if s.closed {
 		return
@@ -139,7 +141,7 @@
 		if events&(readEvents|closeEvents) != 0 {
 			s.read()
 		}
-	case events&closeEvents != 0: // epoll tells that without end, and nothing after it can be read
+	case events&closeEvents != 0: // epoll would report this event in every iteration, and no data can follow it
 		s.closeWithError(unix.ECONNRESET)
 	}
 }
@@ -151,7 +153,7 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes unsent bytes until all are written or the socket accepts no more.
 func (s *Stream) flush() {
 	for !s.closed && len(s.unsent) > 0 {
 		n, err := unix.Write(s.fd, s.unsent)
@@ -168,7 +170,7 @@
 	}
 }
 
-// Receive takes in all that is there now. Its handler may be told of the end of the connection meanwhile.
+// Receive reads all data that is available now, in at most maxReceiveRounds rounds. It may call the handler's Ended.
 func (s *Stream) Receive() {
 	for range maxReceiveRounds {
 		if s.closed || s.readPaused || !s.read() {
@@ -177,7 +179,7 @@
 	}
 }
 
-// read takes in what is there. It tells whether there may be more.
+// read reads available data, at most maxReadsPerCall times. It reports whether there may be more.
 func (s *Stream) read() (more bool) {
 	for range maxReadsPerCall {
 		n, err := unix.Read(s.fd, s.reactor.readBuffer)
@@ -198,12 +200,15 @@
 	return true
 }
 
+// recordProgress records a successful call.
+// recordProgress records a successful call.
 func (s *Stream) recordProgress() {
 	s.failingSince = time.Time{}
 	s.reactor.progress = true
 }
 
-// handleError tells whether the call that failed is done again; else the connection has ended, and its handler knows.
+// handleError handles the error of a read or write. It returns true if the call will be retried; otherwise it has closed the
+// stream and called the handler's Ended.
 func (s *Stream) handleError(call string, err error) bool {
 	if endsConnection(err) {
 		s.closeWithError(err)
@@ -223,6 +228,8 @@
 	return true
 }
 
+// closeWithError closes the stream and calls the handler's Ended.
+// closeWithError closes the stream and calls the handler's Ended.
 func (s *Stream) closeWithError(err error) {
 	s.reactor.progress = true
 	s.Close()
