--- a/internal/buffers/buffers.go
+++ b/internal/buffers/buffers.go
@@ -1,22 +1,23 @@
-// Package buffers holds bytes on their way through the router: buffers of one size, used again, and chains of them.
+// Package buffers provides pooled, fixed-size buffers and chains of them, for messages and streams that pass through the router.
 package buffers
 
 import "io"
 
-// Size is the size of every buffer.
+// Size is the size of every buffer in bytes.
 const Size = 4096
 
-// Pool hands out buffers and takes them back. It belongs to one event loop.
+// Pool allocates buffers and reuses them. It belongs to one event loop and is not safe for concurrent use.
 type Pool struct {
-	MaxFree int // buffers that wait to be used again, at most
+	MaxFree int // largest number of free buffers that are kept for reuse
 
 	free  [][]byte
-	inUse int
+	inUse int // buffers that chains hold
 }
 
-// InUse tells how many buffers are out.
+// InUse returns how many buffers chains hold at present.
 func (p *Pool) InUse() int { return p.inUse }
 
+// get returns an empty buffer.
 func (p *Pool) get() []byte {
 	p.inUse++
 	if n := len(p.free); n > 0 {
@@ -27,25 +28,26 @@
 	return make([]byte, 0, Size)
 }
 
+// put returns a buffer to the pool.
 func (p *Pool) put(b []byte) {
 	p.inUse--
-	if len(p.free) < p.MaxFree { // what a burst needed beyond that goes back to the collector
+	if len(p.free) < p.MaxFree { // buffers beyond MaxFree, left over from a burst, go to the garbage collector
 		p.free = append(p.free, b[:0])
 	}
 }
 
-// Chain is a message or a stream of any length in pooled buffers. Whoever holds it releases it.
+// Chain is a byte queue of any length in pooled buffers. Its owner must call Release. A Chain is not safe for concurrent use.
 type Chain struct {
 	pool       *Pool
-	parts      [][]byte // the whole buffers
-	readOffset int      // bytes of the first that are read already
-	size       int
+	parts      [][]byte // all buffers, including bytes already read
+	readOffset int      // bytes of the first buffer that were already read
+	size       int      // unread bytes
 }
 
-// Chain gives an empty chain.
+// Chain returns a new empty chain.
 func (p *Pool) Chain() *Chain { return &Chain{pool: p} }
 
-// Len tells how many bytes it holds; none holds none.
+// Len returns the number of unread bytes; 0 for a nil chain.
 func (c *Chain) Len() int {
 	if c == nil {
 		return 0
@@ -53,7 +55,7 @@
 	return c.size
 }
 
-// Write appends; it never fails.
+// Write appends a copy of p. It never fails.
 func (c *Chain) Write(p []byte) (int, error) {
 	n := len(p)
 	c.size += n
@@ -71,10 +73,10 @@
 	return n, nil
 }
 
-// WriteString appends a text.
+// WriteString appends a string.
 func (c *Chain) WriteString(s string) { c.Write([]byte(s)) }
 
-// Parts gives the bytes as they lie, without the read ones; they stay the chain's.
+// Parts returns the unread bytes as slices of the chain's buffers, without a copy. The chain still owns the buffers.
 func (c *Chain) Parts() [][]byte {
 	out := make([][]byte, 0, len(c.parts))
 	for i, b := range c.parts {
@@ -88,7 +90,7 @@
 	return out
 }
 
-// Append copies all of another chain, which stays as it is.
+// Append appends a copy of the unread bytes of another chain, which is not changed and may be nil.
 func (c *Chain) Append(other *Chain) {
 	if other == nil {
 		return
@@ -101,11 +103,11 @@
 	}
 }
 
-// Peek copies bytes from an offset on, without reading them; it tells how many there were.
+// Peek copies unread bytes from an offset on into dst without consuming them. It returns the number of bytes copied.
 func (c *Chain) Peek(offset int, dst []byte) int {
 	offset += c.readOffset
 	n := 0
-	for i := offset / Size; i < len(c.parts) && n < len(dst); i++ { // only the last part may be short
+	for i := offset / Size; i < len(c.parts) && n < len(dst); i++ { // all buffers but the last are full
 		b := c.parts[i]
 		if skip := offset - i*Size; skip > 0 {
 			b = b[min(skip, len(b)):]
@@ -115,7 +117,7 @@
 	return n
 }
 
-// Index finds a byte from an offset on, within so many bytes; below 0: it is not there.
+// Index returns the position of the first target byte among the limit bytes from an offset on, or -1 if there is none.
 func (c *Chain) Index(offset int, target byte, limit int) int {
 	var window [64]byte
 	for end := min(offset+limit, c.size); offset < end; {
@@ -130,7 +132,7 @@
 	return -1
 }
 
-// Discard reads bytes away.
+// Discard consumes n bytes, or all if there are fewer.
 func (c *Chain) Discard(n int) {
 	n = min(n, c.size)
 	c.size -= n
@@ -145,7 +147,7 @@
 	}
 }
 
-// Cut moves the first bytes to a chain of their own.
+// Cut consumes the first n bytes, or all if there are fewer, and returns them in a new chain.
 func (c *Chain) Cut(n int) *Chain {
 	out := c.pool.Chain()
 	n = min(n, c.size)
@@ -162,30 +164,30 @@
 	return out
 }
 
-// String copies it all.
+// String returns a copy of the unread bytes as a string.
 func (c *Chain) String() string {
 	out := make([]byte, c.size)
 	c.Peek(0, out)
 	return string(out)
 }
 
-// Release gives the buffers back; the chain is empty then. Releasing none is allowed.
+// Release returns all buffers to the pool and leaves the chain empty. It may be called repeatedly and on a nil chain.
 func (c *Chain) Release() {
 	if c != nil {
 		c.Discard(c.size)
 	}
 }
 
-// Reader reads the chain byte by byte and leaves it as it is.
+// Reader returns a reader of the unread bytes that does not consume them. The chain must not change while it is used.
 func (c *Chain) Reader() *Reader { return &Reader{chain: c, offset: c.readOffset} }
 
-// Reader reads a chain.
+// Reader reads a chain byte by byte. It implements io.ByteReader.
 type Reader struct {
 	chain        *Chain
-	part, offset int
+	part, offset int // index of the current buffer and position in it
 }
 
-// ReadByte gives the next byte.
+// ReadByte returns the next byte, or io.EOF at the end.
 func (r *Reader) ReadByte() (byte, error) {
 	for r.part < len(r.chain.parts) {
 		if b := r.chain.parts[r.part]; r.offset < len(b) {
@@ -197,7 +199,7 @@
 	return 0, io.EOF
 }
 
-// Bytes copies it all.
+// Bytes returns a copy of the unread bytes.
 func (c *Chain) Bytes() []byte {
 	out := make([]byte, c.Len())
 	if c != nil {
@@ -206,7 +208,7 @@
 	return out
 }
 
-// Truncate takes back what was written last, so that so many bytes are left.
+// Truncate removes bytes from the end so that size unread bytes are left. A shorter chain is unchanged.
 func (c *Chain) Truncate(size int) {
 	if size <= 0 {
 		c.Release()
--- a/internal/buffers/buffers_test.go
+++ b/internal/buffers/buffers_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A chain does what one long slice would, across the edges of its buffers.
+// Random operations on a chain give the same results as on one byte slice, also across buffer boundaries.
 func TestChainBehavesLikeOneSlice(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := &Pool{}
