--- a/internal/clients/frames.go
+++ b/internal/clients/frames.go
@@ -51,19 +51,19 @@
 // Protocol is what the core must know of frames. Idle: clients close what is idle for 4 s themselves, so who keeps it
 // longer keeps it for good.
 func Protocol(pool *buffers.Pool) *traffic.ClientProtocol {
-	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: mostResult,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
-		New:     func() traffic.Client { return Session{} }}
+	return &traffic.ClientProtocol{Name: "frames", IdleTimeout: 5, MaxOpenBatches: 32, MaxResultBytes: mostResult,
+		ConvertResult: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
+		New:           func() traffic.Client { return Session{} }}
 }
 
 // Session is a connection of a client. It holds nothing: frames stand for themselves.
 type Session struct{}
 
-// Half is never so: what is not whole stays where it is.
-func (Session) Half() bool { return false }
+// HasPartial is never so: what is not whole stays where it is.
+func (Session) HasPartial() bool { return false }
 
 // Read reads a frame off the stream; nothing while it is not whole.
-func (Session) Read(in, _ *buffers.Chain) (traffic.Said, error) {
+func (Session) Read(in, _ *buffers.Chain) (traffic.ClientMessage, error) {
 	var head [headSize]byte
 	if in.Peek(0, head[:]) < lengthSize {
 		return nil, nil
@@ -78,11 +78,11 @@
 	stream := binary.LittleEndian.Uint32(head[5:])
 	in.Discard(headSize)
 	if head[4] == Ask {
-		ask := &traffic.Ask{Stream: stream}
+		ask := &traffic.BatchRequest{Stream: stream}
 		ask.Batch.Text = in.Cut(size - leastSize)
 		var f fields
-		if ask.Bad = f.read(ask.Batch.Text); ask.Bad == nil {
-			ask.Bad = f.batch(&ask.Batch)
+		if ask.Err = f.read(ask.Batch.Text); ask.Err == nil {
+			ask.Err = f.batch(&ask.Batch)
 		}
 		return ask, nil
 	}
@@ -91,9 +91,9 @@
 	case Cancel:
 		return traffic.Cancel{Stream: stream}, nil
 	case AskReady:
-		return traffic.AskReady{Stream: stream}, nil
+		return traffic.ReadinessQuery{Stream: stream}, nil
 	}
-	return traffic.Unusable{Stream: stream}, nil
+	return traffic.InvalidMessage{Stream: stream}, nil
 }
 
 // fields are the values that a batch is made of.
@@ -189,18 +189,18 @@
 
 // batch reads what the fields say.
 func (f *fields) batch(b *traffic.Batch) error {
-	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.mark
+	b.ID, b.Group, b.Client, b.IdempotencyKey = f.id, f.group, f.client, f.mark
 	if !Hex(b.ID, idDigits) {
 		return errors.New("field i is not an id")
 	}
-	if b.Mark != "" && !Hex(b.Mark, MarkDigits) {
+	if b.IdempotencyKey != "" && !Hex(b.IdempotencyKey, MarkDigits) {
 		return errors.New("field k is no mark")
 	}
 	left, err := strconv.ParseUint(f.left, 10, 31)
 	if err != nil || left == 0 {
 		return errors.New("field d is no time")
 	}
-	b.Left = float64(left) / 1000
+	b.TimeLeft = float64(left) / 1000
 	cost, ok := Figure(f.cost, mostCost)
 	memory, ok2 := Figure(f.memory, mostMemory)
 	if !ok || !ok2 {
@@ -213,7 +213,7 @@
 	if len(f.key) > mostKey {
 		return errors.New("field o is too long")
 	}
-	b.Key = Key(f.key)
+	b.OrderKey = Key(f.key)
 	return nil
 }
 
@@ -262,10 +262,10 @@
 }
 
 // codes gives the code that stands for an ending.
-var codes = [...]byte{traffic.Returned: Served, traffic.PushedBack: Refused, traffic.Errored: Failed}
+var codes = [...]byte{traffic.Succeeded: Served, traffic.Rejected: Refused, traffic.Failed: Failed}
 
-// Tell frames what a client is told. An error that belongs to no batch is an answer to stream 0.
-func (Session) Tell(out *buffers.Chain, what traffic.Tell) {
+// Encode frames what a client is told. An error that belongs to no batch is an answer to stream 0.
+func (Session) Encode(out *buffers.Chain, what traffic.ClientReply) {
 	switch w := what.(type) {
 	case *traffic.Answer:
 		answer(out, w)
@@ -276,18 +276,18 @@
 		}
 		head(out, Ready, w.Stream, 2)
 		out.Write([]byte{code, 0})
-	case traffic.NoMore:
+	case traffic.GoAway:
 		head(out, NoMore, 0, 0)
-	case traffic.Complaint:
-		answer(out, &traffic.Answer{Code: traffic.Errored})
+	case traffic.ConnectionError:
+		answer(out, &traffic.Answer{Code: traffic.Failed})
 	}
 }
 
 // answer frames the answer to a batch; parts of the body follow each other. The wait is told in milliseconds.
 func answer(out *buffers.Chain, a *traffic.Answer) {
 	fields := []byte{codes[a.Code], 0}
-	if a.Wait > 0 {
-		v := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
+	if a.RetryAfter > 0 {
+		v := strconv.Itoa(int(math.Ceil(a.RetryAfter * 1000)))
 		fields = append([]byte{codes[a.Code], 1, 1, 'w', byte(len(v)), 0}, v...)
 	}
 	size := len(fields)
--- a/internal/loop/crossings_test.go
+++ b/internal/loop/crossings_test.go
@@ -53,7 +53,7 @@
 
 	mutex  sync.Mutex
 	opened func() // is called on the loop before a client is let in
-	told   chan traffic.Tell
+	told   chan traffic.ClientReply
 }
 
 // lines are what the router logs. A line may be held: the router stands still in it until it is let go on.
@@ -152,11 +152,11 @@
 // watched notes what a client is told.
 type watched struct {
 	traffic.Client
-	told chan<- traffic.Tell
+	told chan<- traffic.ClientReply
 }
 
-func (w watched) Tell(out *buffers.Chain, what traffic.Tell) {
-	w.Client.Tell(out, what)
+func (w watched) Encode(out *buffers.Chain, what traffic.ClientReply) {
+	w.Client.Encode(out, what)
 	select {
 	case w.told <- what:
 	default:
@@ -171,7 +171,7 @@
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	p := &place{t: t, address: free.Addr().String(), names: names, ended: make(chan error, 1), said: newLines(),
-		told: make(chan traffic.Tell, 1000)}
+		told: make(chan traffic.ClientReply, 1000)}
 	free.Close()
 	resolver := names.LocalAddr().String()
 	if via != nil {
@@ -199,8 +199,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go func() {
-		p.ended <- loop.Run(ctx, c, loop.World{Pool: pool, Listeners: []loop.Listener{{Address: p.address, Speaks: speaks}},
-			Speaks: func(directory.Engine) *traffic.EngineProtocol { return resp }}, nil, zap.New(p.said))
+		p.ended <- loop.Run(ctx, c, loop.Environment{Pool: pool, Listeners: []loop.Listener{{Address: p.address, Protocol: speaks}},
+			EngineProtocol: func(directory.Engine) *traffic.EngineProtocol { return resp }}, nil, zap.New(p.said))
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -32,17 +32,17 @@
 	lateAnswer = 0.02 // past the client's time: worth a line
 )
 
-func (r *Router) clientSaid(number uint64, what traffic.Said) {
+func (r *Router) clientSaid(number uint64, what traffic.ClientMessage) {
 	c := r.clients[number]
 	if c == nil {
-		if ask, is := what.(*traffic.Ask); is {
+		if ask, is := what.(*traffic.BatchRequest); is {
 			ask.Batch.Text.Release()
 		}
 		return
 	}
 	c.half, c.since, c.said = 0, r.now, true
 	switch said := what.(type) {
-	case *traffic.Ask:
+	case *traffic.BatchRequest:
 		r.take(c, said)
 	case traffic.Cancel:
 		if b := c.open[said.Stream]; b != nil {
@@ -52,14 +52,14 @@
 			}
 			r.left(b)
 		}
-	case traffic.AskReady:
+	case traffic.ReadinessQuery:
 		r.do(TellClient{number, traffic.Ready{Stream: said.Stream, Yes: r.ready()}})
 	case traffic.Hello:
-		r.log(Debug, "client", "client", number, "speaks", c.speaks.Name, "who", said.Who)
+		r.log(Debug, "client", "client", number, "speaks", c.speaks.Name, "who", said.Name)
 		if r.stopAt > 0 {
-			r.do(TellClient{number, traffic.NoMore{}})
+			r.do(TellClient{number, traffic.GoAway{}})
 		}
-	case traffic.Unusable:
+	case traffic.InvalidMessage:
 		r.reject(c, said.Stream)
 	}
 }
@@ -83,30 +83,30 @@
 	r.refuseClient(c, BadInput)
 }
 
-func (r *Router) take(c *client, ask *traffic.Ask) {
+func (r *Router) take(c *client, ask *traffic.BatchRequest) {
 	told := &ask.Batch
 	// A number counts up, so it never comes twice; what breaks that, or the bound of open ones, is no client of ours.
-	if ask.Stream <= c.stream || len(c.open) >= c.speaks.Open {
+	if ask.Stream <= c.stream || len(c.open) >= c.speaks.MaxOpenBatches {
 		told.Text.Release()
 		r.reject(c, ask.Stream)
 		return
 	}
 	c.stream = ask.Stream
 	group := r.groups[told.Group]
-	if told.NoMark && r.unmarked[told.Group] != nil {
+	if told.NoIdempotencyKey && r.unmarked[told.Group] != nil {
 		group = r.unmarked[told.Group]
 	}
-	if told.Left == 0 && group != nil {
-		told.Left = group.Limit
+	if told.TimeLeft == 0 && group != nil {
+		told.TimeLeft = group.Limit
 	}
-	b := &batch{client: c, stream: ask.Stream, id: told.ID, mark: told.Mark, said: &told.Statement}
-	err := ask.Bad
+	b := &batch{client: c, stream: ask.Stream, id: told.ID, mark: told.IdempotencyKey, said: &told.Statement}
+	err := ask.Err
 	if err == nil {
 		err = r.usable(told, group)
 	}
 	if err != nil {
 		r.log(Warn, "batch can't be used", "client", c.number, "stream", ask.Stream, "group", told.Group, "why", err.Error())
-		r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+		r.reply(b, &traffic.Answer{Code: traffic.Failed, Reason: err.Error()})
 		told.Text.Release()
 		if c.faults++; c.faults >= mostFaults && !c.speaks.Stream {
 			r.refuseClient(c, BadInput)
@@ -116,11 +116,11 @@
 	held, memory := r.settings.Settings.MostHeld, textShare*float64(r.settings.MemoryMB)*(1<<20)
 	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.Used()*buffers.Size) > memory {
 		// Beyond what the platform lets a router hold. Nothing of it has run, so a pushback is true.
-		r.reply(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.settings.Settings.LongestDefer})
+		r.reply(b, &traffic.Answer{Code: traffic.Rejected, RetryAfter: r.settings.Settings.LongestDefer})
 		told.Text.Release()
 		return
 	}
-	left := told.Left
+	left := told.TimeLeft
 	if r.stopAt > 0 {
 		left = min(left, r.killAt-r.now) // nobody answers after that
 	}
@@ -129,12 +129,12 @@
 		b.id = r.drawID()
 	}
 	b.Batch = &brain.Batch{ID: r.ids, Group: group, Client: slices.Index(r.settings.Settings.Clients, told.Client),
-		Key: told.Key, Left: max(left, 0.001), Cost: told.Cost, Memory: told.Memory,
+		Key: told.OrderKey, Left: max(left, 0.001), Cost: told.Cost, Memory: told.Memory,
 		Tables: float64(statement.DataSet(b.said.Text.Reader()))}
 	if r.routes != nil {
 		b.Route = r.route(c, told, b.Tables)
 	}
-	b.dueAt = r.now + told.Left
+	b.dueAt = r.now + told.TimeLeft
 	r.batches[b.Batch] = b
 	c.open[ask.Stream], r.open[b.id] = b, b
 	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.Left, "tables", b.Tables, "text", textOf{b.said.Text})
@@ -169,9 +169,9 @@
 		return fmt.Errorf("no such service group: %.40q", told.Group)
 	case r.open[told.ID] != nil:
 		return errors.New("its id is open")
-	case group.Effect == brain.Referenced && told.Mark == "":
+	case group.Effect == brain.Referenced && told.IdempotencyKey == "":
 		return errors.New("a referenced batch has no mark")
-	case told.Left > mostLimits*group.Limit:
+	case told.TimeLeft > mostLimits*group.Limit:
 		return errors.New("it would wait far past its group's time limit")
 	}
 	return nil
@@ -206,10 +206,10 @@
 	}
 	r.log(Debug, "answer", "id", b.id, "code", what.String(), "dispatches", len(b.dispatches))
 	why := b.why
-	if what == traffic.PushedBack {
+	if what == traffic.Rejected {
 		why = ""
 	}
-	r.reply(b, &traffic.Answer{Code: what, Wait: wait, Why: why})
+	r.reply(b, &traffic.Answer{Code: what, RetryAfter: wait, Reason: why})
 	r.forget(b)
 }
 
@@ -236,7 +236,7 @@
 		case !d.written: // it waits for its connection: nothing is sent for who has gone, and what it takes is given back
 			r.giveUp(d, brain.Withdrawn)
 		case d.missing > 0: // it has run, and nobody wants the rest of its pages
-			r.order(d.line, traffic.Enough{ID: b.id})
+			r.order(d.line, traffic.CloseResult{ID: b.id})
 			r.finish(d, brain.Returned)
 		}
 	}
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -128,7 +128,7 @@
 		case !c.said && r.now-c.since > silentTime:
 			r.crowd.silent++
 			r.closeClient(c, Silent)
-		case r.now-c.since > c.speaks.Idle && c.half == 0:
+		case r.now-c.since > c.speaks.IdleTimeout && c.half == 0:
 			r.crowd.idle++
 			r.closeClient(c, ClosedIdle)
 		}
@@ -160,9 +160,9 @@
 	for _, b := range c.inTurn() {
 		b.why = why
 		r.brain.Left(b.Batch)
-		r.answer(b, traffic.Errored, 0)
+		r.answer(b, traffic.Failed, 0)
 	}
-	r.do(TellClient{c.number, traffic.Complaint{Why: why}})
+	r.do(TellClient{c.number, traffic.ConnectionError{Reason: why}})
 	r.closeClient(c, end)
 }
 
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -50,7 +50,7 @@
 }
 
 func (r *Router) multiplex(e *engine) int {
-	if e.speaks.Alone {
+	if e.speaks.OneAtATime {
 		return 1
 	}
 	return r.settings.Settings.Multiplex
@@ -132,7 +132,7 @@
 // stay open and of no use, as where a machine is cut off: an answer to a check tells, and so does none.
 func (r *Router) suspect(l *line) {
 	l.Suspect = true
-	if l.Idle() || l.check != nil || !r.settings.Settings.MayProbe || l.engine.speaks.Alone {
+	if l.Idle() || l.check != nil || !r.settings.Settings.MayProbe || l.engine.speaks.OneAtATime {
 		return
 	}
 	l.check = &probe{engine: l.engine, line: l, tag: tag(r.number())}
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -246,10 +246,10 @@
 	h := start(t)
 	ready := func() bool {
 		h.did = nil
-		h.tell(ClientSaid{1, traffic.AskReady{Stream: 7}})
+		h.tell(ClientSaid{1, traffic.ReadinessQuery{Stream: 7}})
 		return h.count(func(e Effect) bool {
 			told, is := e.(TellClient)
-			return is && told.What == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
+			return is && told.What == traffic.ClientReply(traffic.Ready{Stream: 7, Yes: true})
 		}) == 1
 	}
 	assert.False(t, ready(), "all that came would be turned away")
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -90,7 +90,7 @@
 			"connection", l.Number, "waited", r.now-w.sentAt, "serial", r.follower.Serial())
 		r.do(OrderEngine{l.Number, w.order(r.now), min(w.by, r.now+r.decisionHolds()), w.batch.origin(!r.settings.Settings.MayCopy)})
 	case *probe:
-		r.do(OrderEngine{l.Number, traffic.Probe{Tag: w.tag, Load: r.settings.Settings.Loads}, math.Inf(1), Origin{}})
+		r.do(OrderEngine{l.Number, traffic.Probe{Tag: w.tag, WantLoad: r.settings.Settings.Loads}, math.Inf(1), Origin{}})
 	}
 }
 
@@ -136,7 +136,7 @@
 	if b.client != nil {
 		r.brain.Left(b.Batch)
 		b.why = "the router's state is in doubt"
-		r.answer(b, traffic.Errored, 0)
+		r.answer(b, traffic.Failed, 0)
 	}
 }
 
@@ -154,7 +154,7 @@
 	return max(min(r.settings.Settings.DrainGrace*decisionShare, mostDecision), leastHolds)
 }
 
-func (r *Router) order(l *line, what traffic.Order) {
+func (r *Router) order(l *line, what traffic.EngineCommand) {
 	if l.Up {
 		r.do(OrderEngine{l.Number, what, math.Inf(1), Origin{}})
 	}
@@ -180,7 +180,7 @@
 	b := d.batch
 	if d.streams && b.client != nil && how != brain.Returned {
 		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(how), "sent", d.size)
-		r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: "the result is cut: " + b.why})
+		r.reply(b, &traffic.Answer{Code: traffic.Failed, Reason: "the result is cut: " + b.why})
 	}
 	r.log(Debug, "ended", "id", b.id, "no", d.no, "engine", d.engine.name, "how", int(how), "took", r.now-d.sentAt,
 		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missing, "connection", d.connection())
@@ -208,7 +208,7 @@
 		return
 	}
 	if d.written {
-		r.order(l, traffic.GiveUp{ID: d.batch.id})
+		r.order(l, traffic.CancelDispatch{ID: d.batch.id})
 	} else {
 		how = unsent[how]
 	}
@@ -217,7 +217,7 @@
 	if l == nil {
 		return
 	}
-	if l.engine.speaks.Alone {
+	if l.engine.speaks.OneAtATime {
 		if d.written {
 			r.settle(l) // before the close, lest it counts as free
 		}
@@ -238,14 +238,14 @@
 // unsent is what giving up a dispatch proves whose bytes never left this router.
 var unsent = map[brain.Ending]brain.Ending{brain.TimedOut: brain.Unconnected, brain.Withdrawn: brain.NotSent}
 
-func (r *Router) engineSaid(number uint64, reply *traffic.Reply) {
+func (r *Router) engineSaid(number uint64, reply *traffic.EngineReply) {
 	l := r.connections[number]
 	if l == nil {
 		reply.Rows.Release()
 		return
 	}
 	l.Heard, l.Suspect, l.half = r.now, false, 0
-	if reply.Word == traffic.Free {
+	if reply.Kind == traffic.ReplyReleased {
 		r.settled(l)
 		return
 	}
@@ -254,7 +254,7 @@
 		r.said(what, reply)
 	case *probe:
 		reply.Rows.Release()
-		r.probed(what, reply.Word == traffic.Fit, reply.Load, false)
+		r.probed(what, reply.Kind == traffic.ReplyHealthy, reply.Load, false)
 	default: // late: the dispatch has ended
 		reply.Rows.Release()
 	}
@@ -265,23 +265,23 @@
 	l := d.line
 	r.ended(d, how, d.report)
 	// A second copy may follow: it must not end another dispatch of the batch, were that on this connection.
-	l.Close(d.batch.id, how != brain.Returned && d.batch.client != nil && !l.engine.speaks.Alone, r.now)
+	l.Close(d.batch.id, how != brain.Returned && d.batch.client != nil && !l.engine.speaks.OneAtATime, r.now)
 	r.rest(l)
 }
 
-func (r *Router) said(d *dispatch, reply *traffic.Reply) {
+func (r *Router) said(d *dispatch, reply *traffic.EngineReply) {
 	if d.report == nil {
 		d.report = reply.Load
 	}
 	body := reply.Rows
-	if reply.Why != "" {
-		d.batch.why = reply.Why
+	if reply.Reason != "" {
+		d.batch.why = reply.Reason
 	}
 	if d.withdrawn && r.withdrawnSaid(d, reply) {
 		return
 	}
-	switch reply.Word {
-	case traffic.Done:
+	switch reply.Kind {
+	case traffic.ReplyFirstPage:
 		if d.pages != nil {
 			body.Release()
 			return
@@ -292,7 +292,7 @@
 		d.work, d.memory = reply.Work, reply.Memory
 		if d.batch.client == nil { // nobody wants the pages
 			if reply.Pages > 1 {
-				r.order(d.line, traffic.Enough{ID: d.batch.id})
+				r.order(d.line, traffic.CloseResult{ID: d.batch.id})
 			}
 			body.Release()
 			r.finish(d, brain.Returned)
@@ -304,7 +304,7 @@
 			r.askPages(d)
 		}
 		r.page(d, 0, body)
-	case traffic.More:
+	case traffic.ReplyPage:
 		switch n := reply.Page; {
 		case n < 1 || n >= len(d.pages):
 			r.unusable(d, reply)
@@ -313,27 +313,27 @@
 		case r.usableRows(d, reply):
 			r.page(d, n, body)
 		}
-	case traffic.Some:
+	case traffic.ReplyRows:
 		if r.usableRows(d, reply) {
 			r.some(d, body)
 		}
-	case traffic.Whole:
+	case traffic.ReplyComplete:
 		if !r.usableRows(d, reply) {
 			return
 		}
 		d.work, d.memory = reply.Work, reply.Memory
 		r.returned(d)
-	case traffic.Full, traffic.Late:
+	case traffic.ReplyOverloaded, traffic.ReplyTooLate:
 		body.Release()
 		if d.pages != nil {
 			r.finish(d, brain.Errored)
 		} else {
 			r.finish(d, brain.TurnedAway)
 		}
-	case traffic.Broke:
+	case traffic.ReplyFailed:
 		body.Release()
 		r.finish(d, brain.Errored)
-	case traffic.News:
+	case traffic.ReplyProgress:
 		body.Release()
 		if reply.Note != 0 {
 			r.brain.News(d.batch.Batch, d.no, reply.Note, reply.Level)
@@ -344,13 +344,13 @@
 }
 
 // usableRows: the protocol has found no fault, and there is no more than a result holds.
-func (r *Router) usableRows(d *dispatch, reply *traffic.Reply) bool {
-	if d.size += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.Holds(d.size) && d.batch.client != nil {
+func (r *Router) usableRows(d *dispatch, reply *traffic.EngineReply) bool {
+	if d.size += reply.Rows.Len(); reply.Invalid == "" && !d.batch.Route.Holds(d.size) && d.batch.client != nil {
 		reply.Rows.Release()
 		r.tooLarge(d, errRoute)
 		return false
 	}
-	if reply.Bad == "" && (d.size <= mostResult || !d.engine.speaks.Bounded) {
+	if reply.Invalid == "" && (d.size <= mostResult || !d.engine.speaks.BoundedResult) {
 		return true
 	}
 	r.unusable(d, reply)
@@ -359,18 +359,18 @@
 
 // unusable: an answer that can't be passed on. What comes after it on the connection can't be trusted either; what is
 // open there ends by the table.
-func (r *Router) unusable(d *dispatch, reply *traffic.Reply) {
-	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Word), "why", reply.Bad,
+func (r *Router) unusable(d *dispatch, reply *traffic.EngineReply) {
+	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Kind), "why", reply.Invalid,
 		"bytes", reply.Rows.Len())
 	reply.Rows.Release()
-	d.answered = reply.Word != traffic.Unknown
+	d.answered = reply.Kind != traffic.ReplyUnknown
 	r.closeLine(d.line, BadInput)
 }
 
 func (r *Router) askPages(d *dispatch) {
 	for n := 1; n < len(d.pages); n++ {
 		if d.there&(1<<n) == 0 {
-			r.order(d.line, traffic.AskPage{ID: d.batch.id, Page: n})
+			r.order(d.line, traffic.FetchPage{ID: d.batch.id, Page: n})
 		}
 	}
 	d.askedAt = r.now
@@ -411,7 +411,7 @@
 		d.pages = nil
 		var err error
 		if !d.streams {
-			if parts, err = b.client.speaks.Express(parts); err == nil && b.client.speaks.Most > 0 && sizeOf(parts) > b.client.speaks.Most {
+			if parts, err = b.client.speaks.ConvertResult(parts); err == nil && b.client.speaks.MaxResultBytes > 0 && sizeOf(parts) > b.client.speaks.MaxResultBytes {
 				rows.Release(parts)
 				err = errTooLarge
 			}
@@ -419,10 +419,10 @@
 		if err != nil {
 			r.log(Warn, "result can't be expressed", "id", b.id, "engine", d.engine.name, "speaks", b.client.speaks.Name,
 				"why", err.Error())
-			r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+			r.reply(b, &traffic.Answer{Code: traffic.Failed, Reason: err.Error()})
 		} else {
-			r.log(Debug, "answer", "id", b.id, "code", traffic.Returned.String(), "pages", len(parts))
-			r.reply(b, &traffic.Answer{Code: traffic.Returned, Rows: parts})
+			r.log(Debug, "answer", "id", b.id, "code", traffic.Succeeded.String(), "pages", len(parts))
+			r.reply(b, &traffic.Answer{Code: traffic.Succeeded, Rows: parts})
 		}
 	}
 	if d.held {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -23,7 +23,7 @@
 	}
 	ClientSaid struct {
 		Client uint64
-		Said   traffic.Said
+		Said   traffic.ClientMessage
 	}
 	ClientBegan  struct{ Client uint64 } // part of a message is there, after whole ones or none
 	ClientSpoilt struct{ Client uint64 } // nothing after what it has sent can be read
@@ -38,7 +38,7 @@
 	EngineOpened struct{ Connection uint64 }
 	EngineSaid   struct {
 		Connection uint64
-		Reply      *traffic.Reply
+		Reply      *traffic.EngineReply
 	}
 	EngineRead  struct{ Connection uint64 } // all that was written there has left, after a request was refused as unread
 	EngineBegan struct{ Connection uint64 } // part of a reply is there, after whole ones or none
@@ -132,7 +132,7 @@
 type (
 	TellClient struct {
 		Client uint64
-		What   traffic.Tell
+		What   traffic.ClientReply
 	}
 	CloseClient struct {
 		Client uint64
@@ -146,7 +146,7 @@
 	}
 	OrderEngine struct {
 		Connection uint64
-		What       traffic.Order
+		What       traffic.EngineCommand
 		By         float64 // once this time has come a request is not written any more, but told by OrderRefused
 		For        Origin  // whose attempt it is, of a dispatch
 	}
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -82,12 +82,12 @@
 				h.queries = append(h.queries, w.Query)
 			case OrderEngine:
 				out := h.pool.Chain()
-				h.speaks[w.Connection].Order(out, w.What)
+				h.speaks[w.Connection].Encode(out, w.What)
 				h.written[w.Connection] += out.String()
 				out.Release()
 			case TellClient:
 				out := h.pool.Chain()
-				h.client.Tell(out, w.What)
+				h.client.Encode(out, w.What)
 				h.read(out.String())
 				out.Release()
 				if a, is := w.What.(*traffic.Answer); is {
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -37,7 +37,7 @@
 	}
 	l.gauge.Clock(now)
 	goal := b.Group.Goal + b.Group.GoalStretch*b.work/max(b.Group.Threads, 1)
-	l.gauge.Ended(b.Group.Utility, code == traffic.Returned && now-b.takenAt <= goal, code == traffic.PushedBack)
+	l.gauge.Ended(b.Group.Utility, code == traffic.Succeeded && now-b.takenAt <= goal, code == traffic.Rejected)
 }
 
 func (l *level) finished(work, now float64) {
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -61,15 +61,15 @@
 	for _, what := range p.Reduce(p.now, e) {
 		switch w := what.(type) {
 		case router.TellClient:
-			p.client.Tell(p.out, w.What)
+			p.client.Encode(p.out, w.What)
 			if a, is := w.What.(*traffic.Answer); is {
-				require.Equal(p.t, traffic.Returned, a.Code, a.Why)
+				require.Equal(p.t, traffic.Succeeded, a.Code, a.Reason)
 				p.answers++
 				rows.Release(a.Rows)
 			}
 			p.out.Release()
 		case router.OrderEngine:
-			p.engine.Order(p.out, w.What)
+			p.engine.Encode(p.out, w.What)
 			p.out.Release()
 		case router.Release:
 			w.Chain.Release()
@@ -117,7 +117,7 @@
 		if reply == nil {
 			break
 		}
-		if reply.Word == traffic.Up {
+		if reply.Kind == traffic.ReplyReady {
 			p.tell(router.EngineOpened{Connection: 1})
 		} else {
 			p.tell(router.EngineSaid{Connection: 1, Reply: reply})
@@ -155,7 +155,7 @@
 			_, err = v.Done(nil, back)
 		}
 		require.NoError(t, err)
-		if a, is := said.(*traffic.Ask); is {
+		if a, is := said.(*traffic.BatchRequest); is {
 			part := rows.Part{Form: rows.Values, Data: pool.Chain()}
 			for _, name := range []string{"a", "b", "c"} {
 				part.Columns = append(part.Columns, rows.Column{Name: name, Type: rows.Type{Kind: rows.Text, Size: 40}})
@@ -165,7 +165,7 @@
 					rows.Append(part.Data, []byte(v))
 				}
 			}
-			server.Tell(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
+			server.Encode(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 		}
 		here = back.Bytes()
 		_, err = client.Read(back, out)
@@ -291,9 +291,9 @@
 			switch w := said.(type) {
 			case *traffic.Verify:
 				w.Done(nil, out) //nolint:errcheck
-			case *traffic.Ask:
+			case *traffic.BatchRequest:
 				w.Batch.Text.Release()
-				s.Tell(out, &traffic.Answer{Stream: w.Stream})
+				s.Encode(out, &traffic.Answer{Stream: w.Stream})
 			}
 			out.Release()
 		}
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -48,8 +48,8 @@
 	} else {
 		p.line.check = nil
 	}
-	if l := p.line; late && l.engine.speaks.Alone && l.Up && r.connections[l.Number] == l {
-		r.order(l, traffic.GiveUp{ID: p.tag})
+	if l := p.line; late && l.engine.speaks.OneAtATime && l.Up && r.connections[l.Number] == l {
+		r.order(l, traffic.CancelDispatch{ID: p.tag})
 		r.settle(l)
 		late = false
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -354,9 +354,9 @@
 				r.dispatch(b, r.byBrain[d.Engine], d)
 			}
 		case brain.PushBack:
-			r.answer(r.batches[d.Batch], traffic.PushedBack, d.Wait)
+			r.answer(r.batches[d.Batch], traffic.Rejected, d.Wait)
 		case brain.Fail:
-			r.answer(r.batches[d.Batch], traffic.Errored, 0)
+			r.answer(r.batches[d.Batch], traffic.Failed, 0)
 		case brain.Cancel:
 			if b := r.batches[d.Batch]; b != nil && d.Number < len(b.dispatches) {
 				r.giveUp(b.dispatches[d.Number], brain.Withdrawn)
@@ -449,7 +449,7 @@
 		known := r.engines[e.ID]
 		if known == nil {
 			known = &engine{name: e.ID, speaks: r.speaks(e), Engine: brain.Engine{ID: hash(e.ID)}}
-			known.pool.Engine, known.Alone = known.ID, known.speaks.Alone
+			known.pool.Engine, known.Alone = known.ID, known.speaks.OneAtATime
 			r.engines[e.ID] = known
 			r.byBrain[&known.Engine] = known
 		}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -312,7 +312,7 @@
 	assert.Equal(t, failure, h.answers[103])
 	assert.NotContains(t, h.clients, uint64(2), "the third that can't be used")
 	h.tell(h.opened(3))
-	for n := range uint32(h.frames.Open + 1) {
+	for n := range uint32(h.frames.MaxOpenBatches + 1) {
 		delete(h.answers, 0)
 		h.ask(3, n+201, fmt.Sprintf("%016x", 4000+n))
 	}
@@ -397,7 +397,7 @@
 	assert.Equal(t, failure, h.answers[0], "half a frame")
 	h.say(h.dials[0].Connection, id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, ok+"a\t2\t3\n", h.answers[busy])
-	h.pass(h.frames.Idle - 1)
+	h.pass(h.frames.IdleTimeout - 1)
 	assert.Contains(t, h.clients, uint64(1))
 	h.pass(2)
 	assert.Empty(t, h.clients, "kept for good after its last answer")
@@ -491,11 +491,11 @@
 	h.settings.MemoryMB = 1
 	refused, n := 0, 0
 	for ; n < 100; n++ {
-		if n%h.frames.Open == 0 {
-			h.tell(h.opened(uint64(n/h.frames.Open) + 2))
+		if n%h.frames.MaxOpenBatches == 0 {
+			h.tell(h.opened(uint64(n/h.frames.MaxOpenBatches) + 2))
 		}
 		stream := uint32(n + 1)
-		h.ask(uint64(n/h.frames.Open)+2, stream, fmt.Sprintf("%016x", n+1))
+		h.ask(uint64(n/h.frames.MaxOpenBatches)+2, stream, fmt.Sprintf("%016x", n+1))
 		if h.answers[stream] != "" {
 			refused++
 			assert.Equal(t, refusal+"\x01\x01w\x03\x00500", h.answers[stream], "it says when to come back")
@@ -590,7 +590,7 @@
 	early, id := h.batch("lookup", 2000)
 	c := h.up()
 	h.tell(StopAsked{})
-	h.tell(ClientSaid{1, traffic.AskReady{Stream: 99}})
+	h.tell(ClientSaid{1, traffic.ReadinessQuery{Stream: 99}})
 	h.pass(0.5)
 	late, _ := h.batch("lookup", 2000)
 	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -118,5 +118,5 @@
 // dispatchOrder words a dispatch.
 func (d *dispatch) order(now float64) *traffic.Dispatch {
 	b := d.batch
-	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
+	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, IdempotencyKey: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
 }
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -20,7 +20,7 @@
 	r.brain.Leave()
 	r.log(Info, "stopping", "open", len(r.batches), "clients", len(r.clients))
 	for _, c := range r.inOrder() {
-		r.do(TellClient{c.number, traffic.NoMore{}})
+		r.do(TellClient{c.number, traffic.GoAway{}})
 	}
 	r.timers.add(r.now+quietStop, stopCheck{})
 	longest := 0.0
@@ -58,10 +58,10 @@
 			continue
 		}
 		if d := r.brain.Last(b.Batch); d.Kind == brain.PushBack {
-			r.answer(b, traffic.PushedBack, d.Wait)
+			r.answer(b, traffic.Rejected, d.Wait)
 		} else {
 			b.why = "the router has stopped"
-			r.answer(b, traffic.Errored, 0)
+			r.answer(b, traffic.Failed, 0)
 		}
 	}
 	r.exited = true
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -41,7 +41,7 @@
 func (r *Router) tooLarge(d *dispatch, why error) {
 	b := d.batch
 	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.speaks.Name, "bytes", d.size, "why", why.Error())
-	r.reply(b, &traffic.Answer{Code: traffic.Errored, Why: why.Error()})
+	r.reply(b, &traffic.Answer{Code: traffic.Failed, Reason: why.Error()})
 	r.giveUp(d, brain.Withdrawn)
 }
 
@@ -90,7 +90,7 @@
 }
 
 func (r *Router) hold(d *dispatch, hold bool) {
-	if d.held != hold && d.engine.speaks.Held {
+	if d.held != hold && d.engine.speaks.Pausable {
 		d.held = hold
 		r.do(HoldEngine{d.line.Number, hold})
 	}
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -44,21 +44,21 @@
 	r.timers.stop(d.timer)
 	r.timers.stop(d.paging)
 	d.timer = r.timers.add(by, withdrawalDue{d})
-	r.order(l, traffic.GiveUp{ID: d.batch.id})
-	if l.engine.speaks.Alone {
+	r.order(l, traffic.CancelDispatch{ID: d.batch.id})
+	if l.engine.speaks.OneAtATime {
 		r.settle(l)
 		return true
 	}
-	r.order(l, traffic.AskPage{ID: d.batch.id, Page: firstPage})
+	r.order(l, traffic.FetchPage{ID: d.batch.id, Page: firstPage})
 	l.Suspect = l.Suspect || l.Heard <= d.wroteAt
 	return true
 }
 
 // withdrawnSaid takes what an engine says of a dispatch that is given up, where that proves its end. All else is taken as ever: a
 // result that was on its way still is the answer.
-func (r *Router) withdrawnSaid(d *dispatch, reply *traffic.Reply) (proven bool) {
+func (r *Router) withdrawnSaid(d *dispatch, reply *traffic.EngineReply) (proven bool) {
 	switch {
-	case reply.Word == traffic.Broke, reply.Word == traffic.More && d.pages == nil:
+	case reply.Kind == traffic.ReplyFailed, reply.Kind == traffic.ReplyPage && d.pages == nil:
 		reply.Rows.Release()
 		r.endWithdrawn(d, d.withdrawnAs)
 		return true
