--- a/internal/loop/linger.go
+++ b/internal/loop/linger.go
@@ -49,8 +49,8 @@
 
 // acceptWhileStopping takes in a connection that comes between the decision to end and the end. Its machine has accepted it, and maybe a
 // request on it, which has to get an answer: it is refused, since nothing is sent on any more.
-func (l *Loop) acceptWhileStopping(s *reactor.Stream, speaks *traffic.ClientProtocol) reactor.StreamHandler {
-	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: s, received: l.pool.Chain(), client: speaks.New(),
+func (l *Loop) acceptWhileStopping(stream *reactor.Stream, speaks *traffic.ClientProtocol) reactor.StreamHandler {
+	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: stream, received: l.pool.Chain(), client: speaks.New(),
 		lingering: true, acceptedLate: true, rejecting: true}
 	l.lingering = append(l.lingering, &lingeringPeer{peer: p, deadline: time.Now().Add(lingerTimeout)})
 	l.scheduleLingerCheck()
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,4 +1,7 @@
-// Package loop runs the router on one event loop: sockets and timers in, effects out. It decides nothing.
+// Package loop connects the router's reducer to its sockets and timers. It turns what the sockets receive and what the
+// timers report into events, hands them to the reducer one at a time and carries out the effects that the reducer
+// returns. All decisions are the reducer's. Everything here runs on the goroutine of one event loop unless a comment
+// says otherwise.
 package loop
 
 import (
@@ -25,18 +28,21 @@
 )
 
 const (
-	maxPeerUnsentBytes  = 2 << 20 // bytes that a peer may leave unread: more than all answers of one connection
-	peerUnsentFraction  = 0.05    // or this of the memory limit
-	totalUnsentFraction = 0.15    // what all peers leave unread
-	bufferedFraction    = 0.35    // all that is held, beyond which nothing that is not whole is kept
-	freeBufferFraction  = 0.05    // buffers that wait to be used again
-	defaultMemoryMB     = 64      // MB, where no limit is told
-	flushTime           = 300 * time.Millisecond
-	slowClientBytes     = 128 << 10 // bytes unread at which the engine waits for a client that gets its result in parts
-	unreadCheckInterval = 5 * time.Millisecond
-	readSize            = 64 << 10
+	// The next five bound memory. Fractions are of the memory limit.
+	maxPeerUnsentBytes  = 2 << 20 // unsent bytes of one peer; larger than all answers of one connection together
+	peerUnsentFraction  = 0.05    // unsent bytes of one peer, if that is less
+	totalUnsentFraction = 0.15    // unsent bytes of all peers
+	bufferedFraction    = 0.35    // all buffers in use; above it connections with a large incomplete message are closed
+	freeBufferFraction  = 0.05    // free buffers kept for reuse
+
+	defaultMemoryMB     = 64                     // the memory limit if none is configured
+	flushTime           = 300 * time.Millisecond // least time that a closed connection gets to send what is unsent
+	slowClientBytes     = 128 << 10              // unsent bytes at which reading from the engine pauses for a client that streams its result
+	unreadCheckInterval = 5 * time.Millisecond   // between checks whether slow peers have read
+	readSize            = 64 << 10               // bytes per read
 )
 
+// peerKind says on which side of the router a connection is.
 type peerKind uint8
 
 const (
@@ -46,51 +52,52 @@
 
 func (k peerKind) String() string { return [...]string{"client", "engine"}[k] }
 
-// Listener is where clients of one protocol connect.
+// Listener is an address at which clients of one protocol connect.
 type Listener struct {
 	Address  string // host:port
 	Protocol *traffic.ClientProtocol
 }
 
-// Environment is what the loop is wired to: a protocol for each listener, and for each engine.
+// Environment holds the protocols, shared objects and callbacks that the loop uses besides the configuration. The
+// callbacks run on the event loop and must not block.
 type Environment struct {
 	Listeners      []Listener
 	EngineProtocol router.Speaks
 	Pool           *buffers.Pool
-	Levels         *router.LevelsSet   // of reduced service; nil: off
+	Levels         *router.LevelsSet   // levels of reduced service; nil: off
 	Routes         *router.RoutesSet   // limits of routes; nil: none
-	ReportStatus   func(router.Status) // is told how the router stands, where levels are on
-	PeerMessaging  *PeerMessaging      // with other routers; nil: none
+	ReportStatus   func(router.Status) // receives the router's status if levels are on; may be nil
+	PeerMessaging  *PeerMessaging      // messages to and from other routers; nil: none
 }
 
-// Reload is what takes the place of what was told before.
+// Reload holds a configuration that replaces the one in force.
 type Reload struct {
 	Config config.Config
-	Levels *router.LevelsSet // nil: as they were
-	Routes *router.RoutesSet // likewise
+	Levels *router.LevelsSet // nil: unchanged
+	Routes *router.RoutesSet // nil: unchanged
 }
 
-// peer is one connection.
+// peer is one connection to a client or to an engine.
 type peer struct {
 	loop     *Loop
 	kind     peerKind
 	number   uint64
 	stream   *reactor.Stream
-	client   traffic.Client // of its protocol; or
-	engine   traffic.Engine
+	client   traffic.Client // protocol state of a client's connection, else nil
+	engine   traffic.Engine // protocol state of an engine's connection, else nil
 	protocol *traffic.EngineProtocol
 	received *buffers.Chain
-	unsent   int  // bytes that wait to be written
-	slow     bool // so many that the router was told
+	unsent   int  // bytes that wait to be written, as last counted
+	slow     bool // the router was told that this client reads too slowly
 
-	opening      bool // it has just been accepted
-	hasPartial   bool // part of a message is there, and the router knows
-	lingering    bool // we have ended it, and read on until it closes
-	acceptedLate bool // it was accepted after the end was decided
-	rejecting    bool // what is asked on it is refused
+	opening      bool // the router is being told that it was accepted
+	hasPartial   bool // part of a message was received, and the router knows
+	lingering    bool // this side has ended it and reads until the peer closes
+	acceptedLate bool // it was accepted after the loop had begun to stop
+	rejecting    bool // requests on it are rejected
 }
 
-// Loop ties the router to its sockets; all of it runs on the event loop.
+// Loop connects the router to its sockets. Its methods run on the event loop.
 type Loop struct {
 	config  config.Config
 	log     *zap.Logger
@@ -101,63 +108,75 @@
 	clients, engines map[uint64]*peer
 	dials            map[uint64]*reactor.Dialing // connections to engines that are not up yet
 	nameSockets      nameSockets
-	resolver         string // where the name service is asked
-	resolverVersion  uint64 // how often that has changed
-	lastNumber       uint64
-	unsentPeers      map[*peer]struct{} // with bytes that wait to be written
-	unreadEngines    map[*peer]struct{} // engines that requests wait for, until they have read what was written
-	unsentBytes      int
-	maxUnsent        int // of all peers, in bytes
-	maxPeerUnsent    int // of one
-	maxBuffered      int // in bytes
+	resolver         string             // address of the name service
+	resolverVersion  uint64             // counts requests to open a socket there; a retry of an earlier one is dropped
+	lastNumber       uint64             // of client connections
+	unsentPeers      map[*peer]struct{} // peers with unsent bytes
+	unreadEngines    map[*peer]struct{} // engines that have not read what was written while requests wait for them
+	unsentBytes      int                // of all peers
+	maxUnsent        int                // bytes, of all peers
+	maxPeerUnsent    int                // bytes, of one peer
+	maxBuffered      int                // bytes in buffers
 
 	guard                *guard.Guard
-	protocolOut, encoded *buffers.Chain // empty but while a message is made
+	protocolOut, encoded *buffers.Chain // scratch space, empty except while a message is encoded
 	reportStatus         func(router.Status)
-	messenger            *messenger    // nil: there is no talk
-	unreadCheckSet       bool          // slow clients
-	verifySlots          chan struct{} // as many as run at a time
+	messenger            *messenger    // nil: no peer messaging
+	unreadCheckSet       bool          // a check of slow clients and unread engines is scheduled
+	verifySlots          chan struct{} // bounds verifications that run at a time
 
 	events       []router.Event
 	processing   bool
-	stepStart    time.Time // when the handling of the present event began
-	busySince    time.Time // when the first event came since decisions were made last; zero: none has
-	postponed    bool      // the decisions of this turn, once already
+	stepStart    time.Time // when the handling of the current event began
+	busySince    time.Time // when the first event of the turn began; zero: none has
+	postponed    bool      // the decisions of this turn were postponed once already
 	delays       delays
-	turnEndSet   bool
+	turnEndSet   bool // the end of the turn is scheduled
 	timer        *time.Timer
 	stopping     bool
 	stopDeadline time.Time
 
 	lingering      []*lingeringPeer // the oldest first
-	lingerCheckSet bool             // they are looked after soon
-}
-
-// Run serves until the context ends and all that was taken is answered. A configuration that was read again takes
-// the place of the one before.
-func Run(ctx context.Context, c config.Config, w Environment, reloads <-chan Reload, log *zap.Logger) error {
-	l := &Loop{config: c, log: log, pool: w.Pool, guard: guard.New(), verifySlots: make(chan struct{}, 2), clients: map[uint64]*peer{}, engines: map[uint64]*peer{},
-		dials: map[uint64]*reactor.Dialing{}, unsentPeers: map[*peer]struct{}{}, unreadEngines: map[*peer]struct{}{}, resolver: c.Resolver, reportStatus: w.ReportStatus}
+	lingerCheckSet bool             // a check of lingering connections is scheduled
+}
+
+// Run serves until ctx is done and every accepted batch is answered. Each configuration received on reloads replaces
+// the one in force. It returns an error if the event loop or a socket can't be opened.
+func Run(ctx context.Context, c config.Config, env Environment, reloads <-chan Reload, log *zap.Logger) error {
+	l := &Loop{
+		config:        c,
+		log:           log,
+		pool:          env.Pool,
+		guard:         guard.New(),
+		verifySlots:   make(chan struct{}, 2),
+		clients:       map[uint64]*peer{},
+		engines:       map[uint64]*peer{},
+		dials:         map[uint64]*reactor.Dialing{},
+		unsentPeers:   map[*peer]struct{}{},
+		unreadEngines: map[*peer]struct{}{},
+		resolver:      c.Resolver,
+		reportStatus:  env.ReportStatus,
+	}
 	l.setLimits()
 	l.protocolOut, l.encoded = l.pool.Chain(), l.pool.Chain()
-	l.router = router.New(c, w.EngineProtocol, l.pool, clock())
+	l.router = router.New(c, env.EngineProtocol, l.pool, clock())
 	var err error
 	if l.reactor, err = reactor.New(readSize, l.logCallFailure); err != nil {
 		return fmt.Errorf("event loop: %w", err)
 	}
-	for _, one := range w.Listeners {
-		accepted := func(s *reactor.Stream) reactor.StreamHandler { return l.acceptClient(s, one.Protocol) }
-		if err := l.reactor.Listen(one.Address, accepted); err != nil {
+	for _, listener := range env.Listeners {
+		accepted := func(s *reactor.Stream) reactor.StreamHandler { return l.acceptClient(s, listener.Protocol) }
+		if err := l.reactor.Listen(listener.Address, accepted); err != nil {
 			return fmt.Errorf("serve: %w", err)
 		}
 	}
-	if w.PeerMessaging != nil {
-		l.messenger = newMessenger(w.PeerMessaging)
-		if l.messenger.socket, err = l.reactor.ListenDatagrams(w.PeerMessaging.Settings.Listen, l.receiveDatagram); err != nil {
+	if env.PeerMessaging != nil {
+		l.messenger = newMessenger(env.PeerMessaging)
+		if l.messenger.socket, err = l.reactor.ListenDatagrams(env.PeerMessaging.Settings.Listen, l.receiveDatagram); err != nil {
 			return fmt.Errorf("talk: %w", err)
 		}
 	}
-	l.reactor.Post(func() { l.start(w) })
+	l.reactor.Post(func() { l.start(env) })
 	stop := context.AfterFunc(ctx, func() { l.reactor.Post(func() { l.processEvent(router.StopAsked{}) }) })
 	defer stop()
 	go l.forwardReloads(ctx, reloads)
@@ -165,38 +184,41 @@
 	return nil
 }
 
-// start is the first that the loop does.
-func (l *Loop) start(w Environment) {
+// start runs first on the event loop.
+func (l *Loop) start(env Environment) {
 	l.openNameSocket(l.resolver, l.resolverVersion)
-	if w.Levels != nil {
-		l.processEvent(*w.Levels)
+	if env.Levels != nil {
+		l.processEvent(*env.Levels)
 	}
-	if w.Routes != nil {
-		l.processEvent(*w.Routes)
+	if env.Routes != nil {
+		l.processEvent(*env.Routes)
 	}
 	l.startPeerMessaging()
 	l.scheduleTurnEnd()
 }
 
-// logCallFailure notes a system call that failed and is done again.
+// logCallFailure logs a system call that failed and is retried.
 func (l *Loop) logCallFailure(f reactor.Failure) {
 	l.log.Info("system call failed, it is done again", zap.String("call", f.Call), zap.Error(f.Err), zap.Int("failures", l.reactor.Failures()))
 }
 
+// memoryFraction returns a fraction of the memory limit in bytes.
 func memoryFraction(of float64, c config.Config) int {
 	return int(of * float64(cmp.Or(c.MemoryMB, defaultMemoryMB)) * (1 << 20))
 }
 
-// processStart ties the Unix clock to one that nobody sets.
+// processStart is the point from which clock counts; it holds both a wall clock and a monotonic reading.
 var processStart = time.Now()
 
-// clock gives Unix seconds as they were at the start, and from then on only what has passed: a clock that is set back would
-// hold up all timers and make leases last, one that is set forward would end all that waits. No time that another machine tells
-// is subtracted from it.
+// clock returns the wall clock time at the start of the process in Unix seconds, advanced by the monotonic clock.
+// Setting the wall clock therefore has no effect: if it were set back, all timers would be late and leases would last
+// too long; if it were set forward, all that waits would time out. Times reported by other machines are never
+// subtracted from it.
 func clock() float64 {
 	return float64(processStart.UnixMicro())/1e6 + time.Since(processStart).Seconds()
 }
 
+// forwardReloads passes new configurations on to the event loop. It runs on its own goroutine until ctx is done.
 func (l *Loop) forwardReloads(ctx context.Context, reloads <-chan Reload) {
 	for {
 		select {
@@ -216,15 +238,15 @@
 	}
 }
 
-// acceptClient takes in a client's connection; nil: it is not let in.
-func (l *Loop) acceptClient(s *reactor.Stream, speaks *traffic.ClientProtocol) reactor.StreamHandler {
+// acceptClient registers a client's connection. It returns nil if the router refuses the connection.
+func (l *Loop) acceptClient(stream *reactor.Stream, speaks *traffic.ClientProtocol) reactor.StreamHandler {
 	l.lastNumber++
 	if l.stopping {
-		return l.acceptWhileStopping(s, speaks)
+		return l.acceptWhileStopping(stream, speaks)
 	}
-	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: s, received: l.pool.Chain(), client: speaks.New()}
-	s.Handle(p)
-	s.Drain() // one that has gone must be known to have gone before anything is decided
+	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: stream, received: l.pool.Chain(), client: speaks.New()}
+	stream.Handle(p)
+	stream.Drain() // a client that has closed already must be known as closed before anything is decided
 	l.clients[p.number] = p
 	l.guard.ClientOpened(p.number)
 	p.opening = true
@@ -237,10 +259,10 @@
 	return p
 }
 
-// engineConnected begins to speak on a new connection to an engine.
-func (l *Loop) engineConnected(s *reactor.Stream, e router.Dial) {
-	p := &peer{loop: l, kind: enginePeer, number: e.Connection, stream: s, received: l.pool.Chain(), protocol: e.Speaks, engine: e.Speaks.New()}
-	s.Handle(p)
+// engineConnected starts the protocol on a new connection to an engine.
+func (l *Loop) engineConnected(stream *reactor.Stream, dial router.Dial) {
+	p := &peer{loop: l, kind: enginePeer, number: dial.Connection, stream: stream, received: l.pool.Chain(), protocol: dial.Speaks, engine: dial.Speaks.New()}
+	stream.Handle(p)
 	l.engines[p.number] = p
 	l.guard.EngineUp(p.number)
 	up := p.engine.Open(l.protocolOut)
@@ -250,7 +272,7 @@
 	}
 }
 
-// connectionEnded: a connection has ended without our asking for it, if it is still there.
+// connectionEnded releases a connection that has ended, and tells the router unless this side had ended it already.
 func (l *Loop) connectionEnded(p *peer, err error) {
 	end := endReason(err)
 	if p.kind == enginePeer && end.ByPeer() {
@@ -274,7 +296,7 @@
 	}
 }
 
-// endReason tells by its error who has ended a connection.
+// endReason classifies the error with which a connection ended.
 func endReason(err error) router.End {
 	switch {
 	case err == nil, errors.Is(err, io.EOF):
@@ -285,6 +307,7 @@
 	return router.Unreachable
 }
 
+// releasePeer removes a connection from the guard and from the accounts of unsent bytes, and frees its buffers.
 func (l *Loop) releasePeer(p *peer) {
 	if p.kind == clientPeer {
 		l.guard.ClientGone(p.number)
@@ -298,8 +321,8 @@
 	delete(l.unreadEngines, p)
 }
 
-// endConnection closes a connection of ours; what it would tell of that is known already. A client that does not read, or takes too
-// much memory, does not linger.
+// endConnection closes a connection from this side. The router already knows, so no event follows. Clients get a
+// lingering close, except one that does not read or takes too much memory.
 func (l *Loop) endConnection(p *peer, why router.End) {
 	switch p.kind {
 	case enginePeer:
@@ -313,12 +336,13 @@
 			return
 		}
 	}
-	if !p.opening { // else whoever accepts it closes it
+	if !p.opening { // else acceptClient refuses it, and the listener closes it
 		l.closeNow(p)
 	}
 }
 
-// Received takes in what a peer has sent. What comes from one that lingers is refused until our side is shut, and then dropped.
+// Received handles data from the peer. Requests on a lingering connection are rejected until this side is shut down,
+// and dropped after that.
 func (p *peer) Received(data []byte) {
 	switch {
 	case !p.lingering:
@@ -328,10 +352,10 @@
 	}
 }
 
-// Ended takes note of a connection that its peer or the network has ended.
+// Ended handles the end of the connection by its peer or by the network.
 func (p *peer) Ended(err error) { p.loop.connectionEnded(p, err) }
 
-// receive takes in what a peer has sent.
+// receive parses data from a peer and processes each complete message in it.
 func (l *Loop) receive(p *peer, data []byte) {
 	p.received.Write(data)
 	for l.isOpen(p) {
@@ -370,8 +394,10 @@
 	}
 }
 
+// isOpen reports whether a connection is registered, that is, neither ended nor lingering.
 func (l *Loop) isOpen(p *peer) bool { return l.clients[p.number] == p || l.engines[p.number] == p }
 
+// nextEvent reads the next complete message of a connection; nil: there is none yet.
 func (l *Loop) nextEvent(p *peer) (router.Event, error) {
 	if p.kind == enginePeer {
 		reply, err := p.engine.Read(p.received, l.protocolOut)
@@ -383,18 +409,19 @@
 		}
 		return router.EngineSaid{Connection: p.number, Reply: reply}, nil
 	}
-	said, err := p.client.Read(p.received, l.protocolOut)
-	if said == nil {
+	message, err := p.client.Read(p.received, l.protocolOut)
+	if message == nil {
 		return nil, err
 	}
-	if v, is := said.(*traffic.Verify); is {
-		go l.verify(p, v)
+	if verify, is := message.(*traffic.Verify); is {
+		go l.verify(p, verify)
 		return nil, nil
 	}
-	return router.ClientSaid{Client: p.number, Said: said}, nil
+	return router.ClientSaid{Client: p.number, Said: message}, nil
 }
 
-// verify runs beside the loop what takes long, a few at a time, and goes on with the connection afterwards.
+// verify runs a slow check of a connection, such as that of a password, on its own goroutine, and then continues the
+// connection on the event loop. verifySlots bounds the checks that run at a time.
 func (l *Loop) verify(p *peer, v *traffic.Verify) {
 	l.verifySlots <- struct{}{}
 	err := v.Run()
@@ -403,7 +430,7 @@
 		if !l.isOpen(p) {
 			return
 		}
-		said, err := v.Done(err, l.protocolOut)
+		message, err := v.Done(err, l.protocolOut)
 		l.write(p, l.protocolOut)
 		switch {
 		case !l.isOpen(p):
@@ -411,7 +438,7 @@
 			l.log.Warn("not let in", zap.Uint64("connection", p.number), zap.Error(err))
 			l.failConnection(p, router.LoginRefused)
 		default:
-			l.processEvent(router.ClientSaid{Client: p.number, Said: said})
+			l.processEvent(router.ClientSaid{Client: p.number, Said: message})
 			if l.isOpen(p) {
 				l.receive(p, nil)
 			}
@@ -419,7 +446,8 @@
 	})
 }
 
-// failConnection ends a connection that is of no more use.
+// failConnection ends a connection that can't be used any more and tells the router. After input that can't be parsed
+// the router answers the client's open batches first and closes the connection itself.
 func (l *Loop) failConnection(p *peer, end router.End) {
 	if p.lingering {
 		l.closeNow(p)
@@ -442,14 +470,15 @@
 	}
 }
 
-// processEvent brings an event to the router and does what it asks for. What comes of that meanwhile waits its turn.
+// processEvent passes an event to the router and performs the effects that it returns. Events that arise meanwhile are
+// queued and processed before the first call returns.
 func (l *Loop) processEvent(e router.Event) {
 	l.events = append(l.events, e)
 	if l.processing {
 		return
 	}
 	l.processing = true
-	more := false // something came in that the module has not been asked about
+	more := false // an event was processed after the last decisions
 	for len(l.events) > 0 {
 		e := l.events[0]
 		l.events = l.events[1:]
@@ -460,8 +489,8 @@
 			l.busySince = l.stepStart
 		}
 		l.observeEvent(e)
-		for _, what := range l.router.Reduce(clock(), e) {
-			l.perform(what)
+		for _, effect := range l.router.Reduce(clock(), e) {
+			l.perform(effect)
 		}
 		l.recordStep(e, l.stepStart)
 	}
@@ -471,8 +500,8 @@
 	}
 }
 
-// scheduleTurnEnd ends the turn by a task. It runs after all that is ready to be read, so the module is pulled when it knows all
-// of that.
+// scheduleTurnEnd schedules a task that ends the turn. The task runs after all sockets that are ready have been read, so
+// decisions are made with all of that known.
 func (l *Loop) scheduleTurnEnd() {
 	if !l.turnEndSet {
 		l.turnEndSet = true
@@ -480,24 +509,26 @@
 	}
 }
 
+// endTurn asks the router for its decisions, unless they are postponed to read the sockets again first.
 func (l *Loop) endTurn() {
 	if l.postponeAfterPause() {
 		return
 	}
-	l.receiveListAnswers() // while the next turn is still taken for armed: this one comes after it
+	l.receiveListAnswers() // before turnEndSet is cleared: the events that it brings belong to this turn
 	l.turnEndSet = false
 	for p := range l.unsentPeers {
 		l.updateUnsent(p)
 	}
 	l.processEvent(router.TurnEnded{})
-	l.busySince = time.Time{} // what comes from now on is another turn's
+	l.busySince = time.Time{} // later events belong to the next turn
 	if l.stopping {
 		l.stopWhenFlushed()
 	}
 }
 
-func (l *Loop) perform(what router.Effect) {
-	switch e := what.(type) {
+// perform carries out one effect.
+func (l *Loop) perform(effect router.Effect) {
+	switch e := effect.(type) {
 	case router.TellClient:
 		if l.allowReply(e) {
 			l.sendToClient(l.clients[e.Client], e.What)
@@ -557,13 +588,14 @@
 	}
 }
 
+// setLimits computes the bounds on memory from the configuration.
 func (l *Loop) setLimits() {
 	l.maxUnsent, l.maxBuffered = memoryFraction(totalUnsentFraction, l.config), memoryFraction(bufferedFraction, l.config)
 	l.maxPeerUnsent = min(maxPeerUnsentBytes, memoryFraction(peerUnsentFraction, l.config))
 	l.pool.Keep = memoryFraction(freeBufferFraction, l.config) / buffers.Size
 }
 
-// stopWhenFlushed ends the loop once no client lingers any more, or nobody reads what waits for them.
+// stopWhenFlushed stops the event loop once no client lingers any more, or once the deadline has passed.
 func (l *Loop) stopWhenFlushed() {
 	if len(l.lingering) == 0 && !l.reactor.Listening() || time.Now().After(l.stopDeadline.Add(lingerTimeout)) {
 		l.reactor.Stop()
@@ -572,6 +604,7 @@
 	l.scheduleLingerCheck()
 }
 
+// setTimer sets the router's only timer to a time of clock, replacing an earlier setting.
 func (l *Loop) setTimer(at float64) {
 	wait := max(time.Duration((at-clock())*float64(time.Second)), 0)
 	if l.timer != nil {
@@ -585,19 +618,20 @@
 	})
 }
 
-// sendToClient hands a client what it is told; rows are given back.
-func (l *Loop) sendToClient(p *peer, what traffic.ClientReply) {
+// sendToClient encodes a reply for a client and writes it, unless p is nil, and releases the reply's rows. A client that
+// leaves much of a streamed result unread is reported to the router as slow.
+func (l *Loop) sendToClient(p *peer, reply traffic.ClientReply) {
 	if p != nil {
-		p.client.Encode(l.encoded, what)
+		p.client.Encode(l.encoded, reply)
 		if l.encoded.Len() > 0 {
 			l.write(p, l.encoded)
 		}
 	}
-	switch w := what.(type) {
+	switch r := reply.(type) {
 	case *traffic.Answer:
-		rows.Release(w.Rows)
+		rows.Release(r.Rows)
 	case *traffic.Rows:
-		w.Part.Release()
+		r.Part.Release()
 		if p != nil && l.isOpen(p) && !p.slow && p.stream.Unsent() > slowClientBytes {
 			p.slow = true
 			l.processEvent(router.ClientUnread{Client: p.number, Full: true})
@@ -606,7 +640,8 @@
 	}
 }
 
-// scheduleUnreadCheck looks after slow clients, and engines that requests wait for, until they have read.
+// scheduleUnreadCheck checks slow clients, and engines that requests wait for, at an interval until all have read what
+// was written to them.
 func (l *Loop) scheduleUnreadCheck() {
 	if l.unreadCheckSet {
 		return
@@ -637,7 +672,8 @@
 	})
 }
 
-// write hands bytes to a peer. One who does not read is ended: what waits for it is bounded, alone and in all.
+// write writes bytes to a peer and releases them. Unsent bytes are bounded for each peer and in total: a peer that would
+// exceed its bound is disconnected, and above the total the peer with the most unsent bytes is.
 func (l *Loop) write(p *peer, data *buffers.Chain) {
 	defer data.Release()
 	if p == nil {
@@ -648,7 +684,7 @@
 		return
 	}
 	p.stream.Write(data.Parts())
-	if !l.isOpen(p) { // it has ended, and that is told
+	if !l.isOpen(p) { // the write has failed, and the router has been told
 		return
 	}
 	l.updateUnsent(p)
@@ -663,6 +699,7 @@
 	}
 }
 
+// updateUnsent counts the unsent bytes of a peer again.
 func (l *Loop) updateUnsent(p *peer) {
 	n := p.stream.Unsent()
 	l.unsentBytes += n - p.unsent
@@ -673,7 +710,7 @@
 	}
 }
 
-// dial makes a connection to an engine.
+// dial opens a connection to an engine and tells the router whether it succeeded.
 func (l *Loop) dial(e router.Dial) {
 	within := time.Duration(e.Within * float64(time.Second))
 	l.dials[e.Connection] = l.reactor.Dial(e.Address, within, func(s *reactor.Stream, err error) {
@@ -686,7 +723,7 @@
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			end = router.RefusedDial
-		case transient.Is(err): // says nothing of the engine
+		case transient.Is(err): // a shortage of this process, no fault of the engine
 			end = router.NoDescriptor
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, syscall.ETIMEDOUT):
 			end = router.DialTimedOut
@@ -699,6 +736,7 @@
 var zapLevels = map[router.Level]zapcore.Level{router.Debug: zap.DebugLevel, router.Info: zap.InfoLevel,
 	router.Warn: zap.WarnLevel}
 
+// writeLog writes a log line that the router asked for.
 func (l *Loop) writeLog(e router.Log) {
 	checked := l.log.Check(zapLevels[e.Level], e.Text)
 	if checked == nil {
