--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -167,13 +167,13 @@
 	for _, listener := range env.Listeners {
 		accepted := func(s *reactor.Stream) reactor.StreamHandler { return l.acceptClient(s, listener.Protocol) }
 		if err := l.reactor.Listen(listener.Address, accepted); err != nil {
-			return fmt.Errorf("serve: %w", err)
+			return fmt.Errorf("listen for clients at %s: %w", listener.Address, err)
 		}
 	}
 	if env.PeerMessaging != nil {
 		l.messenger = newMessenger(env.PeerMessaging)
 		if l.messenger.socket, err = l.reactor.ListenDatagrams(env.PeerMessaging.Settings.Listen, l.receiveDatagram); err != nil {
-			return fmt.Errorf("talk: %w", err)
+			return fmt.Errorf("listen for peer messages at %s: %w", env.PeerMessaging.Settings.Listen, err)
 		}
 	}
 	l.reactor.Post(func() { l.start(env) })
@@ -239,18 +239,18 @@
 }
 
 // acceptClient registers a client's connection. It returns nil if the router refuses the connection.
-func (l *Loop) acceptClient(stream *reactor.Stream, speaks *traffic.ClientProtocol) reactor.StreamHandler {
+func (l *Loop) acceptClient(stream *reactor.Stream, protocol *traffic.ClientProtocol) reactor.StreamHandler {
 	l.lastNumber++
 	if l.stopping {
-		return l.acceptWhileStopping(stream, speaks)
+		return l.acceptWhileStopping(stream, protocol)
 	}
-	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: stream, received: l.pool.Chain(), client: speaks.New()}
+	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: stream, received: l.pool.Chain(), client: protocol.New()}
 	stream.Handle(p)
 	stream.Drain() // a client that has closed already must be known as closed before anything is decided
 	l.clients[p.number] = p
 	l.guard.ClientOpened(p.number)
 	p.opening = true
-	l.processEvent(router.ClientOpened{Client: p.number, Speaks: speaks})
+	l.processEvent(router.ClientOpened{Client: p.number, Speaks: protocol})
 	p.opening = false
 	if !l.isOpen(p) {
 		l.releasePeer(p)
@@ -689,13 +689,13 @@
 	}
 	l.updateUnsent(p)
 	if l.unsentBytes > l.maxUnsent {
-		worst := p
+		largest := p
 		for other := range l.unsentPeers {
-			if other.unsent > worst.unsent {
-				worst = other
+			if other.unsent > largest.unsent {
+				largest = other
 			}
 		}
-		l.failConnection(worst, router.Unread)
+		l.failConnection(largest, router.Unread)
 	}
 }
 
