--- a/internal/loop/orders.go
+++ b/internal/loop/orders.go
@@ -10,15 +10,15 @@
 	"pitchfield/internal/traffic"
 )
 
-// sendCommand writes what the router wants of an engine. A request is written only if its first byte can leave now: neither too
-// long after it was decided, nor behind bytes that the engine has not read. Else it is given back, and never was sent. What
-// was written and waits here could be taken back by nobody: it would leave whenever the engine reads, after a drain, after
-// its client has gone, or after the engines have forgotten its first attempt.
+// sendCommand writes a command to an engine. A dispatch is written only if its first byte can leave at once: not after
+// its time limit, and not behind bytes that the engine has not read. Otherwise it is returned to the router as not
+// sent. A dispatch that waited in a send buffer could not be withdrawn: it would leave whenever the engine reads, perhaps
+// after a drain, after its client has closed, or after the engines have forgotten the batch's first attempt.
 func (l *Loop) sendCommand(p *peer, e router.OrderEngine) {
 	request, is := e.What.(*traffic.Dispatch)
 	if !is {
-		if word, is := e.What.(traffic.CancelDispatch); is {
-			l.guard.GivesUp(word.ID, e.Connection)
+		if cancel, is := e.What.(traffic.CancelDispatch); is {
+			l.guard.GivesUp(cancel.ID, e.Connection)
 		}
 		p.engine.Encode(l.encoded, e.What)
 		l.write(p, l.encoded)
@@ -52,7 +52,7 @@
 	l.recordOrder(request.ID, l.stepStart)
 }
 
-// checkSend asks the guard whether an attempt may leave.
+// checkSend asks the guard whether an attempt may be sent; an error says why not.
 func (l *Loop) checkSend(e router.OrderEngine, id string) error {
 	request := guard.Request{Client: e.For.Client, Stream: e.For.Stream}
 	if e.For.Single {
@@ -63,7 +63,8 @@
 	return l.guard.Send(request, id, e.Connection, e.For.OnceOnly)
 }
 
-// rejectUnread gives a request back whose engine does not read, and looks after the engine until it does.
+// rejectUnread returns a request to the router because its engine has not read earlier bytes, and watches the engine
+// until it has.
 func (l *Loop) rejectUnread(p *peer, request *traffic.Dispatch) {
 	if _, known := l.unreadEngines[p]; !known {
 		l.unreadEngines[p] = struct{}{}
@@ -74,14 +75,15 @@
 	l.scheduleUnreadCheck()
 }
 
-// withdrawUnsent: not one byte of a request has left, and what the connection holds back can be taken from it by its end alone.
+// withdrawUnsent returns a request to the router of which no byte has been sent. Its bytes can be removed from the
+// stream's buffer only by ending the connection.
 func (l *Loop) withdrawUnsent(p *peer, request *traffic.Dispatch) {
 	l.guard.NeverRan(request.ID, p.number)
 	l.processEvent(router.OrderRefused{Connection: p.number, ID: request.ID, Why: router.OrderLate})
 	l.failConnection(p, router.Unread)
 }
 
-// reportReadEngines tells the router of engines that have read all, and whether others have not.
+// reportReadEngines tells the router which watched engines have read everything, and returns whether others have not.
 func (l *Loop) reportReadEngines() (more bool) {
 	for p := range l.unreadEngines {
 		if p.stream.Unsent() > 0 {
