--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -10,17 +10,18 @@
 	"pitchfield/internal/traffic"
 )
 
-// What the loop does by the guard. It tells the guard what comes in, and asks it before anything goes out.
+// The guard checks the router's invariants independently of it. The loop reports to the guard what it receives, and asks
+// it before anything is sent.
 
-// observeEvent tells the guard of an event before the router is told.
+// observeEvent reports an event to the guard, before the router gets it.
 func (l *Loop) observeEvent(e router.Event) {
 	switch e := e.(type) {
 	case router.ClientSaid:
-		switch said := e.Said.(type) {
+		switch message := e.Said.(type) {
 		case *traffic.BatchRequest:
-			l.guard.Taken(guard.Request{Client: e.Client, Stream: said.Stream})
+			l.guard.Taken(guard.Request{Client: e.Client, Stream: message.Stream})
 		case traffic.Cancel:
-			l.guard.Cancelled(guard.Request{Client: e.Client, Stream: said.Stream})
+			l.guard.Cancelled(guard.Request{Client: e.Client, Stream: message.Stream})
 		}
 	case router.EngineSaid:
 		switch e.Reply.Kind {
@@ -36,7 +37,7 @@
 	}
 }
 
-// logWithheld tells of what the guard has withheld.
+// logWithheld logs that a message was withheld because the guard forbids it.
 func (l *Loop) logWithheld(err error, fields ...zap.Field) {
 	var gone *guard.GoneError
 	if errors.As(err, &gone) {
@@ -47,7 +48,7 @@
 	l.log.Error("invariant violated, it is withheld", append(fields, zap.Error(err), zap.Int("violations", counts.Broken()))...)
 }
 
-// allowReply asks before a client is told something. What it is not told is given back.
+// allowReply asks the guard whether a reply may be sent to a client. If not, the reply is logged and released.
 func (l *Loop) allowReply(e router.TellClient) bool {
 	var err error
 	switch what := e.What.(type) {
@@ -66,8 +67,8 @@
 	return false
 }
 
-// answerBeforeClose gives what is open on a client's connection its final answer before we end it. Whoever does not read could not
-// be told, and one whose bytes can't be read has broken the protocol.
+// answerBeforeClose answers the requests that are still open on a client's connection before this side ends it, unless
+// the client does not read, in which case no answer would reach it, or has broken the protocol.
 func (l *Loop) answerBeforeClose(p *peer, why router.End) {
 	switch why {
 	case router.Unread, router.NoMemory, router.BadInput, router.LoginRefused:
@@ -76,12 +77,14 @@
 	l.failOpenRequests(l.guard.Close(p.number), guard.CloseUnanswered)
 }
 
-// answerBeforeStop does so for all clients before the router ends.
+// answerBeforeStop answers the open requests of all clients before the router stops.
 func (l *Loop) answerBeforeStop() {
 	l.failOpenRequests(l.guard.End(), guard.EndUnanswered)
 	l.logRequestCounts()
 }
 
+// failOpenRequests answers requests with an error and logs each as a violation, since the router should have answered
+// them.
 func (l *Loop) failOpenRequests(open []guard.Request, v guard.Violation) {
 	for _, r := range open {
 		l.logWithheld(&guard.Error{Violation: v, Request: r})
@@ -92,7 +95,7 @@
 	}
 }
 
-// logRequestCounts logs what has become of requests since the start.
+// logRequestCounts logs how requests have ended since the start of the process.
 func (l *Loop) logRequestCounts() {
 	c := l.guard.Counts()
 	l.log.Info("requests", zap.Int("taken", c.Taken), zap.Int("answered", c.Answered), zap.Int("cancelled", c.Cancelled),
