--- a/internal/loop/linger.go
+++ b/internal/loop/linger.go
@@ -10,88 +10,91 @@
 	"pitchfield/internal/traffic"
 )
 
-// Lingering close: a client's connection that the router ends is shut on our side first, once all that the client was told is written. What
-// the client still sends is read and dropped until it closes too, or a little time has passed. A plain close over bytes
-// that were not read yet resets the connection, and answers that had just been written go with it: a request may cross any
-// close of ours. What has come by the close is refused. A request that crosses the shutdown is not taken: its client sends it again on another connection.
+// Lingering close: when the router ends a client's connection, it shuts down only its own sending side, once everything
+// for the client is written. What the client still sends is read and dropped until the client closes too or a short time
+// has passed. Closing a socket with unread bytes would reset the connection and lose answers that were just written, and
+// a request may arrive at the same time as any close. Requests received before the shutdown are rejected. A request that
+// crosses the shutdown is dropped: its client sends it again on another connection.
 const (
-	lingerTimeout        = 100 * time.Millisecond // clients that have seen our shutdown have closed by then
+	lingerTimeout        = 100 * time.Millisecond // clients that have received the shutdown have closed by then
 	lingerCheckInterval  = 10 * time.Millisecond
-	descriptorsPerLinger = 32 // of this many descriptors one may linger; further ones are closed at once, the oldest first
-	minLingering         = 4
-	maxLingering         = 16 // beside clients and engines there are 48 descriptors, and the process itself takes a dozen
+	descriptorsPerLinger = 32 // of so many descriptors a lingering connection may hold one; above that the oldest is closed at once
+	minLingering         = 4  // connections that may linger in any case
+	maxLingering         = 16 // 48 descriptors are left beside clients and engines, and the process itself takes a dozen
 )
 
-// lingeringPeer is what is left of a client's connection.
+// lingeringPeer is a client's connection during its lingering close.
 type lingeringPeer struct {
 	*peer
 	writeClosed bool
-	deadline    time.Time // for what is not written yet, then for the client to close
+	deadline    time.Time // for unsent bytes, then for the client to close
 }
 
-// startLinger ends a client's connection. What is to be written has until a time; none of it is anybody's any more but the peer's.
-func (l *Loop) startLinger(p *peer, by time.Time) {
-	one := &lingeringPeer{peer: p, deadline: by}
+// startLinger starts the lingering close of a client's connection. Bytes that are still unsent at the deadline are lost.
+func (l *Loop) startLinger(p *peer, deadline time.Time) {
+	entry := &lingeringPeer{peer: p, deadline: deadline}
 	p.lingering = true
-	l.lingering = append(l.lingering, one)
-	if p.rejecting { // what lies in its socket came before our end, and is owed an answer
+	l.lingering = append(l.lingering, entry)
+	if p.rejecting { // requests that lie in the socket arrived before the end and must be answered
 		p.stream.Receive()
-		if !slices.Contains(l.lingering, one) { // it has ended meanwhile
+		if !slices.Contains(l.lingering, entry) { // it has ended meanwhile
 			return
 		}
 	}
-	l.closeWrite(one)
+	l.closeWrite(entry)
 	for !l.stopping && len(l.lingering) > min(max(l.config.Descriptors/descriptorsPerLinger, minLingering), maxLingering) {
 		l.closeNow(l.lingering[0].peer)
 	}
 	l.scheduleLingerCheck()
 }
 
-// acceptWhileStopping takes in a connection that comes between the decision to end and the end. Its machine has accepted it, and maybe a
-// request on it, which has to get an answer: it is refused, since nothing is sent on any more.
-func (l *Loop) acceptWhileStopping(stream *reactor.Stream, speaks *traffic.ClientProtocol) reactor.StreamHandler {
-	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: stream, received: l.pool.Chain(), client: speaks.New(),
+// acceptWhileStopping registers a connection that is accepted after the loop has begun to stop. The kernel may already
+// have received a request on it, which must be answered. It is rejected, since nothing is dispatched any more.
+func (l *Loop) acceptWhileStopping(stream *reactor.Stream, protocol *traffic.ClientProtocol) reactor.StreamHandler {
+	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: stream, received: l.pool.Chain(), client: protocol.New(),
 		lingering: true, acceptedLate: true, rejecting: true}
 	l.lingering = append(l.lingering, &lingeringPeer{peer: p, deadline: time.Now().Add(lingerTimeout)})
 	l.scheduleLingerCheck()
 	return p
 }
 
-// rejectRequests refuses what a client asks on a connection whose end is decided.
+// rejectRequests rejects the requests that a client sends on a connection that is being closed.
 func (l *Loop) rejectRequests(p *peer, data []byte) {
 	p.received.Write(data) //nolint:errcheck // it never fails
 	for {
-		said, err := p.client.Read(p.received, l.protocolOut)
-		if said == nil || err != nil {
+		message, err := p.client.Read(p.received, l.protocolOut)
+		if message == nil || err != nil {
 			break
 		}
-		switch said := said.(type) {
+		switch m := message.(type) {
 		case *traffic.BatchRequest:
-			said.Batch.Text.Release()
-			p.client.Encode(l.protocolOut, &traffic.Answer{Stream: said.Stream, Code: traffic.Rejected})
+			m.Batch.Text.Release()
+			p.client.Encode(l.protocolOut, &traffic.Answer{Stream: m.Stream, Code: traffic.Rejected})
 		case traffic.ReadinessQuery:
-			p.client.Encode(l.protocolOut, traffic.Ready{Stream: said.Stream})
+			p.client.Encode(l.protocolOut, traffic.Ready{Stream: m.Stream})
 		}
 	}
 	p.stream.Write(l.protocolOut.Parts())
 	l.protocolOut.Release()
 }
 
-// closeWrite ends our side, once nothing waits to be written. One that came late is given its time to ask, and one that can't be read at
-// this moment the time until it can: what waits there was written before our end.
-func (l *Loop) closeWrite(one *lingeringPeer) {
-	waits := one.stream.Unsent() > 0 || one.acceptedLate || one.stream.Failing()
-	if one.writeClosed || waits && time.Now().Before(one.deadline) || one.stream.Unsent() > 0 {
+// closeWrite shuts down the sending side of a connection once nothing is unsent. Until the deadline it also waits on a
+// connection that was accepted late, so that its client can send a request, and on one that can't be read at the moment,
+// since requests in its socket were sent before the end.
+func (l *Loop) closeWrite(entry *lingeringPeer) {
+	mustWait := entry.stream.Unsent() > 0 || entry.acceptedLate || entry.stream.Failing()
+	if entry.writeClosed || mustWait && time.Now().Before(entry.deadline) || entry.stream.Unsent() > 0 {
 		return
 	}
-	one.rejecting = false
-	one.writeClosed, one.deadline = true, time.Now().Add(lingerTimeout)
-	if err := one.stream.CloseWrite(); err != nil {
+	entry.rejecting = false
+	entry.writeClosed, entry.deadline = true, time.Now().Add(lingerTimeout)
+	if err := entry.stream.CloseWrite(); err != nil {
 		l.log.Debug("shutdown", zap.Error(err))
-		one.deadline = time.Now()
+		entry.deadline = time.Now()
 	}
 }
 
+// scheduleLingerCheck schedules checkLingering if connections linger or the loop waits for its listeners to stop.
 func (l *Loop) scheduleLingerCheck() {
 	if l.lingerCheckSet || len(l.lingering) == 0 && !l.reactor.Listening() {
 		return
@@ -100,14 +103,15 @@
 	time.AfterFunc(lingerCheckInterval, func() { l.reactor.Post(l.checkLingering) })
 }
 
-// checkLingering looks after the connections that linger; the last of them ends a router that has stopped.
+// checkLingering shuts down or closes lingering connections whose time has come. While the loop is stopping, it stops
+// the loop after the last of them.
 func (l *Loop) checkLingering() {
 	l.lingerCheckSet = false
 	now := time.Now()
-	for _, one := range slices.Clone(l.lingering) {
-		l.closeWrite(one)
-		if !now.Before(one.deadline) {
-			l.closeNow(one.peer)
+	for _, entry := range slices.Clone(l.lingering) {
+		l.closeWrite(entry)
+		if !now.Before(entry.deadline) {
+			l.closeNow(entry.peer)
 		}
 	}
 	if l.stopping {
@@ -117,13 +121,13 @@
 	l.scheduleLingerCheck()
 }
 
-// closeNow closes a connection at once.
+// closeNow closes a connection without lingering.
 func (l *Loop) closeNow(p *peer) {
 	p.stream.Close()
 	l.connectionEnded(p, nil)
 }
 
-// removeLingering: the connection is closed, whoever closed it.
+// removeLingering removes a connection that is closed, by whichever side.
 func (l *Loop) removeLingering(p *peer) {
 	l.lingering = slices.DeleteFunc(l.lingering, func(o *lingeringPeer) bool { return o.peer == p })
 }
