--- a/internal/loop/names.go
+++ b/internal/loop/names.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	nameSocketRetryDelay = 50 * time.Millisecond
-	maxPreviousSockets   = 3 // sockets besides the one that questions go out by
+	nameSocketRetryDelay = 50 * time.Millisecond // after a socket could not be opened
+	maxPreviousSockets   = 3                     // earlier sockets that still receive answers
 )
 
-// nameSockets are the sockets to the name service. Questions go out by the present one. An answer may still come to one
-// before it: a slow service would never be heard if each socket that was silent for a second were closed.
+// nameSockets holds the sockets to the name service. Queries are sent on the current one. The previous ones stay open for
+// late answers: if each socket without an answer for one second were closed, no answer of a slow name service would ever
+// be received.
 type nameSockets struct {
-	current  *reactor.Datagrams
+	current  *reactor.Datagrams   // nil: none is open
 	previous []*reactor.Datagrams // the oldest first
 }
 
+// all returns the open sockets, the oldest first.
 func (n *nameSockets) all() []*reactor.Datagrams {
 	if n.current == nil {
 		return slices.Clone(n.previous)
@@ -31,7 +33,8 @@
 	return append(slices.Clone(n.previous), n.current)
 }
 
-// openNameSocket makes a socket to the name service. A reload meanwhile makes it void.
+// openNameSocket opens a socket to the name service and retries until it succeeds or a later call with another version
+// has replaced it.
 func (l *Loop) openNameSocket(resolver string, number uint64) {
 	if l.resolverVersion != number {
 		return
@@ -47,8 +50,9 @@
 	l.useNameSocket(socket)
 }
 
-// changeResolver takes another socket to the name service. At another address all old ones go, what they might still say is not
-// wanted. At the same one the old socket stays in use until a new one is there: descriptors may be short.
+// changeResolver opens another socket to the name service. If the address differs, all earlier sockets are closed, since
+// answers from the old address are not wanted. If it is the same, the old socket is used until the new one is open, which
+// may take time when descriptors are short.
 func (l *Loop) changeResolver(resolver string) {
 	l.resolverVersion++
 	if resolver != l.resolver {
@@ -61,7 +65,7 @@
 	l.openNameSocket(resolver, l.resolverVersion)
 }
 
-// useNameSocket sends questions by another socket from now on.
+// useNameSocket makes a socket the current one.
 func (l *Loop) useNameSocket(socket *reactor.Datagrams) {
 	if old := l.nameSockets.current; old != nil {
 		l.nameSockets.previous = append(l.nameSockets.previous, old)
@@ -70,7 +74,7 @@
 	l.closePreviousSockets(maxPreviousSockets)
 }
 
-// closePreviousSockets closes the oldest of the former sockets until so many are left.
+// closePreviousSockets closes the oldest of the previous sockets until at most the given number is left.
 func (l *Loop) closePreviousSockets(most int) {
 	for len(l.nameSockets.previous) > most {
 		oldest := l.nameSockets.previous[0]
@@ -79,24 +83,28 @@
 	}
 }
 
+// sendListQuery sends a query for the list of engines, if a socket is open. A query that can't be sent is lost; the
+// router repeats it.
 func (l *Loop) sendListQuery(query uint16) {
 	if l.nameSockets.current == nil {
 		return
 	}
 	if err := l.nameSockets.current.Send(directory.Query(query)); err != nil {
-		l.log.Debug("question to the name service was not sent", zap.Error(err))
+		l.log.Debug("query to the name service was not sent", zap.Error(err))
 	}
 }
 
-// receiveListAnswers takes in what the name service has sent by now. A step of the loop may take long, as where the process stands
-// still, and the tasks behind it run before the sockets are looked at again: what is decided then would go by a list that
-// an answer in the socket has overtaken. It costs a read for each turn.
+// receiveListAnswers reads the answers of the name service that have arrived. A step of the loop may take long, for
+// example when the process is paused, and the tasks queued behind it run before the sockets are polled again. Without
+// this, their decisions could use a list of engines although a newer one is already in the socket. It costs one read for
+// each turn and socket.
 func (l *Loop) receiveListAnswers() {
 	for _, socket := range l.nameSockets.all() {
 		socket.Receive()
 	}
 }
 
+// handleListAnswer parses an answer of the name service and passes it to the router.
 func (l *Loop) handleListAnswer(socket *reactor.Datagrams, data []byte) {
 	id, list, err := directory.Parse(data)
 	if err != nil {
@@ -104,7 +112,7 @@
 		l.processEvent(router.ListUnusable{Query: id})
 		return
 	}
-	if socket == l.nameSockets.current { // it is heard by this one, so the former ones are not needed
+	if socket == l.nameSockets.current { // answers reach the current socket, so the previous ones are not needed
 		l.closePreviousSockets(0)
 	}
 	l.processEvent(router.ListAnswered{Query: id, List: list})
