--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -16,39 +16,41 @@
 	"pitchfield/internal/talk"
 )
 
-// PeerMessaging is what the loop is told of the other routers. One datagram socket on the one loop serves all of it.
+// PeerMessaging configures the exchange of messages with the other routers of a fleet. One datagram socket carries all of
+// them.
 type PeerMessaging struct {
 	Fleet            string
 	Settings         membership.Settings
-	Quotas           *shares.Settings                     // of budgets that are divided with them; nil: none
-	LoadReports      *news.Settings                       // of what is out, as they tell it; nil: they don't
-	Networks         []netip.Prefix                       // who may talk
-	AddressOverrides map[netip.AddrPort]netip.AddrPort    // by which address one is reached, where it is not the one it tells
-	ReportMembers    func(router.Members, DatagramCounts) // is told how the fleet stands; nil: nobody asks
+	Quotas           *shares.Settings                     // for budgets that are divided among the fleet; nil: none
+	LoadReports      *news.Settings                       // for load reports between routers; nil: none are exchanged
+	Networks         []netip.Prefix                       // networks from which datagrams are accepted
+	AddressOverrides map[netip.AddrPort]netip.AddrPort    // where to send instead of the address that a router advertises
+	ReportMembers    func(router.Members, DatagramCounts) // receives the state of the membership, on the event loop; nil: unused
 }
 
-// DatagramCounts counts datagrams and bytes since the start.
+// DatagramCounts counts datagrams and bytes since the start of the process.
 type DatagramCounts struct {
 	In, Out, BytesIn, BytesOut int
-	UnknownNetworks            int // from outside of the networks
+	UnknownNetworks            int // received from outside of Networks
 	OtherFleets                int
-	Malformed                  int // too long, cut, or of no such form
-	Unsent                     int // the socket's queue was full, or nobody can be there
+	Malformed                  int // received too long, truncated or of an unknown form
+	Unsent                     int // not sent: the socket's queue was full, or the destination unreachable
 }
 
+// messenger is the state of peer messaging.
 type messenger struct {
 	PeerMessaging
 	socket       *reactor.Datagrams
 	started      bool
 	counts       DatagramCounts
-	dropLoggedAt time.Time // when a line last said that something was dropped
+	dropLoggedAt time.Time // when a dropped datagram was last logged
 }
 
 func newMessenger(t *PeerMessaging) *messenger { return &messenger{PeerMessaging: *t} }
 
-const dropLogInterval = 10 * time.Second // at most so often a line says what was dropped
+const dropLogInterval = 10 * time.Second // least time between log lines of dropped datagrams
 
-// startPeerMessaging begins once the loop is there; whoever comes later finds it begun.
+// startPeerMessaging tells the router the settings of peer messaging, once.
 func (l *Loop) startPeerMessaging() {
 	t := l.messenger
 	if t == nil || t.started {
@@ -58,7 +60,7 @@
 	l.processEvent(router.TalkSet{Settings: t.Settings, Shares: t.Quotas, News: t.LoadReports})
 }
 
-// receiveDatagram takes a datagram in. It is checked whole; what is dropped is counted.
+// receiveDatagram decodes a datagram and passes it to the router. Datagrams that are dropped are counted.
 func (l *Loop) receiveDatagram(data []byte, from netip.AddrPort) {
 	t := l.messenger
 	if len(data) == 0 {
@@ -84,6 +86,7 @@
 	}
 }
 
+// isAllowed reports whether datagrams from an address are accepted.
 func (t *messenger) isAllowed(from netip.Addr) bool {
 	for _, n := range t.Networks {
 		if n.Contains(from) {
@@ -93,6 +96,7 @@
 	return false
 }
 
+// logDropped logs a dropped datagram unless another was logged within dropLogInterval.
 func (l *Loop) logDropped(why string, from netip.AddrPort, err error) {
 	if time.Since(l.messenger.dropLoggedAt) < dropLogInterval {
 		return
@@ -102,7 +106,8 @@
 		zap.Int("strangers", l.messenger.counts.UnknownNetworks), zap.Int("other fleets", l.messenger.counts.OtherFleets), zap.Int("unreadable", l.messenger.counts.Malformed))
 }
 
-// sendMessage sends a datagram. One that can't be sent at once is lost: whoever waits for it asks again.
+// sendMessage sends a message to another router. One that can't be sent at once is lost; the protocols repeat requests
+// that get no answer.
 func (l *Loop) sendMessage(e router.Talk) {
 	t := l.messenger
 	data, err := talk.Encode(t.Fleet, &talk.Message{Message: e.Message, Shares: e.Shares, News: e.News})
@@ -118,17 +123,19 @@
 	t.counts.BytesOut += len(data)
 }
 
+// send sends a datagram to an advertised address.
 func (t *messenger) send(address string, data []byte) error {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return fmt.Errorf("talk: %w", err)
+		return fmt.Errorf("address of a peer: %w", err)
 	}
 	if by, is := t.AddressOverrides[to]; is {
 		to = by
 	}
-	return t.socket.SendTo(data, to) //nolint:wrapcheck // it says what it is
+	return t.socket.SendTo(data, to) //nolint:wrapcheck // the error is complete as it is
 }
 
+// reportMembers passes the state of the membership to the callback.
 func (l *Loop) reportMembers(m router.Members) {
 	if l.messenger.ReportMembers != nil {
 		l.messenger.ReportMembers(m, l.messenger.counts)
