--- a/internal/loop/delays.go
+++ b/internal/loop/delays.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	slowStepThreshold   = 50 * time.Millisecond // a step of the loop that takes so long is worth a line
-	delayReportInterval = 10 * time.Second      // at most so often the log tells the longest delays
+	slowStepThreshold   = 50 * time.Millisecond // steps of the loop that take longer are logged
+	delayReportInterval = 10 * time.Second      // least time between log lines with the longest delays
 )
 
-// delays holds the longest delays of the loop since they were last reported. It is for the log alone; the event loop
-// is its only user.
+// delays holds the longest delays of the loop since they were last logged. They are used for the log only.
 type delays struct {
 	step       time.Duration // handling of one event, with all its effects
-	order      time.Duration // from the start of an event to the writing of a request that it decided
+	order      time.Duration // from the start of an event to the writing of a request that it caused
 	reportedAt time.Time
 }
 
-// recordStep notes how long an event was handled. A long one means that this process stood still, or had too much to do;
-// what other peers sent meanwhile was not read.
+// recordStep records how long the handling of an event took. A long step means that the process was paused or
+// overloaded; what peers sent meanwhile was not read.
 func (l *Loop) recordStep(e router.Event, since time.Time) {
 	took := time.Since(since)
 	l.delays.step = max(l.delays.step, took)
@@ -38,7 +37,7 @@
 	}
 }
 
-// recordOrder notes how long after the start of its event a request is written.
+// recordOrder records how long after the start of its event a request was written.
 func (l *Loop) recordOrder(id string, since time.Time) {
 	took := time.Since(since)
 	l.delays.order = max(l.delays.order, took)
