--- a/internal/loop/standstill.go
+++ b/internal/loop/standstill.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// rereadThreshold is how long after the first event of a turn its decisions may still be made without another look at
-	// the sockets. Clients that have gone may be sent for during 0.1 s.
+	// rereadThreshold is how long after the first event of a turn its decisions may be made without reading the sockets
+	// again. Requests of a client may be dispatched for up to 0.1 s after it has closed its connection.
 	rereadThreshold = 50 * time.Millisecond
-	rereadDelay     = time.Millisecond
+	rereadDelay     = time.Millisecond // gives the reactor time to poll the sockets
 )
 
-// postponeAfterPause postpones a turn's decisions, once, where its events took long: the process stood still, or had too much to do.
-// Tasks run before the sockets are looked at again, so clients that went meanwhile and connections that ended are not known
-// yet. What is read after a while may take as long, so the second time decides.
+// postponeAfterPause postpones the decisions of a turn whose events took longer than rereadThreshold, because the process
+// was paused or overloaded, and returns whether it did. Tasks run before the sockets are polled again, so the loop does not
+// know yet which clients and connections have closed meanwhile. It postpones a turn only once, since the events that are
+// read then may take as long again.
 func (l *Loop) postponeAfterPause() bool {
 	took := time.Duration(0)
 	if !l.busySince.IsZero() {
@@ -28,7 +29,7 @@
 	}
 	l.postponed = true
 	l.log.Warn("stood still, sockets are read before anything is decided", zap.Duration("took", took))
-	// By a timer: a task that waits now would run before the sockets are looked at.
+	// A timer is used because a task posted now would run before the sockets are polled.
 	time.AfterFunc(rereadDelay, func() { l.reactor.Post(l.endTurn) })
 	return true
 }
