--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -9,8 +9,8 @@
 	"pitchfield/internal/config"
 )
 
-// At the smallest limit the program itself takes some 12 MB: what is held must fit beside it.
-func TestBoundsAreSharesOfTheSmallestLimit(t *testing.T) {
+// At the smallest memory limit, 32 MB, the program itself takes about 12 MB; all buffers must fit into the rest.
+func TestMemoryBoundsFitTheSmallestLimit(t *testing.T) {
 	l := &Loop{pool: &buffers.Pool{}, config: config.Config{MemoryMB: 32}}
 	l.setLimits()
 	assert.Less(t, l.maxBuffered+l.maxUnsent+l.pool.Keep*buffers.Size, 20<<20)
