--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,7 +1,7 @@
-// Package traffic holds the words between the router's core and the protocols: what clients and engines say, and what
-// they are told. The core knows these alone; each protocol turns them to bytes and back in a state machine for each
-// connection, without input or output, clock or decision. A further protocol is a package that implements Client or
-// Engine and a line in the loop's table; it touches no file of the core or of the decision module.
+// Package traffic defines the messages between the router's core and the protocols: what clients and engines send, and
+// what is sent to them. The core uses only these types. Each protocol encodes and decodes them in a state machine for
+// each connection, which does no I/O, reads no clock and makes no decisions. To add a protocol, write a package that
+// implements Client or Engine and register it where the loop is set up; neither the core nor the decision module changes.
 package traffic
 
 import (
@@ -12,42 +12,50 @@
 	"pitchfield/internal/rows"
 )
 
-// Batch is one as a client asked for it. Its text is the holder's to release.
+// Batch is a batch as a client requested it. Whoever holds it releases its text.
 type Batch struct {
-	ID, Group, Client, IdempotencyKey string  // ID empty: the core draws one. Mark: the same for all tries of a referenced batch
-	TimeLeft                          float64 // seconds that the client still waits; 0: as long as its group's time limit
-	Cost, Memory                      float64 // seconds of work and MB; 0: not told
-	OrderKey                          uint64  // 0: none
-	Login, Application                string  // of its session, where the protocol has them
-	NoIdempotencyKey                  bool    // its protocol has no other place for one: a referenced batch counts as once-only
+	ID, Group, Client  string  // an empty ID is replaced by one that the core generates
+	IdempotencyKey     string  // the same for all attempts of a deduplicated batch; empty: none
+	TimeLeft           float64 // seconds that the client still waits; 0: the time limit of its group
+	Cost, Memory       float64 // seconds of work and MB; 0: unknown
+	OrderKey           uint64  // batches with the same key run in order; 0: none
+	Login, Application string  // of the client's session, if the protocol has them
+	NoIdempotencyKey   bool    // the protocol has no other place for a key: a batch of a deduplicated group counts as once-only
 	Statement
 }
 
 // Statement is what an engine runs.
 type Statement struct {
 	Text         *buffers.Chain
-	Database     string           // where its names stand, if its engine has several
-	SessionSetup string           // settings of the client's session, to be sent ahead on the same connection
+	Database     string           // in which names of the text are resolved, if the engine has several
+	SessionSetup string           // statements with the settings of the client's session, to be sent before the text on the same connection
 	Parameters   []rows.Parameter // of the text, by name
 }
 
-// ClientMessage is one thing that a client said.
+// ClientMessage is a message from a client, decoded.
 type ClientMessage interface{ clientMessage() }
 
-// What clients say. Stream numbers a batch on its connection; numbers count up.
+// Messages from clients. Stream numbers a batch on its connection; the numbers increase.
 type (
-	Hello        struct{ Name string } // it has introduced itself
+	// Hello says who the client is.
+	Hello struct{ Name string }
+	// BatchRequest asks for a batch to be run.
 	BatchRequest struct {
 		Stream uint32
 		Batch  Batch
-		Err    error // it is whole, but what is in it can't be used
+		Err    error // not nil: the request is complete, but its content can't be used
 	}
-	Cancel         struct{ Stream uint32 } // it has stopped waiting
+	// Cancel says that the client no longer waits for a batch.
+	Cancel struct{ Stream uint32 }
+	// ReadinessQuery asks whether the router is ready for batches.
 	ReadinessQuery struct{ Stream uint32 }
-	InvalidMessage struct{ Stream uint32 } // it belongs to no batch and can't be used
-	HandledLocally struct{}                // it said what its protocol has answered by itself
-	// Verify asks its host to run something that takes long beside the loop, and to do the rest when that has ended. The
-	// session reads nothing until then.
+	// InvalidMessage is a message that belongs to no batch and can't be used.
+	InvalidMessage struct{ Stream uint32 }
+	// HandledLocally stands for a message that the protocol has answered by itself.
+	HandledLocally struct{}
+	// Verify asks the event loop to call Run, which takes long, on another goroutine, and then Done with its error on the
+	// event loop. Done returns the message that follows, and writes what the protocol sends to owed. The session reads
+	// nothing until then.
 	Verify struct {
 		Run  func() error
 		Done func(err error, owed *buffers.Chain) (ClientMessage, error)
@@ -65,37 +73,42 @@
 // Code is how a batch ended for its client.
 type Code uint8
 
-// The codes.
+// The codes. Their texts appear in logs under their earlier names.
 const (
-	Succeeded Code = iota
-	Rejected
-	Failed
+	Succeeded Code = iota // the result is returned
+	Rejected              // not run; the client may send the batch again, after a delay if one is given
+	Failed                // ended in an error, or it may have run and must not run twice
 )
 
 func (c Code) String() string { return [...]string{"returned", "pushed back", "errored"}[c] }
 
-// ClientReply is one thing that a client is told.
+// ClientReply is a message to a client, not yet encoded.
 type ClientReply interface{ clientReply() }
 
-// What clients are told. Rows are the doer's to release.
+// Messages to clients. Whoever sends one releases its rows.
 type (
-	Answer struct { // the final one
+	// Answer is the final answer to a batch.
+	Answer struct {
 		Stream     uint32
 		Code       Code
-		RetryAfter float64 // seconds after which to come back; 0: no advice
-		Reason     string  // of an error, where something is known of it
+		RetryAfter float64 // seconds after which the client may try again; 0: not said
+		Reason     string  // of an error, if known
 		Rows       []rows.Part
 	}
-	Rows struct { // some of the result; an answer follows, and if it isn't Returned the result is cut
+	// Rows is a part of a streamed result. An Answer follows; if its code isn't Succeeded, the result is incomplete.
+	Rows struct {
 		Stream uint32
 		Part   rows.Part
 	}
+	// Ready answers a ReadinessQuery.
 	Ready struct {
 		Stream uint32
 		Yes    bool
 	}
-	GoAway          struct{}                // no new batch on this connection, please
-	ConnectionError struct{ Reason string } // an error that belongs to no batch
+	// GoAway asks the client to send no new batch on this connection.
+	GoAway struct{}
+	// ConnectionError is an error that belongs to no batch.
+	ConnectionError struct{ Reason string }
 )
 
 func (*Answer) clientReply()         {}
@@ -104,49 +117,55 @@
 func (GoAway) clientReply()          {}
 func (ConnectionError) clientReply() {}
 
-// Client is the state machine of one connection of a client.
+// Client is the protocol state of one connection to a client.
 type Client interface {
-	// Read gives the next thing said; nil: nothing more is whole. What the protocol owes by itself goes to owed. After
-	// an error nothing more can be read.
+	// Read decodes the next message from in; nil: there is no complete one. What the protocol sends by itself is written
+	// to owed. After an error the connection can't be read any more.
 	Read(in, owed *buffers.Chain) (ClientMessage, error)
-	// Half tells whether it holds part of a message.
+	// HasPartial reports whether the state holds part of a message.
 	HasPartial() bool
-	// Tell turns what is told to bytes.
-	Encode(out *buffers.Chain, what ClientReply)
+	// Encode writes a reply to out.
+	Encode(out *buffers.Chain, reply ClientReply)
 }
 
-// ClientProtocol is what the core must know of a protocol of clients.
+// ClientProtocol describes a client protocol to the core.
 type ClientProtocol struct {
 	Name           string
-	IdleTimeout    float64 // seconds that an idle connection is kept
-	MaxResultBytes int     // bytes of a result that it can carry; 0: any, in parts
-	MaxOpenBatches int     // batches on one connection
-	Stream         bool    // rows may go out before the result is whole
-	// Express gives a whole result in the form that the protocol carries, or why it can't. What it was given is
-	// released where it gives others.
+	IdleTimeout    float64 // seconds for which an idle connection is kept
+	MaxResultBytes int     // largest result that the protocol can carry; 0: any, in parts
+	MaxOpenBatches int     // on one connection
+	Stream         bool    // rows may be sent before the result is complete
+	// ConvertResult converts a complete result to the form that the protocol carries. If it returns other parts than it
+	// was given, it releases the given ones.
 	ConvertResult func([]rows.Part) ([]rows.Part, error)
-	New           func() Client
+	// New returns the state of a new connection.
+	New func() Client
 }
 
-// EngineCommand is one thing that an engine is told.
+// EngineCommand is a message to an engine, not yet encoded.
 type EngineCommand interface{ engineCommand() }
 
-// What engines are told.
+// Messages to engines. IDs are of dispatches.
 type (
+	// Dispatch asks the engine to run a statement.
 	Dispatch struct {
 		ID, Group, IdempotencyKey string
-		Wait, Memory              float64 // seconds, MB
+		Wait, Memory              float64 // seconds until the answer is due, MB
 		Statement
 	}
+	// CancelDispatch says that the result of a dispatch is no longer wanted.
 	CancelDispatch struct{ ID string }
-	FetchPage      struct {
+	// FetchPage asks for a page of a result.
+	FetchPage struct {
 		ID   string
 		Page int
 	}
-	CloseResult struct{ ID string } // no more pages are wanted
-	Probe       struct {
+	// CloseResult says that no more pages of a result are wanted.
+	CloseResult struct{ ID string }
+	// Probe asks whether the engine is healthy.
+	Probe struct {
 		Tag      string
-		WantLoad bool // with its load report
+		WantLoad bool // asks for a load report too
 	}
 )
 
@@ -156,27 +175,28 @@
 func (CloseResult) engineCommand()    {}
 func (Probe) engineCommand()          {}
 
-// ReplyKind says what an answer of an engine is.
+// ReplyKind says what a reply of an engine means.
 type ReplyKind uint8
 
-// The words.
+// The kinds of replies.
 const (
 	ReplyUnknown    ReplyKind = iota
-	ReplyFirstPage            // the result's first page, and how many there are
+	ReplyFirstPage            // the first page of a result, with the number of pages
 	ReplyPage                 // a further page
-	ReplyRows                 // rows of a result that comes in parts
-	ReplyComplete             // that result is whole
-	ReplyOverloaded           // turned away: it has not run
-	ReplyTooLate              // turned away: too late to be begun
-	ReplyFailed               // it ended in an error
-	ReplyProgress             // a note of progress
-	ReplyHealthy
-	ReplyUnhealthy
-	ReplyReady    // the connection takes dispatches
-	ReplyReleased // what was given up on it is over
+	ReplyRows                 // rows of a streamed result
+	ReplyComplete             // a streamed result is complete
+	ReplyOverloaded           // rejected for lack of capacity: the dispatch has not run
+	ReplyTooLate              // rejected: too late to start the dispatch
+	ReplyFailed               // the dispatch ended in an error
+	ReplyProgress             // a progress note
+	ReplyHealthy              // answer to a probe
+	ReplyUnhealthy            // answer to a probe
+	ReplyReady                // the connection takes dispatches
+	ReplyReleased             // a cancelled dispatch has ended, and its connection is free again
 )
 
-// EngineReply is one answer of an engine. Its rows are the holder's to release. What is absent is below 0, or empty.
+// EngineReply is a message from an engine, decoded. Whoever holds it releases its rows. Numbers that the engine did not
+// report are below 0, texts empty.
 type EngineReply struct {
 	ID           string
 	Kind         ReplyKind
@@ -184,32 +204,34 @@
 	Work, Memory float64 // seconds, MB
 	Load         *brain.Report
 	Note         brain.Note
-	Level        float64
+	Level        float64 // the figure that comes with the note
 	Rows         rows.Part
 	Reason       string // of an error, for the client
-	Invalid      string // why it can't be passed on, nor what follows it; empty: it can
+	Invalid      string // why neither the reply nor anything after it on the connection can be used; empty: it can
 }
 
-// ErrLogin says that an engine does not let the router in.
+// ErrLogin is the error of Engine.Read if the engine refuses the router's login.
 var ErrLogin = errors.New("login refused")
 
-// Engine is the state machine of one connection to an engine.
+// Engine is the protocol state of one connection to an engine.
 type Engine interface {
-	// Open says what goes first; a protocol that needs no answer to it is up at once.
+	// Open writes the first message to out. It returns true if the connection takes dispatches without an answer to it.
 	Open(out *buffers.Chain) (up bool)
-	// Read gives the next reply; nil: nothing more is whole. After an error nothing more can be read.
+	// Read decodes the next reply from in; nil: there is no complete one. What the protocol sends by itself is written to
+	// owed. After an error the connection can't be read any more.
 	Read(in, owed *buffers.Chain) (*EngineReply, error)
-	// Order turns an order to bytes.
-	Encode(out *buffers.Chain, what EngineCommand)
+	// Encode writes a command to out.
+	Encode(out *buffers.Chain, command EngineCommand)
 }
 
-// EngineProtocol is what the core must know of a protocol of engines.
+// EngineProtocol describes an engine protocol to the core.
 type EngineProtocol struct {
 	Name string
-	// Alone: one at a time on a connection, and what was given up holds it until Free comes.
+	// OneAtATime: a connection carries one dispatch at a time, and a cancelled one occupies it until ReplyReleased.
 	OneAtATime bool
-	// Bounded: a result is whole before it counts, and no larger than the platform lets it be.
+	// BoundedResult: a result counts only when it is complete, and its size is bounded by the platform's limit.
 	BoundedResult bool
-	Pausable      bool // reading may pause, while a slow client catches up
-	New           func() Engine
+	Pausable      bool // reading may pause until a slow client has read what was sent to it
+	// New returns the state of a new connection.
+	New func() Engine
 }
