--- a/internal/status/section.go
+++ b/internal/status/section.go
@@ -1,4 +1,4 @@
-// Package status is the section [status] of an operator's settings: where a router's status page listens.
+// Package status reads the section [status] of the settings, which says where the router's status page listens.
 package status
 
 import (
@@ -7,14 +7,14 @@
 	"pitchfield/internal/findings"
 )
 
-// PageSection is what the file says.
+// PageSection holds the section as decoded from TOML.
 type PageSection struct {
 	Status *struct {
 		Listen string `toml:"listen"`
 	} `toml:"status"`
 }
 
-// Validate gives the address; empty: there is no page.
+// Validate returns the address of the status page; empty: there is none. It adds a finding if the address can't be used.
 func (f *PageSection) Validate(c findings.To) string {
 	if f.Status == nil {
 		return ""
