--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve wires a router: which protocol is spoken at each listener and with each engine, who may log in, and
-// what of the settings may change while it runs.
+// Package serve sets up a router from its settings: the protocol of each listener and engine, the logins of clients, the
+// status page, and which settings a reload changes. It also fetches and prints the status page of a running router.
 package serve
 
 import (
@@ -32,69 +32,70 @@
 	"pitchfield/internal/traffic"
 )
 
-// Configuration is all that a router is told: the platform's configuration and, unless nil, our own settings. On a reload it may be
-// why nothing of it can be used.
+// Configuration is the platform's configuration together with the installation's own settings. On a reload it may instead
+// hold the error why it can't be used.
 type Configuration struct {
 	Config           config.Config
-	Installation     *installation.Installation
-	InstallationPath string    // of our own settings; empty: none
-	ReadAt           time.Time // when it was read
-	Err              error     // the old one stays in force
+	Installation     *installation.Installation // nil: no settings of its own
+	InstallationPath string                     // file of the installation's settings; empty: none
+	ReadAt           time.Time
+	Err              error // not nil: the previous configuration stays in force
 }
 
-// Load reads both; path is of our own settings and may be empty.
+// Load reads the platform's configuration and the installation's settings, and checks one against the other. path is the
+// file of the settings and may be empty.
 func Load(getenv func(string) string, path string) (Configuration, error) {
 	c, err := config.Load(getenv)
 	if err != nil {
 		return Configuration{}, err
 	}
-	t := Configuration{Config: c, InstallationPath: path, ReadAt: time.Now()}
+	out := Configuration{Config: c, InstallationPath: path, ReadAt: time.Now()}
 	if path == "" {
-		return t, nil
+		return out, nil
 	}
-	if t.Installation, err = installation.Load(path, getenv); err != nil {
-		return t, err
+	if out.Installation, err = installation.Load(path, getenv); err != nil {
+		return out, err
 	}
-	return t, t.Installation.Against(path, c.Settings)
+	return out, out.Installation.Against(path, c.Settings)
 }
 
-// Run serves until the context ends and all that was taken is answered. What comes on reloads takes the place of what
-// was told before, as far as it may change: rules and logins count at once, listeners and engines from the next start.
-func Run(ctx context.Context, t Configuration, reloads <-chan Configuration, log *zap.Logger) error {
+// Run serves until ctx is done and every accepted batch is answered. A configuration received on reloads replaces the one
+// in force: rules and logins apply at once, listeners and engines only from the next start.
+func Run(ctx context.Context, initial Configuration, reloads <-chan Configuration, log *zap.Logger) error {
 	pool := &buffers.Pool{}
-	w := loop.Environment{Pool: pool, Listeners: []loop.Listener{{Address: t.Config.Listen, Protocol: clients.Protocol(pool)}}}
-	var own atomic.Pointer[installation.Installation]
-	own.Store(t.Installation)
-	if t.Installation != nil && t.Installation.TDS != nil {
-		f := t.Installation.TDS
-		door := newAuthenticator(&own)
-		front := &tds.Front{Pool: pool, Name: f.Name, Admit: door.authenticate, Databases: f.Databases,
-			Rules: func() *assign.Rules { return &own.Load().Rules }}
-		w.Listeners = append(w.Listeners, loop.Listener{Address: f.Listen, Protocol: front.Protocol(f.Idle)})
-		t.Config.Settings.WithUnmarked()
-		log.Info("TDS is spoken", zap.String("listen", f.Listen), zap.Int("logins", len(f.Users)))
+	env := loop.Environment{Pool: pool, Listeners: []loop.Listener{{Address: initial.Config.Listen, Protocol: clients.Protocol(pool)}}}
+	var current atomic.Pointer[installation.Installation]
+	current.Store(initial.Installation)
+	if initial.Installation != nil && initial.Installation.TDS != nil {
+		frontSettings := initial.Installation.TDS
+		auth := newAuthenticator(&current)
+		front := &tds.Front{Pool: pool, Name: frontSettings.Name, Admit: auth.authenticate, Databases: frontSettings.Databases,
+			Rules: func() *assign.Rules { return &current.Load().Rules }}
+		env.Listeners = append(env.Listeners, loop.Listener{Address: frontSettings.Listen, Protocol: front.Protocol(frontSettings.Idle)})
+		initial.Config.Settings.WithUnmarked()
+		log.Info("TDS is spoken", zap.String("listen", frontSettings.Listen), zap.Int("logins", len(frontSettings.Users)))
 	}
-	w.EngineProtocol = engineProtocols(t.Installation, pool)
-	w.Levels, w.Routes = levelsFor(t.Installation), routesFor(t.Installation)
-	if t.Installation != nil && t.Installation.Fleet != nil {
-		w.PeerMessaging = peerMessagingFor(t.Config.Name, t.Installation.Fleet)
-		if w.PeerMessaging.Quotas = t.Installation.Shares; w.PeerMessaging.Quotas != nil {
-			if err := checkAddressUnused(ctx, w.PeerMessaging.Quotas); err != nil {
+	env.EngineProtocol = engineProtocols(initial.Installation, pool)
+	env.Levels, env.Routes = levelsFor(initial.Installation), routesFor(initial.Installation)
+	if initial.Installation != nil && initial.Installation.Fleet != nil {
+		env.PeerMessaging = peerMessagingFor(initial.Config.Name, initial.Installation.Fleet)
+		if env.PeerMessaging.Quotas = initial.Installation.Shares; env.PeerMessaging.Quotas != nil {
+			if err := checkAddressUnused(ctx, env.PeerMessaging.Quotas); err != nil {
 				return err
 			}
 		}
 	}
-	inForce := func(Configuration) {}
-	if t.Installation != nil && t.Installation.Status != "" {
-		page, err := newStatusPage(ctx, t.Installation.Status, log)
+	reportSettings := func(Configuration) {}
+	if initial.Installation != nil && initial.Installation.Status != "" {
+		page, err := newStatusPage(ctx, initial.Installation.Status, log)
 		if err != nil {
 			return err
 		}
 		defer page.stop()
-		page.setActiveSettings(t)
-		w.ReportStatus, inForce = page.setStatus, page.setActiveSettings
-		if w.PeerMessaging != nil {
-			w.PeerMessaging.ReportMembers = page.setMembers
+		page.setActiveSettings(initial)
+		env.ReportStatus, reportSettings = page.setStatus, page.setActiveSettings
+		if env.PeerMessaging != nil {
+			env.PeerMessaging.ReportMembers = page.setMembers
 		}
 	}
 	configs := make(chan loop.Reload)
@@ -104,14 +105,14 @@
 			case <-ctx.Done():
 				return
 			case next := <-reloads:
-				inForce(next)
+				reportSettings(next)
 				if next.Err != nil {
 					continue
 				}
-				if (next.Installation == nil) == (t.Installation == nil) {
-					own.Store(next.Installation)
+				if (next.Installation == nil) == (initial.Installation == nil) {
+					current.Store(next.Installation)
 				}
-				if t.Installation != nil && next.Installation != nil && t.Installation.TDS != nil {
+				if initial.Installation != nil && next.Installation != nil && initial.Installation.TDS != nil {
 					next.Config.Settings.WithUnmarked()
 				}
 				log.Info("our own settings read again: rules and logins count at once, all else from the next start")
@@ -123,44 +124,47 @@
 			}
 		}
 	}()
-	return loop.Run(ctx, t.Config, w, configs, log)
+	return loop.Run(ctx, initial.Config, env, configs, log)
 }
 
-// levelsFor gives the levels that settings have; a status page alone wants to be told how it stands too.
-func levelsFor(own *installation.Installation) *router.LevelsSet {
+// levelsFor returns the configured levels of reduced service; nil: none are needed. A status page needs the measures even
+// if no levels are configured.
+func levelsFor(settings *installation.Installation) *router.LevelsSet {
 	switch {
-	case own == nil || own.Levels == nil && own.Status == "":
+	case settings == nil || settings.Levels == nil && settings.Status == "":
 		return nil
-	case own.Levels == nil:
+	case settings.Levels == nil:
 		return &router.LevelsSet{Over: 5}
 	}
-	return &router.LevelsSet{Levels: *own.Levels, Over: own.LevelsOver}
+	return &router.LevelsSet{Levels: *settings.Levels, Over: settings.LevelsOver}
 }
 
-// peerMessagingFor gives what the loop is told of other routers. A start is known by when it was, so that a newer one of the same name
-// is told from an older.
-func peerMessagingFor(name string, f *fleet.Settings) *loop.PeerMessaging {
-	s := f.Members
-	s.Self = membership.ID{Name: name, Start: uint64(time.Now().UnixMicro())}
-	return &loop.PeerMessaging{Fleet: f.Name, Settings: s, Networks: f.Networks, AddressOverrides: f.Via, LoadReports: f.News}
+// peerMessagingFor returns the settings of peer messaging. The start time identifies this run of the router, so that
+// others can tell it from an earlier run under the same name.
+func peerMessagingFor(name string, fleetSettings *fleet.Settings) *loop.PeerMessaging {
+	memberSettings := fleetSettings.Members
+	memberSettings.Self = membership.ID{Name: name, Start: uint64(time.Now().UnixMicro())}
+	return &loop.PeerMessaging{Fleet: fleetSettings.Name, Settings: memberSettings, Networks: fleetSettings.Networks, AddressOverrides: fleetSettings.Via, LoadReports: fleetSettings.News}
 }
 
-// routesFor gives the routes that settings have. A file without any takes away those that were there.
-func routesFor(own *installation.Installation) *router.RoutesSet {
-	if own == nil {
+// routesFor returns the configured routes; nil: there is no settings file. A reloaded file without routes removes the
+// earlier ones.
+func routesFor(settings *installation.Installation) *router.RoutesSet {
+	if settings == nil {
 		return nil
 	}
-	return &router.RoutesSet{Routes: own.Routes, Adaptive: own.Limits.Adaptive, All: own.Limits.All, Engine: own.Limits.Engine}
+	return &router.RoutesSet{Routes: settings.Routes, Adaptive: settings.Limits.Adaptive, All: settings.Limits.All, Engine: settings.Limits.Engine}
 }
 
-// engineProtocols gives each engine's protocol: one object for each line of the settings, since connections are alike there.
-func engineProtocols(own *installation.Installation, pool *buffers.Pool) func(directory.Engine) *traffic.EngineProtocol {
+// engineProtocols returns a function that finds an engine's protocol. Engines of the same settings entry share one protocol
+// object, since their connections are set up alike.
+func engineProtocols(settings *installation.Installation, pool *buffers.Pool) func(directory.Engine) *traffic.EngineProtocol {
 	resp := engines.Protocol()
-	if own == nil {
+	if settings == nil {
 		return func(directory.Engine) *traffic.EngineProtocol { return resp }
 	}
-	protocols := make([]*traffic.EngineProtocol, len(own.Engines))
-	for i, e := range own.Engines {
+	protocols := make([]*traffic.EngineProtocol, len(settings.Engines))
+	for i, e := range settings.Engines {
 		protocols[i] = resp
 		if e.Protocol == "tds" {
 			protocols[i] = (&tds.Access{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
@@ -168,8 +172,8 @@
 		}
 	}
 	return func(e directory.Engine) *traffic.EngineProtocol {
-		for i := range own.Engines {
-			if own.Engines[i].Matches(e) {
+		for i := range settings.Engines {
+			if settings.Engines[i].Matches(e) {
 				return protocols[i]
 			}
 		}
@@ -177,51 +181,54 @@
 	}
 }
 
-// authenticator lets clients in by their passwords. Checking one takes long by purpose, and reporting tools connect often, so
-// the last good password of each user is remembered as a digest under a key of this process.
+// authenticator checks the passwords of clients. Checking a bcrypt hash is slow on purpose, and reporting tools connect
+// often, so the last valid password of each user is cached as a MAC under a random key of this process. It may be used by
+// several goroutines.
 type authenticator struct {
 	installation *atomic.Pointer[installation.Installation]
 	macKey       [32]byte
 	dummyHash    []byte
 
 	mutex    sync.Mutex
-	verified map[string][sha256.Size]byte // by hash and password; as many as there are users
+	verified map[string][sha256.Size]byte // MAC of hash and password, by user name; at most one for each user
 }
 
-func newAuthenticator(own *atomic.Pointer[installation.Installation]) *authenticator {
-	d := &authenticator{installation: own, verified: map[string][sha256.Size]byte{}}
-	rand.Read(d.macKey[:]) //nolint:errcheck // it never fails
-	d.dummyHash, _ = bcrypt.GenerateFromPassword(d.macKey[:8], bcrypt.MinCost)
-	return d
+func newAuthenticator(current *atomic.Pointer[installation.Installation]) *authenticator {
+	a := &authenticator{installation: current, verified: map[string][sha256.Size]byte{}}
+	rand.Read(a.macKey[:]) //nolint:errcheck // it never fails
+	a.dummyHash, _ = bcrypt.GenerateFromPassword(a.macKey[:8], bcrypt.MinCost)
+	return a
 }
 
-var errBadLogin = errors.New("no such user, or another password")
+var errBadLogin = errors.New("unknown user or wrong password")
 
-func (d *authenticator) authenticate(user, password string) (string, error) {
-	own := d.installation.Load()
-	if own == nil || own.TDS == nil {
+// authenticate checks a user's password and returns the name of the client that the user belongs to. For unknown users it
+// checks the password against a dummy hash, so that the time taken does not show which users exist.
+func (a *authenticator) authenticate(user, password string) (string, error) {
+	settings := a.installation.Load()
+	if settings == nil || settings.TDS == nil {
 		return "", errBadLogin
 	}
 	name := strings.ToLower(user)
-	u, ok := own.TDS.Users[name]
+	account, ok := settings.TDS.Users[name]
 	if !ok {
-		bcrypt.CompareHashAndPassword(d.dummyHash, []byte(password)) //nolint:errcheck // it takes its time all the same
+		bcrypt.CompareHashAndPassword(a.dummyHash, []byte(password)) //nolint:errcheck // only for the time that it takes
 		return "", errBadLogin
 	}
-	mac := hmac.New(sha256.New, d.macKey[:])
-	fmt.Fprintf(mac, "%d %s%s", len(u.Hash), u.Hash, password)
+	mac := hmac.New(sha256.New, a.macKey[:])
+	fmt.Fprintf(mac, "%d %s%s", len(account.Hash), account.Hash, password)
 	digest := [sha256.Size]byte(mac.Sum(nil))
-	d.mutex.Lock()
-	known := d.verified[name]
-	d.mutex.Unlock()
+	a.mutex.Lock()
+	known := a.verified[name]
+	a.mutex.Unlock()
 	if hmac.Equal(known[:], digest[:]) {
-		return u.Client, nil
+		return account.Client, nil
 	}
-	if bcrypt.CompareHashAndPassword(u.Hash, []byte(password)) != nil {
+	if bcrypt.CompareHashAndPassword(account.Hash, []byte(password)) != nil {
 		return "", errBadLogin
 	}
-	d.mutex.Lock()
-	d.verified[name] = digest
-	d.mutex.Unlock()
-	return u.Client, nil
+	a.mutex.Lock()
+	a.verified[name] = digest
+	a.mutex.Unlock()
+	return account.Client, nil
 }
