--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -13,23 +13,23 @@
 	"pitchfield/internal/router"
 )
 
-// Members is how a router's knowledge of its fleet stands, as its page tells it.
+// Members is a router's view of its fleet, as its status page gives it at /members.
 type Members struct {
 	Router       string          `json:"router"`
 	At           time.Time       `json:"at"`
 	Certainty    string          `json:"certainty"` // alone, settled, changing or cut off
 	CertainSince time.Time       `json:"certain_since"`
-	Count        int             `json:"count"` // members of the view, with this router
-	View         string          `json:"view"`  // hash
+	Count        int             `json:"count"` // members of the view, including this router
+	View         string          `json:"view"`  // hash of the view
 	Changes      uint64          `json:"changes"`
-	SameFor      float64         `json:"same_for"` // seconds
-	Agree        int             `json:"agree"`    // heard lately that have the same view,
-	Differ       int             `json:"differ"`   // and that have not
+	SameFor      float64         `json:"same_for"` // seconds for which the view has been the same
+	Agree        int             `json:"agree"`    // members with the same view, of those from which a message was received lately
+	Differ       int             `json:"differ"`   // members with another view, of the same
 	Members      []Member        `json:"members"`
 	Traffic      DatagramTraffic `json:"talked"`
 }
 
-// Member is one of them, those that are gone too as long as they are remembered.
+// Member is a member of the fleet, or a former one that is still remembered.
 type Member struct {
 	Name        string   `json:"name"`
 	Start       uint64   `json:"start"`
@@ -37,13 +37,14 @@
 	State       string   `json:"state"`
 	Incarnation uint32   `json:"incarnation"`
 	StateFor    float64  `json:"for"`            // seconds in this state
-	Accusers    []string `json:"accusers"`       // of a suspected one
-	ReceivedAgo float64  `json:"heard_ago"`      // seconds since it last spoke to this router itself; below 0: never
-	Agrees      bool     `json:"agrees"`         // when it last did
+	Accusers    []string `json:"accusers"`       // routers that suspect it, if it is suspected
+	ReceivedAgo float64  `json:"heard_ago"`      // seconds since its last message to this router; below 0: never
+	Agrees      bool     `json:"agrees"`         // whether it had the same view then
 	Self        bool     `json:"self,omitempty"` // this router
 }
 
-// DatagramTraffic counts datagrams since the start, and what went in the last second that was counted.
+// DatagramTraffic counts datagrams and bytes since the start of the process, with the byte rates between the last two
+// reports.
 type DatagramTraffic struct {
 	In                int     `json:"in"`
 	Out               int     `json:"out"`
@@ -57,74 +58,75 @@
 	Unsent            int     `json:"unsent"`
 }
 
-func newMembers(m router.Members, t loop.DatagramCounts, before *Members) *Members {
-	v := m.View
-	out := &Members{Router: m.Name, At: unixTime(m.Now), Certainty: v.State.String(), CertainSince: unixTime(v.StateAt), Count: len(v.Members),
-		View: fmt.Sprintf("%016x", v.Hash), Changes: v.Number, SameFor: m.Now - v.Since, Agree: v.Agree, Differ: v.Differ,
-		Traffic: DatagramTraffic{In: t.In, Out: t.Out, BytesIn: t.BytesIn, BytesOut: t.BytesOut, UnknownNetworks: t.UnknownNetworks, OtherFleets: t.OtherFleets,
-			Malformed: t.Malformed, Unsent: t.Unsent}}
-	self := v.Members[v.Index]
+// newMembers builds the page from the router's state. before is the previous page, for the byte rates; it may be nil.
+func newMembers(state router.Members, counts loop.DatagramCounts, before *Members) *Members {
+	view := state.View
+	out := &Members{Router: state.Name, At: unixTime(state.Now), Certainty: view.State.String(), CertainSince: unixTime(view.StateAt), Count: len(view.Members),
+		View: fmt.Sprintf("%016x", view.Hash), Changes: view.Number, SameFor: state.Now - view.Since, Agree: view.Agree, Differ: view.Differ,
+		Traffic: DatagramTraffic{In: counts.In, Out: counts.Out, BytesIn: counts.BytesIn, BytesOut: counts.BytesOut, UnknownNetworks: counts.UnknownNetworks, OtherFleets: counts.OtherFleets,
+			Malformed: counts.Malformed, Unsent: counts.Unsent}}
+	self := view.Members[view.Index]
 	out.Members = append(out.Members, Member{Name: self.Name, Start: self.Start, Address: self.Address, State: self.State.String(),
 		Incarnation: self.Incarnation, Agrees: true, Self: true})
-	for _, k := range m.Known {
-		one := Member{Name: k.Name, Start: k.Start, Address: k.Address, State: k.State.String(), Incarnation: k.Incarnation, StateFor: m.Now - k.Since,
-			Accusers: k.Accusers, ReceivedAgo: -1, Agrees: k.Agrees}
-		if k.Heard > 0 {
-			one.ReceivedAgo = m.Now - k.Heard
+	for _, known := range state.Known {
+		member := Member{Name: known.Name, Start: known.Start, Address: known.Address, State: known.State.String(), Incarnation: known.Incarnation, StateFor: state.Now - known.Since,
+			Accusers: known.Accusers, ReceivedAgo: -1, Agrees: known.Agrees}
+		if known.Heard > 0 {
+			member.ReceivedAgo = state.Now - known.Heard
 		}
-		if k.State > membership.Suspect {
-			one.Agrees = false
+		if known.State > membership.Suspect {
+			member.Agrees = false
 		}
-		out.Members = append(out.Members, one)
+		out.Members = append(out.Members, member)
 	}
 	if before != nil {
 		if passed := out.At.Sub(before.At).Seconds(); passed > 0 {
-			out.Traffic.BytesInPerSecond = float64(t.BytesIn-before.Traffic.BytesIn) / passed
-			out.Traffic.BytesOutPerSecond = float64(t.BytesOut-before.Traffic.BytesOut) / passed
+			out.Traffic.BytesInPerSecond = float64(counts.BytesIn-before.Traffic.BytesIn) / passed
+			out.Traffic.BytesOutPerSecond = float64(counts.BytesOut-before.Traffic.BytesOut) / passed
 		}
 	}
 	return out
 }
 
-func (p *statusPage) setMembers(m router.Members, t loop.DatagramCounts) {
-	p.members.Store(newMembers(m, t, p.members.Load()))
+func (p *statusPage) setMembers(m router.Members, counts loop.DatagramCounts) {
+	p.members.Store(newMembers(m, counts, p.members.Load()))
 	if m.Shares != nil {
 		p.quotas.Store(newQuotas(m))
 	}
 }
 
-// FetchMembers asks a router's page.
+// FetchMembers fetches the page from the router whose status page is at address.
 func FetchMembers(ctx context.Context, address string) (*Members, error) {
 	var m Members
 	return &m, fetchPage(ctx, address, "members", &m)
 }
 
-// Print writes it for a person.
+// Print writes the page as text.
 func (m *Members) Print(out io.Writer) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "router\t%s\nat\t%s\ncertainty\t%s, since %s\nview\t%s, %d members, the same for %.1f s, %d changes\nheard lately\t%d agree, %d differ\n",
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "router\t%s\nat\t%s\ncertainty\t%s, since %s\nview\t%s, %d members, the same for %.1f s, %d changes\nreceived lately\t%d agree, %d differ\n",
 		m.Router, m.At.Format(time.RFC3339), m.Certainty, m.CertainSince.Format(time.RFC3339), m.View, m.Count, m.SameFor, m.Changes, m.Agree, m.Differ)
-	fmt.Fprintf(t, "talk\t%d in, %d out, %.0f and %.0f bytes a second\n", m.Traffic.In, m.Traffic.Out, m.Traffic.BytesInPerSecond, m.Traffic.BytesOutPerSecond)
-	if d := m.Traffic; d.UnknownNetworks+d.OtherFleets+d.Malformed+d.Unsent > 0 {
-		fmt.Fprintf(t, "dropped\t%d of strangers, %d of other fleets, %d unreadable, %d not sent\n", d.UnknownNetworks, d.OtherFleets, d.Malformed, d.Unsent)
+	fmt.Fprintf(table, "datagrams\t%d in, %d out, %.0f and %.0f bytes a second\n", m.Traffic.In, m.Traffic.Out, m.Traffic.BytesInPerSecond, m.Traffic.BytesOutPerSecond)
+	if traffic := m.Traffic; traffic.UnknownNetworks+traffic.OtherFleets+traffic.Malformed+traffic.Unsent > 0 {
+		fmt.Fprintf(table, "dropped\t%d from unknown networks, %d of other fleets, %d malformed, %d not sent\n", traffic.UnknownNetworks, traffic.OtherFleets, traffic.Malformed, traffic.Unsent)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintln(t, "\nname\tstate\tfor\theard\tview\taddress\tstart\tincarnation\taccusers")
-	for _, one := range m.Members {
-		heard, view := fmt.Sprintf("%.1f s ago", one.ReceivedAgo), "differs"
+	fmt.Fprintln(table, "\nname\tstate\tfor\treceived\tview\taddress\tstart\tincarnation\taccusers")
+	for _, member := range m.Members {
+		received, view := fmt.Sprintf("%.1f s ago", member.ReceivedAgo), "differs"
 		switch {
-		case one.Self:
-			heard = "this one"
-		case one.ReceivedAgo < 0:
-			heard = "never"
+		case member.Self:
+			received = "this router"
+		case member.ReceivedAgo < 0:
+			received = "never"
 		}
-		if one.Agrees {
+		if member.Agrees {
 			view = "same"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.1f s\t%s\t%s\t%s\t%d\t%d\t%s\n", one.Name, one.State, one.StateFor, heard, view, one.Address, one.Start, one.Incarnation,
-			strings.Join(one.Accusers, " "))
+		fmt.Fprintf(table, "%s\t%s\t%.1f s\t%s\t%s\t%s\t%d\t%d\t%s\n", member.Name, member.State, member.StateFor, received, view, member.Address, member.Start, member.Incarnation,
+			strings.Join(member.Accusers, " "))
 	}
-	return t.Flush()
+	return table.Flush()
 }
