--- a/internal/serve/shares.go
+++ b/internal/serve/shares.go
@@ -17,127 +17,130 @@
 	"pitchfield/internal/shares"
 )
 
-// Quotas is how a router stands with what its fleet divides, as its page tells it.
+// Quotas is a router's state of the budgets that its fleet divides, as its status page gives it at /shares.
 type Quotas struct {
 	Router        string         `json:"router"`
 	At            time.Time      `json:"at"`
-	Coordinator   string         `json:"bursar"` // address; empty: none is known
-	IsCoordinator bool           `json:"office"` // it is this router,
-	Since         time.Time      `json:"since"`  // since when
-	IsReplica     bool           `json:"keeper"`
+	Coordinator   string         `json:"bursar"` // address of the quota coordinator; empty: unknown
+	IsCoordinator bool           `json:"office"` // this router is the coordinator
+	Since         time.Time      `json:"since"`  // when it became the coordinator
+	IsReplica     bool           `json:"keeper"` // this router holds a replica of the quota records
 	Budgets       []BudgetQuota  `json:"budgets"`
-	Ledgers       []BudgetLedger `json:"books"` // of the bursar
+	Ledgers       []BudgetLedger `json:"books"` // of the coordinator; empty on other routers
 	Counts        shares.Stats   `json:"counts"`
-	MeanWait      float64        `json:"waited_mean"` // seconds between wish and credit
+	MeanWait      float64        `json:"waited_mean"` // seconds from a request to its grant
 }
 
-// BudgetQuota is what this router has of a budget.
+// BudgetQuota is this router's part of a budget, in the budget's unit.
 type BudgetQuota struct {
 	Name       string  `json:"what"`
 	Total      float64 `json:"whole"`
-	Unspent    float64 `json:"left"`      // in hand, not used
-	Spent      float64 `json:"used"`      // of what is in hand
-	Requested  float64 `json:"asked"`     // without an answer yet
-	GrantedAgo float64 `json:"given_ago"` // seconds since something was last given; below 0: never
+	Unspent    float64 `json:"left"`      // granted and not spent yet
+	Spent      float64 `json:"used"`      // of the grants that are in force
+	Requested  float64 `json:"asked"`     // requests without an answer yet
+	GrantedAgo float64 `json:"given_ago"` // seconds since the last grant; below 0: never
 }
 
-// BudgetLedger is what the bursar has given of one.
+// BudgetLedger is the coordinator's record of one budget, in the budget's unit.
 type BudgetLedger struct {
 	Name    string             `json:"what"`
 	Total   float64            `json:"whole"`
 	Free    float64            `json:"free"`
-	Leased  float64            `json:"lent"`
-	Resting float64            `json:"resting"`
-	Waiting int                `json:"waiting"`
-	Open    bool               `json:"open"`
-	Holders map[string]float64 `json:"holders"`
+	Leased  float64            `json:"lent"`    // held by routers
+	Resting float64            `json:"resting"` // spent or not returned, and counted until its effect must be over
+	Waiting int                `json:"waiting"` // requests
+	Open    bool               `json:"open"`    // grants can be made
+	Holders map[string]float64 `json:"holders"` // by router
 }
 
+// budgetName returns a readable name of a budget with its unit.
 func budgetName(k shares.Key, name string) string {
 	switch {
 	case name != "":
 		return fmt.Sprintf("%s, %s (%s)", k.Kind, name, shares.Kinds[k.Kind].Unit)
-	case k.Kind != shares.ColdWork: // of another's settings
+	case k.Kind != shares.ColdWork: // a budget of another router's settings, so its name is unknown
 		return fmt.Sprintf("%s, %016x (%s)", k.Kind, k.At, shares.Kinds[k.Kind].Unit)
 	}
 	return fmt.Sprintf("%s, engine %d started %s (%s)", k.Kind, k.Of, unixTime(math.Float64frombits(k.At)).Format("15:04:05.000"), shares.Kinds[k.Kind].Unit)
 }
 
-func newQuotas(m router.Members) *Quotas {
-	s := m.Shares
-	out := &Quotas{Router: m.Name, At: unixTime(m.Now), Coordinator: s.Bursar, IsCoordinator: s.Office, Since: unixTime(s.Since), IsReplica: s.Keeper, Counts: s.Stats}
-	if s.Stats.Given > 0 {
-		out.MeanWait = s.Stats.Waited / float64(s.Stats.Given)
+// newQuotas builds the page from the router's state.
+func newQuotas(state router.Members) *Quotas {
+	quotas := state.Shares
+	out := &Quotas{Router: state.Name, At: unixTime(state.Now), Coordinator: quotas.Bursar, IsCoordinator: quotas.Office, Since: unixTime(quotas.Since), IsReplica: quotas.Keeper, Counts: quotas.Stats}
+	if quotas.Stats.Given > 0 {
+		out.MeanWait = quotas.Stats.Waited / float64(quotas.Stats.Given)
 	}
-	for _, b := range s.Budgets {
-		one := BudgetQuota{Name: budgetName(b.Key, b.Name), Total: b.Whole, Unspent: b.Left, Spent: b.Used, Requested: b.Asked, GrantedAgo: -1}
-		if b.Since > 0 {
-			one.GrantedAgo = m.Now - b.Since
+	for _, budget := range quotas.Budgets {
+		quota := BudgetQuota{Name: budgetName(budget.Key, budget.Name), Total: budget.Whole, Unspent: budget.Left, Spent: budget.Used, Requested: budget.Asked, GrantedAgo: -1}
+		if budget.Since > 0 {
+			quota.GrantedAgo = state.Now - budget.Since
 		}
-		out.Budgets = append(out.Budgets, one)
+		out.Budgets = append(out.Budgets, quota)
 	}
-	for _, b := range s.Books {
-		out.Ledgers = append(out.Ledgers, BudgetLedger{budgetName(b.Key, b.Name), b.Whole, b.Free, b.Lent, b.Resting, b.Waiting, b.Open, b.Holders})
+	for _, budget := range quotas.Books {
+		out.Ledgers = append(out.Ledgers, BudgetLedger{budgetName(budget.Key, budget.Name), budget.Whole, budget.Free, budget.Lent, budget.Resting, budget.Waiting, budget.Open, budget.Holders})
 	}
 	return out
 }
 
-// FetchQuotas asks a router's page.
+// FetchQuotas fetches the page from the router whose status page is at address.
 func FetchQuotas(ctx context.Context, address string) (*Quotas, error) {
 	var s Quotas
 	return &s, fetchPage(ctx, address, "shares", &s)
 }
 
-// Print writes it for a person.
+// Print writes the page as text.
 func (s *Quotas) Print(out io.Writer) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	who := s.Coordinator
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	coordinator := s.Coordinator
 	switch {
 	case s.IsCoordinator:
-		who = "this router, since " + s.Since.Format(time.RFC3339)
-	case who == "":
-		who = "not known"
+		coordinator = "this router, since " + s.Since.Format(time.RFC3339)
+	case coordinator == "":
+		coordinator = "not known"
 	}
-	fmt.Fprintf(t, "router\t%s\nat\t%s\nbursar\t%s\nkeeper\t%t\n", s.Router, s.At.Format(time.RFC3339), who, s.IsReplica)
-	c := s.Counts
-	fmt.Fprintf(t, "credits\t%d asked for, %d given after %.4f s, %d given back, %d ended in hand, %d never\n", c.Asked, c.Given, s.MeanWait, c.Returned, c.Lapsed, c.Never)
-	fmt.Fprintf(t, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d heard\n", c.Used, c.Firm, c.Sent, c.Heard)
+	fmt.Fprintf(table, "router\t%s\nat\t%s\nbursar\t%s\nkeeper\t%t\n", s.Router, s.At.Format(time.RFC3339), coordinator, s.IsReplica)
+	counts := s.Counts
+	fmt.Fprintf(table, "credits\t%d asked for, %d given after %.4f s, %d given back, %d ended in hand, %d never\n", counts.Asked, counts.Given, s.MeanWait, counts.Returned, counts.Lapsed, counts.Never)
+	fmt.Fprintf(table, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d received\n", counts.Used, counts.Firm, counts.Sent, counts.Heard)
 	if len(s.Budgets) > 0 {
-		fmt.Fprintln(t, "\nbudget\twhole\tin hand\tused of it\tasked for\tlast given")
+		fmt.Fprintln(table, "\nbudget\twhole\tin hand\tused of it\tasked for\tlast given")
 	}
-	for _, b := range s.Budgets {
+	for _, budget := range s.Budgets {
 		ago := "never"
-		if b.GrantedAgo >= 0 {
-			ago = fmt.Sprintf("%.1f s ago", b.GrantedAgo)
+		if budget.GrantedAgo >= 0 {
+			ago = fmt.Sprintf("%.1f s ago", budget.GrantedAgo)
 		}
-		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%s\n", b.Name, b.Total, b.Unspent, b.Spent, b.Requested, ago)
+		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%s\n", budget.Name, budget.Total, budget.Unspent, budget.Spent, budget.Requested, ago)
 	}
 	if len(s.Ledgers) > 0 {
-		fmt.Fprintln(t, "\nbook\twhole\tfree\tin hands\tresting\twait\topen\twho")
+		fmt.Fprintln(table, "\nbook\twhole\tfree\tin hands\tresting\twait\topen\twho")
 	}
-	for _, b := range s.Ledgers {
-		var who []string
-		for name, amount := range b.Holders {
-			who = append(who, fmt.Sprintf("%s %.3f", name, amount))
+	for _, budget := range s.Ledgers {
+		var coordinator []string
+		for name, amount := range budget.Holders {
+			coordinator = append(coordinator, fmt.Sprintf("%s %.3f", name, amount))
 		}
-		slices.Sort(who)
-		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%t\t%s\n", b.Name, b.Total, b.Free, b.Leased, b.Resting, b.Waiting, b.Open, strings.Join(who, ", "))
+		slices.Sort(coordinator)
+		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%t\t%s\n", budget.Name, budget.Total, budget.Free, budget.Leased, budget.Resting, budget.Waiting, budget.Open, strings.Join(coordinator, ", "))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// checkAddressUnused tells whether a keeper's address is this process's own. The loop's socket would let a second process under it, and two
-// that promise under one address could make two bursars.
+// checkAddressUnused returns an error if this router holds a replica and another process listens at its address. The
+// loop's socket would allow a second process there, and two replicas that vote under one address could elect two
+// coordinators.
 func checkAddressUnused(ctx context.Context, s *shares.Settings) error {
 	if !slices.Contains(s.Keepers, s.Listen) {
 		return nil
 	}
 	c, err := (&net.ListenConfig{}).ListenPacket(ctx, "udp", s.Listen)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return fmt.Errorf("another process listens at %s, and a keeper has to be alone there: %w", s.Listen, err)
+		return fmt.Errorf("another process listens at the address of this keeper, %s: %w", s.Listen, err)
 	}
 	if err != nil {
-		return fmt.Errorf("shares: %w", err)
+		return fmt.Errorf("shares: check whether %s is free: %w", s.Listen, err)
 	}
 	return c.Close()
 }
