--- a/internal/loop/linger.go
+++ b/internal/loop/linger.go
@@ -18,7 +18,7 @@
 const (
 	lingerTimeout        = 100 * time.Millisecond // clients that have received the shutdown have closed by then
 	lingerCheckInterval  = 10 * time.Millisecond
-	descriptorsPerLinger = 32 // of so many descriptors a lingering connection may hold one; above that the oldest is closed at once
+	descriptorsPerLinger = 32 // one lingering connection is allowed per 32 descriptors; the oldest in excess is closed at once
 	minLingering         = 4  // connections that may linger in any case
 	maxLingering         = 16 // 48 descriptors are left beside clients and engines, and the process itself takes a dozen
 )
