--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -9,169 +9,169 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSmallestDemandLeavesFirst(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 1)
-	h.crowd(list)
-	big := h.take(func(b *Batch) { b.Cost = 0.2 })
-	small := h.take(func(b *Batch) { b.Cost = 0.1 })
-	h.report(list[0], 0)
-	h.pass(0.3)
-	sent := h.of(Dispatch, nil)
+func TestSmallestDemandIsDispatchedFirst(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 1)
+	h.saturate(list)
+	big := h.addBatch(func(b *Batch) { b.EstimatedWork = 0.2 })
+	small := h.addBatch(func(b *Batch) { b.EstimatedWork = 0.1 })
+	h.reportLoad(list[0], 0)
+	h.advance(0.3)
+	sent := h.decisions(Dispatch, nil)
 	require.Len(t, sent, 2)
 	assert.Same(t, small, sent[0].Batch)
 	assert.Same(t, big, sent[1].Batch)
 }
 
-func TestBadlySlowedJumpsAhead(t *testing.T) {
-	h, list := newHost(t, settings(&ServiceGroup{Effect: Repeatable, Goal: 50, Limit: 60, Threads: 1}), 1)
+func TestBatchPastTwiceTheSlowdownThresholdGoesFirst(t *testing.T) {
+	h, list := newHost(t, testSettings(&ServiceGroup{Idempotency: Idempotent, Goal: 50, Limit: 60, Threads: 1}), 1)
 	h.load = 0 // threshold 1: past twice it after as long as it takes alone
-	h.crowd(list)
-	old := h.take(func(b *Batch) { b.Cost = 0.2 })
+	h.saturate(list)
+	old := h.addBatch(func(b *Batch) { b.EstimatedWork = 0.2 })
 	h.now += 0.3
-	h.Clock(h.now)
-	fresh := h.take(func(b *Batch) { b.Cost = 0.1 })
-	assert.Same(t, old, h.pick())
-	assert.Equal(t, []*Batch{fresh, old}, h.held)
+	h.SetTime(h.now)
+	fresh := h.addBatch(func(b *Batch) { b.EstimatedWork = 0.1 })
+	assert.Same(t, old, h.pickBatch())
+	assert.Equal(t, []*Batch{fresh, old}, h.queue)
 }
 
-func TestMostSlowedLeavesPastTheLimit(t *testing.T) {
-	h, list := newHost(t, settings(&ServiceGroup{Effect: Repeatable, Goal: 50, Limit: 60, Threads: 1}), 1)
-	h.crowd(list)
-	for i := range slowLimit {
-		h.take(func(b *Batch) { b.Cost = 0.1 + float64(i)/1000 })
+func TestMostSlowedBatchGoesFirstWhenManyAreSlow(t *testing.T) {
+	h, list := newHost(t, testSettings(&ServiceGroup{Idempotency: Idempotent, Goal: 50, Limit: 60, Threads: 1}), 1)
+	h.saturate(list)
+	for i := range maxSlowBatches {
+		h.addBatch(func(b *Batch) { b.EstimatedWork = 0.1 + float64(i)/1000 })
 	}
 	h.now += 0.7
-	h.Clock(h.now)
+	h.SetTime(h.now)
 	h.load = 0.8 // threshold 5
-	assert.Equal(t, 0.1, h.pick().Cost, "not over the limit: smallest demand")
-	worst := h.take(func(b *Batch) { b.Cost = 0.12 })
-	worst.taken -= 1
+	assert.Equal(t, 0.1, h.pickBatch().EstimatedWork, "not over the limit: smallest demand")
+	worst := h.addBatch(func(b *Batch) { b.EstimatedWork = 0.12 })
+	worst.receivedAt -= 1
 	h.load = 0.8
-	assert.Same(t, worst, h.pick())
+	assert.Same(t, worst, h.pickBatch())
 }
 
-func TestGateHoldsBackTheGatewayUntilTheRedraw(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 1)
-	h.crowd(list)
+func TestClosedGateDelaysAllBatches(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 1)
+	h.saturate(list)
 	for range 20 {
-		h.take(nil)
+		h.addBatch(nil)
 	}
-	assert.Empty(t, h.of(Dispatch, nil))
-	assert.InDelta(t, 100+(redrawLeast+redrawMost)/2, h.gateAt, (redrawMost-redrawLeast)/2+1e-9)
+	assert.Empty(t, h.decisions(Dispatch, nil))
+	assert.InDelta(t, 100+(minGateDelay+maxGateDelay)/2, h.gateOpensAt, (maxGateDelay-minGateDelay)/2+1e-9)
 }
 
-func TestOneOwnBatchAmongHundredsOfRoutersIsNoFullEngine(t *testing.T) {
-	h, list := newHost(t, fleet(200), 40)
-	h.take(nil)
-	h.pass(0.5)
-	own := h.of(Dispatch, nil)[0].Engine
-	assert.Less(t, h.filled(own).threads, 3.0, "others are like us on average, over the fleet")
+func TestOneOwnBatchAmongHundredsOfRoutersDoesNotFillAnEngine(t *testing.T) {
+	h, list := newHost(t, fleetSettings(200), 40)
+	h.addBatch(nil)
+	h.advance(0.5)
+	own := h.decisions(Dispatch, nil)[0].Engine
+	assert.Less(t, h.estimateLoad(own).threads, 3.0, "others are like us on average, over the fleet")
 	for _, e := range list[:10] {
-		h.report(e, 16)
-	}
-	h.pass(0.1)
-	assert.InDelta(t, 2.0, h.common.threads, 0.5)
-	assert.Greater(t, h.filled(list[20]).threads, h.common.threads, "the others count as fuller")
-	assert.Contains(t, list[:10], h.of(Dispatch, h.take(nil))[0].Engine, "so batches go among the few that were")
-	h.report(list[3], 2)
-	assert.Less(t, h.filled(list[3]).threads, 0.5)
-	h.pass(1.2)
-	assert.Greater(t, h.filled(list[3]).threads, 1.2, "an old report leans to the pool")
-}
-
-func TestSentSinceAReportCountsForAllWhoActOnIt(t *testing.T) {
-	h, list := newHost(t, fleet(4), 1)
-	h.report(list[0], 6)
-	h.pass(0.2)
-	h.take(nil)
-	h.pass(0.3)
-	assert.InDelta(t, (6+4)/8.0, h.filled(list[0]).threads, 0.1)
-	h.pass(2)
-	h.report(list[0], 6)
-	assert.False(t, h.fresh(list[0]), "frozen reports are not believed")
-}
-
-func TestMarkFollowsTheStretchOfAnswers(t *testing.T) {
-	h, _ := newHost(t, settings(lookups()), 2)
+		h.reportLoad(e, 16)
+	}
+	h.advance(0.1)
+	assert.InDelta(t, 2.0, h.averageLoad.threads, 0.5)
+	assert.Greater(t, h.estimateLoad(list[20]).threads, h.averageLoad.threads, "the others count as fuller")
+	assert.Contains(t, list[:10], h.decisions(Dispatch, h.addBatch(nil))[0].Engine, "so batches go among the few that were")
+	h.reportLoad(list[3], 2)
+	assert.Less(t, h.estimateLoad(list[3]).threads, 0.5)
+	h.advance(1.2)
+	assert.Greater(t, h.estimateLoad(list[3]).threads, 1.2, "an old report leans to the pool")
+}
+
+func TestDispatchSinceAReportCountsForAllRoutersThatSeeIt(t *testing.T) {
+	h, list := newHost(t, fleetSettings(4), 1)
+	h.reportLoad(list[0], 6)
+	h.advance(0.2)
+	h.addBatch(nil)
+	h.advance(0.3)
+	assert.InDelta(t, (6+4)/8.0, h.estimateLoad(list[0]).threads, 0.1)
+	h.advance(2)
+	h.reportLoad(list[0], 6)
+	assert.False(t, h.hasFreshReport(list[0]), "frozen reports are not believed")
+}
+
+func TestAdmissionThresholdFollowsTheStretchOfAnswers(t *testing.T) {
+	h, _ := newHost(t, testSettings(lookupGroup()), 2)
 	for range 60 {
-		b := h.take(nil)
-		b.dispatches[0].sent -= 2 // ten times as long as it should take on a full engine
-		h.end(b, Returned)
-	}
-	assert.Less(t, h.mark, firstMark/2)
-}
-
-func TestEveryBatchIsAnsweredOnceInItsOwnTime(t *testing.T) {
-	h, _ := newHost(t, settings(lookups()), 0) // no engine at all
-	b := h.take(func(b *Batch) { b.Left = 0.03 })
-	h.pass(0.03)
-	require.Len(t, h.of(PushBack, b), 1, "a late try of its client, within its own time left")
-	c := h.take(nil)
-	h.pass(3.9)
-	require.Len(t, h.of(PushBack, c), 1)
-	assert.InDelta(t, 0.5, h.of(PushBack, c)[0].Wait, 1e-9)
-	h.pass(2)
-	assert.Len(t, append(h.of(PushBack, nil), h.of(Fail, nil)...), 2)
-}
-
-func TestOnceOnlyThatMayHaveRunIsNeitherSentNorPushedBack(t *testing.T) {
-	h, _ := newHost(t, settings(&ServiceGroup{Effect: OnceOnly, Goal: 1, Limit: 4, Threads: 1}), 3)
-	b := h.take(nil)
-	h.end(b, TurnedAway)
-	require.Len(t, h.of(Dispatch, b), 2, "proved not to have run")
-	h.end(b, TimedOut)
-	assert.Len(t, h.of(Dispatch, b), 2)
-	assert.Empty(t, h.of(PushBack, b))
-	assert.Len(t, h.of(Fail, b), 1)
-}
-
-func TestReferencedStaysInItsGroupAndWindow(t *testing.T) {
-	g := &ServiceGroup{Effect: Referenced, Scope: WithinCell, Window: 2, Goal: 9, Limit: 9, Threads: 1}
-	h, list := newHost(t, settings(g), 4)
+		b := h.addBatch(nil)
+		b.dispatches[0].sentAt -= 2 // ten times as long as it should take on a full engine
+		h.endDispatch(b, Completed)
+	}
+	assert.Less(t, h.admissionThreshold, initialThreshold/2)
+}
+
+func TestEveryBatchGetsOneFinalAnswerInTime(t *testing.T) {
+	h, _ := newHost(t, testSettings(lookupGroup()), 0) // no engine at all
+	b := h.addBatch(func(b *Batch) { b.TimeLeft = 0.03 })
+	h.advance(0.03)
+	require.Len(t, h.decisions(Reject, b), 1, "a late try of its client, within its own time left")
+	c := h.addBatch(nil)
+	h.advance(3.9)
+	require.Len(t, h.decisions(Reject, c), 1)
+	assert.InDelta(t, 0.5, h.decisions(Reject, c)[0].Wait, 1e-9)
+	h.advance(2)
+	assert.Len(t, append(h.decisions(Reject, nil), h.decisions(Fail, nil)...), 2)
+}
+
+func TestAtMostOnceBatchThatMayHaveRunIsNeitherRetriedNorRejected(t *testing.T) {
+	h, _ := newHost(t, testSettings(&ServiceGroup{Idempotency: AtMostOnce, Goal: 1, Limit: 4, Threads: 1}), 3)
+	b := h.addBatch(nil)
+	h.endDispatch(b, Rejected)
+	require.Len(t, h.decisions(Dispatch, b), 2, "proved not to have run")
+	h.endDispatch(b, TimedOut)
+	assert.Len(t, h.decisions(Dispatch, b), 2)
+	assert.Empty(t, h.decisions(Reject, b))
+	assert.Len(t, h.decisions(Fail, b), 1)
+}
+
+func TestDeduplicatedBatchStaysInItsScopeAndWindow(t *testing.T) {
+	g := &ServiceGroup{Idempotency: Deduplicated, DedupScope: WithinCell, DedupWindow: 2, Goal: 9, Limit: 9, Threads: 1}
+	h, list := newHost(t, testSettings(g), 4)
 	list[3].Cell = 0
-	b := h.take(nil)
+	b := h.addBatch(nil)
 	for _, e := range list {
 		assert.True(t, h.allowed(b, e))
 	}
 	b.dispatches[0].engine = list[0]
-	h.end(b, Broken)
-	require.Len(t, h.of(Dispatch, b), 2)
-	assert.Equal(t, 0, h.of(Dispatch, b)[1].Engine.Cell)
-	h.pass(2)
-	h.end(b, TurnedAway)
-	assert.Len(t, h.of(Dispatch, b), 2, "the window is over")
-	assert.Len(t, h.of(Fail, b), 1)
-}
-
-func TestNothingGoesToADrainingOrGoneEngine(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 2)
-	h.take(nil)
+	h.endDispatch(b, ConnectionLost)
+	require.Len(t, h.decisions(Dispatch, b), 2)
+	assert.Equal(t, 0, h.decisions(Dispatch, b)[1].Engine.Cell)
+	h.advance(2)
+	h.endDispatch(b, Rejected)
+	assert.Len(t, h.decisions(Dispatch, b), 2, "the window is over")
+	assert.Len(t, h.decisions(Fail, b), 1)
+}
+
+func TestNothingIsSentToADrainingOrGoneEngine(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 2)
+	h.addBatch(nil)
 	h.now += 2 // told while the router stood still
-	h.Clock(h.now)
+	h.SetTime(h.now)
 	list[0].Phase = Draining
-	h.Listed(list[:1], false)
+	h.UpdateEngines(list[:1], false)
 	for range 5 {
-		assert.Same(t, list[1], h.of(Dispatch, h.take(nil))[0].Engine)
+		assert.Same(t, list[1], h.decisions(Dispatch, h.addBatch(nil))[0].Engine)
 	}
-	h.Listed(nil, true)
-	assert.Empty(t, h.of(Dispatch, h.take(nil)))
+	h.UpdateEngines(nil, true)
+	assert.Empty(t, h.decisions(Dispatch, h.addBatch(nil)))
 }
 
-func TestColdEngineGetsOwnShareOfItsBudget(t *testing.T) {
-	h, list := newHost(t, fleet(2), 1)
+func TestColdEngineGetsThisRoutersShareOfItsBudget(t *testing.T) {
+	h, list := newHost(t, fleetSettings(2), 1)
 	list[0].StartedAt = 99.9
-	h.Listed(list, true)
-	h.take(nil)
-	assert.Empty(t, h.of(Dispatch, nil), "after our own start the first window counts as spent")
-	h.pass(1)
+	h.UpdateEngines(list, true)
+	h.addBatch(nil)
+	assert.Empty(t, h.decisions(Dispatch, nil), "after our own start the first window counts as spent")
+	h.advance(1)
 	for i := range 50 {
-		if b := h.take(nil); b.Out > 0 {
-			h.end(b, []Ending{TurnedAway, Returned, Returned, Returned}[i%4]) // rejected work counts
+		if b := h.addBatch(nil); b.InFlight > 0 {
+			h.endDispatch(b, []Outcome{Rejected, Completed, Completed, Completed}[i%4]) // rejected work counts
 		}
-		h.pass(0.018)
+		h.advance(0.018)
 	}
 	work := 0.0
-	for _, d := range h.of(Dispatch, nil) {
+	for _, d := range h.decisions(Dispatch, nil) {
 		work += d.Batch.demand
 	}
 	assert.LessOrEqual(t, work, 2*0.4*0.85*8*1/2.0)
@@ -179,534 +179,534 @@
 }
 
 func TestOrderedKeyWaitsForOutcomesAndRests(t *testing.T) {
-	g := lookups()
+	g := lookupGroup()
 	g.InOrder = true
-	h, _ := newHost(t, settings(g), 3)
+	h, _ := newHost(t, testSettings(g), 3)
 	key := func(b *Batch) { b.Key = 5 }
-	first, second := h.take(key), h.take(key)
-	other := h.take(func(b *Batch) { b.Key = 6 })
-	require.Len(t, h.of(Dispatch, other), 1)
-	h.Left(first)
-	h.pull()
-	assert.Empty(t, h.of(Dispatch, second), "the earlier one is over, but its dispatch is out")
-	h.end(first, TimedOut)
-	h.pass(0.4)
-	assert.Empty(t, h.of(Dispatch, second), "the key rests")
-	h.pass(0.3)
-	assert.Len(t, h.of(Dispatch, second), 1)
-}
-
-func TestPlacementHoldsWhenAllItsEnginesAreGone(t *testing.T) {
-	g := lookups()
+	first, second := h.addBatch(key), h.addBatch(key)
+	other := h.addBatch(func(b *Batch) { b.Key = 6 })
+	require.Len(t, h.decisions(Dispatch, other), 1)
+	h.RemoveBatch(first)
+	h.pullDecisions()
+	assert.Empty(t, h.decisions(Dispatch, second), "the earlier one is over, but its dispatch is out")
+	h.endDispatch(first, TimedOut)
+	h.advance(0.4)
+	assert.Empty(t, h.decisions(Dispatch, second), "the key rests")
+	h.advance(0.3)
+	assert.Len(t, h.decisions(Dispatch, second), 1)
+}
+
+func TestPlacementRulesApplyWhenAllItsEnginesAreGone(t *testing.T) {
+	g := lookupGroup()
 	g.Zones = []int{1}
-	h, list := newHost(t, settings(g), 3)
-	assert.Same(t, list[1], h.of(Dispatch, h.take(nil))[0].Engine)
+	h, list := newHost(t, testSettings(g), 3)
+	assert.Same(t, list[1], h.decisions(Dispatch, h.addBatch(nil))[0].Engine)
 	list[1].Phase = Gone
-	h.Listed(list[1:2], false)
-	b := h.take(nil)
-	h.pass(2)
-	assert.Empty(t, h.of(Dispatch, b))
-	assert.Len(t, h.of(PushBack, b), 1)
+	h.UpdateEngines(list[1:2], false)
+	b := h.addBatch(nil)
+	h.advance(2)
+	assert.Empty(t, h.decisions(Dispatch, b))
+	assert.Len(t, h.decisions(Reject, b), 1)
 }
 
-func TestFurtherDispatchesKeepTheirBudget(t *testing.T) {
-	s := settings(lookups())
-	s.Rationed, s.FreeFurther, s.FurtherShare, s.FurtherWindow = true, 1, 0.1, 10
+func TestRetriesStayWithinTheirBudget(t *testing.T) {
+	s := testSettings(lookupGroup())
+	s.LimitRetries, s.FreeRetries, s.RetryRatio, s.RetryWindow = true, 1, 0.1, 10
 	h, _ := newHost(t, s, 3)
 	for i := range 60 {
-		h.end(h.take(nil), []Ending{TurnedAway, Returned, Returned, Returned}[i%4])
+		h.endDispatch(h.addBatch(nil), []Outcome{Rejected, Completed, Completed, Completed}[i%4])
 	}
-	assert.Equal(t, 1+6, len(h.of(Dispatch, nil))-60)
+	assert.Equal(t, 1+6, len(h.decisions(Dispatch, nil))-60)
 }
 
-func TestFailingEngineIsSetAsideAndTriedAgain(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 2)
+func TestFailingEngineIsEjectedAndTriedAgain(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 2)
 	for range 5 {
-		b := h.take(nil)
+		b := h.addBatch(nil)
 		b.dispatches[0].engine = list[0]
-		h.end(b, Unconnected)
+		h.endDispatch(b, ConnectFailed)
 		h.now += 0.01
-		h.Clock(h.now)
+		h.SetTime(h.now)
 	}
-	require.Positive(t, list[0].asideUntil)
-	assert.Same(t, list[1], h.of(Dispatch, h.take(nil))[0].Engine)
-	h.now = list[0].asideUntil + 0.1
-	h.Clock(h.now)
-	h.pull()
-	long := h.take(func(b *Batch) { b.Cost = 5 })
-	assert.True(t, h.fit(long, list[0]) != (len(list[0].outs) == 1), "one as a trial")
+	require.Positive(t, list[0].ejectedUntil)
+	assert.Same(t, list[1], h.decisions(Dispatch, h.addBatch(nil))[0].Engine)
+	h.now = list[0].ejectedUntil + 0.1
+	h.SetTime(h.now)
+	h.pullDecisions()
+	long := h.addBatch(func(b *Batch) { b.EstimatedWork = 5 })
+	assert.True(t, h.canAccept(long, list[0]) != (len(list[0].inFlight) == 1), "one as a trial")
 }
 
 // It looks idle to that group and draws its batches, one try after another, while others still do well there.
-func TestAnEngineThatTurnsAwayOneGroupStillServesTheOthers(t *testing.T) {
-	reports, others := &ServiceGroup{Effect: Repeatable, Goal: 2, Limit: 9, Threads: 2}, lookups()
-	h, list := newHost(t, settings(others, reports), 3)
-	heavy := func(b *Batch) { b.Group, b.Cost, b.Left = reports, 0.4, 9 }
+func TestEngineThatRejectsOneGroupStillServesTheOthers(t *testing.T) {
+	reports, others := &ServiceGroup{Idempotency: Idempotent, Goal: 2, Limit: 9, Threads: 2}, lookupGroup()
+	h, list := newHost(t, testSettings(others, reports), 3)
+	heavy := func(b *Batch) { b.Group, b.EstimatedWork, b.TimeLeft = reports, 0.4, 9 }
 	turned, light := 0, 0
 	for n := range 30 {
-		b := h.take(heavy)
-		for tries := 0; tries < 3 && !b.Over; tries++ {
+		b := h.addBatch(heavy)
+		for tries := 0; tries < 3 && !b.Done; tries++ {
 			at := b.dispatches[len(b.dispatches)-1].engine
 			h.now += 0.02
-			h.Clock(h.now)
-			if h.end(b, map[bool]Ending{true: TurnedAway, false: Returned}[at == list[0]]); at == list[0] {
+			h.SetTime(h.now)
+			if h.endDispatch(b, map[bool]Outcome{true: Rejected, false: Completed}[at == list[0]]); at == list[0] {
 				turned++
 			}
 		}
-		require.True(t, b.Over)
-		if b = h.take(func(b *Batch) { b.Tables = float64(n) }); b.dispatches[0].engine == list[0] {
+		require.True(t, b.Done)
+		if b = h.addBatch(func(b *Batch) { b.DataSet = float64(n) }); b.dispatches[0].engine == list[0] {
 			light++
 		}
-		h.end(b, Returned)
+		h.endDispatch(b, Completed)
 	}
 	assert.Less(t, turned, 6)
 	assert.Greater(t, light, 2)
 	for range 3 {
-		b := h.take(heavy)
+		b := h.addBatch(heavy)
 		b.dispatches[0].engine = list[0]
-		h.end(b, TurnedAway)
+		h.endDispatch(b, Rejected)
 		assert.NotSame(t, list[0], b.dispatches[1].engine, "not where it was turned away")
-		h.end(b, Returned)
+		h.endDispatch(b, Completed)
 		h.now += 0.02
-		h.Clock(h.now)
-		b = h.take(nil)
+		h.SetTime(h.now)
+		b = h.addBatch(nil)
 		b.dispatches[0].engine = list[0]
-		h.end(b, Returned)
+		h.endDispatch(b, Completed)
 	}
-	assert.Positive(t, list[0].by[reports].asideUntil)
-	assert.Zero(t, list[0].asideUntil)
-	assert.False(t, h.fit(&Batch{Group: reports}, list[0]))
-	assert.True(t, h.fit(&Batch{Group: others}, list[0]))
+	assert.Positive(t, list[0].groupHealth[reports].ejectedUntil)
+	assert.Zero(t, list[0].ejectedUntil)
+	assert.False(t, h.canAccept(&Batch{Group: reports}, list[0]))
+	assert.True(t, h.canAccept(&Batch{Group: others}, list[0]))
 }
 
-func TestABatchThatErrsEverywhereIsItsOwnFault(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 3)
+func TestBatchThatFailsEverywhereDoesNotCountAgainstEngines(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 3)
 	for range 20 {
-		b := h.take(nil)
+		b := h.addBatch(nil)
 		for range 3 {
 			h.now += 0.01
-			h.Clock(h.now)
-			h.end(b, Errored)
+			h.SetTime(h.now)
+			h.endDispatch(b, Errored)
 		}
-		assert.Len(t, h.of(Dispatch, b), 3)
+		assert.Len(t, h.decisions(Dispatch, b), 3)
 	}
 	for _, e := range list {
-		assert.Zero(t, e.bad)
+		assert.Zero(t, e.failures)
 	}
-	b := h.take(nil)
+	b := h.addBatch(nil)
 	first := b.dispatches[0].engine
-	h.end(b, Errored)
-	h.end(b, Returned)
-	assert.Equal(t, 1.0, first.bad, "another has answered it")
+	h.endDispatch(b, Errored)
+	h.endDispatch(b, Completed)
+	assert.Equal(t, 1.0, first.failures, "another has answered it")
 }
 
 // A connection that breaks ends all that is open on it, for one cause.
-func TestWhatFailsTogetherCountsOnce(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 1)
+func TestSimultaneousFailuresCountOnce(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 1)
 	var open []*Batch
 	for range 8 {
-		open = append(open, h.take(nil))
+		open = append(open, h.addBatch(nil))
 	}
 	for _, b := range open {
-		h.end(b, Broken)
+		h.endDispatch(b, ConnectionLost)
 	}
-	assert.Equal(t, 1.0, list[0].bad)
-	assert.Zero(t, list[0].asideUntil)
+	assert.Equal(t, 1.0, list[0].failures)
+	assert.Zero(t, list[0].ejectedUntil)
 }
 
-func TestWhatCanNotEndInTimeTellsNothingOfOthers(t *testing.T) {
-	h, _ := newHost(t, settings(lookups()), 3)
-	h.take(nil)
-	before := h.like
-	h.take(func(b *Batch) { b.Cost, b.Memory = 1e4, 1e7 })
-	assert.Equal(t, before, h.like)
+func TestBatchThatCannotEndInTimeIsLeftOutOfTheAverage(t *testing.T) {
+	h, _ := newHost(t, testSettings(lookupGroup()), 3)
+	h.addBatch(nil)
+	before := h.typicalBatch
+	h.addBatch(func(b *Batch) { b.EstimatedWork, b.EstimatedMemory = 1e4, 1e7 })
+	assert.Equal(t, before, h.typicalBatch)
 }
 
 // Its answer got lost: without this, a batch whose key others wait for holds them all until its time limit.
-func TestADispatchWhoseNotesHaveCeasedIsStartedOver(t *testing.T) {
-	s := settings(&ServiceGroup{Effect: Referenced, Scope: WithinAll, Window: 15, Goal: 2, Limit: 25, Threads: 1, LateShare: 0.5})
-	s.MayCancel, s.NotesEvery = true, 1
+func TestDispatchWithoutUpdatesIsRestarted(t *testing.T) {
+	s := testSettings(&ServiceGroup{Idempotency: Deduplicated, DedupScope: WithinAll, DedupWindow: 15, Goal: 2, Limit: 25, Threads: 1, LateShare: 0.5})
+	s.MayCancel, s.UpdateInterval = true, 1
 	h, _ := newHost(t, s, 2)
-	b := h.take(func(b *Batch) { b.Cost = 2 })
+	b := h.addBatch(func(b *Batch) { b.EstimatedWork = 2 })
 	for range 4 {
-		h.pass(1)
-		h.News(b, 0, Waits, 1)
-	}
-	h.News(b, 0, Progress, 0.01)
-	h.pass(0.2)
-	assert.Empty(t, h.of(Cancel, b), "slow, but there: what it has done would be lost, and its key waits")
-	h.pass(3)
-	require.Len(t, h.of(Cancel, b), 1)
-	h.end(b, Withdrawn)
-	assert.Len(t, h.of(Dispatch, b), 2)
-	late := h.take(func(b *Batch) { b.Cost = 2 })
-	late.dispatches[0].sent -= 15
-	h.pass(3)
-	assert.Empty(t, h.of(Cancel, late), "its repeats are not remembered any more")
-}
-
-func TestATimeOutLeavesTimeForAnotherTryWithinTheGoal(t *testing.T) {
-	h, _ := newHost(t, settings(lookups()), 2)
+		h.advance(1)
+		h.DispatchUpdated(b, 0, Waiting, 1)
+	}
+	h.DispatchUpdated(b, 0, Progress, 0.01)
+	h.advance(0.2)
+	assert.Empty(t, h.decisions(Cancel, b), "slow, but there: what it has done would be lost, and its key waits")
+	h.advance(3)
+	require.Len(t, h.decisions(Cancel, b), 1)
+	h.endDispatch(b, Canceled)
+	assert.Len(t, h.decisions(Dispatch, b), 2)
+	late := h.addBatch(func(b *Batch) { b.EstimatedWork = 2 })
+	late.dispatches[0].sentAt -= 15
+	h.advance(3)
+	assert.Empty(t, h.decisions(Cancel, late), "its repeats are not remembered any more")
+}
+
+func TestTimeOutLeavesTimeForARetryWithinTheGoal(t *testing.T) {
+	h, _ := newHost(t, testSettings(lookupGroup()), 2)
 	for range 40 {
-		b := h.take(nil)
-		h.pass(0.1)
-		h.end(b, Returned)
-	}
-	b := h.take(nil)
-	wait := h.of(Dispatch, b)[0].Wait
-	h.pass(wait)
-	h.end(b, TimedOut)
-	h.pass(0.1)
-	assert.Len(t, h.of(Dispatch, b), 2)
+		b := h.addBatch(nil)
+		h.advance(0.1)
+		h.endDispatch(b, Completed)
+	}
+	b := h.addBatch(nil)
+	wait := h.decisions(Dispatch, b)[0].Wait
+	h.advance(wait)
+	h.endDispatch(b, TimedOut)
+	h.advance(0.1)
+	assert.Len(t, h.decisions(Dispatch, b), 2)
 	assert.Greater(t, wait, 0.2)
 }
 
-func TestSilentEngineIsSetAside(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 1)
+func TestSilentEngineIsEjected(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 1)
 	for range 4 {
-		h.take(nil)
+		h.addBatch(nil)
 	}
-	h.pass(2.5)
-	assert.Positive(t, list[0].asideUntil)
+	h.advance(2.5)
+	assert.Positive(t, list[0].ejectedUntil)
 }
 
-func TestMostAsideMeansTheyAreTriedAtOnce(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 2)
+func TestEjectedEnginesAreTriedAtOnceWhileMostAreEjected(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 2)
 	for _, e := range list {
-		e.asideAt, e.asideUntil = h.now-1, h.now+60
+		e.ejectedAt, e.ejectedUntil = h.now-1, h.now+60
 	}
-	b := h.take(nil)
-	h.pass(0.3)
-	assert.Len(t, h.of(Dispatch, b), 1)
+	b := h.addBatch(nil)
+	h.advance(0.3)
+	assert.Len(t, h.decisions(Dispatch, b), 1)
 }
 
-func TestBadPlanStartsOver(t *testing.T) {
-	s := settings(&ServiceGroup{Effect: Repeatable, Goal: 5, Limit: 30, Threads: 1})
+func TestDispatchWithABadPlanIsRestarted(t *testing.T) {
+	s := testSettings(&ServiceGroup{Idempotency: Idempotent, Goal: 5, Limit: 30, Threads: 1})
 	s.MayCancel = true
 	h, _ := newHost(t, s, 2)
-	b := h.take(func(b *Batch) { b.Cost = 1 })
-	h.pass(2)
-	h.News(b, 0, Progress, 0.05)
-	h.pass(0.2)
-	require.Len(t, h.of(Cancel, b), 1)
-	h.end(b, Withdrawn)
-	assert.Len(t, h.of(Dispatch, b), 2)
+	b := h.addBatch(func(b *Batch) { b.EstimatedWork = 1 })
+	h.advance(2)
+	h.DispatchUpdated(b, 0, Progress, 0.05)
+	h.advance(0.2)
+	require.Len(t, h.decisions(Cancel, b), 1)
+	h.endDispatch(b, Canceled)
+	assert.Len(t, h.decisions(Dispatch, b), 2)
 }
 
-func TestAbsurdFiguresReachNoDecision(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 2)
+func TestAbsurdValuesReachNoDecision(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 2)
 	for _, v := range []float64{math.NaN(), math.Inf(1), -3, 0} {
-		b := h.take(func(b *Batch) { b.Cost, b.Memory, b.Left = v, v, 1 })
-		h.Probed(list[0], true, &Report{Held: v, Waiting: v, Busy: v, Memory: v, Disks: v})
-		h.pass(0.2)
-		require.False(t, math.IsNaN(b.demand+b.alone+b.memory+b.endAt+b.limitAt))
-		h.Outcome(b, 0, Returned, true, v, v, v, nil)
-		h.Outcome(b, 9, Returned, true, 1, 1, 1, nil)
-	}
-	h.pass(2)
-	require.False(t, math.IsNaN(h.mark+h.load+h.meanDemand+h.filled(list[0]).threads))
-	assert.Equal(t, -1.0, clean(Report{Held: math.NaN()}).Held)
-	assert.Equal(t, 1e4, clean(Report{Held: math.Inf(1)}).Held)
-}
-
-func TestProbesAreWorthTheirPrice(t *testing.T) {
-	s := settings(lookups())
-	s.MayProbe, s.ProbePrice = true, 0.02
+		b := h.addBatch(func(b *Batch) { b.EstimatedWork, b.EstimatedMemory, b.TimeLeft = v, v, 1 })
+		h.ProbeEnded(list[0], true, &Report{InFlight: v, Waiting: v, CPU: v, Memory: v, Disks: v})
+		h.advance(0.2)
+		require.False(t, math.IsNaN(b.demand+b.timeAlone+b.memoryNeed+b.usefulUntil+b.deadline))
+		h.DispatchEnded(b, 0, Completed, true, v, v, v, nil)
+		h.DispatchEnded(b, 9, Completed, true, 1, 1, 1, nil)
+	}
+	h.advance(2)
+	require.False(t, math.IsNaN(h.admissionThreshold+h.load+h.meanDemand+h.estimateLoad(list[0]).threads))
+	assert.Equal(t, -1.0, sanitize(Report{InFlight: math.NaN()}).InFlight)
+	assert.Equal(t, 1e4, sanitize(Report{InFlight: math.Inf(1)}).InFlight)
+}
+
+func TestProbesStayWithinTheirCostShare(t *testing.T) {
+	s := testSettings(lookupGroup())
+	s.MayProbe, s.ProbeCost = true, 0.02
 	h, _ := newHost(t, s, 3)
 	for range 40 {
-		h.end(h.take(nil), Returned)
+		h.endDispatch(h.addBatch(nil), Completed)
 	}
-	assert.LessOrEqual(t, float64(len(h.of(Probe, nil)))*s.ProbePrice/40, probeWorth)
-	assert.NotEmpty(t, h.of(Probe, nil))
+	assert.LessOrEqual(t, float64(len(h.decisions(Probe, nil)))*s.ProbeCost/40, probeCostShare)
+	assert.NotEmpty(t, h.decisions(Probe, nil))
 }
 
-func TestEngineThatRefusesAtOnceDrawsNothing(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 2)
+func TestEngineThatRejectsAtOnceIsAvoided(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 2)
 	for range 40 {
-		b := h.take(nil)
-		for b.Out > 0 && b.dispatches[len(b.dispatches)-1].engine == list[0] {
-			h.end(b, TurnedAway)
+		b := h.addBatch(nil)
+		for b.InFlight > 0 && b.dispatches[len(b.dispatches)-1].engine == list[0] {
+			h.endDispatch(b, Rejected)
 		}
-		h.pass(0.05)
+		h.advance(0.05)
 	}
-	assert.Positive(t, list[0].asideUntil)
-	assert.Less(t, len(h.of(Dispatch, nil)), 40+20, "those in vain were sent again")
+	assert.Positive(t, list[0].ejectedUntil)
+	assert.Less(t, len(h.decisions(Dispatch, nil)), 40+20, "those in vain were sent again")
 }
 
-func TestLoadsOnOneDataSetKeepApart(t *testing.T) {
-	g := lookups()
-	g.Load = true
-	h, _ := newHost(t, settings(g), 2)
-	one, two := h.take(nil), h.take(nil)
-	assert.NotSame(t, h.of(Dispatch, one)[0].Engine, h.of(Dispatch, two)[0].Engine)
+func TestLoadsOfOneDataSetGoToDifferentEngines(t *testing.T) {
+	g := lookupGroup()
+	g.LocksDataSet = true
+	h, _ := newHost(t, testSettings(g), 2)
+	one, two := h.addBatch(nil), h.addBatch(nil)
+	assert.NotSame(t, h.decisions(Dispatch, one)[0].Engine, h.decisions(Dispatch, two)[0].Engine)
 }
 
-func TestSmallBatchPassesWhereMemoryIsFullForHeavyOnes(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 1)
-	h.Probed(list[0], true, &Report{Held: 1, Waiting: -1, Busy: -1, Memory: 0.8, Disks: -1})
-	assert.Empty(t, h.of(Dispatch, h.take(func(b *Batch) { b.Memory = 2000 })))
-	assert.Len(t, h.of(Dispatch, h.take(func(b *Batch) { b.Memory = 100 })), 1)
+func TestSmallBatchFitsWhereMemoryIsFullForHeavyOnes(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 1)
+	h.ProbeEnded(list[0], true, &Report{InFlight: 1, Waiting: -1, CPU: -1, Memory: 0.8, Disks: -1})
+	assert.Empty(t, h.decisions(Dispatch, h.addBatch(func(b *Batch) { b.EstimatedMemory = 2000 })))
+	assert.Len(t, h.decisions(Dispatch, h.addBatch(func(b *Batch) { b.EstimatedMemory = 100 })), 1)
 }
 
-func TestGrantsAreGenerousWhereUnneededMemoryStaysFree(t *testing.T) {
-	grant := func(how Shortage) float64 {
-		s := settings(lookups())
-		s.Grants, s.Shortage = true, how
+func TestGrantsAreLargerWhereEnginesOvercommit(t *testing.T) {
+	grant := func(how MemoryPolicy) float64 {
+		s := testSettings(lookupGroup())
+		s.Grants, s.MemoryPolicy = true, how
 		h, _ := newHost(t, s, 1)
-		return h.of(Terms, h.take(func(b *Batch) { b.Memory = 1000 }))[0].Memory
+		return h.decisions(Terms, h.addBatch(func(b *Batch) { b.EstimatedMemory = 1000 }))[0].Memory
 	}
-	assert.InDelta(t, memorySpare*1000, grant(LineUp), 1e-6)
-	assert.InDelta(t, memorySpare*generous*1000, grant(Overcommit), 1e-6)
+	assert.InDelta(t, memoryMargin*1000, grant(WaitForMemory), 1e-6)
+	assert.InDelta(t, memoryMargin*overcommitGrantFactor*1000, grant(Overcommit), 1e-6)
 }
 
-func TestRoutersDoNotAllMeetOnTheFirstOfTheList(t *testing.T) {
+func TestRoutersDoNotAllChooseTheFirstEngineOfTheList(t *testing.T) {
 	probed, sent := map[uint32]bool{}, map[uint32]bool{}
 	for seed := range 8 {
-		s := settings(lookups())
+		s := testSettings(lookupGroup())
 		s.Routers, s.Index, s.MayProbe = 200, seed, true
 		h, _ := newHost(t, s, 40)
-		sent[h.of(Dispatch, h.take(nil))[0].Engine.ID] = true
-		probed[h.of(Probe, nil)[0].Engine.ID] = true
+		sent[h.decisions(Dispatch, h.addBatch(nil))[0].Engine.ID] = true
+		probed[h.decisions(Probe, nil)[0].Engine.ID] = true
 	}
 	assert.Greater(t, len(sent), 2)
 	assert.Greater(t, len(probed), 2)
 }
 
-func TestOwnStandstillIsNotHeldAgainstEngines(t *testing.T) {
-	h, list := newHost(t, settings(lookups()), 1)
+func TestOwnPauseDoesNotCountAgainstEngines(t *testing.T) {
+	h, list := newHost(t, testSettings(lookupGroup()), 1)
 	for range 4 {
-		h.take(nil)
+		h.addBatch(nil)
 	}
-	before := h.mark
+	before := h.admissionThreshold
 	h.now += 2.5 // nobody woke the router meanwhile; what came then is told now
-	h.Clock(h.now)
-	rep := &Report{Held: 2, Waiting: -1, Busy: -1, Memory: -1, Disks: -1}
-	for _, d := range list[0].outs[:2] {
-		h.Outcome(d.batch, 0, Returned, true, 2.5, 0.1, 0, rep)
-	}
-	h.pull()
-	assert.Zero(t, list[0].asideUntil)
-	assert.Equal(t, before, h.mark)
+	h.SetTime(h.now)
+	rep := &Report{InFlight: 2, Waiting: -1, CPU: -1, Memory: -1, Disks: -1}
+	for _, d := range list[0].inFlight[:2] {
+		h.DispatchEnded(d.batch, 0, Completed, true, 2.5, 0.1, 0, rep)
+	}
+	h.pullDecisions()
+	assert.Zero(t, list[0].ejectedUntil)
+	assert.Equal(t, before, h.admissionThreshold)
 	assert.Less(t, list[0].reportAt, h.now-1, "what was told meanwhile is old")
 }
 
 func TestFewRoutersShareAColdEngineAndTheirSumStaysInItsBudget(t *testing.T) {
 	sum, sharers := 0.0, 0
 	for i := range 200 {
-		s := settings(lookups())
+		s := testSettings(lookupGroup())
 		s.Routers, s.Index = 200, i
 		h, list := newHost(t, s, 1)
 		list[0].StartedAt = 99.5
-		h.Listed(list, true)
-		h.pass(s.FallTime)
+		h.UpdateEngines(list, true)
+		h.advance(s.OverloadWindow)
 		for range 100 {
-			h.take(nil)
+			h.addBatch(nil)
 		}
-		if n := len(h.of(Dispatch, nil)); n > 0 {
+		if n := len(h.decisions(Dispatch, nil)); n > 0 {
 			sum, sharers = sum+0.1*float64(n), sharers+1
 		}
 	}
-	assert.Equal(t, coldRouters, sharers)
+	assert.Equal(t, coldBudgetRouters, sharers)
 	assert.LessOrEqual(t, sum, 2*0.4*0.85*8*1)
 	assert.Greater(t, sum, 0.25*2*0.4*0.85*8*1)
 }
 
-func TestFirstReportsAfterAStartTellNoFullFleet(t *testing.T) {
-	h, list := newHost(t, fleet(200), 20)
-	h.take(func(b *Batch) { b.Memory = 400 })
+func TestFirstReportsAfterAStartDoNotShowAFullFleet(t *testing.T) {
+	h, list := newHost(t, fleetSettings(200), 20)
+	h.addBatch(func(b *Batch) { b.EstimatedMemory = 400 })
 	// Reports that lack the held count: the memory granted tells it, by what our first batch is like.
-	h.Probed(list[3], true, &Report{Held: -1, Waiting: -1, Busy: -1, Memory: 0.25, Disks: -1})
-	assert.InDelta(t, 1.0, h.common.threads, 0.2, "8 batches of 500 MB granted on 8 cores")
-	h.pass(0.1)
-	assert.Same(t, list[3], h.of(Dispatch, h.take(nil))[0].Engine)
-	h.alike = 20
-	list[3].outs[0].sent -= 1 // before the report, which says too little: own ones count for all who act alike
-	assert.InDelta(t, 20/8.0, h.filled(list[3]).threads, 0.01)
+	h.ProbeEnded(list[3], true, &Report{InFlight: -1, Waiting: -1, CPU: -1, Memory: 0.25, Disks: -1})
+	assert.InDelta(t, 1.0, h.averageLoad.threads, 0.2, "8 batches of 500 MB granted on 8 cores")
+	h.advance(0.1)
+	assert.Same(t, list[3], h.decisions(Dispatch, h.addBatch(nil))[0].Engine)
+	h.similarRouters = 20
+	list[3].inFlight[0].sentAt -= 1 // before the report, which says too little: own ones count for all who act alike
+	assert.InDelta(t, 20/8.0, h.estimateLoad(list[3]).threads, 0.01)
 }
 
 func TestColdEngineWithoutAReportIsUsed(t *testing.T) {
-	h, list := newHost(t, fleet(200), 3)
+	h, list := newHost(t, fleetSettings(200), 3)
 	for _, e := range list[:2] {
-		h.report(e, 12)
+		h.reportLoad(e, 12)
 	}
-	for list[2].StartedAt = 98; !h.parts.Room(h.now, list[2].start(), 0.1); list[2].StartedAt += 0.01 {
+	for list[2].StartedAt = 98; !h.quota.Room(h.now, list[2].startID(), 0.1); list[2].StartedAt += 0.01 {
 		h.now += 0.02 // a start that makes this router one of the few that share its budget
-		h.Clock(h.now)
+		h.SetTime(h.now)
 	}
-	h.Listed(list, true)
-	assert.Same(t, list[2], h.of(Dispatch, h.take(nil))[0].Engine, "who else sends there is known")
+	h.UpdateEngines(list, true)
+	assert.Same(t, list[2], h.decisions(Dispatch, h.addBatch(nil))[0].Engine, "who else sends there is known")
 }
 
-func TestMemoryNeedsRoomForAllWhoActAlike(t *testing.T) {
-	h, list := newHost(t, fleet(100), 4)
+func TestMemoryMustFitOneBatchOfEachSimilarRouter(t *testing.T) {
+	h, list := newHost(t, fleetSettings(100), 4)
 	for _, e := range list {
-		h.Probed(e, true, &Report{Held: 1, Waiting: -1, Busy: -1, Memory: 0.8, Disks: -1})
+		h.ProbeEnded(e, true, &Report{InFlight: 1, Waiting: -1, CPU: -1, Memory: 0.8, Disks: -1})
 	}
-	h.pass(0.2)
-	assert.Len(t, h.of(Dispatch, h.take(func(b *Batch) { b.Memory = 20 })), 1)
-	heavy := h.take(func(b *Batch) { b.Memory = 400 })
-	assert.Empty(t, h.of(Dispatch, heavy), "room for eight, not for a hundred")
+	h.advance(0.2)
+	assert.Len(t, h.decisions(Dispatch, h.addBatch(func(b *Batch) { b.EstimatedMemory = 20 })), 1)
+	heavy := h.addBatch(func(b *Batch) { b.EstimatedMemory = 400 })
+	assert.Empty(t, h.decisions(Dispatch, heavy), "room for eight, not for a hundred")
 }
 
 func TestRouterWithoutAnyReportStillSends(t *testing.T) {
-	h, list := newHost(t, fleet(50), 4)
+	h, list := newHost(t, fleetSettings(50), 4)
 	for _, e := range list {
-		h.Probed(e, true, &Report{Held: 2, Waiting: -1, Busy: -1, Memory: 0.3, Disks: -1})
+		h.ProbeEnded(e, true, &Report{InFlight: 2, Waiting: -1, CPU: -1, Memory: 0.3, Disks: -1})
 	}
-	h.pass(2)
-	assert.Len(t, h.of(Dispatch, h.take(func(b *Batch) { b.Memory = 100 })), 1, "no report is left to go by")
+	h.advance(2)
+	assert.Len(t, h.decisions(Dispatch, h.addBatch(func(b *Batch) { b.EstimatedMemory = 100 })), 1, "no report is left to go by")
 }
 
-func TestLongBatchIsTriedWhereEnginesAreIdle(t *testing.T) {
-	g := &ServiceGroup{Effect: Repeatable, Goal: 9, LateShare: 0.5, Limit: 10, Threads: 1}
-	h, list := newHost(t, settings(g), 1)
-	long := func(b *Batch) { b.Cost = 7 }
+func TestLongBatchIsDispatchedOnlyWhereEnginesAreIdle(t *testing.T) {
+	g := &ServiceGroup{Idempotency: Idempotent, Goal: 9, LateShare: 0.5, Limit: 10, Threads: 1}
+	h, list := newHost(t, testSettings(g), 1)
+	long := func(b *Batch) { b.EstimatedWork = 7 }
 	h.load = 0.1
-	assert.Len(t, h.of(Dispatch, h.take(long)), 1, "it just fits an idle engine")
-	h.crowd(list)
-	h.load = mostLoad
-	late := h.take(long)
-	h.pass(0.1)
-	assert.Len(t, h.of(PushBack, late), 1, "and no busy one")
+	assert.Len(t, h.decisions(Dispatch, h.addBatch(long)), 1, "it just fits an idle engine")
+	h.saturate(list)
+	h.load = maxLoad
+	late := h.addBatch(long)
+	h.advance(0.1)
+	assert.Len(t, h.decisions(Reject, late), 1, "and no busy one")
 }
 
-func TestNothingGoesToAColdEngineWhereTheRoutersAreNotTold(t *testing.T) {
+func TestNothingIsSentToAColdEngineWhileTheQuotaIsUnknown(t *testing.T) {
 	for _, edit := range []func(*Settings){
 		func(s *Settings) { s.Routers = 0 },
 		func(s *Settings) { s.Index = -1 },
 		func(s *Settings) { s.Routers, s.Index = 3, 3 },
-		func(s *Settings) { s.ColdFrom, s.FallTime = 0, 0 },
+		func(s *Settings) { s.ColdCapacityShare, s.OverloadWindow = 0, 0 },
 	} {
-		s := settings(lookups())
+		s := testSettings(lookupGroup())
 		edit(&s)
 		h, list := newHost(t, s, 1)
 		list[0].StartedAt = 99.5
-		h.Listed(list, true)
-		h.pass(2)
-		h.take(nil)
-		assert.Empty(t, h.of(Dispatch, nil))
+		h.UpdateEngines(list, true)
+		h.advance(2)
+		h.addBatch(nil)
+		assert.Empty(t, h.decisions(Dispatch, nil))
 	}
 }
 
-func TestLoadIsThePoolsNotTheBlindEngines(t *testing.T) {
-	h, list := newHost(t, fleet(100), 10)
+func TestLoadFollowsReportsNotEnginesWithoutOne(t *testing.T) {
+	h, list := newHost(t, fleetSettings(100), 10)
 	for range 40 {
-		h.report(list[0], 3.5+h.draw())
-		h.take(nil)
-		h.pass(0.2)
+		h.reportLoad(list[0], 3.5+h.randomFloat())
+		h.addBatch(nil)
+		h.advance(0.2)
 	}
 	assert.InDelta(t, 0.5, h.load, 0.1)
 }
 
 // A level of reduced service sheds what it names and tells it at once; a batch behind another of its key is taken.
-func TestALevelShedsAtOnceButNeverOutOfOrder(t *testing.T) {
-	s := Settings{MostDispatches: 3, LongestDefer: 0.5, Tick: 0.005, EngineKinds: []EngineKind{{Cores: 8}}, Groups: []*ServiceGroup{
-		{Name: "report", Effect: Repeatable, Goal: 4, Limit: 8, Utility: 6, Threads: 1},
-		{Name: "upload", Effect: OnceOnly, Goal: 4, Limit: 8, Utility: 6, Threads: 1, InOrder: true}}}
+func TestReducedServiceShedsAtOnceButNeverOutOfOrder(t *testing.T) {
+	s := Settings{MaxDispatches: 3, MaxRetryDelay: 0.5, Tick: 0.005, EngineKinds: []EngineKind{{Cores: 8}}, Groups: []*ServiceGroup{
+		{Name: "report", Idempotency: Idempotent, Goal: 4, Limit: 8, Utility: 6, Threads: 1},
+		{Name: "upload", Idempotency: AtMostOnce, Goal: 4, Limit: 8, Utility: 6, Threads: 1, InOrder: true}}}
 	r := New(s, 1, 0)
 	take := func(g int, key uint64, cost float64) *Batch {
-		b := &Batch{Group: s.Groups[g], Client: -1, Key: key, Left: 8, Cost: cost}
-		r.Take(b)
+		b := &Batch{Group: s.Groups[g], Client: -1, Key: key, TimeLeft: 8, EstimatedWork: cost}
+		r.AddBatch(b)
 		return b
 	}
 	first := take(1, 7, 1)
-	r.Reduce(Reduced{Keep: map[*ServiceGroup]float64{s.Groups[0]: 0, s.Groups[1]: 0}})
+	r.SetReducedService(ReducedService{KeepShare: map[*ServiceGroup]float64{s.Groups[0]: 0, s.Groups[1]: 0}})
 	second, other, report := take(1, 7, 1), take(1, 8, 1), take(0, 0, 1)
 	assert.Equal(t, []bool{false, false, true, true}, []bool{first.Shed, second.Shed, other.Shed, report.Shed})
 	pushed := map[*Batch]float64{}
-	for d := r.Next(); d.Kind != Nothing; d = r.Next() {
-		if d.Kind == PushBack {
+	for d := r.Next(); d.Kind != NoDecision; d = r.Next() {
+		if d.Kind == Reject {
 			pushed[d.Batch] = d.Wait
 		}
 	}
 	assert.Equal(t, map[*Batch]float64{other: 0.5, report: 0.5}, pushed, "with the time to come back")
-	r.Reduce(Reduced{LeastGain: 2})
+	r.SetReducedService(ReducedService{MinUtilityPerSecond: 2})
 	assert.Equal(t, []bool{true, false}, []bool{take(0, 0, 4).Shed, take(0, 0, 2).Shed}, "what promises too little for its work")
-	r.Reduce(Reduced{})
+	r.SetReducedService(ReducedService{})
 	assert.False(t, take(0, 0, 4).Shed)
 }
 
 // Six in ten engines replaced at once: the empty new ones made the full old ones look idle.
-func TestWhatColdEnginesHoldTellsNothingOfTheOthers(t *testing.T) {
-	h, list := newHost(t, fleet(100), 5)
+func TestReportsOfColdEnginesAreLeftOutOfTheAverage(t *testing.T) {
+	h, list := newHost(t, fleetSettings(100), 5)
 	for _, e := range list[2:] {
 		e.StartedAt = h.now - 1
 	}
-	h.report(list[0], 40)
-	before := h.common.threads
+	h.reportLoad(list[0], 40)
+	before := h.averageLoad.threads
 	assert.Positive(t, before)
 	for range 5 {
-		h.pass(0.3)
+		h.advance(0.3)
 		for i, e := range list[2:] {
-			h.report(e, float64(i)/100)
+			h.reportLoad(e, float64(i)/100)
 		}
 	}
-	assert.Equal(t, before, h.common.threads)
-	h.now += h.coldTime
-	h.Clock(h.now)
-	h.report(list[2], 0.5)
-	assert.Less(t, h.common.threads, before, "it is warm by now")
+	assert.Equal(t, before, h.averageLoad.threads)
+	h.now += h.slowStartTime
+	h.SetTime(h.now)
+	h.reportLoad(list[2], 0.5)
+	assert.Less(t, h.averageLoad.threads, before, "it is warm by now")
 }
 
 func TestProbesGoToColdEnginesLast(t *testing.T) {
-	s := fleet(100)
+	s := fleetSettings(100)
 	s.MayProbe = true
 	h, list := newHost(t, s, 6)
 	for _, e := range list[2:] {
 		e.StartedAt = h.now - 1
 	}
 	asked := func() (ids []uint32) {
-		h.did = nil
-		h.take(nil)
-		for _, d := range h.of(Probe, nil) {
+		h.made = nil
+		h.addBatch(nil)
+		for _, d := range h.decisions(Probe, nil) {
 			ids = append(ids, d.Engine.ID)
-			h.Probed(d.Engine, false, nil)
+			h.ProbeEnded(d.Engine, false, nil)
 		}
 		return ids
 	}
 	for range 12 {
-		h.now += 2 * probeRest
-		h.Clock(h.now)
+		h.now += 2 * minProbeInterval
+		h.SetTime(h.now)
 		for _, id := range asked() {
 			assert.LessOrEqual(t, id, uint32(2), "the warm ones are due")
 		}
 	}
-	h.Listed([]*Engine{list[2], list[3], list[4], list[5]}, true)
+	h.UpdateEngines([]*Engine{list[2], list[3], list[4], list[5]}, true)
 	h.now += 1
-	h.Clock(h.now)
+	h.SetTime(h.now)
 	assert.NotEmpty(t, asked(), "where all are cold, they are probed")
 }
 
 // What looked small enough for a share of a cold engine's budget was mostly told too small.
-func TestColdBooksGoByLikelyWorkWhereEstimatesAreRough(t *testing.T) {
-	h, _ := newHost(t, settings(lookups()), 4)
+func TestColdQuotaIsChargedLikelyWorkWhereEstimatesAreInaccurate(t *testing.T) {
+	h, _ := newHost(t, testSettings(lookupGroup()), 4)
 	chance := rand.New(rand.NewPCG(1, 2))
 	one := func() (told, work float64) {
 		work = 0.2 * math.Exp(0.9*chance.NormFloat64())
 		return work * math.Exp(0.8*chance.NormFloat64()), work
 	}
-	first := &Batch{Group: h.group, Left: 4, Cost: 0.001}
-	h.Take(first)
-	assert.Equal(t, 0.25, first.likely, "not known yet: as where nothing is told")
-	h.Left(first)
+	first := &Batch{Group: h.group, TimeLeft: 4, EstimatedWork: 0.001}
+	h.AddBatch(first)
+	assert.Equal(t, 0.25, first.likelyWork, "not known yet: as where nothing is told")
+	h.RemoveBatch(first)
 	for range 300 {
 		told, work := one()
-		b := &Batch{Group: h.group, Left: 4, Cost: told}
-		h.Take(b)
-		h.learn(b, work, work, 0)
-		h.Left(b)
+		b := &Batch{Group: h.group, TimeLeft: 4, EstimatedWork: told}
+		h.AddBatch(b)
+		h.learnFromAnswer(b, work, work, 0)
+		h.RemoveBatch(b)
 	}
 	booked, demand, took, least := 0.0, 0.0, 0.0, 2.0
 	for range 2000 {
 		told, work := one()
-		b := &Batch{Group: h.group, Left: 4, Cost: told}
-		h.Take(b)
+		b := &Batch{Group: h.group, TimeLeft: 4, EstimatedWork: told}
+		h.AddBatch(b)
 		if b.demand < 0.1 {
-			booked, demand, took = booked+b.likely, demand+b.demand, took+work
+			booked, demand, took = booked+b.likelyWork, demand+b.demand, took+work
 		} else if b.demand > 1 {
-			least = min(least, b.likely/b.demand)
+			least = min(least, b.likelyWork/b.demand)
 		}
-		h.Left(b)
+		h.RemoveBatch(b)
 	}
 	assert.Greater(t, took, 1.5*demand, "the page's demand falls far short for small ones")
 	assert.InEpsilon(t, took, booked, 0.25)
@@ -715,13 +715,13 @@
 
 // Two heavy batches, told 4.0 and 3.2 s of work where an engine bears 6.4, came to a cold one from two routers whose few
 // answers had needed less than was told. However few share it, the sum of what was told stays within what it bears.
-func TestWhatAFewRoutersSendAColdEngineStaysWithinWhatItBears(t *testing.T) {
+func TestFewRoutersWithInaccurateEstimatesStayWithinAColdEnginesBudget(t *testing.T) {
 	bears := 2 * 0.4 * 8 * 1.0
 	for seed := range uint64(400) {
 		chance := rand.New(rand.NewPCG(seed, 3))
-		routers, answers, sum := 1+int(seed)%(coldRouters-1), 4+chance.IntN(60), 0.0
+		routers, answers, sum := 1+int(seed)%(coldBudgetRouters-1), 4+chance.IntN(60), 0.0
 		for i := range routers {
-			s := settings(&ServiceGroup{Effect: Repeatable, Goal: 6, Limit: 20, LateShare: 0.5, Threads: 1})
+			s := testSettings(&ServiceGroup{Idempotency: Idempotent, Goal: 6, Limit: 20, LateShare: 0.5, Threads: 1})
 			s.Routers, s.Index = routers, i
 			h, list := newHost(t, s, 1)
 			told := func() (cost, work float64) {
@@ -730,19 +730,19 @@
 			}
 			for range answers {
 				cost, work := told()
-				b := &Batch{Group: h.group, Left: 20, Cost: cost}
-				h.Take(b)
-				h.learn(b, work, work, 0)
-				h.Left(b)
+				b := &Batch{Group: h.group, TimeLeft: 20, EstimatedWork: cost}
+				h.AddBatch(b)
+				h.learnFromAnswer(b, work, work, 0)
+				h.RemoveBatch(b)
 			}
 			list[0].StartedAt = 99.5
-			h.Listed(list, true)
-			h.pass(s.FallTime)
+			h.UpdateEngines(list, true)
+			h.advance(s.OverloadWindow)
 			for cost := 8.0; cost > 0.02; cost *= 0.93 { // the largest first that fits what is left
-				h.take(func(b *Batch) { b.Cost = cost })
+				h.addBatch(func(b *Batch) { b.EstimatedWork = cost })
 			}
-			for _, d := range list[0].outs {
-				sum += d.batch.Cost
+			for _, d := range list[0].inFlight {
+				sum += d.batch.EstimatedWork
 			}
 		}
 		require.LessOrEqual(t, sum, bears, "seed %d, %d routers, %d answers", seed, routers, answers)
--- a/brain/figures.go
+++ b/brain/figures.go
@@ -34,9 +34,9 @@
 	return usual
 }
 
-// outOf counts dispatches out at an engine that count against the same bound as a batch's route.
-func (e *Engine) outOf(b *Batch) (n int) {
-	for _, d := range e.outs {
+// countSharing counts dispatches out at an engine that count against the same bound as a batch's route.
+func (e *Engine) countSharing(b *Batch) (n int) {
+	for _, d := range e.inFlight {
 		if b.Route.Shares(d.batch.Route) {
 			n++
 		}
@@ -44,30 +44,30 @@
 	return n
 }
 
-// quiet: no level of reduced service holds.
-func (l *Reduced) quiet() bool {
-	return l.Keep == nil && l.LeastGain == 0 && l.Further == 0 && l.Probes == 0 && l.Early == 0
+// isZero: no level of reduced service holds.
+func (l *ReducedService) isZero() bool {
+	return l.KeepShare == nil && l.MinUtilityPerSecond == 0 && l.MaxRetries == 0 && l.ProbeShare == 0 && l.GiveUpFactor == 0
 }
 
 // sample is what an adaptive limit is told of a dispatch that has ended.
 func (d *dispatch) sample(now, took, work float64) limits.Sample {
-	alone := d.batch.alone
+	alone := d.batch.timeAlone
 	if work > 0 {
 		alone = work / d.batch.Group.Threads
 	}
-	bad := d.end == TimedOut || d.end == Broken || d.end == TurnedAway || d.end == Errored || d.end == Unconnected
-	return limits.Sample{Now: now, Took: took, Alone: alone, Out: len(d.engine.outs) + 1, Bad: bad}
+	bad := d.outcome == TimedOut || d.outcome == ConnectionLost || d.outcome == Rejected || d.outcome == Errored || d.outcome == ConnectFailed
+	return limits.Sample{Now: now, Took: took, Alone: alone, Out: len(d.engine.inFlight) + 1, Bad: bad}
 }
 
-func (a amount) add(b amount, times float64) amount {
-	return amount{a.batches + times*b.batches, a.threads + times*b.threads, a.memory + times*b.memory}
+func (a resources) add(b resources, times float64) resources {
+	return resources{a.batches + times*b.batches, a.threads + times*b.threads, a.memory + times*b.memory}
 }
 
-func (a amount) per(e *Engine) amount {
-	return amount{a.batches, a.threads / e.cores, a.memory / max(e.memory, 1)}
+func (a resources) perEngine(e *Engine) resources {
+	return resources{a.batches, a.threads / e.cores, a.memory / max(e.memory, 1)}
 }
 
-func sane(v, most float64) float64 {
+func clampNonNegative(v, most float64) float64 {
 	if !(v > 0) {
 		return 0
 	}
@@ -78,8 +78,8 @@
 	return slices.DeleteFunc(list, func(t T) bool { return t == one })
 }
 
-func clean(rep Report) Report {
-	for _, v := range []*float64{&rep.Held, &rep.Waiting, &rep.Busy, &rep.Memory, &rep.Disks} {
+func sanitize(rep Report) Report {
+	for _, v := range []*float64{&rep.InFlight, &rep.Waiting, &rep.CPU, &rep.Memory, &rep.Disks} {
 		if *v = min(*v, 1e4); !(*v >= 0) {
 			*v = -1
 		}
@@ -87,8 +87,8 @@
 	return rep
 }
 
-// draw gives the next number below 1 of the router's own chance.
-func (r *Router) draw() float64 {
-	r.random = 4294957665*(r.random&0xffffffff) + r.random>>32
-	return float64(r.random&0xffffffff) / (1 << 32)
+// randomFloat gives the next number below 1 of the router's own chance.
+func (r *Router) randomFloat() float64 {
+	r.randomState = 4294957665*(r.randomState&0xffffffff) + r.randomState>>32
+	return float64(r.randomState&0xffffffff) / (1 << 32)
 }
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -39,9 +39,9 @@
 
 var (
 	phases  = map[uint8]brain.Phase{0: brain.Draining, 2: brain.Ready}
-	endings = map[uint8]brain.Ending{0: brain.Errored, 1: brain.Returned, 2: brain.TurnedAway, 3: brain.TimedOut,
-		4: brain.Unconnected, 5: brain.Broken, 6: brain.Withdrawn, 7: brain.NotSent}
-	notes = map[uint8]brain.Note{1: brain.Progress, 2: brain.Spills, 3: brain.Waits}
+	endings = map[uint8]brain.Outcome{0: brain.Errored, 1: brain.Completed, 2: brain.Rejected, 3: brain.TimedOut,
+		4: brain.ConnectFailed, 5: brain.ConnectionLost, 6: brain.Canceled, 7: brain.NotSent}
+	notes = map[uint8]brain.Update{1: brain.Progress, 2: brain.Spilling, 3: brain.Waiting}
 )
 
 // answer handles one frame; the reply is in h.reply.
@@ -112,7 +112,7 @@
 		rt.touched = true
 		h.touched = append(h.touched, rt)
 	}
-	rt.brain.Clock(now)
+	rt.brain.SetTime(now)
 	switch rec.Code {
 	case simwire.Endpoints:
 		h.endpoints(rt, rec)
@@ -122,7 +122,7 @@
 		e, status := rt.engines[rec.U32()], rec.U8()
 		rec.F64()
 		if rep := rt.report(rec, h); e != nil && rec.Err() == nil {
-			rt.brain.Probed(e, status == 1, rep)
+			rt.brain.ProbeEnded(e, status == 1, rep)
 		}
 	case simwire.Outcome:
 		b, last, no, status := rt.batches[rec.U64()], rec.U8() != 0, int(rec.U16()), rec.U8()
@@ -131,12 +131,12 @@
 		rep := rt.report(rec, h)
 		if b != nil && rec.Err() == nil {
 			work, memory := float64(used>>12)/1000, float64(used&0xfff)*4
-			rt.brain.Outcome(b, no, endings[status], last, elapsed, work, memory, rep)
+			rt.brain.DispatchEnded(b, no, endings[status], last, elapsed, work, memory, rep)
 			rt.forget(b)
 		}
 	case simwire.Aborted:
 		if b := rt.batches[rec.U64()]; b != nil {
-			rt.brain.Left(b)
+			rt.brain.RemoveBatch(b)
 			rt.forget(b)
 		}
 	case simwire.UpdateOf:
@@ -144,17 +144,17 @@
 		rec.U32()
 		level, no := rec.F32(), int(rec.U16())
 		if b != nil && rec.Err() == nil {
-			rt.brain.News(b, no, notes[kind], level)
+			rt.brain.DispatchUpdated(b, no, notes[kind], level)
 		}
 	case simwire.Ring:
-		rt.brain.Woken()
+		rt.brain.TimerFired()
 	}
 	return nil
 }
 
 // forget drops a batch that is over and has no dispatch out; later news of it is ignored.
 func (rt *router) forget(b *brain.Batch) {
-	if b.Over && b.Out == 0 {
+	if b.Done && b.InFlight == 0 {
 		delete(rt.batches, b.ID)
 	}
 }
@@ -162,20 +162,20 @@
 func (rt *router) jobIn(rec *simwire.Record) {
 	b := &brain.Batch{ID: rec.U64()}
 	group, org := int(rec.U8()), int(rec.U32())
-	b.Key, b.Left = rec.U64(), rec.F64()/1000
+	b.Key, b.TimeLeft = rec.U64(), rec.F64()/1000
 	cost, memory, tables, marks := rec.F64()/1000, rec.F32(), rec.F32(), rec.U16()
 	if rec.Err() != nil || group >= len(rt.groups) || rt.batches[b.ID] != nil {
 		return
 	}
-	b.Group, b.Memory, b.Tables, b.Client = rt.groups[group], memory, tables, -1
+	b.Group, b.EstimatedMemory, b.DataSet, b.Client = rt.groups[group], memory, tables, -1
 	if org < rt.clients {
 		b.Client = org
 	}
 	if marks&costMark != 0 {
-		b.Cost = cost
+		b.EstimatedWork = cost
 	}
 	rt.batches[b.ID] = b
-	rt.brain.Take(b)
+	rt.brain.AddBatch(b)
 }
 
 func (h *host) endpoints(rt *router, rec *simwire.Record) {
@@ -184,7 +184,7 @@
 		return
 	}
 	if form == listFailed {
-		rt.brain.ListFailed()
+		rt.brain.EngineListFailed()
 		return
 	}
 	var list []*brain.Engine
@@ -198,7 +198,7 @@
 		e.Cell, e.Kind, e.Zone = int(en.Pack), int(en.Kind), int(en.Site)
 		list = append(list, e)
 	}
-	rt.brain.Listed(list, form == listFull || form == listCached)
+	rt.brain.UpdateEngines(list, form == listFull || form == listCached)
 }
 
 func (rt *router) report(rec *simwire.Record, h *host) *brain.Report {
@@ -221,13 +221,13 @@
 	for {
 		d := rt.brain.Next()
 		switch d.Kind {
-		case brain.Nothing:
+		case brain.NoDecision:
 			return
 		case brain.Terms:
 			w.AssignTerms(rt.id, d.Batch.ID, d.Memory, uint8(d.Priority))
 		case brain.Dispatch:
 			w.Try(rt.id, d.Batch.ID, d.Engine.ID, d.Wait*1000)
-		case brain.PushBack:
+		case brain.Reject:
 			w.Bounce(rt.id, d.Batch.ID, d.Wait*1000)
 			rt.forget(d.Batch)
 		case brain.Fail:
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -221,7 +221,7 @@
 	}
 	rep.Waiting, rep.Memory = 0, min(memory/e.sim.world.Engine.Memory, 2)
 	if e.sim.world.Reports == "full" {
-		rep.Held, rep.Busy = float64(len(e.running)), min(threads/e.sim.world.Engine.Cores, 1)
+		rep.InFlight, rep.CPU = float64(len(e.running)), min(threads/e.sim.world.Engine.Cores, 1)
 	}
 	return rep
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -185,7 +185,7 @@
 	return errors.Join(errs...)
 }
 
-var effects = map[string]brain.Effect{"repeatable": brain.Repeatable, "referenced": brain.Referenced, "once-only": brain.OnceOnly}
+var effects = map[string]brain.Idempotency{"repeatable": brain.Idempotent, "referenced": brain.Deduplicated, "once-only": brain.AtMostOnce}
 
 // ParseWorld reads a world's TOML; strict.
 func ParseWorld(text []byte) (*World, error) {
@@ -210,15 +210,15 @@
 
 // settings are what a router of the world is told.
 func (w *World) settings(index int) settings.Settings {
-	s := brain.Settings{Routers: w.Routers, Index: index, MayCancel: true, MayCopy: true, MayProbe: w.Reports != "none", MostDispatches: w.Rules.Dispatches,
-		Grants: true, LargestGrant: 0.4, LongestDefer: 0.5, NotesEvery: notesEvery, ProbePrice: 0.01, ColdFrom: w.Engine.ColdFrom,
-		ColdTime: w.Engine.Cold, FallMultiple: w.Rules.FallMultiple, FallTime: w.Rules.Fall, SettleTime: w.Rules.Settle,
+	s := brain.Settings{Routers: w.Routers, Index: index, MayCancel: true, MayHedge: true, MayProbe: w.Reports != "none", MaxDispatches: w.Rules.Dispatches,
+		Grants: true, MaxGrantShare: 0.4, MaxRetryDelay: 0.5, UpdateInterval: notesEvery, ProbeCost: 0.01, ColdCapacityShare: w.Engine.ColdFrom,
+		SlowStartTime: w.Engine.Cold, OverloadFactor: w.Rules.FallMultiple, OverloadWindow: w.Rules.Fall, SettleTime: w.Rules.Settle,
 		Tick: 0.005, EngineKinds: []brain.EngineKind{{Cores: w.Engine.Cores, Memory: w.Engine.Memory}, {Cores: w.Engine.Cores, Memory: w.Engine.Memory}}}
 	if w.Rules.Free > 0 || w.Rules.Further > 0 {
-		s.Rationed, s.FreeFurther, s.FurtherShare, s.FurtherWindow = true, w.Rules.Free, w.Rules.Further, w.Rules.Window
+		s.LimitRetries, s.FreeRetries, s.RetryRatio, s.RetryWindow = true, w.Rules.Free, w.Rules.Further, w.Rules.Window
 	}
 	for _, g := range w.Groups {
-		s.Groups = append(s.Groups, &brain.ServiceGroup{Name: g.Name, Effect: effects[g.Effect], Scope: brain.WithinAll, Window: g.Window,
+		s.Groups = append(s.Groups, &brain.ServiceGroup{Name: g.Name, Idempotency: effects[g.Effect], DedupScope: brain.WithinAll, DedupWindow: g.Window,
 			Goal: g.Goal, GoalStretch: g.Stretch,
 			LateShare: g.Late, Limit: g.Limit, Utility: g.Utility, Threads: g.Threads, InOrder: g.InOrder, Kinds: g.Kinds})
 	}
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -32,7 +32,7 @@
 	assert.Contains(t, got[0].Invalid, "rows")
 	got[0].Rows.Release()
 	got[0].Rows.Data, got[0].Invalid = nil, ""
-	load := &brain.Report{Held: -1, Waiting: 3, Busy: -1, Memory: 0.25, Disks: -1}
+	load := &brain.Report{InFlight: -1, Waiting: 3, CPU: -1, Memory: 0.25, Disks: -1}
 	assert.Equal(t, &traffic.EngineReply{ID: "f1", Kind: traffic.ReplyFirstPage, Pages: 2, Page: -1, Work: 0.12, Memory: 5, Load: load}, got[0])
 	assert.Equal(t, traffic.ReplyOverloaded, got[1].Kind)
 	assert.Zero(t, pool.Used())
--- a/internal/engines/resp.go
+++ b/internal/engines/resp.go
@@ -18,7 +18,7 @@
 var words = map[string]traffic.ReplyKind{"DONE": traffic.ReplyFirstPage, "WAIT": traffic.ReplyOverloaded, "BROKE": traffic.ReplyFailed,
 	"PAST": traffic.ReplyTooLate, "TELL": traffic.ReplyProgress, "MORE": traffic.ReplyPage, "FIT": traffic.ReplyHealthy, "UNFIT": traffic.ReplyUnhealthy}
 
-var notes = map[string]brain.Note{"done": brain.Progress, "spills": brain.Spills, "waits": brain.Waits}
+var notes = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
 
 // Protocol is what the core must know of the engines' RESP.
 func Protocol() *traffic.EngineProtocol {
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -105,12 +105,12 @@
 // rule. All that is found is told.
 func (i *Installation) Against(path string, s settings.Settings) error {
 	errs := []error{i.Groups(path, s.GroupNames())}
-	p := limits.Platform{Known: true, Dispatches: max(s.MostDispatches, 1), Clients: s.Clients, Rationed: s.Rationed, Free: s.FreeFurther,
-		Share: s.FurtherShare, Window: s.FurtherWindow, Copies: s.MayCopy, Kinds: s.Kinds}
+	p := limits.Platform{Known: true, Dispatches: max(s.MaxDispatches, 1), Clients: s.Clients, Rationed: s.LimitRetries, Free: s.FreeRetries,
+		Share: s.RetryRatio, Window: s.RetryWindow, Copies: s.MayHedge, Kinds: s.Kinds}
 	i.Routes.Resolve(s.Kinds)
 	for _, g := range s.Groups {
-		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == brain.Repeatable, Referenced: g.Effect == brain.Referenced,
-			Limit: g.Limit, Window: g.Window, Kinds: g.Kinds})
+		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Idempotency == brain.Idempotent, Referenced: g.Idempotency == brain.Deduplicated,
+			Limit: g.Limit, Window: g.DedupWindow, Kinds: g.Kinds})
 	}
 	for _, f := range limits.Check(i.Limits, p) {
 		errs = append(errs, fmt.Errorf("%s: %s", i.where(path, f.Line), f.Text))
--- a/internal/installation/routes_test.go
+++ b/internal/installation/routes_test.go
@@ -14,17 +14,17 @@
 )
 
 func platform() settings.Settings {
-	group := func(name string, effect brain.Effect, limit, window float64) *brain.ServiceGroup {
-		return &brain.ServiceGroup{Name: name, Effect: effect, Limit: limit, Window: window}
+	group := func(name string, effect brain.Idempotency, limit, window float64) *brain.ServiceGroup {
+		return &brain.ServiceGroup{Name: name, Idempotency: effect, Limit: limit, DedupWindow: window}
 	}
-	big := func(name string, effect brain.Effect, limit, window float64) *brain.ServiceGroup {
+	big := func(name string, effect brain.Idempotency, limit, window float64) *brain.ServiceGroup {
 		g := group(name, effect, limit, window)
 		g.Kinds = []int{1}
 		return g
 	}
-	return settings.Settings{Clients: []string{"farm", "portal"}, Kinds: []string{"std", "big"}, Settings: brain.Settings{MayCopy: true, MostDispatches: 3, Rationed: true, FreeFurther: 20, FurtherShare: 0.2,
-		FurtherWindow: 10, Groups: []*brain.ServiceGroup{group("lookup", brain.Repeatable, 4, 0), big("report", brain.Repeatable, 15, 0),
-			group("upload", brain.Referenced, 25, 15), group("once", brain.OnceOnly, 9, 0)}}}
+	return settings.Settings{Clients: []string{"farm", "portal"}, Kinds: []string{"std", "big"}, Settings: brain.Settings{MayHedge: true, MaxDispatches: 3, LimitRetries: true, FreeRetries: 20, RetryRatio: 0.2,
+		RetryWindow: 10, Groups: []*brain.ServiceGroup{group("lookup", brain.Idempotent, 4, 0), big("report", brain.Idempotent, 15, 0),
+			group("upload", brain.Deduplicated, 25, 15), group("once", brain.AtMostOnce, 9, 0)}}}
 }
 
 func proven(text string) (*Installation, error) {
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -48,7 +48,7 @@
 		if b := c.open[said.Stream]; b != nil {
 			if r.now > b.dueAt-lateAnswer {
 				r.log(Warn, "client left at its time limit", "id", b.id, "group", b.Group.Name, "left", b.dueAt-r.now,
-					"out", b.Out, "dispatches", len(b.dispatches))
+					"out", b.InFlight, "dispatches", len(b.dispatches))
 			}
 			r.left(b)
 		}
@@ -116,7 +116,7 @@
 	held, memory := r.settings.Settings.MostHeld, textShare*float64(r.settings.MemoryMB)*(1<<20)
 	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.Used()*buffers.Size) > memory {
 		// Beyond what the platform lets a router hold. Nothing of it has run, so a pushback is true.
-		r.reply(b, &traffic.Answer{Code: traffic.Rejected, RetryAfter: r.settings.Settings.LongestDefer})
+		r.reply(b, &traffic.Answer{Code: traffic.Rejected, RetryAfter: r.settings.Settings.MaxRetryDelay})
 		told.Text.Release()
 		return
 	}
@@ -129,17 +129,17 @@
 		b.id = r.drawID()
 	}
 	b.Batch = &brain.Batch{ID: r.ids, Group: group, Client: slices.Index(r.settings.Settings.Clients, told.Client),
-		Key: told.OrderKey, Left: max(left, 0.001), Cost: told.Cost, Memory: told.Memory,
-		Tables: float64(statement.DataSet(b.said.Text.Reader()))}
+		Key: told.OrderKey, TimeLeft: max(left, 0.001), EstimatedWork: told.Cost, EstimatedMemory: told.Memory,
+		DataSet: float64(statement.DataSet(b.said.Text.Reader()))}
 	if r.routes != nil {
-		b.Route = r.route(c, told, b.Tables)
+		b.Route = r.route(c, told, b.DataSet)
 	}
 	b.dueAt = r.now + told.TimeLeft
 	r.batches[b.Batch] = b
 	c.open[ask.Stream], r.open[b.id] = b, b
-	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.Left, "tables", b.Tables, "text", textOf{b.said.Text})
+	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", textOf{b.said.Text})
 	b.takenAt = r.now
-	r.brain.Take(b.Batch)
+	r.brain.AddBatch(b.Batch)
 	r.level.came(b)
 }
 
@@ -169,7 +169,7 @@
 		return fmt.Errorf("no such service group: %.40q", told.Group)
 	case r.open[told.ID] != nil:
 		return errors.New("its id is open")
-	case group.Effect == brain.Referenced && told.IdempotencyKey == "":
+	case group.Idempotency == brain.Deduplicated && told.IdempotencyKey == "":
 		return errors.New("a referenced batch has no mark")
 	case told.TimeLeft > mostLimits*group.Limit:
 		return errors.New("it would wait far past its group's time limit")
@@ -227,17 +227,17 @@
 
 // left: nobody waits for the batch any more. That is its final answer on record.
 func (r *Router) left(b *batch) {
-	r.log(Debug, "left", "id", b.id, "key", b.Key, "out", b.Out)
+	r.log(Debug, "left", "id", b.id, "key", b.Key, "out", b.InFlight)
 	r.unwait(b)
-	r.brain.Left(b.Batch)
+	r.brain.RemoveBatch(b.Batch)
 	for _, d := range b.dispatches {
 		switch {
 		case d.ended:
 		case !d.written: // it waits for its connection: nothing is sent for who has gone, and what it takes is given back
-			r.giveUp(d, brain.Withdrawn)
+			r.giveUp(d, brain.Canceled)
 		case d.missing > 0: // it has run, and nobody wants the rest of its pages
 			r.order(d.line, traffic.CloseResult{ID: b.id})
-			r.finish(d, brain.Returned)
+			r.finish(d, brain.Completed)
 		}
 	}
 	r.forget(b)
@@ -246,7 +246,7 @@
 // forget drops what a batch that is over needs no more; its dispatches may still be out.
 func (r *Router) forget(b *batch) {
 	if b.client == nil {
-		if b.Out == 0 {
+		if b.InFlight == 0 {
 			delete(r.batches, b.Batch)
 		}
 		if b.said.Text.Len() > 0 { // an order with it may still have to be written
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -159,7 +159,7 @@
 	why := "the connection ends: " + end.String()
 	for _, b := range c.inTurn() {
 		b.why = why
-		r.brain.Left(b.Batch)
+		r.brain.RemoveBatch(b.Batch)
 		r.answer(b, traffic.Failed, 0)
 	}
 	r.do(TellClient{c.number, traffic.ConnectionError{Reason: why}})
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -121,7 +121,7 @@
 	l.queue = nil
 	for _, what := range queue {
 		if d, is := what.(*dispatch); is && d.batch.client == nil { // nobody waits, and its text is gone
-			r.giveUp(d, brain.Withdrawn)
+			r.giveUp(d, brain.Canceled)
 		} else {
 			r.send(l, what)
 		}
--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -106,7 +106,7 @@
 	b := h.open[id]
 	h.stream(b.dispatches[1])
 	assert.True(t, b.dispatches[0].ended)
-	assert.True(t, b.Streams)
+	assert.True(t, b.Streaming)
 	assert.Same(t, b.dispatches[1], b.streaming())
 	h.tell(EngineEnded{b.dispatches[1].line.Number, ResetByPeer})
 	assert.Empty(t, h.batches, "the result is cut, and nothing is sent again")
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -45,7 +45,7 @@
 	held         bool // the engine's connection is not read, since the client is slow
 	answered     bool // its engine has ended it, with what can't be passed on
 	withdrawn    bool // its engine is told that it is given up, and has not shown that it has read that
-	withdrawnAs  brain.Ending
+	withdrawnAs  brain.Outcome
 	work, memory float64
 	report       *brain.Report
 	timer        *timer
@@ -54,8 +54,8 @@
 func (r *Router) dispatch(b *batch, e *engine, what brain.Decision) {
 	no, wait := what.Number, what.Wait
 	d := &dispatch{batch: b, no: no, engine: e, sentAt: r.now, endAt: r.now + wait, by: r.by(), work: -1, memory: -1}
-	if what.By > 0 {
-		d.by = min(d.by, what.By)
+	if what.SendBefore > 0 {
+		d.by = min(d.by, what.SendBefore)
 	}
 	b.dispatches = append(b.dispatches, d)
 	e.out++
@@ -88,7 +88,7 @@
 		w.written, w.wroteAt = true, r.now
 		r.log(Debug, "written", "id", w.batch.id, "no", w.no, "engine", w.engine.name, "address", w.engine.address,
 			"connection", l.Number, "waited", r.now-w.sentAt, "serial", r.follower.Serial())
-		r.do(OrderEngine{l.Number, w.order(r.now), min(w.by, r.now+r.decisionHolds()), w.batch.origin(!r.settings.Settings.MayCopy)})
+		r.do(OrderEngine{l.Number, w.order(r.now), min(w.by, r.now+r.decisionHolds()), w.batch.origin(!r.settings.Settings.MayHedge)})
 	case *probe:
 		r.do(OrderEngine{l.Number, traffic.Probe{Tag: w.tag, WantLoad: r.settings.Settings.Loads}, math.Inf(1), Origin{}})
 	}
@@ -99,7 +99,7 @@
 	if b.client == nil {
 		return Origin{}
 	}
-	return Origin{Client: b.client.number, Stream: b.stream, OnceOnly: b.Group.Effect == brain.OnceOnly, Single: single}
+	return Origin{Client: b.client.number, Stream: b.stream, OnceOnly: b.Group.Idempotency == brain.AtMostOnce, Single: single}
 }
 
 // orderRefused takes back a request that was not written. It never ran. Either the part of the fleet's budget by which it was
@@ -117,7 +117,7 @@
 	d.written = false
 	switch {
 	case d.batch.client == nil:
-		r.giveUp(d, brain.Withdrawn)
+		r.giveUp(d, brain.Canceled)
 	case e.Why == OrderInvalid:
 		r.abandon(d)
 	case e.Why == OrderUnread:
@@ -134,7 +134,7 @@
 	b := d.batch
 	r.expired(d)
 	if b.client != nil {
-		r.brain.Left(b.Batch)
+		r.brain.RemoveBatch(b.Batch)
 		b.why = "the router's state is in doubt"
 		r.answer(b, traffic.Failed, 0)
 	}
@@ -162,7 +162,7 @@
 
 // ended tells the module how a dispatch ended; a batch that is over needs no more dispatches. One of which rows have
 // gone out is over with that: nothing can be sent again, and the client is told that its result is cut.
-func (r *Router) ended(d *dispatch, how brain.Ending, report *brain.Report) {
+func (r *Router) ended(d *dispatch, how brain.Outcome, report *brain.Report) {
 	if d.ended {
 		return
 	}
@@ -178,13 +178,13 @@
 		d.line.queue = slices.DeleteFunc(d.line.queue, func(w any) bool { return w == any(d) })
 	}
 	b := d.batch
-	if d.streams && b.client != nil && how != brain.Returned {
+	if d.streams && b.client != nil && how != brain.Completed {
 		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(how), "sent", d.size)
 		r.reply(b, &traffic.Answer{Code: traffic.Failed, Reason: "the result is cut: " + b.why})
 	}
 	r.log(Debug, "ended", "id", b.id, "no", d.no, "engine", d.engine.name, "how", int(how), "took", r.now-d.sentAt,
 		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missing, "connection", d.connection())
-	r.brain.Outcome(b.Batch, d.no, how, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
+	r.brain.DispatchEnded(b.Batch, d.no, how, b.client == nil, r.now-d.sentAt, d.work, d.memory, report)
 	r.forget(b)
 }
 
@@ -196,7 +196,7 @@
 }
 
 // giveUp ends a dispatch of ours before the engine did.
-func (r *Router) giveUp(d *dispatch, how brain.Ending) {
+func (r *Router) giveUp(d *dispatch, how brain.Outcome) {
 	if d.ended || d.withdrawn {
 		return
 	}
@@ -236,7 +236,7 @@
 }
 
 // unsent is what giving up a dispatch proves whose bytes never left this router.
-var unsent = map[brain.Ending]brain.Ending{brain.TimedOut: brain.Unconnected, brain.Withdrawn: brain.NotSent}
+var unsent = map[brain.Outcome]brain.Outcome{brain.TimedOut: brain.ConnectFailed, brain.Canceled: brain.NotSent}
 
 func (r *Router) engineSaid(number uint64, reply *traffic.EngineReply) {
 	l := r.connections[number]
@@ -261,11 +261,11 @@
 }
 
 // finish ends a dispatch by what its engine said.
-func (r *Router) finish(d *dispatch, how brain.Ending) {
+func (r *Router) finish(d *dispatch, how brain.Outcome) {
 	l := d.line
 	r.ended(d, how, d.report)
 	// A second copy may follow: it must not end another dispatch of the batch, were that on this connection.
-	l.Close(d.batch.id, how != brain.Returned && d.batch.client != nil && !l.engine.speaks.OneAtATime, r.now)
+	l.Close(d.batch.id, how != brain.Completed && d.batch.client != nil && !l.engine.speaks.OneAtATime, r.now)
 	r.rest(l)
 }
 
@@ -295,7 +295,7 @@
 				r.order(d.line, traffic.CloseResult{ID: d.batch.id})
 			}
 			body.Release()
-			r.finish(d, brain.Returned)
+			r.finish(d, brain.Completed)
 			return
 		}
 		d.pages = make([]rows.Part, reply.Pages)
@@ -328,7 +328,7 @@
 		if d.pages != nil {
 			r.finish(d, brain.Errored)
 		} else {
-			r.finish(d, brain.TurnedAway)
+			r.finish(d, brain.Rejected)
 		}
 	case traffic.ReplyFailed:
 		body.Release()
@@ -336,7 +336,7 @@
 	case traffic.ReplyProgress:
 		body.Release()
 		if reply.Note != 0 {
-			r.brain.News(d.batch.Batch, d.no, reply.Note, reply.Level)
+			r.brain.DispatchUpdated(d.batch.Batch, d.no, reply.Note, reply.Level)
 		}
 	default:
 		r.unusable(d, reply)
@@ -428,7 +428,7 @@
 	if d.held {
 		r.hold(d, false)
 	}
-	r.finish(d, brain.Returned)
+	r.finish(d, brain.Completed)
 }
 
 func sizeOf(parts []rows.Part) (n int) {
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -57,7 +57,7 @@
 	Shed                       int
 	Measures                   levels.Measures
 	Batches, Clients, Stopping int
-	Seen                       brain.Seen
+	Seen                       brain.Stats
 }
 
 func (r *Router) setLevels(e LevelsSet) {
@@ -76,16 +76,16 @@
 	if after := r.level.machine.Change(e.Levels); after.Name != before.Name {
 		r.levelChanged(after, levels.Measures{})
 	} else {
-		r.brain.Reduce(r.reduced(after.Does))
+		r.brain.SetReducedService(r.reduced(after.Does))
 	}
 }
 
 // lookAtLevel takes the measures, and has the module follow where the level is another than before.
 func (r *Router) lookAtLevel() {
 	r.timers.add(r.now+levelEvery, levelCheck{})
-	seen := r.brain.Seen()
+	seen := r.brain.Stats()
 	r.level.gauge.Clock(r.now)
-	r.level.gauge.Holds(seen.HeldWork, seen.Engines, seen.Cold+seen.Aside+seen.Drained)
+	r.level.gauge.Holds(seen.QueuedWork, seen.Engines, seen.Cold+seen.Ejected+seen.Draining)
 	x := r.level.gauge.Measures()
 	state, changed := r.level.machine.Look(r.now, x)
 	if changed {
@@ -106,19 +106,19 @@
 		fields = append(fields, name, x[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.Reduce(r.reduced(s.Does))
+	r.brain.SetReducedService(r.reduced(s.Does))
 }
 
 // reduced words a level for the module. A group that has a second one for what has no mark is shed with it.
-func (r *Router) reduced(d levels.Does) brain.Reduced {
-	out := brain.Reduced{LeastGain: d.LeastGain, Further: d.Further, Probes: d.Probes, Early: d.Early}
+func (r *Router) reduced(d levels.Does) brain.ReducedService {
+	out := brain.ReducedService{MinUtilityPerSecond: d.LeastGain, MaxRetries: d.Further, ProbeShare: d.Probes, GiveUpFactor: d.Early}
 	for name, keep := range d.Keep {
-		if out.Keep == nil {
-			out.Keep = map[*brain.ServiceGroup]float64{}
+		if out.KeepShare == nil {
+			out.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
 		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarked[name]} {
 			if g != nil {
-				out.Keep[g] = keep
+				out.KeepShare[g] = keep
 			}
 		}
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -104,7 +104,7 @@
 	}
 	if m.settled != m.counted {
 		m.counted = m.settled
-		r.brain.Fleet(m.settled)
+		r.brain.SetRouterCount(m.settled)
 	}
 }
 
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -29,7 +29,7 @@
 	r.newsView()
 	var loads []news.Load
 	for _, e := range r.engines {
-		if threads, memory := e.Engine.Out(); threads > 0 {
+		if threads, memory := e.Engine.InFlightResources(); threads > 0 {
 			loads = append(loads, news.Load{Of: of(e), Threads: threads, Memory: memory})
 		}
 	}
@@ -73,7 +73,7 @@
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
 			l := loads[of(e)]
-			r.brain.Others(&e.Engine, l.Threads, l.Memory, r.now+r.news.stale-age)
+			r.brain.SetOthersLoad(&e.Engine, l.Threads, l.Memory, r.now+r.news.stale-age)
 		}
 	}
 }
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -24,7 +24,7 @@
 	}
 	if l == nil {
 		p.ended = true
-		r.brain.Probed(&e.Engine, false, nil)
+		r.brain.ProbeEnded(&e.Engine, false, nil)
 		return
 	}
 	p.line = l
@@ -44,7 +44,7 @@
 	}
 	r.log(Debug, "probed", "engine", p.engine.name, "ok", ok, "load", load)
 	if p.line.check != p { // that one is ours
-		r.brain.Probed(&p.engine.Engine, ok, load)
+		r.brain.ProbeEnded(&p.engine.Engine, ok, load)
 	} else {
 		p.line.check = nil
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -127,7 +127,7 @@
 	}
 	r.spread = spread
 	r.bound()
-	r.brain.Clock(now)
+	r.brain.SetTime(now)
 	r.listed(r.follower.List())
 	r.ask()
 	return r
@@ -180,7 +180,7 @@
 	if r.exited { // all is answered: what comes while the last bytes are written is neither taken nor sent on
 		return r.out[:0]
 	}
-	r.brain.Clock(r.now)
+	r.brain.SetTime(r.now)
 	switch e := what.(type) {
 	case ClientOpened:
 		r.clientOpened(e.Client, e.Speaks)
@@ -251,18 +251,18 @@
 	if e.Adaptive != r.adaptive {
 		r.adaptive = e.Adaptive
 		for _, known := range r.engines {
-			known.Limit = e.Adaptive.New()
+			known.ConcurrencyLimit = e.Adaptive.New()
 		}
 	}
 	all := e.All.Fresh()
 	all.Adopt(r.ofAll)
 	r.ofAll, r.further = all, e.Engine
-	r.brain.Budget(all)
+	r.brain.SetRetryBudget(all)
 	r.setPurses()
 	for _, known := range r.engines {
 		next := e.Engine.Fresh()
-		next.Adopt(known.Further)
-		known.Further = next
+		next.Adopt(known.RetryBudget)
+		known.RetryBudget = next
 	}
 	r.log(Info, "routes", "count", len(e.Routes.Routes), "adaptive", e.Adaptive.Kind)
 }
@@ -284,7 +284,7 @@
 	}
 	if r.now >= r.wakeAt {
 		r.wakeAt = math.Inf(1)
-		r.brain.Woken()
+		r.brain.TimerFired()
 	}
 	r.sendQueues()
 	r.pull()
@@ -343,7 +343,7 @@
 	for {
 		d := r.brain.Next()
 		switch d.Kind {
-		case brain.Nothing:
+		case brain.NoDecision:
 			return
 		case brain.Terms:
 			if b := r.batches[d.Batch]; b != nil {
@@ -353,13 +353,13 @@
 			if b := r.batches[d.Batch]; b != nil {
 				r.dispatch(b, r.byBrain[d.Engine], d)
 			}
-		case brain.PushBack:
+		case brain.Reject:
 			r.answer(r.batches[d.Batch], traffic.Rejected, d.Wait)
 		case brain.Fail:
 			r.answer(r.batches[d.Batch], traffic.Failed, 0)
 		case brain.Cancel:
 			if b := r.batches[d.Batch]; b != nil && d.Number < len(b.dispatches) {
-				r.giveUp(b.dispatches[d.Number], brain.Withdrawn)
+				r.giveUp(b.dispatches[d.Number], brain.Canceled)
 			}
 		case brain.Probe:
 			r.probe(r.byBrain[d.Engine])
@@ -449,15 +449,15 @@
 		known := r.engines[e.ID]
 		if known == nil {
 			known = &engine{name: e.ID, speaks: r.speaks(e), Engine: brain.Engine{ID: hash(e.ID)}}
-			known.pool.Engine, known.Alone = known.ID, known.speaks.OneAtATime
+			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.speaks.OneAtATime
 			r.engines[e.ID] = known
 			r.byBrain[&known.Engine] = known
 		}
-		if known.Limit == nil || known.StartedAt != e.StartedAt { // what was learned of the process before is void
-			known.Limit = r.adaptive.New()
+		if known.ConcurrencyLimit == nil || known.StartedAt != e.StartedAt { // what was learned of the process before is void
+			known.ConcurrencyLimit = r.adaptive.New()
 		}
-		if known.Further == nil {
-			known.Further = r.further.Fresh()
+		if known.RetryBudget == nil {
+			known.RetryBudget = r.further.Fresh()
 		}
 		if e.Address != "" && e.Address != known.address {
 			// What listens at the old address is another one's, or will be.
@@ -480,7 +480,7 @@
 		whole = append(whole, &known.Engine)
 		there[known] = true
 	}
-	r.brain.Listed(whole, true)
+	r.brain.UpdateEngines(whole, true)
 	for _, name := range slices.Sorted(maps.Keys(r.engines)) { // in one order, whatever a map makes of it
 		e := r.engines[name]
 		if there[e] || e.gone {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -73,8 +73,8 @@
 func TestEveryEndHasItsOutcomes(t *testing.T) {
 	for e := range ends {
 		assert.NotEmpty(t, e.String())
-		assert.Equal(t, brain.Broken, outcomes[e].written, "nothing proves that it never ran: %s", e)
-		assert.Contains(t, []brain.Ending{brain.Unconnected, brain.NotSent}, outcomes[e].unwritten, e.String())
+		assert.Equal(t, brain.ConnectionLost, outcomes[e].written, "nothing proves that it never ran: %s", e)
+		assert.Contains(t, []brain.Outcome{brain.ConnectFailed, brain.NotSent}, outcomes[e].unwritten, e.String())
 	}
 }
 
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -20,8 +20,8 @@
 
 // setShares puts the division that moves in place of the fixed one.
 func (r *Router) setShares(s *shares.Settings, self shares.ID) {
-	r.parts = &parts{machine: shares.New(*s, self, r.brain.Fixed(), r.now)}
-	r.brain.Divide(r.parts.machine)
+	r.parts = &parts{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
+	r.brain.SetQuota(r.parts.machine)
 	r.setPurses()
 	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
 }
@@ -64,7 +64,7 @@
 		if !p.machine.Came() {
 			break
 		}
-		r.brain.Granted()
+		r.brain.QuotaGranted()
 		r.pull()
 	}
 	r.partsSaid()
@@ -102,7 +102,7 @@
 	}
 	p.machine.Heard(r.now, m)
 	if p.machine.Came() {
-		r.brain.Granted()
+		r.brain.QuotaGranted()
 	}
 	r.partsSaid()
 }
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -17,7 +17,7 @@
 		return
 	}
 	r.stopAt = r.now
-	r.brain.Leave()
+	r.brain.PrepareShutdown()
 	r.log(Info, "stopping", "open", len(r.batches), "clients", len(r.clients))
 	for _, c := range r.inOrder() {
 		r.do(TellClient{c.number, traffic.GoAway{}})
@@ -57,7 +57,7 @@
 		if b.client == nil {
 			continue
 		}
-		if d := r.brain.Last(b.Batch); d.Kind == brain.PushBack {
+		if d := r.brain.FinalDecision(b.Batch); d.Kind == brain.Reject {
 			r.answer(b, traffic.Rejected, d.Wait)
 		} else {
 			b.why = "the router has stopped"
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -42,16 +42,16 @@
 	b := d.batch
 	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.speaks.Name, "bytes", d.size, "why", why.Error())
 	r.reply(b, &traffic.Answer{Code: traffic.Failed, Reason: why.Error()})
-	r.giveUp(d, brain.Withdrawn)
+	r.giveUp(d, brain.Canceled)
 }
 
 // stream begins to send what there is. A second copy of the batch is given up first: what of it comes later can't be
 // passed on beside this one's, and the module sends no other from here on.
 func (r *Router) stream(d *dispatch) {
-	d.batch.Streams = true
+	d.batch.Streaming = true
 	for _, o := range slices.Clone(d.batch.dispatches) {
 		if o != d {
-			r.giveUp(o, brain.Withdrawn)
+			r.giveUp(o, brain.Canceled)
 		}
 	}
 	parts := d.pages
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -29,13 +29,13 @@
 // mustConfirm tells whether the end of a dispatch has to be proven before the module hears of it. Where nothing is sent again
 // whatever comes of it, the final answer need not wait.
 func (r *Router) mustConfirm(d *dispatch) bool {
-	return !r.settings.Settings.MayCopy && d.batch.client != nil && d.batch.Group.Effect != brain.OnceOnly && !d.streams
+	return !r.settings.Settings.MayHedge && d.batch.client != nil && d.batch.Group.Idempotency != brain.AtMostOnce && !d.streams
 }
 
 // withdraw tells an engine that a dispatch is given up, and keeps it open until the engine has shown that it has read that. It
 // reports whether there is time for that.
-func (r *Router) withdraw(d *dispatch, how brain.Ending) bool {
-	by := min(r.now+confirmWithin, d.batch.Until())
+func (r *Router) withdraw(d *dispatch, how brain.Outcome) bool {
+	by := min(r.now+confirmWithin, d.batch.Deadline())
 	if by <= r.now || !d.line.Up {
 		return false
 	}
@@ -91,7 +91,7 @@
 }
 
 // endWithdrawn tells the module of the end of a dispatch that was given up.
-func (r *Router) endWithdrawn(d *dispatch, how brain.Ending) {
+func (r *Router) endWithdrawn(d *dispatch, how brain.Outcome) {
 	l := d.line
 	r.ended(d, how, d.report)
 	l.Close(d.batch.id, true, r.now)
@@ -99,7 +99,7 @@
 }
 
 // brokenOff is how a dispatch ends whose bytes may have left and whose connection has ended.
-func (r *Router) brokenOff(d *dispatch, end End) brain.Ending {
+func (r *Router) brokenOff(d *dispatch, end End) brain.Outcome {
 	if r.mustConfirm(d) && !d.answered && !end.ByPeer() {
 		return brain.Unconfirmed
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -86,9 +86,9 @@
 
 // The words that settings use; an empty one stands for what is not told, and means what asks most care.
 var (
-	effects   = map[string]brain.Effect{"idempotent": brain.Repeatable, "deduplicated": brain.Referenced, "at_most_once": brain.OnceOnly, "": brain.OnceOnly}
-	scopes    = map[string]brain.Scope{"all": brain.WithinAll, "zone": brain.WithinZone, "cell": brain.WithinCell, "": brain.WithinCell}
-	shortages = map[string]brain.Shortage{"line_up": brain.LineUp, "cut": brain.CutGrant, "overcommit": brain.Overcommit, "": brain.Overcommit}
+	effects   = map[string]brain.Idempotency{"idempotent": brain.Idempotent, "deduplicated": brain.Deduplicated, "at_most_once": brain.AtMostOnce, "": brain.AtMostOnce}
+	scopes    = map[string]brain.DedupScope{"all": brain.WithinAll, "zone": brain.WithinZone, "cell": brain.WithinCell, "": brain.WithinCell}
+	shortages = map[string]brain.MemoryPolicy{"line_up": brain.WaitForMemory, "cut": brain.ReduceGrant, "overcommit": brain.Overcommit, "": brain.Overcommit}
 	mustAsk   = map[string]bool{"push": false, "ask": true, "": true}
 	reporting = map[string]bool{"answers": true, "probe": true, "none": false, "": true}
 )
@@ -220,11 +220,11 @@
 func Report(into *brain.Report, name string, value float64) {
 	switch name {
 	case "active", "inflight":
-		into.Held = value
+		into.InFlight = value
 	case "waiting", "queue":
 		into.Waiting = value
 	case "cpu", "util":
-		into.Busy = value
+		into.CPU = value
 	case "x0":
 		into.Memory = value
 	case "x1":
@@ -234,7 +234,7 @@
 
 // NoReport is one of which nothing is told.
 func NoReport() *brain.Report {
-	return &brain.Report{Held: -1, Waiting: -1, Busy: -1, Memory: -1, Disks: -1}
+	return &brain.Report{InFlight: -1, Waiting: -1, CPU: -1, Memory: -1, Disks: -1}
 }
 
 // Decode reads the settings.
@@ -251,30 +251,30 @@
 	if o.Index != nil {
 		index = *o.Index
 	}
-	s := brain.Settings{Routers: o.Balancers, Index: index, Zone: o.Zone, OverShare: o.OverShare,
-		LargestGrant: o.Specifics.Largest,
-		Shortage:     word(shortages, o.Specifics.Over, "specifics.overbooked", &wrong), Grants: o.Specifics.Grants, Priorities: o.Specifics.Priority,
-		NotesEvery: o.Specifics.Pace / 1000, MayCancel: o.Limits.Cancel, MayProbe: o.Limits.Probe,
-		MayCopy:        o.Limits.Duplicate,
-		MostDispatches: o.Limits.Attempts, ProbePrice: o.Prices.Probe, ColdFrom: o.Rules.ColdFrom,
-		ColdTime: o.Rules.Cold / 1000, FallMultiple: o.Rules.FallMultiple, FallTime: o.Rules.Fall / 1000,
-		SettleTime: o.Rules.Settle / 1000, FreeFurther: value(o.Rules.ExtraFree),
-		FurtherShare: value(o.Rules.FurtherRatio), FurtherWindow: value(o.Rules.LookBack) / 1000,
-		Rationed: o.Rules.ExtraFree != nil || o.Rules.FurtherRatio != nil || o.Rules.LookBack != nil,
-		MustAsk:  word(mustAsk, o.Discovery, "discovery", &wrong), Tick: o.Tick / 1000}
+	s := brain.Settings{Routers: o.Balancers, Index: index, Zone: o.Zone, OverQuotaUtility: o.OverShare,
+		MaxGrantShare: o.Specifics.Largest,
+		MemoryPolicy:  word(shortages, o.Specifics.Over, "specifics.overbooked", &wrong), Grants: o.Specifics.Grants, Priorities: o.Specifics.Priority,
+		UpdateInterval: o.Specifics.Pace / 1000, MayCancel: o.Limits.Cancel, MayProbe: o.Limits.Probe,
+		MayHedge:      o.Limits.Duplicate,
+		MaxDispatches: o.Limits.Attempts, ProbeCost: o.Prices.Probe, ColdCapacityShare: o.Rules.ColdFrom,
+		SlowStartTime: o.Rules.Cold / 1000, OverloadFactor: o.Rules.FallMultiple, OverloadWindow: o.Rules.Fall / 1000,
+		SettleTime: o.Rules.Settle / 1000, FreeRetries: value(o.Rules.ExtraFree),
+		RetryRatio: value(o.Rules.FurtherRatio), RetryWindow: value(o.Rules.LookBack) / 1000,
+		LimitRetries:  o.Rules.ExtraFree != nil || o.Rules.FurtherRatio != nil || o.Rules.LookBack != nil,
+		MustSubscribe: word(mustAsk, o.Discovery, "discovery", &wrong), Tick: o.Tick / 1000}
 	if o.Limits.RetryAfter {
-		s.LongestDefer = o.Limits.MaxRetry / 1000
+		s.MaxRetryDelay = o.Limits.MaxRetry / 1000
 	}
 	for i, g := range o.Grades {
 		name := fmt.Sprintf("grades[%d] (%s).", i, g.Name)
 		effect, scope := word(effects, g.Idempotency, name+"idempotency", &wrong), brain.WithinCell
-		if effect == brain.Referenced { // it says nothing of others
+		if effect == brain.Deduplicated { // it says nothing of others
 			scope = word(scopes, g.Group, name+"group", &wrong)
 		}
-		s.Groups = append(s.Groups, &brain.ServiceGroup{Name: g.Name, Effect: effect, Scope: scope,
-			Window: g.Window / 1000, Goal: value(g.OnTime) / 1000, GoalStretch: g.AimStretch,
+		s.Groups = append(s.Groups, &brain.ServiceGroup{Name: g.Name, Idempotency: effect, DedupScope: scope,
+			DedupWindow: g.Window / 1000, Goal: value(g.OnTime) / 1000, GoalStretch: g.AimStretch,
 			Limit: value(g.Deadline) / 1000, Utility: g.Worth, LateShare: g.LateWorth, Threads: at(o.Specifics.Dop, i),
-			Load: at(o.Specifics.Writes, i), Waits: at(o.Specifics.Yields, i), InOrder: g.ByArrival,
+			LocksDataSet: at(o.Specifics.Writes, i), WaitsForLock: at(o.Specifics.Yields, i), InOrder: g.ByArrival,
 			Zones: g.RunsIn, Kinds: g.Flavors})
 	}
 	for i, c := range o.Specifics.Cores {
@@ -305,9 +305,9 @@
 // be told from its repeats, so it must not be sent again. Only protocols that may lack a mark need it.
 func (s *Settings) WithUnmarked() {
 	for _, g := range slices.Clone(s.Groups) {
-		if g.Effect == brain.Referenced {
+		if g.Idempotency == brain.Deduplicated {
 			other := *g
-			other.Effect = brain.OnceOnly
+			other.Idempotency = brain.AtMostOnce
 			s.Groups = append(s.Groups, &other)
 		}
 	}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -203,7 +203,7 @@
 	Pages, Page  int
 	Work, Memory float64 // seconds, MB
 	Load         *brain.Report
-	Note         brain.Note
+	Note         brain.Update
 	Level        float64 // the figure that comes with the note
 	Rows         rows.Part
 	Reason       string // of an error, for the client
