--- a/brain/brain.go
+++ b/brain/brain.go
@@ -142,17 +142,17 @@
 		r.keyQueues[b.Key] = b.keyQueue
 	}
 	first := len(b.keyQueue.batches) == 0 && b.keyQueue.inFlight == 0 // one behind another of its key might end out of order
-	bound := b.Route.Comes(r.now)
-	if b.Shed = first && bound == limits.Wait && r.shouldShed(b); b.Shed || first && bound != limits.Wait {
+	bound := b.Route.ActionOnArrival(r.now)
+	if b.Shed = first && bound == limits.QueueBatch && r.shouldShed(b); b.Shed || first && bound != limits.QueueBatch {
 		out := r.giveUp(b)
-		if bound == limits.Refuse {
+		if bound == limits.FailBatch {
 			out = Decision{Kind: Fail, Batch: b}
 		}
 		r.pending = append(r.pending, out)
 		return
 	}
-	b.Route.Took(r.now)
-	r.retryBudget.Took(r.now)
+	b.Route.CountBatch(r.now)
+	r.retryBudget.CountBatch(r.now)
 	b.keyQueue.batches, r.arrivals = append(b.keyQueue.batches, b), append(r.arrivals, r.now)
 	r.probeCredit = min(r.probeCredit+1, 8*r.probeCost())
 	r.enqueue(b)
@@ -168,7 +168,7 @@
 }
 
 func (r *Router) maxTries(b *Batch) int {
-	most := b.Route.Most(r.maxDispatches)
+	most := b.Route.DispatchLimit(r.maxDispatches)
 	if r.reduced.MaxRetries != 0 {
 		most = min(most, 1+max(r.reduced.MaxRetries, 0))
 	}
@@ -180,13 +180,13 @@
 func (r *Router) enqueue(b *Batch) {
 	i := sort.Search(len(r.queue), func(i int) bool { return r.queue[i].demand > b.demand })
 	r.queue = slices.Insert(r.queue, i, b)
-	b.Route.Uses(r.now, 0, 1)
+	b.Route.CountUsage(r.now, 0, 1)
 }
 
 func (r *Router) dequeue(b *Batch) {
 	n := len(r.queue)
 	r.queue = without(r.queue, b)
-	b.Route.Uses(r.now, 0, len(r.queue)-n)
+	b.Route.CountUsage(r.now, 0, len(r.queue)-n)
 }
 
 func (r *Router) RemoveBatch(b *Batch) {
@@ -203,9 +203,9 @@
 	d, e := b.dispatches[no], b.dispatches[no].engine
 	d.ended, d.outcome, e.inFlight = true, end, without(e.inFlight, d)
 	b.InFlight, b.keyQueue.inFlight = b.InFlight-1, b.keyQueue.inFlight-1
-	b.Route.Uses(r.now, -1, 0)
+	b.Route.CountUsage(r.now, -1, 0)
 	if e.ConcurrencyLimit != nil && end != Canceled && end != NotSent {
-		e.ConcurrencyLimit.Ended(d.sample(r.now, took, work))
+		e.ConcurrencyLimit.Observe(d.sample(r.now, took, work))
 	}
 	r.recordReport(e, rep)
 	doubt := end == TimedOut || end == ConnectionLost || end == Canceled || end == Unconfirmed
@@ -238,7 +238,7 @@
 		}
 	} else if r.dequeue(b); !b.Done && b.InFlight == 0 {
 		if b.Route != nil {
-			b.wantsQuota, b.reconsiderAt = false, r.now+b.Route.Rest(r.randomFloat())
+			b.wantsQuota, b.reconsiderAt = false, r.now+b.Route.JitteredRetryDelay(r.randomFloat())
 		}
 		r.enqueue(b)
 		r.nextSweepAt = r.now
@@ -466,7 +466,7 @@
 	// back into the same trouble. It hurts where the trouble ends the next moment.
 	return !b.unconfirmed && len(b.dispatches) < r.maxTries(b) && r.safeToRetry(b, r.tick) &&
 		(b.InFlight == 0 || r.load < maxHedgeLoad) &&
-		(len(b.dispatches) == 0 || b.Route.May(r.now) && r.retryBudget.May(r.now))
+		(len(b.dispatches) == 0 || b.Route.MayRetrySoon(r.now) && r.retryBudget.MayRetrySoon(r.now))
 }
 
 // safeToRetry: nothing ran, or a repeat may run so much later.
@@ -523,7 +523,7 @@
 				late++
 			}
 			repeat := g.Idempotency == Idempotent || g.Idempotency == Deduplicated && r.now+1 < d.sentAt+g.DedupWindow
-			repeat = repeat && len(d.batch.dispatches) < r.maxTries(d.batch) && d.batch.Route.May(r.now) && !d.batch.Done
+			repeat = repeat && len(d.batch.dispatches) < r.maxTries(d.batch) && d.batch.Route.MayRetrySoon(r.now) && !d.batch.Done
 			if r.mayCancel && !d.cancelRequested && repeat && r.shouldRestart(d) {
 				d.cancelRequested = true
 				r.pending = append(r.pending, Decision{Kind: Cancel, Batch: d.batch, Number: d.number})
@@ -585,9 +585,9 @@
 // once: the share bounds that.
 func (r *Router) shouldHedge(d *dispatch) bool {
 	b := d.batch
-	return b.Route.MayCopy(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 && !b.Streaming &&
+	return b.Route.MayHedge(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 && !b.Streaming &&
 		!d.cancelRequested && r.reduced.isZero() && r.load < maxHedgeLoad && !slices.Contains(r.queue, b) &&
-		r.now-d.sentAt-(r.totalPause-d.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Copies.After, 8)
+		r.now-d.sentAt-(r.totalPause-d.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Hedging.AfterQuantile, 8)
 }
 
 // nextDispatch is the design's ordinary path: which batch leaves next, where to, and whether the gate lets it.
@@ -624,7 +624,7 @@
 	slow, most := 0, 0.0
 	for _, b := range r.queue {
 		if b.reconsiderAt > r.now || !r.isNextOfKey(b) || len(b.dispatches) > 0 && (!r.mayDispatch(b) || r.limitRetries && r.retriesExhausted() ||
-			!b.Route.Ready(r.now) || !r.retryBudget.Ready(r.now)) || !b.Route.Room(r.now) {
+			!b.Route.MayRetryNow(r.now) || !r.retryBudget.MayRetryNow(r.now)) || !b.Route.HasCapacity(r.now) {
 			continue
 		}
 		first = cmp.Or(first, b)
@@ -699,7 +699,7 @@
 // allowed: what the rules say, at every dispatch.
 func (r *Router) allowed(b *Batch, e *Engine) bool {
 	g, at := b.Group, b.mayHaveRunOn
-	return e.Phase == Ready && b.Route.Goes(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
+	return e.Phase == Ready && b.Route.AllowsEngineKind(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
 		(g.Kinds == nil || slices.Contains(g.Kinds, e.Kind)) &&
 		(at == nil || g.Idempotency != Deduplicated || (g.DedupScope != WithinZone || e.Zone == at.Zone) &&
 			(g.DedupScope != WithinCell || e.Cell == at.Cell))
@@ -721,10 +721,10 @@
 // come, or at once while most are set aside: nearly all failing is more likely the network's doing, or ours.
 func (r *Router) canAccept(b *Batch, e *Engine) bool {
 	here := func(d *dispatch) bool { // where a copy may not go
-		return !d.ended && (d.engine == e || b.Route.OtherZone() && d.engine.Zone == e.Zone)
+		return !d.ended && (d.engine == e || b.Route.HedgesToOtherZone() && d.engine.Zone == e.Zone)
 	}
-	if b.InFlight > 0 && slices.ContainsFunc(b.dispatches, here) || !b.Route.RoomAt(e.countSharing(b)) ||
-		len(b.dispatches) > 0 && !e.RetryBudget.May(r.now) || // what has failed elsewhere must not fall on one
+	if b.InFlight > 0 && slices.ContainsFunc(b.dispatches, here) || !b.Route.HasEngineCapacity(e.countSharing(b)) ||
+		len(b.dispatches) > 0 && !e.RetryBudget.MayRetrySoon(r.now) || // what has failed elsewhere must not fall on one
 		e.ConcurrencyLimit != nil && float64(len(e.inFlight)) >= e.ConcurrencyLimit.Limit() {
 		return false
 	}
@@ -786,16 +786,16 @@
 	r.dequeue(b)
 	if len(b.dispatches) > 0 {
 		r.retries = append(r.retries, r.now)
-		b.Route.Again(r.now)
-		r.retryBudget.Again(r.now)
-		e.RetryBudget.Again(r.now)
+		b.Route.CountRetry(r.now)
+		r.retryBudget.CountRetry(r.now)
+		e.RetryBudget.CountRetry(r.now)
 	} else {
-		e.RetryBudget.Took(r.now)
+		e.RetryBudget.CountBatch(r.now)
 	}
 	if b.InFlight > 0 {
-		b.Route.Copied(r.now)
+		b.Route.CountHedge(r.now)
 	}
-	b.Route.Uses(r.now, 1, 0)
+	b.Route.CountUsage(r.now, 1, 0)
 	d := &dispatch{batch: b, engine: e, number: len(b.dispatches), sentAt: r.now, pausedBefore: r.totalPause,
 		resources: resources{1, b.Group.Threads, min(b.memoryNeed*memoryMargin, r.maxGrantShare*e.memory)}}
 	b.dispatches = append(b.dispatches, d)
@@ -821,7 +821,7 @@
 		}
 	}
 	if b.Group.Idempotency != AtMostOnce { // a time-out would only lose its answer
-		wait = b.Route.Within(wait)
+		wait = b.Route.CapTimeout(wait)
 	}
 	out := Decision{Kind: Dispatch, Batch: b, Engine: e, Number: d.number, Wait: wait}
 	if g.Idempotency == Deduplicated && b.mayHaveRunOn != nil { // engines forget what ran, also while a connection comes up
--- a/brain/figures.go
+++ b/brain/figures.go
@@ -37,7 +37,7 @@
 // countSharing counts dispatches out at an engine that count against the same bound as a batch's route.
 func (e *Engine) countSharing(b *Batch) (n int) {
 	for _, d := range e.inFlight {
-		if b.Route.Shares(d.batch.Route) {
+		if b.Route.SharesLimitWith(d.batch.Route) {
 			n++
 		}
 	}
@@ -56,7 +56,7 @@
 		alone = work / d.batch.Group.Threads
 	}
 	bad := d.outcome == TimedOut || d.outcome == ConnectionLost || d.outcome == Rejected || d.outcome == Errored || d.outcome == ConnectFailed
-	return limits.Sample{Now: now, Took: took, Alone: alone, Out: len(d.engine.inFlight) + 1, Bad: bad}
+	return limits.Sample{Now: now, Elapsed: took, Unloaded: alone, InFlight: len(d.engine.inFlight) + 1, Failed: bad}
 }
 
 func (a resources) add(b resources, times float64) resources {
--- a/brain/routes_test.go
+++ b/brain/routes_test.go
@@ -10,12 +10,12 @@
 )
 
 // newHedgingHost gives a world whose look-ups have a route with second copies, and some of them taken already.
-func newHedgingHost(t *testing.T, edit func(*Settings, *limits.Copies)) (*host, []*Engine, *limits.Route) {
+func newHedgingHost(t *testing.T, edit func(*Settings, *limits.HedgePolicy)) (*host, []*Engine, *limits.Route) {
 	s := testSettings(lookupGroup())
 	s.MayCancel, s.MayHedge = true, true
-	r := &limits.Route{Name: "r", Copies: &limits.Copies{After: 0.9, Share: 0.2}}
+	r := &limits.Route{Name: "r", Hedging: &limits.HedgePolicy{AfterQuantile: 0.9, MaxRatio: 0.2}}
 	if edit != nil {
-		edit(&s, r.Copies)
+		edit(&s, r.Hedging)
 	}
 	limits.NewTable([]*limits.Route{r})
 	h, list := newHost(t, s, 3)
@@ -79,15 +79,15 @@
 }
 
 func TestNoHedgeWhereItIsNotAllowed(t *testing.T) {
-	for name, edit := range map[string]func(*Settings, *limits.Copies){
-		"the platform forbids them": func(s *Settings, _ *limits.Copies) { s.MayHedge = false },
-		"referenced": func(s *Settings, _ *limits.Copies) {
+	for name, edit := range map[string]func(*Settings, *limits.HedgePolicy){
+		"the platform forbids them": func(s *Settings, _ *limits.HedgePolicy) { s.MayHedge = false },
+		"referenced": func(s *Settings, _ *limits.HedgePolicy) {
 			s.Groups[0].Idempotency, s.Groups[0].DedupWindow = Deduplicated, 60
 		},
-		"once-only":          func(s *Settings, _ *limits.Copies) { s.Groups[0].Idempotency = AtMostOnce },
-		"no dispatch left":   func(s *Settings, _ *limits.Copies) { s.MaxDispatches = 1 },
-		"no budget":          func(s *Settings, _ *limits.Copies) { s.LimitRetries, s.RetryWindow = true, 10 },
-		"the share is spent": func(_ *Settings, c *limits.Copies) { c.Share = 0.05 },
+		"once-only":          func(s *Settings, _ *limits.HedgePolicy) { s.Groups[0].Idempotency = AtMostOnce },
+		"no dispatch left":   func(s *Settings, _ *limits.HedgePolicy) { s.MaxDispatches = 1 },
+		"no budget":          func(s *Settings, _ *limits.HedgePolicy) { s.LimitRetries, s.RetryWindow = true, 10 },
+		"the share is spent": func(_ *Settings, c *limits.HedgePolicy) { c.MaxRatio = 0.05 },
 	} {
 		h, _, r := newHedgingHost(t, edit)
 		b := h.addBatch(func(b *Batch) { b.EstimatedWork, b.Route = 0.02, r })
@@ -118,7 +118,7 @@
 }
 
 func TestHedgeGoesToAnotherZoneAndNotToADrainingEngine(t *testing.T) {
-	h, list, r := newHedgingHost(t, func(_ *Settings, c *limits.Copies) { c.Zone = true })
+	h, list, r := newHedgingHost(t, func(_ *Settings, c *limits.HedgePolicy) { c.OtherZone = true })
 	for _, e := range list {
 		e.Zone = 0
 	}
@@ -144,9 +144,9 @@
 }
 
 func TestConcurrencyLimitQueuesRejectsOrFails(t *testing.T) {
-	for bound, want := range map[limits.Bound][3]int{limits.Wait: {2, 0, 0}, limits.PushBack: {2, 1, 0}, limits.Refuse: {2, 0, 1}} {
+	for bound, want := range map[limits.LimitAction][3]int{limits.QueueBatch: {2, 0, 0}, limits.RejectBatch: {2, 1, 0}, limits.FailBatch: {2, 0, 1}} {
 		h, _ := newHost(t, testSettings(lookupGroup()), 3)
-		r := &limits.Route{Name: "r", Concurrency: &limits.Concurrency{Name: "c", Fleet: 2, AtBound: bound}}
+		r := &limits.Route{Name: "r", Concurrency: &limits.ConcurrencyLimit{Name: "c", PerRouter: 2, OnLimit: bound}}
 		limits.NewTable([]*limits.Route{r})
 		var all []*Batch
 		for range 3 {
@@ -155,7 +155,7 @@
 		assert.Equal(t, want, [3]int{len(h.decisions(Dispatch, nil)), len(h.decisions(Reject, nil)), len(h.decisions(Fail, nil))}, bound.String())
 		h.endDispatch(all[0], Completed)
 		h.advance(0.3)
-		assert.Len(t, h.decisions(Dispatch, all[2]), map[limits.Bound]int{limits.Wait: 1}[bound], bound.String())
+		assert.Len(t, h.decisions(Dispatch, all[2]), map[limits.LimitAction]int{limits.QueueBatch: 1}[bound], bound.String())
 		free := h.addBatch(nil)
 		assert.Len(t, h.decisions(Dispatch, free), 1, "others are not held up")
 	}
@@ -163,7 +163,7 @@
 
 func TestConcurrencyLimitPerEngineSendsElsewhere(t *testing.T) {
 	h, list := newHost(t, testSettings(lookupGroup()), 3)
-	r := &limits.Route{Name: "r", Concurrency: &limits.Concurrency{Name: "c", Engine: 1}}
+	r := &limits.Route{Name: "r", Concurrency: &limits.ConcurrencyLimit{Name: "c", PerEngine: 1}}
 	limits.NewTable([]*limits.Route{r})
 	for range 4 {
 		h.addBatch(func(b *Batch) { b.Route = r })
@@ -180,8 +180,8 @@
 	samples []limits.Sample
 }
 
-func (f *fixedLimit) Limit() float64        { return f.limit }
-func (f *fixedLimit) Ended(s limits.Sample) { f.samples = append(f.samples, s) }
+func (f *fixedLimit) Limit() float64          { return f.limit }
+func (f *fixedLimit) Observe(s limits.Sample) { f.samples = append(f.samples, s) }
 
 func TestAdaptiveLimitBoundsItsEngineAndLearnsOfOutcomes(t *testing.T) {
 	h, list := newHost(t, testSettings(lookupGroup()), 2)
@@ -198,7 +198,7 @@
 		if len(b.dispatches) > 0 && b.dispatches[0].engine == list[0] {
 			h.endDispatch(b, Completed)
 			require.Len(t, one.samples, 1)
-			assert.Equal(t, limits.Sample{Now: h.now, Took: h.now - 100, Alone: 0.1, Out: 1}, one.samples[0])
+			assert.Equal(t, limits.Sample{Now: h.now, Elapsed: h.now - 100, Unloaded: 0.1, InFlight: 1}, one.samples[0])
 			break
 		}
 	}
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -50,7 +50,7 @@
 }
 
 // SetRetryBudget brings the operators' budget of further dispatches of all batches; nil: none.
-func (r *Router) SetRetryBudget(all *limits.Budget) { r.retryBudget = all }
+func (r *Router) SetRetryBudget(all *limits.RetryBudget) { r.retryBudget = all }
 
 // Deadline is when a batch must have its final answer, by the module's clock in seconds.
 func (b *Batch) Deadline() float64 { return b.deadline }
--- a/brain/types.go
+++ b/brain/types.go
@@ -116,9 +116,9 @@
 	Cell                  int
 	Kind                  int
 	Zone                  int
-	OneBatchPerConnection bool            // it takes one batch at a time on a connection
-	ConcurrencyLimit      limits.Adaptive // of what is out there; nil: none
-	RetryBudget           *limits.Budget  // of further dispatches there; nil: none
+	OneBatchPerConnection bool                 // it takes one batch at a time on a connection
+	ConcurrencyLimit      limits.AdaptiveLimit // of what is out there; nil: none
+	RetryBudget           *limits.RetryBudget  // of further dispatches there; nil: none
 
 	engineState
 }
@@ -336,5 +336,5 @@
 	probeCredit                          float64
 	wakeAt                               float64
 	reduced                              ReducedService
-	retryBudget                          *limits.Budget // of further dispatches of all batches; nil: none
+	retryBudget                          *limits.RetryBudget // of further dispatches of all batches; nil: none
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -183,7 +183,7 @@
 // A whole fleet, shed by a fixed share: who is refused is told at once, and no rule breaks.
 func TestAHeldLevelShedsItsShareAndNoMore(t *testing.T) {
 	w := hall(4, 8, 1.3)
-	s := &levels.Settings{Hold: "no reports", Levels: []levels.Level{{Name: "no reports", Does: levels.Does{Keep: map[string]float64{"report": 0}}}}}
+	s := &levels.Settings{ForcedLevel: "no reports", Levels: []levels.Level{{Name: "no reports", Actions: levels.Actions{AdmitRatio: map[string]float64{"report": 0}}}}}
 	off, on := play(t, w, Options{Seed: 2}), play(t, w, Options{Seed: 2, Levels: s, Over: 5})
 	assert.Zero(t, on.Groups["report"])
 	assert.Greater(t, on.Groups["lookup"], off.Groups["lookup"])
--- a/internal/emulator/routes_test.go
+++ b/internal/emulator/routes_test.go
@@ -12,9 +12,9 @@
 
 // proof is what a world's routers may be told, as limits see it.
 func (w *World) proof() limits.Platform {
-	p := limits.Platform{Known: true, Copies: true, Kinds: []string{"a", "b"}, Dispatches: w.Rules.Dispatches, Rationed: w.Rules.Free > 0 || w.Rules.Further > 0, Free: w.Rules.Free, Share: w.Rules.Further, Window: w.Rules.Window}
+	p := limits.Platform{Known: true, AllowsHedging: true, EngineKinds: []string{"a", "b"}, MaxDispatches: w.Rules.Dispatches, RetriesLimited: w.Rules.Free > 0 || w.Rules.Further > 0, FreeRetries: w.Rules.Free, RetryRatio: w.Rules.Further, RetryWindow: w.Rules.Window}
 	for _, g := range w.Groups {
-		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == "repeatable", Referenced: g.Effect == "referenced", Limit: g.Limit, Window: g.Window})
+		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == "repeatable", Referenced: g.Effect == "referenced", TimeLimit: g.Limit, DedupWindow: g.Window})
 	}
 	return p
 }
@@ -29,46 +29,46 @@
 		seconds := func(name string) float64 {
 			return rapid.SampledFrom([]float64{0, 0, 0, 0, 0.05, 0.4, 1.2, 4}).Draw(t, name)
 		}
-		var budgets []*limits.Budget
-		var concurrencies []*limits.Concurrency
+		var budgets []*limits.RetryBudget
+		var concurrencies []*limits.ConcurrencyLimit
 		for i := range rapid.IntRange(0, 2).Draw(t, "concurrencies") {
-			concurrencies = append(concurrencies, &limits.Concurrency{Name: string(rune('x' + i)), Engine: rapid.IntRange(0, 3).Draw(t, "engine"),
-				Fleet: rapid.IntRange(0, 12).Draw(t, "fleet"), AtBound: limits.Bound(rapid.IntRange(0, 2).Draw(t, "bound"))})
+			concurrencies = append(concurrencies, &limits.ConcurrencyLimit{Name: string(rune('x' + i)), PerEngine: rapid.IntRange(0, 3).Draw(t, "engine"),
+				PerRouter: rapid.IntRange(0, 12).Draw(t, "fleet"), OnLimit: limits.LimitAction(rapid.IntRange(0, 2).Draw(t, "bound"))})
 		}
 		var routes []*limits.Route
 		for range rapid.IntRange(0, 2).Draw(t, "budgets") {
-			budgets = append(budgets, &limits.Budget{Free: rapid.Float64Range(0, 21).Draw(t, "free"), Share: rapid.Float64Range(0, 0.21).Draw(t, "share"), Window: 10})
+			budgets = append(budgets, &limits.RetryBudget{FreeRetries: rapid.Float64Range(0, 21).Draw(t, "free"), RetryRatio: rapid.Float64Range(0, 0.21).Draw(t, "share"), Window: 10})
 		}
 		for i, group := range []string{"", "lookup", "report", "upload", "once"} {
 			if !rapid.Bool().Draw(t, "there") {
 				continue
 			}
-			r := &limits.Route{Name: string(rune('a' + i)), Match: limits.Fields{Group: group}, Dispatches: rapid.IntRange(0, 3).Draw(t, "dispatches"),
-				Timeout: seconds("time-out"), Pause: seconds("pause"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}
+			r := &limits.Route{Name: string(rune('a' + i)), Pattern: limits.Fields{Group: group}, MaxDispatches: rapid.IntRange(0, 3).Draw(t, "dispatches"),
+				Timeout: seconds("time-out"), RetryDelay: seconds("pause"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter")}
 			if len(budgets) > 0 {
 				r.Budget = rapid.SampledFrom(budgets).Draw(t, "budget")
 			}
 			if rapid.IntRange(0, 2).Draw(t, "copies") == 0 {
-				r.Copies = &limits.Copies{After: rapid.Float64Range(0.45, 0.99).Draw(t, "after"), Share: rapid.Float64Range(0.01, 0.25).Draw(t, "copied")}
+				r.Hedging = &limits.HedgePolicy{AfterQuantile: rapid.Float64Range(0.45, 0.99).Draw(t, "after"), MaxRatio: rapid.Float64Range(0.01, 0.25).Draw(t, "copied")}
 			}
 			if len(concurrencies) > 0 {
 				r.Concurrency = rapid.SampledFrom(concurrencies).Draw(t, "concurrency")
 			}
-			r.KindNames = rapid.SampledFrom([][]string{nil, nil, {"a"}, {"a", "b"}}).Draw(t, "kinds")
+			r.EngineKinds = rapid.SampledFrom([][]string{nil, nil, {"a"}, {"a", "b"}}).Draw(t, "kinds")
 			routes = append(routes, r)
 		}
 		adaptive := limits.AdaptiveSettings{Kind: rapid.SampledFrom([]string{"", "aimd", "fixed"}).Draw(t, "adaptive")}
 		if adaptive.Kind != "" {
-			adaptive.First = rapid.Float64Range(1, 20).Draw(t, "first")
+			adaptive.Initial = rapid.Float64Range(1, 20).Draw(t, "first")
 		}
-		further := func(name string) *limits.Budget {
+		further := func(name string) *limits.RetryBudget {
 			if rapid.IntRange(0, 2).Draw(t, name) > 0 {
 				return nil
 			}
-			return &limits.Budget{Name: name, Free: rapid.Float64Range(0, 21).Draw(t, "free"), Share: rapid.Float64Range(0, 0.3).Draw(t, "share"), Window: 10}
+			return &limits.RetryBudget{Name: name, FreeRetries: rapid.Float64Range(0, 21).Draw(t, "free"), RetryRatio: rapid.Float64Range(0, 0.3).Draw(t, "share"), Window: 10}
 		}
 		all, engine := further("all"), further("engine")
-		if len(limits.Check(limits.Set{Routes: routes, Budgets: budgets, Concurrencies: concurrencies, Adaptive: adaptive, All: all, Engine: engine}, w.proof())) > 0 {
+		if len(limits.Check(limits.Config{Routes: routes, Budgets: budgets, ConcurrencyLimits: concurrencies, Adaptive: adaptive, AllRetries: all, EngineRetries: engine}, w.proof())) > 0 {
 			refused++
 			return
 		}
@@ -76,7 +76,7 @@
 		kind := rapid.SampledFrom([]string{"lost", "failing", "slow", "drain", "cold", "restart"}).Draw(t, "trouble")
 		table := limits.NewTable(routes)
 		r, err := Play(w, Day{Name: "drawn", Seconds: 12, Troubles: []Trouble{{Kind: kind, At: 3, For: 4, Share: 0.5, Times: 0.1}}},
-			Options{Seed: rapid.Uint64Range(1, 1000).Draw(t, "seed"), Routes: table.Copy, Adaptive: adaptive, All: all, Engine: engine})
+			Options{Seed: rapid.Uint64Range(1, 1000).Draw(t, "seed"), Routes: table.CopyUnspent, Adaptive: adaptive, All: all, Engine: engine})
 		require.NoError(t, err)
 		require.Empty(t, r.Broken)
 		batches += r.Asked
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -59,12 +59,12 @@
 	Routes func() *limits.Table // makes the limits of a router, which keeps what it spends in them; nil: none
 	// Adaptive limits what is out at each engine; the zero value does not.
 	Adaptive limits.AdaptiveSettings
-	All      *limits.Budget   // of further dispatches of all batches, and
-	Engine   *limits.Budget   // to each engine; nil: none
-	Load     float64          // routers tell each other what is out, so often; 0: they don't
-	Talk     bool             // routers talk to each other,
-	Shares   *shares.Settings // and divide what cold engines bear by that; nil: not
-	Log      io.Writer        // lines of what happens; nil: none
+	All      *limits.RetryBudget // of further dispatches of all batches, and
+	Engine   *limits.RetryBudget // to each engine; nil: none
+	Load     float64             // routers tell each other what is out, so often; 0: they don't
+	Talk     bool                // routers talk to each other,
+	Shares   *shares.Settings    // and divide what cold engines bear by that; nil: not
+	Log      io.Writer           // lines of what happens; nil: none
 	// Tamper changes what a router asks for, for the checker's own tests.
 	Tamper func(node int, e router.Effect) []router.Effect
 	// TamperIn changes what a router is told, likewise.
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -40,11 +40,11 @@
 	Routes func() *limits.Table // makes the routes of a router; nil: none
 	// Adaptive limits what is out at each engine.
 	Adaptive limits.AdaptiveSettings
-	All      *limits.Budget   // of further dispatches, and
-	Engine   *limits.Budget   // to each engine
-	Load     float64          // and tell each other what is out, so often
-	Talk     bool             // routers talk,
-	Shares   *shares.Settings // and divide by that; nil: not
+	All      *limits.RetryBudget // of further dispatches, and
+	Engine   *limits.RetryBudget // to each engine
+	Load     float64             // and tell each other what is out, so often
+	Talk     bool                // routers talk,
+	Shares   *shares.Settings    // and divide by that; nil: not
 
 	swept bool // one of many fixed ones
 }
@@ -125,11 +125,11 @@
 	for n := range max(f.Seeds, 1) {
 		e.Seeds = append(e.Seeds, max(f.First, 1)+uint64(n))
 	}
-	held := func(name string, does levels.Does) Variant {
-		return Variant{Name: name, Over: 5, Levels: &levels.Settings{Hold: "fixed", Levels: []levels.Level{{Name: "fixed", Least: keptSpell, Does: does}}}}
+	held := func(name string, does levels.Actions) Variant {
+		return Variant{Name: name, Over: 5, Levels: &levels.Settings{ForcedLevel: "fixed", Levels: []levels.Level{{Name: "fixed", MinDuration: keptSpell, Actions: does}}}}
 	}
 	fixed := func(name, group string, keep float64) Variant {
-		return held(name, levels.Does{Keep: map[string]float64{group: keep}})
+		return held(name, levels.Actions{AdmitRatio: map[string]float64{group: keep}})
 	}
 	for _, v := range f.Variant {
 		one := Variant{Name: v.Name}
@@ -141,19 +141,19 @@
 			if err != nil {
 				return nil, err
 			}
-			if own.Levels == nil && len(own.Routes.Routes) == 0 && own.Limits.Adaptive.Kind == "" && own.Limits.All == nil && own.Limits.Engine == nil {
+			if own.Levels == nil && len(own.Routes.Routes) == 0 && own.Limits.Adaptive.Kind == "" && own.Limits.AllRetries == nil && own.Limits.EngineRetries == nil {
 				return nil, fmt.Errorf("%s: variant %q: %s has neither levels nor limits", path, v.Name, v.Settings)
 			}
-			one.Adaptive, one.All, one.Engine = own.Limits.Adaptive, own.Limits.All, own.Limits.Engine
+			one.Adaptive, one.All, one.Engine = own.Limits.Adaptive, own.Limits.AllRetries, own.Limits.EngineRetries
 			if own.Levels != nil {
 				s := *own.Levels
 				if v.Hold != "" {
-					s.Hold = v.Hold
+					s.ForcedLevel = v.Hold
 				}
 				one.Levels, one.Over = &s, own.LevelsOver
 			}
 			if len(own.Routes.Routes) > 0 {
-				one.Routes = own.Routes.Copy
+				one.Routes = own.Routes.CopyUnspent
 			}
 		}
 		one.Load = v.Load
@@ -163,15 +163,15 @@
 			one.Shares = &s
 		}
 		if v.Adaptive != "" {
-			one.Adaptive = limits.AdaptiveSettings{Kind: v.Adaptive, First: v.Limit}
+			one.Adaptive = limits.AdaptiveSettings{Kind: v.Adaptive, Initial: v.Limit}
 		}
-		if found := limits.Check(limits.Set{Adaptive: one.Adaptive}, limits.Platform{}); len(found) > 0 {
-			return nil, fmt.Errorf("%s: variant %q: %s", path, v.Name, found[0].Text)
+		if found := limits.Check(limits.Config{Adaptive: one.Adaptive}, limits.Platform{}); len(found) > 0 {
+			return nil, fmt.Errorf("%s: variant %q: %s", path, v.Name, found[0].Message)
 		}
 		e.Variants = append(e.Variants, one)
 	}
 	for _, n := range f.Limits {
-		e.Variants = append(e.Variants, Variant{Name: fmt.Sprintf("%g out", n), swept: true, Adaptive: limits.AdaptiveSettings{Kind: "fixed", First: n}})
+		e.Variants = append(e.Variants, Variant{Name: fmt.Sprintf("%g out", n), swept: true, Adaptive: limits.AdaptiveSettings{Kind: "fixed", Initial: n}})
 	}
 	if f.Sweep != nil {
 		for _, k := range f.Sweep.Keep {
@@ -180,7 +180,7 @@
 			e.Variants = append(e.Variants, one)
 		}
 		for _, g := range f.Sweep.LeastGain {
-			one := held(fmt.Sprintf("gain %g", g), levels.Does{LeastGain: g})
+			one := held(fmt.Sprintf("gain %g", g), levels.Actions{MinUtilityRate: g})
 			one.swept = true
 			e.Variants = append(e.Variants, one)
 		}
--- a/internal/explore/shares.go
+++ b/internal/explore/shares.go
@@ -137,7 +137,7 @@
 // room, spend and want are a router's for one unit.
 func (w *sharesWorld) room(i int) bool {
 	if w.Held {
-		return w.all[i].purse.Room(w.own(i), 1)
+		return w.all[i].purse.CanSpend(w.own(i), 1)
 	}
 	return w.all[i].machine.Room(w.own(i), engine, 1)
 }
@@ -152,7 +152,7 @@
 
 func (w *sharesWorld) want(i int) {
 	if w.Held {
-		w.all[i].purse.Want(w.own(i), 1)
+		w.all[i].purse.Request(w.own(i), 1)
 	} else {
 		w.all[i].machine.Want(w.own(i), engine, 1)
 	}
@@ -172,7 +172,7 @@
 				r.ended++
 				return true
 			}
-			r.purse.Freed(w.own(u.by), 1)
+			r.purse.Release(w.own(u.by), 1)
 		}
 		return true
 	})
@@ -188,7 +188,7 @@
 	}
 	w.uses = slices.Delete(w.uses, at, at+1)
 	r := w.all[i]
-	r.purse.Freed(w.own(i), 1)
+	r.purse.Release(w.own(i), 1)
 	r.machine.Wake(w.own(i))
 	w.said(r)
 }
@@ -296,7 +296,7 @@
 		if w.own(i) < by {
 			w.use(i)
 		} else if w.Held { // it never ran
-			r.purse.Freed(w.own(i), 1)
+			r.purse.Release(w.own(i), 1)
 		}
 	case Kill:
 		w.Kills--
@@ -315,7 +315,7 @@
 		r := w.all[i]
 		r.stopped = false
 		for ; r.ended > 0; r.ended-- {
-			r.purse.Freed(w.own(i), 1)
+			r.purse.Release(w.own(i), 1)
 		}
 		if r.machine.At() <= w.own(i) {
 			r.machine.Wake(w.own(i))
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -31,7 +31,7 @@
 	Rules   assign.Rules
 	Engines []engines.Settings
 	Routes  *limits.Table    // of limits
-	Limits  limits.Set       // all that is told of limits
+	Limits  limits.Config    // all that is told of limits
 	Status  string           // where the status page listens; empty: nowhere
 	Levels  *levels.Settings // of reduced service; nil: none
 	Fleet   *fleet.Settings  // other routers; nil: there is no talk
@@ -87,16 +87,16 @@
 	} else {
 		out.Shares = f.ShareSections.Prove(c, "", nil)
 	}
-	out.Levels, out.LevelsOver = f.LevelSections.Prove(c)
-	out.Limits = f.LimitSections.Prove(c)
+	out.Levels, out.LevelsOver = f.LevelSections.Validate(c)
+	out.Limits = f.LimitSections.Validate(c)
 	if out.Shares == nil {
-		for _, key := range f.LimitSections.Divided() {
+		for _, key := range f.LimitSections.FleetWideKeys() {
 			c.Found(key, "all routers divide it, for which they have to talk: [fleet] and [shares] have to be there")
 		}
 	}
 	out.Routes = limits.NewTable(out.Limits.Routes)
 	for _, found := range limits.Check(out.Limits, limits.Platform{}) {
-		c.errs = append(c.errs, fmt.Errorf("%s: %s", s.where(found.Line), found.Text))
+		c.errs = append(c.errs, fmt.Errorf("%s: %s", s.where(found.Line), found.Message))
 	}
 	return out, errors.Join(c.errs...)
 }
@@ -105,15 +105,15 @@
 // rule. All that is found is told.
 func (i *Installation) Against(path string, s settings.Settings) error {
 	errs := []error{i.Groups(path, s.GroupNames())}
-	p := limits.Platform{Known: true, Dispatches: max(s.MaxDispatches, 1), Clients: s.Clients, Rationed: s.LimitRetries, Free: s.FreeRetries,
-		Share: s.RetryRatio, Window: s.RetryWindow, Copies: s.MayHedge, Kinds: s.Kinds}
-	i.Routes.Resolve(s.Kinds)
+	p := limits.Platform{Known: true, MaxDispatches: max(s.MaxDispatches, 1), Clients: s.Clients, RetriesLimited: s.LimitRetries, FreeRetries: s.FreeRetries,
+		RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, AllowsHedging: s.MayHedge, EngineKinds: s.Kinds}
+	i.Routes.ResolveEngineKinds(s.Kinds)
 	for _, g := range s.Groups {
 		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Idempotency == brain.Idempotent, Referenced: g.Idempotency == brain.Deduplicated,
-			Limit: g.Limit, Window: g.DedupWindow, Kinds: g.Kinds})
+			TimeLimit: g.Limit, DedupWindow: g.DedupWindow, EngineKinds: g.Kinds})
 	}
 	for _, f := range limits.Check(i.Limits, p) {
-		errs = append(errs, fmt.Errorf("%s: %s", i.where(path, f.Line), f.Text))
+		errs = append(errs, fmt.Errorf("%s: %s", i.where(path, f.Line), f.Message))
 	}
 	return errors.Join(errs...)
 }
@@ -132,7 +132,7 @@
 	}
 	i.Rules.GroupsOf(check)
 	if i.Levels != nil {
-		i.Levels.GroupsOf(check)
+		i.Levels.ForEachGroup(check)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -86,7 +86,7 @@
 func TestLevelsAreReadAndWhatCanNotBeIsTold(t *testing.T) {
 	i, err := Parse("x.toml", []byte("[levels]\nturns-a-minute = 1\n"+level), env)
 	require.NoError(t, err)
-	assert.Equal(t, []any{1, 30.0, 0.5}, []any{i.Levels.Turns, i.Levels.Levels[0].Least, i.Levels.Levels[0].Keep["report"]})
+	assert.Equal(t, []any{1, 30.0, 0.5}, []any{i.Levels.MaxTransitionsPerMinute, i.Levels.Levels[0].MinDuration, i.Levels.Levels[0].AdmitRatio["report"]})
 	assert.ErrorContains(t, i.Groups("x.toml", []string{"lookup"}), "level[0].keep.report")
 	for change, why := range map[string]string{`name = "mild"|name = "usual"`: "usual", `"served", below|"wind", below`: "no measure", `below = 0.9|below = 0.9, above = 1`: "either",
 		`below = 0.9, for = "3s"|below = 0.9, for = "soon"`: "level[0].enter[0]", `report = 0.5|report = 1.5`: "from 0 to 1", `above = 0.95|below = 0.9`: "very condition",
--- a/internal/installation/routes_test.go
+++ b/internal/installation/routes_test.go
@@ -179,7 +179,7 @@
 		if r != nil {
 			name = r.Name
 		}
-		assert.Equal(t, []any{good.route, good.most, good.within}, []any{name, r.Most(3), r.Within(10)}, good.text)
+		assert.Equal(t, []any{good.route, good.most, good.within}, []any{name, r.DispatchLimit(3), r.CapTimeout(10)}, good.text)
 		var out strings.Builder
 		require.NoError(t, i.Routes.Print(&out))
 	}
--- a/internal/levels/section.go
+++ b/internal/levels/section.go
@@ -42,54 +42,54 @@
 	For     string   `toml:"for"`
 }
 
-const longestTime = 24 * 3600
+const maxSeconds = 24 * 3600
 
-// Prove gives the levels that the sections tell, nil for none, and the time in seconds over which what they are entered by
+// Validate gives the levels that the sections tell, nil for none, and the time in seconds over which what they are entered by
 // fades. What is left out has a usual value.
-func (f *LevelSections) Prove(c findings.To) (s *Settings, over float64) {
+func (f *LevelSections) Validate(c findings.To) (s *Settings, over float64) {
 	if f.Levels == nil && len(f.Level) == 0 {
 		return nil, 0
 	}
-	s, over = &Settings{Steps: 4, StepTime: 5, Backoff: 2, MostDelay: 300, Turns: 2, Spread: 0.3}, 5
+	s, over = &Settings{TrialSteps: 4, TrialStepTime: 5, BackoffFactor: 2, MaxTrialDelay: 300, MaxTransitionsPerMinute: 2, Spread: 0.3}, 5
 	if l := f.Levels; l != nil {
-		s.Hold, s.Forbid = l.Hold, l.Forbid
+		s.ForcedLevel, s.ForbiddenLevels = l.Hold, l.Forbid
 		set := func(into *float64, v float64) {
 			if v != 0 {
 				*into = v
 			}
 		}
 		set(&over, c.Seconds("levels.over", l.Over, 600))
-		set(&s.StepTime, c.Seconds("levels.step-time", l.StepTime, 3600))
-		set(&s.MostDelay, c.Seconds("levels.most-delay", l.MostDelay, longestTime))
-		set(&s.Backoff, l.Backoff)
+		set(&s.TrialStepTime, c.Seconds("levels.step-time", l.StepTime, 3600))
+		set(&s.MaxTrialDelay, c.Seconds("levels.most-delay", l.MostDelay, maxSeconds))
+		set(&s.BackoffFactor, l.Backoff)
 		set(&s.Spread, l.Spread)
 		if l.Steps != 0 {
-			s.Steps = l.Steps
+			s.TrialSteps = l.Steps
 		}
 		if l.Turns != 0 {
-			s.Turns = l.Turns
+			s.MaxTransitionsPerMinute = l.Turns
 		}
-		c.Within("levels.steps", float64(s.Steps), 1, 100)
-		c.Within("levels.turns-a-minute", float64(s.Turns), 1, 60)
-		c.Within("levels.backoff", s.Backoff, 1, 100)
+		c.Within("levels.steps", float64(s.TrialSteps), 1, 100)
+		c.Within("levels.turns-a-minute", float64(s.MaxTransitionsPerMinute), 1, 60)
+		c.Within("levels.backoff", s.BackoffFactor, 1, 100)
 		c.Within("levels.spread", s.Spread, 0, 0.9)
 	}
-	names := map[string]bool{Usual: true}
+	names := map[string]bool{Normal: true}
 	for i, l := range f.Level {
 		at := fmt.Sprintf("level[%d]", i)
 		if l.Name == "" || names[l.Name] {
-			c.Found(at+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Usual)
+			c.Found(at+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Normal)
 		}
 		names[l.Name] = true
-		one := Level{Name: l.Name, Least: c.Seconds(at+".least", l.Least, longestTime)}
-		one.Does = Does{Keep: l.Keep, LeastGain: l.LeastGain, Probes: l.Probes, Early: l.Early}
-		if one.Least == 0 {
-			one.Least = 30
+		one := Level{Name: l.Name, MinDuration: c.Seconds(at+".least", l.Least, maxSeconds)}
+		one.Actions = Actions{AdmitRatio: l.Keep, MinUtilityRate: l.LeastGain, ProbeRatio: l.Probes, GiveUpFactor: l.Early}
+		if one.MinDuration == 0 {
+			one.MinDuration = 30
 		}
 		if l.Further != nil {
 			c.Within(at+".further", float64(*l.Further), 0, 2)
-			if one.Further = *l.Further; one.Further == 0 {
-				one.Further = -1
+			if one.MaxRetries = *l.Further; one.MaxRetries == 0 {
+				one.MaxRetries = -1
 			}
 		}
 		for group, keep := range l.Keep {
@@ -100,8 +100,8 @@
 		if l.Early != 0 {
 			c.Within(at+".early", l.Early, 1, 100)
 		}
-		one.Enter, one.Exit = conditionsOf(c, at+".enter", l.Enter), conditionsOf(c, at+".exit", l.Exit)
-		if len(one.Enter) == 0 && s.Hold != l.Name {
+		one.Enter, one.Exit = parseConditions(c, at+".enter", l.Enter), parseConditions(c, at+".exit", l.Exit)
+		if len(one.Enter) == 0 && s.ForcedLevel != l.Name {
 			c.Found(at, "without a condition to enter it is never entered")
 		}
 		if len(one.Exit) == 0 {
@@ -116,7 +116,7 @@
 		}
 		s.Levels = append(s.Levels, one)
 	}
-	for _, name := range append([]string{s.Hold}, s.Forbid...) {
+	for _, name := range append([]string{s.ForcedLevel}, s.ForbiddenLevels...) {
 		if name != "" && !names[name] {
 			c.Found("levels", "there is no level %q to hold or forbid", name)
 		}
@@ -124,33 +124,33 @@
 	return s, over
 }
 
-func conditionsOf(c findings.To, at string, list []condition) (out []Condition) {
+func parseConditions(c findings.To, at string, list []condition) (out []Condition) {
 	for i, one := range list {
 		key := fmt.Sprintf("%s[%d]", at, i)
-		m, known := Named(one.Measure)
+		m, known := MeasureByName(one.Measure)
 		if !known {
-			c.Found(key, "%q is no measure; there are %s", one.Measure, strings.Join(Names[:], ", "))
+			c.Found(key, "%q is no measure; there are %s", one.Measure, strings.Join(MeasureNames[:], ", "))
 		}
 		if (one.Above == nil) == (one.Below == nil) {
 			c.Found(key, "a condition has either above or below")
 			continue
 		}
-		l := Condition{Measure: m, Below: one.Below != nil, For: c.Seconds(key, one.For, 3600)}
+		l := Condition{Measure: m, Below: one.Below != nil, MinDuration: c.Seconds(key, one.For, 3600)}
 		if l.Below {
-			l.Value = *one.Below
+			l.Threshold = *one.Below
 		} else {
-			l.Value = *one.Above
+			l.Threshold = *one.Above
 		}
-		c.Within(key, l.Value, 0, 1e6)
+		c.Within(key, l.Threshold, 0, 1e6)
 		out = append(out, l)
 	}
 	return out
 }
 
-// GroupsOf gives the service groups that levels keep a share of, each with the key that it stands under.
-func (s *Settings) GroupsOf(each func(key, group string)) {
+// ForEachGroup gives the service groups that levels keep a share of, each with the key that it stands under.
+func (s *Settings) ForEachGroup(each func(key, group string)) {
 	for n, l := range s.Levels {
-		for _, group := range slices.Sorted(maps.Keys(l.Keep)) {
+		for _, group := range slices.Sorted(maps.Keys(l.AdmitRatio)) {
 			each(fmt.Sprintf("level[%d].keep.%s", n, group), group)
 		}
 	}
--- a/internal/limits/check.go
+++ b/internal/limits/check.go
@@ -12,79 +12,79 @@
 // Platform is what the platform's settings say, against which routes are proven. The zero value is a platform that is not
 // known: what is wrong on any is still found.
 type Platform struct {
-	Known      bool
-	Dispatches int
-	Copies     bool // it allows second copies
-	Kinds      []string
-	Groups     []Group
-	Clients    []string
-	Rationed   bool // further dispatches have a budget:
-	Free       float64
-	Share      float64
-	Window     float64
+	Known          bool
+	MaxDispatches  int
+	AllowsHedging  bool // it allows second copies
+	EngineKinds    []string
+	Groups         []Group
+	Clients        []string
+	RetriesLimited bool // further dispatches have a budget:
+	FreeRetries    float64
+	RetryRatio     float64
+	RetryWindow    float64
 }
 
 // Group is a service group as far as limits go.
 type Group struct {
-	Name       string
-	Repeatable bool
-	Referenced bool
-	Limit      float64 // seconds
-	Window     float64 // of the engines' memory of repeats
-	Kinds      []int   // of engines that it is placed on; nil: any
+	Name        string
+	Repeatable  bool
+	Referenced  bool
+	TimeLimit   float64 // seconds
+	DedupWindow float64 // of the engines' memory of repeats
+	EngineKinds []int   // of engines that it is placed on; nil: any
 }
 
 // Finding is something by which a set of routes could break a rule, or could do nothing.
 type Finding struct {
-	Line int
-	Text string
+	Line    int
+	Message string
 }
 
 const (
-	// MostDispatches is what no platform lets a batch have more of (rule 2).
-	MostDispatches = 3
+	// MaxDispatches is what no platform lets a batch have more of (rule 2).
+	MaxDispatches = 3
 
-	mostPause   = 3600
-	mostNumber  = 1e6
-	leastWindow = 0.1
-	leastAfter  = 0.5 // quantile: earlier, and half of all batches would be copied
-	mostAfter   = 0.999
-	mostShare   = 0.5 // of second copies
-	mostOut     = 1e6
-	leastResult = 1 << 10
+	maxSeconds       = 3600
+	maxFreeRetries   = 1e6
+	minWindow        = 0.1
+	minHedgeQuantile = 0.5 // quantile: earlier, and half of all batches would be copied
+	maxHedgeQuantile = 0.999
+	maxHedgeRatio    = 0.5 // of second copies
+	maxInFlight      = 1e6
+	minResultBytes   = 1 << 10
 )
 
 // Protocols are those that routes may name.
 var Protocols = []string{"frames", "tds"}
 
-// Set is what a file holds of limits.
-type Set struct {
-	Routes        []*Route
-	Budgets       []*Budget
-	Concurrencies []*Concurrency
-	Adaptive      AdaptiveSettings
-	AdaptiveLine  int
-	All, Engine   *Budget // of further dispatches of all batches, and to each engine; nil: none
+// Config is what a file holds of limits.
+type Config struct {
+	Routes                    []*Route
+	Budgets                   []*RetryBudget
+	ConcurrencyLimits         []*ConcurrencyLimit
+	Adaptive                  AdaptiveSettings
+	AdaptiveLine              int
+	AllRetries, EngineRetries *RetryBudget // of further dispatches of all batches, and to each engine; nil: none
 }
 
 // check finds what is wrong with a bound of its own.
-func (c *Concurrency) check() (out []Finding) {
+func (c *ConcurrencyLimit) check() (out []Finding) {
 	found := func(format string, args ...any) {
 		out = append(out, Finding{c.Line, fmt.Sprintf("concurrency %q: ", c.Name) + fmt.Sprintf(format, args...)})
 	}
-	if !within(float64(c.Engine), 0, mostOut) || !within(float64(c.Fleet), 0, mostOut) || !within(float64(c.Routers), 0, mostOut) {
-		found("engine, fleet and routers must be whole numbers from 1 to %g", mostOut)
+	if !inRange(float64(c.PerEngine), 0, maxInFlight) || !inRange(float64(c.PerRouter), 0, maxInFlight) || !inRange(float64(c.FleetWide), 0, maxInFlight) {
+		found("engine, fleet and routers must be whole numbers from 1 to %g", maxInFlight)
 	}
-	if c.Engine == 0 && c.Fleet == 0 && c.Routers == 0 {
+	if c.PerEngine == 0 && c.PerRouter == 0 && c.FleetWide == 0 {
 		found("it bounds nothing: engine, fleet or routers has to be there")
 	}
-	if c.Routers > 0 && c.Fleet > c.Routers {
-		found("%d from this router can't be reached with %d from all", c.Fleet, c.Routers)
+	if c.FleetWide > 0 && c.PerRouter > c.FleetWide {
+		found("%d from this router can't be reached with %d from all", c.PerRouter, c.FleetWide)
 	}
-	if c.Fleet > 0 && c.Engine > c.Fleet {
-		found("%d at one engine can't be reached with %d in all", c.Engine, c.Fleet)
+	if c.PerRouter > 0 && c.PerEngine > c.PerRouter {
+		found("%d at one engine can't be reached with %d in all", c.PerEngine, c.PerRouter)
 	}
-	if c.Fleet == 0 && c.Routers == 0 && c.AtBound != Wait {
+	if c.PerRouter == 0 && c.FleetWide == 0 && c.OnLimit != QueueBatch {
 		found("what happens at the bound is told by that of the fleet, which is not there")
 	}
 	return out
@@ -101,25 +101,25 @@
 	if AdaptiveKinds[s.Kind] == nil {
 		found("%q is no kind; there are %s", s.Kind, strings.Join(slices.Sorted(maps.Keys(AdaptiveKinds)), ", "))
 	}
-	u := s.usual()
-	if !within(u.Least, 1, mostOut) || !within(u.Most, u.Least, mostOut) || !within(u.First, u.Least, u.Most) {
-		found("least, first and most must be from 1 to %g and in that order, not %g, %g and %g", mostOut, u.Least, u.First, u.Most)
+	u := s.withDefaults()
+	if !inRange(u.Min, 1, maxInFlight) || !inRange(u.Max, u.Min, maxInFlight) || !inRange(u.Initial, u.Min, u.Max) {
+		found("least, first and most must be from 1 to %g and in that order, not %g, %g and %g", maxInFlight, u.Min, u.Initial, u.Max)
 	}
-	if !within(u.Stretch, 1.1, 100) {
-		found("stretch must be from 1.1 to 100 times the time alone, not %g", u.Stretch)
+	if !inRange(u.MaxSlowdown, 1.1, 100) {
+		found("stretch must be from 1.1 to 100 times the time alone, not %g", u.MaxSlowdown)
 	}
 	return out
 }
 
 // Check finds all that is wrong with a set, each as a sentence.
-func Check(set Set, p Platform) (out []Finding) {
+func Check(set Config, p Platform) (out []Finding) {
 	routes, budgets := set.Routes, slices.Clone(set.Budgets)
-	for _, b := range []*Budget{set.All, set.Engine} {
+	for _, b := range []*RetryBudget{set.AllRetries, set.EngineRetries} {
 		if b != nil {
 			budgets = append(budgets, b)
 		}
 	}
-	for _, c := range set.Concurrencies {
+	for _, c := range set.ConcurrencyLimits {
 		out = append(out, c.check()...)
 	}
 	out = append(out, set.Adaptive.check(set.AdaptiveLine)...)
@@ -127,17 +127,17 @@
 		found := func(format string, args ...any) {
 			out = append(out, Finding{b.Line, fmt.Sprintf("budget %q: ", b.Name) + fmt.Sprintf(format, args...)})
 		}
-		if !within(b.Free, 0, mostNumber) || !within(b.Share, 0, 1) {
-			found("rule 7: free must be from 0 to %g and share from 0 to 1 (0.1 is a tenth), not %g and %g", mostNumber, b.Free, b.Share)
+		if !inRange(b.FreeRetries, 0, maxFreeRetries) || !inRange(b.RetryRatio, 0, 1) {
+			found("rule 7: free must be from 0 to %g and share from 0 to 1 (0.1 is a tenth), not %g and %g", maxFreeRetries, b.FreeRetries, b.RetryRatio)
 		}
-		if !within(b.Window, leastWindow, mostPause) {
-			found("its window must be from %gs to %gs", leastWindow, float64(mostPause))
+		if !inRange(b.Window, minWindow, maxSeconds) {
+			found("its window must be from %gs to %gs", minWindow, float64(maxSeconds))
 		}
-		if b.Fleet && b.Free < 1 {
-			found("fleet says that all routers divide the free ones, and %g is none", b.Free)
+		if b.FleetWide && b.FreeRetries < 1 {
+			found("fleet says that all routers divide the free ones, and %g is none", b.FreeRetries)
 		}
-		if p.Rationed && (b.Free > p.Free && !b.Fleet || b.Share > p.Share) { // all routers' are bounded by each one's besides
-			found("rule 7: it gives more further dispatches than the platform's budget (%g and a share of %g)", p.Free, p.Share)
+		if p.RetriesLimited && (b.FreeRetries > p.FreeRetries && !b.FleetWide || b.RetryRatio > p.RetryRatio) { // all routers' are bounded by each one's besides
+			found("rule 7: it gives more further dispatches than the platform's budget (%g and a share of %g)", p.FreeRetries, p.RetryRatio)
 		}
 	}
 	names := map[string]bool{}
@@ -148,9 +148,9 @@
 		}
 		names[r.Name] = true
 		for _, o := range routes[:i] {
-			if o.exactness() == r.exactness() && overlap(o.Match, r.Match) {
+			if o.specificity() == r.specificity() && canBothMatch(o.Pattern, r.Pattern) {
 				out = append(out, Finding{r.Line, fmt.Sprintf("route %q: it is as exact as route %q (line %d), and a batch could match both: %s, and %s",
-					r.Name, o.Name, o.Line, r.Match, o.Match)})
+					r.Name, o.Name, o.Line, r.Pattern, o.Pattern)})
 				break
 			}
 		}
@@ -159,147 +159,147 @@
 	return out
 }
 
-func within(v, least, most float64) bool { return v >= least && v <= most && !math.IsNaN(v) }
+func inRange(v, least, most float64) bool { return v >= least && v <= most && !math.IsNaN(v) }
 
 func (r *Route) check(p Platform) (out []Finding) {
 	found := func(format string, args ...any) {
 		out = append(out, Finding{r.Line, fmt.Sprintf("route %q: ", r.Name) + fmt.Sprintf(format, args...)})
 	}
-	most := MostDispatches
+	most := MaxDispatches
 	if p.Known {
-		most = min(most, p.Dispatches)
+		most = min(most, p.MaxDispatches)
 	}
-	if r.Dispatches < 0 || r.Dispatches > most {
-		found("rule 2: %d dispatches, and a batch may have from 1 to %d", r.Dispatches, most)
+	if r.MaxDispatches < 0 || r.MaxDispatches > most {
+		found("rule 2: %d dispatches, and a batch may have from 1 to %d", r.MaxDispatches, most)
 	}
-	if !within(r.Timeout, 0, mostPause) {
-		found("its time-out must be from 0 to %ds", mostPause)
+	if !inRange(r.Timeout, 0, maxSeconds) {
+		found("its time-out must be from 0 to %ds", maxSeconds)
 	}
-	if !within(r.Pause, 0, mostPause) || !within(r.Jitter, 0, 1) {
-		found("its pause must be from 0 to %ds, and the jitter a share from 0 to 1", mostPause)
+	if !inRange(r.RetryDelay, 0, maxSeconds) || !inRange(r.Jitter, 0, 1) {
+		found("its pause must be from 0 to %ds, and the jitter a share from 0 to 1", maxSeconds)
 	}
-	if c := r.Match.Protocol; c != "" && !slices.ContainsFunc(Protocols, func(one string) bool { return matches(c, one) }) {
+	if c := r.Pattern.Protocol; c != "" && !slices.ContainsFunc(Protocols, func(one string) bool { return matchWildcard(c, one) }) {
 		found("it can never match: there is no protocol %q; there are %s", c, strings.Join(Protocols, " and "))
 	}
-	if c := r.Match.DataSet; c != "" && !glob(c) {
+	if c := r.Pattern.DataSet; c != "" && !hasWildcard(c) {
 		if n, err := strconv.Atoi(c); err != nil || n < 0 || strconv.Itoa(n) != c {
 			found("it can never match: %q is not the number of a data set", c)
 		}
 	}
-	if (r.Match.Login != "" || r.Match.Application != "") && r.Match.Protocol == "frames" {
+	if (r.Pattern.Login != "" || r.Pattern.Application != "") && r.Pattern.Protocol == "frames" {
 		found("it can never match: frames tell no login and no application")
 	}
-	if c := r.Copies; c != nil {
-		if !within(c.After, leastAfter, mostAfter) {
-			found("copies are sent after a quantile from %g to %g, not %g", leastAfter, mostAfter, c.After)
+	if c := r.Hedging; c != nil {
+		if !inRange(c.AfterQuantile, minHedgeQuantile, maxHedgeQuantile) {
+			found("copies are sent after a quantile from %g to %g, not %g", minHedgeQuantile, maxHedgeQuantile, c.AfterQuantile)
 		}
-		if !(c.Share > 0) || !within(c.Share, 0, mostShare) {
-			found("the share of second copies must be above 0 and at most %g (0.05 is one in twenty), not %g", mostShare, c.Share)
+		if !(c.MaxRatio > 0) || !inRange(c.MaxRatio, 0, maxHedgeRatio) {
+			found("the share of second copies must be above 0 and at most %g (0.05 is one in twenty), not %g", maxHedgeRatio, c.MaxRatio)
 		}
-		if r.Dispatches == 1 {
+		if r.MaxDispatches == 1 {
 			found("rule 2: a second copy is a second dispatch, and it allows one")
 		}
 	}
-	if r.MostResult != 0 && !within(r.MostResult, leastResult, math.MaxInt32) {
-		found("a result must be allowed from %d bytes to 2GB", leastResult)
+	if r.MaxResultBytes != 0 && !inRange(r.MaxResultBytes, minResultBytes, math.MaxInt32) {
+		found("a result must be allowed from %d bytes to 2GB", minResultBytes)
 	}
-	for i, k := range r.KindNames {
-		if k == "" || slices.Contains(r.KindNames[:i], k) {
+	for i, k := range r.EngineKinds {
+		if k == "" || slices.Contains(r.EngineKinds[:i], k) {
 			found("the kind of engine %q is empty or there twice", k)
 		}
 	}
-	if r.KindNames != nil && len(r.KindNames) == 0 {
+	if r.EngineKinds != nil && len(r.EngineKinds) == 0 {
 		found("rule 1: it allows no kind of engine, so its batches could go nowhere; leave engines out for any")
 	}
 	if !p.Known {
 		return out
 	}
-	if r.Copies != nil && !p.Copies {
+	if r.Hedging != nil && !p.AllowsHedging {
 		found("rule 2: the platform allows no second copies")
 	}
-	if c := r.Copies; c != nil && p.Rationed && c.Share > p.Share {
-		found("rule 7: second copies are further dispatches, and a share of %g is above the platform's budget (%g and a share of %g)", c.Share, p.Free, p.Share)
+	if c := r.Hedging; c != nil && p.RetriesLimited && c.MaxRatio > p.RetryRatio {
+		found("rule 7: second copies are further dispatches, and a share of %g is above the platform's budget (%g and a share of %g)", c.MaxRatio, p.FreeRetries, p.RetryRatio)
 	}
-	for _, k := range r.KindNames {
-		if !slices.Contains(p.Kinds, k) {
-			found("there is no kind of engine %q; the platform has %s", k, strings.Join(p.Kinds, ", "))
+	for _, k := range r.EngineKinds {
+		if !slices.Contains(p.EngineKinds, k) {
+			found("there is no kind of engine %q; the platform has %s", k, strings.Join(p.EngineKinds, ", "))
 		}
 	}
 	groups := 0
 	for _, g := range p.Groups {
-		if r.Match.Group != "" && !matches(r.Match.Group, g.Name) {
+		if r.Pattern.Group != "" && !matchWildcard(r.Pattern.Group, g.Name) {
 			continue
 		}
 		groups++
-		out = append(out, r.against(g, p)...)
+		out = append(out, r.checkGroup(g, p)...)
 	}
 	if groups == 0 {
-		found("it can never match: there is no service group %q", r.Match.Group)
+		found("it can never match: there is no service group %q", r.Pattern.Group)
 	}
-	if c := r.Match.Client; c != "" && !slices.ContainsFunc(p.Clients, func(one string) bool { return matches(c, one) }) {
+	if c := r.Pattern.Client; c != "" && !slices.ContainsFunc(p.Clients, func(one string) bool { return matchWildcard(c, one) }) {
 		found("it can never match: there is no client %q", c)
 	}
 	return out
 }
 
-// against proves a route for one group.
-func (r *Route) against(g Group, p Platform) (out []Finding) {
+// checkGroup proves a route for one group.
+func (r *Route) checkGroup(g Group, p Platform) (out []Finding) {
 	found := func(format string, args ...any) {
 		out = append(out, Finding{r.Line, fmt.Sprintf("route %q, group %q: ", r.Name, g.Name) + fmt.Sprintf(format, args...)})
 	}
-	if r.Copies != nil && !g.Repeatable {
+	if r.Hedging != nil && !g.Repeatable {
 		found("rule 2: the effect of a second copy could come twice; only what is repeatable may have one")
 	}
-	if r.Copies != nil && r.Most(p.Dispatches) < 2 {
-		found("rule 2: a second copy is a second dispatch, and a batch may have %d", r.Most(p.Dispatches))
+	if r.Hedging != nil && r.DispatchLimit(p.MaxDispatches) < 2 {
+		found("rule 2: a second copy is a second dispatch, and a batch may have %d", r.DispatchLimit(p.MaxDispatches))
 	}
-	if g.Kinds != nil && r.KindNames != nil && !slices.ContainsFunc(g.Kinds, func(k int) bool {
-		return k >= 0 && k < len(p.Kinds) && slices.Contains(r.KindNames, p.Kinds[k])
+	if g.EngineKinds != nil && r.EngineKinds != nil && !slices.ContainsFunc(g.EngineKinds, func(k int) bool {
+		return k >= 0 && k < len(p.EngineKinds) && slices.Contains(r.EngineKinds, p.EngineKinds[k])
 	}) {
 		found("rule 6: none of the kinds of engine that it names is one on which the group is placed, so its batches could go nowhere")
 	}
-	most := r.Most(p.Dispatches)
-	longest := r.Pause * (1 + r.Jitter)
+	most := r.DispatchLimit(p.MaxDispatches)
+	longest := r.RetryDelay * (1 + r.Jitter)
 	if r.Timeout > 0 && !g.Repeatable && !g.Referenced {
 		found("rule 2: a time-out of a once-only batch only loses its answer, for it can't be sent again")
 	}
 	if r.Timeout > 0 {
-		if all := float64(most)*r.Timeout + float64(most-1)*longest; all > g.Limit {
-			found("rule 1: %d time-outs of %gs with the pauses between them take %gs, and clients wait %gs", most, r.Timeout, all, g.Limit)
-		} else if g.Referenced && all > g.Window {
-			found("rule 2: %d time-outs of %gs with the pauses take %gs, and engines remember repeats for %gs", most, r.Timeout, all, g.Window)
+		if all := float64(most)*r.Timeout + float64(most-1)*longest; all > g.TimeLimit {
+			found("rule 1: %d time-outs of %gs with the pauses between them take %gs, and clients wait %gs", most, r.Timeout, all, g.TimeLimit)
+		} else if g.Referenced && all > g.DedupWindow {
+			found("rule 2: %d time-outs of %gs with the pauses take %gs, and engines remember repeats for %gs", most, r.Timeout, all, g.DedupWindow)
 		}
 	}
-	if longest >= g.Limit && most > 1 {
-		found("rule 1: a pause of up to %gs leaves no time for another dispatch in %gs", longest, g.Limit)
-	} else if g.Referenced && longest >= g.Window && most > 1 {
-		found("rule 2: a pause of up to %gs outlasts the %gs for which engines remember repeats", longest, g.Window)
+	if longest >= g.TimeLimit && most > 1 {
+		found("rule 1: a pause of up to %gs leaves no time for another dispatch in %gs", longest, g.TimeLimit)
+	} else if g.Referenced && longest >= g.DedupWindow && most > 1 {
+		found("rule 2: a pause of up to %gs outlasts the %gs for which engines remember repeats", longest, g.DedupWindow)
 	}
 	return out
 }
 
-// overlap tells whether a batch could match both. Two patterns are taken to overlap unless their plain beginnings or
+// canBothMatch tells whether a batch could match both. Two patterns are taken to overlap unless their plain beginnings or
 // ends differ: rather one error too many than a route that wins by chance.
-func overlap(a, b Fields) bool {
-	bs := b.list()
-	for i, x := range a.list() {
-		if !meet(x, bs[i]) {
+func canBothMatch(a, b Fields) bool {
+	bs := b.values()
+	for i, x := range a.values() {
+		if !patternsOverlap(x, bs[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func meet(x, y string) bool {
+func patternsOverlap(x, y string) bool {
 	switch {
 	case x == "" || y == "":
 		return true
-	case !glob(x) && !glob(y):
+	case !hasWildcard(x) && !hasWildcard(y):
 		return x == y
-	case !glob(x):
-		return matches(y, x)
-	case !glob(y):
-		return matches(x, y)
+	case !hasWildcard(x):
+		return matchWildcard(y, x)
+	case !hasWildcard(y):
+		return matchWildcard(x, y)
 	}
 	for i := 0; i < len(x) && i < len(y) && x[i] != '*' && y[i] != '*'; i++ {
 		if x[i] != y[i] {
--- a/internal/limits/copies.go
+++ b/internal/limits/copies.go
@@ -1,30 +1,30 @@
 package limits
 
-// Copies are second dispatches of a route's batches, sent while the first is still out. The tail of what a group takes is
+// HedgePolicy are second dispatches of a route's batches, sent while the first is still out. The tail of what a group takes is
 // often one engine's, and another would long have answered ("The Tail at Scale", Dean and Barroso, 2013: hedged requests).
-type Copies struct {
-	After float64 // quantile of how far the group's batches took longer than alone, past which a copy is sent
-	Share float64 // of the batches taken, at most
-	Zone  bool    // only to another zone than the first's
+type HedgePolicy struct {
+	AfterQuantile float64 // quantile of how far the group's batches took longer than alone, past which a copy is sent
+	MaxRatio      float64 // of the batches taken, at most
+	OtherZone     bool    // only to another zone than the first's
 
-	takes, sent rate
+	batches, hedges windowCounter
 }
 
-// copyWindow is the time in seconds over which the share is counted.
-const copyWindow = 10
+// hedgeWindow is the time in seconds over which the share is counted.
+const hedgeWindow = 10
 
-// MayCopy tells whether the share has room for a second copy. There is no free one: few batches give none, which
+// MayHedge tells whether the share has room for a second copy. There is no free one: few batches give none, which
 // costs a quiet route its copies and keeps them from being most of a trickle.
-func (r *Route) MayCopy(now float64) bool {
-	if r == nil || r.Copies == nil {
+func (r *Route) MayHedge(now float64) bool {
+	if r == nil || r.Hedging == nil {
 		return false
 	}
-	c := r.Copies
-	return c.sent.sum(now, copyWindow)+1 <= c.Share*c.takes.sum(now, copyWindow)
+	c := r.Hedging
+	return c.hedges.sum(now, hedgeWindow)+1 <= c.MaxRatio*c.batches.sum(now, hedgeWindow)
 }
 
-// OtherZone: its second copies go to another zone than the first.
-func (r *Route) OtherZone() bool { return r != nil && r.Copies != nil && r.Copies.Zone }
+// HedgesToOtherZone: its second copies go to another zone than the first.
+func (r *Route) HedgesToOtherZone() bool { return r != nil && r.Hedging != nil && r.Hedging.OtherZone }
 
-// Copied counts one.
-func (r *Route) Copied(now float64) { r.Copies.sent.add(now, copyWindow) }
+// CountHedge counts one.
+func (r *Route) CountHedge(now float64) { r.Hedging.hedges.add(now, hedgeWindow) }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -17,247 +17,247 @@
 	DataSet                                     string // its number; empty: none
 }
 
-const fields = 6
+const fieldCount = 6
 
-func (f *Fields) list() [fields]string {
-	return [fields]string{f.Group, f.Client, f.Login, f.Application, f.Protocol, f.DataSet}
+func (f *Fields) values() [fieldCount]string {
+	return [fieldCount]string{f.Group, f.Client, f.Login, f.Application, f.Protocol, f.DataSet}
 }
 
 // FieldNames are their names in settings.
-var FieldNames = [fields]string{"group", "client", "login", "application", "protocol", "data-set"}
+var FieldNames = [fieldCount]string{"group", "client", "login", "application", "protocol", "data-set"}
 
 // Route is an operator's. What is 0 is not set.
 type Route struct {
-	Name       string
-	Match      Fields  // empty: any; * stands for anything
-	Dispatches int     // at most
-	Timeout    float64 // seconds of one dispatch
-	Pause      float64 // seconds between them,
-	Jitter     float64 // give or take this share
-	Budget     *Budget // of further dispatches; routes may share one
-	Line       int     // in the file, for what is found
-
-	Copies      *Copies      // nil: none
-	Concurrency *Concurrency // nil: no bound; routes may share one
-	MostResult  float64      // bytes
-	KindNames   []string     // of the engines that its batches may go to; nil: any
-	kinds       []int        // the same by the platform's numbers; Resolve fills them in
-	use         *usage
-}
-
-// Budget is what may be spent on further dispatches: a free few, and a share of the batches taken, in a window.
-type Budget struct {
-	Name   string
-	Free   float64
-	Share  float64
-	Window float64 // seconds
-	Fleet  bool    // the free ones are for all routers together: they come by the purse alone
-	Purse  Purse   // nil: there is nobody to divide them with, and there are none
-	Line   int
-
-	takes, furthers rate
-}
-
-// Purse is what this router has of something that the fleet divides among its routers. Times are seconds.
-type Purse interface {
+	Name          string
+	Pattern       Fields       // empty: any; * stands for anything
+	MaxDispatches int          // at most
+	Timeout       float64      // seconds of one dispatch
+	RetryDelay    float64      // seconds between them,
+	Jitter        float64      // give or take this share
+	Budget        *RetryBudget // of further dispatches; routes may share one
+	Line          int          // in the file, for what is found
+
+	Hedging        *HedgePolicy      // nil: none
+	Concurrency    *ConcurrencyLimit // nil: no bound; routes may share one
+	MaxResultBytes float64           // bytes
+	EngineKinds    []string          // of the engines that its batches may go to; nil: any
+	engineKindIDs  []int             // the same by the platform's numbers; Resolve fills them in
+	usage          *usage
+}
+
+// RetryBudget is what may be spent on further dispatches: a free few, and a share of the batches taken, in a window.
+type RetryBudget struct {
+	Name        string
+	FreeRetries float64
+	RetryRatio  float64
+	Window      float64 // seconds
+	FleetWide   bool    // the free ones are for all routers together: they come by the purse alone
+	Quota       Quota   // nil: there is nobody to divide them with, and there are none
+	Line        int
+
+	batches, retries windowCounter
+}
+
+// Quota is what this router has of something that the fleet divides among its routers. Times are seconds.
+type Quota interface {
 	// Room tells whether so much may be used now.
-	Room(now, amount float64) bool
+	CanSpend(now, amount float64) bool
 	// Spend counts it.
 	Spend(now, amount float64)
 	// Want tells that so much is wanted for which there is no room.
-	Want(now, amount float64)
+	Request(now, amount float64)
 	// Hopes tells whether what is wanted may come within a moment.
-	Hopes(now, amount float64) bool
+	MayGrantSoon(now, amount float64) bool
 	// Freed tells that what was held no longer is.
-	Freed(now, amount float64)
+	Release(now, amount float64)
 }
 
-// Fresh gives one of the same size of which nothing is spent; nil for none.
-func (b *Budget) Fresh() *Budget {
+// CopyUnspent gives one of the same size of which nothing is spent; nil for none.
+func (b *RetryBudget) CopyUnspent() *RetryBudget {
 	if b == nil {
 		return nil
 	}
-	return &Budget{Name: b.Name, Free: b.Free, Share: b.Share, Window: b.Window, Fleet: b.Fleet, Line: b.Line}
+	return &RetryBudget{Name: b.Name, FreeRetries: b.FreeRetries, RetryRatio: b.RetryRatio, Window: b.Window, FleetWide: b.FleetWide, Line: b.Line}
 }
 
-// Adopt goes on with what an older one has spent, unless its window is another.
-func (b *Budget) Adopt(old *Budget) {
+// CarryOver goes on with what an older one has spent, unless its window is another.
+func (b *RetryBudget) CarryOver(old *RetryBudget) {
 	if b != nil && old != nil && old.Window == b.Window {
-		b.takes, b.furthers = old.takes, old.furthers
+		b.batches, b.retries = old.batches, old.retries
 	}
 }
 
-// rate counts what happened in a window, in slots of a tenth of it: as good as a list of times, at a fixed cost.
-type rate struct {
-	slots [10]float64
-	slot  int64
-	begun bool
+// windowCounter counts what happened in a window, in slots of a tenth of it: as good as a list of times, at a fixed cost.
+type windowCounter struct {
+	slots   [10]float64
+	current int64
+	started bool
 }
 
-func (r *rate) turn(now, window float64) {
+func (r *windowCounter) advance(now, window float64) {
 	slot := int64(math.Floor(now / window * float64(len(r.slots))))
-	if !r.begun {
-		r.begun, r.slot = true, slot
+	if !r.started {
+		r.started, r.current = true, slot
 	}
-	if slot-r.slot >= int64(len(r.slots)) {
-		r.slots, r.slot = [10]float64{}, slot
+	if slot-r.current >= int64(len(r.slots)) {
+		r.slots, r.current = [10]float64{}, slot
 	}
-	for r.slot < slot { // a clock that steps back stays in its slot
-		r.slot++
-		r.slots[r.slot%int64(len(r.slots))] = 0
+	for r.current < slot { // a clock that steps back stays in its slot
+		r.current++
+		r.slots[r.current%int64(len(r.slots))] = 0
 	}
 }
 
-func (r *rate) add(now, window float64) {
-	r.turn(now, window)
-	r.slots[r.slot%int64(len(r.slots))]++
+func (r *windowCounter) add(now, window float64) {
+	r.advance(now, window)
+	r.slots[r.current%int64(len(r.slots))]++
 }
 
-func (r *rate) sum(now, window float64) (out float64) {
-	r.turn(now, window)
+func (r *windowCounter) sum(now, window float64) (out float64) {
+	r.advance(now, window)
 	for _, n := range r.slots {
 		out += n
 	}
 	return out
 }
 
-// Took counts a batch.
-func (r *Route) Took(now float64) {
+// CountBatch counts a batch.
+func (r *Route) CountBatch(now float64) {
 	if r == nil {
 		return
 	}
-	r.Budget.Took(now)
-	if r.Copies != nil {
-		r.Copies.takes.add(now, copyWindow)
+	r.Budget.CountBatch(now)
+	if r.Hedging != nil {
+		r.Hedging.batches.add(now, hedgeWindow)
 	}
 }
 
-// Goes tells whether its batches may go to engines of a kind.
-func (r *Route) Goes(kind int) bool {
-	return r == nil || r.kinds == nil || slices.Contains(r.kinds, kind)
+// AllowsEngineKind tells whether its batches may go to engines of a kind.
+func (r *Route) AllowsEngineKind(kind int) bool {
+	return r == nil || r.engineKindIDs == nil || slices.Contains(r.engineKindIDs, kind)
 }
 
-// Resolve finds the numbers of the kinds of engine that routes name.
-func (t *Table) Resolve(kinds []string) {
+// ResolveEngineKinds finds the numbers of the kinds of engine that routes name.
+func (t *Table) ResolveEngineKinds(kinds []string) {
 	for _, r := range t.Routes {
-		r.kinds = nil
-		for _, name := range r.KindNames {
+		r.engineKindIDs = nil
+		for _, name := range r.EngineKinds {
 			if i := slices.Index(kinds, name); i >= 0 {
-				r.kinds = append(r.kinds, i)
+				r.engineKindIDs = append(r.engineKindIDs, i)
 			}
 		}
 	}
 }
 
-// Holds tells whether a result of so many bytes is within what the route lets through.
-func (r *Route) Holds(bytes int) bool {
-	return r == nil || r.MostResult == 0 || float64(bytes) <= r.MostResult
+// AllowsResult tells whether a result of so many bytes is within what the route lets through.
+func (r *Route) AllowsResult(bytes int) bool {
+	return r == nil || r.MaxResultBytes == 0 || float64(bytes) <= r.MaxResultBytes
 }
 
-// Again counts a further dispatch.
-func (r *Route) Again(now float64) {
+// CountRetry counts a further dispatch.
+func (r *Route) CountRetry(now float64) {
 	if r != nil {
-		r.Budget.Again(now)
+		r.Budget.CountRetry(now)
 	}
 }
 
-// May tells whether the budget has room for one more further dispatch, or may have within a moment.
-func (r *Route) May(now float64) bool { return r == nil || r.Budget.May(now) }
+// MayRetrySoon tells whether the budget has room for one more further dispatch, or may have within a moment.
+func (r *Route) MayRetrySoon(now float64) bool { return r == nil || r.Budget.MayRetrySoon(now) }
 
-// Ready tells whether it has now.
-func (r *Route) Ready(now float64) bool { return r == nil || r.Budget.Ready(now) }
+// MayRetryNow tells whether it has now.
+func (r *Route) MayRetryNow(now float64) bool { return r == nil || r.Budget.MayRetryNow(now) }
 
-// Took counts what the budget's share is of. A budget that is not there bounds nothing.
-func (b *Budget) Took(now float64) {
+// CountBatch counts what the budget's share is of. A budget that is not there bounds nothing.
+func (b *RetryBudget) CountBatch(now float64) {
 	if b != nil {
-		b.takes.add(now, b.Window)
+		b.batches.add(now, b.Window)
 	}
 }
 
-// Again counts a further dispatch: against what is this router's own, if that has room.
-func (b *Budget) Again(now float64) {
+// CountRetry counts a further dispatch: against what is this router's own, if that has room.
+func (b *RetryBudget) CountRetry(now float64) {
 	if b == nil {
 		return
 	}
-	if b.Purse != nil && !b.own(now) {
-		b.Purse.Spend(now, 1)
+	if b.Quota != nil && !b.localAllows(now) {
+		b.Quota.Spend(now, 1)
 		return
 	}
-	b.furthers.add(now, b.Window)
+	b.retries.add(now, b.Window)
 }
 
-// own: what this router has by itself bears one more. Where the fleet divides the free ones that is the share alone.
-func (b *Budget) own(now float64) bool {
-	free := b.Free
-	if b.Fleet {
+// localAllows: what this router has by itself bears one more. Where the fleet divides the free ones that is the share alone.
+func (b *RetryBudget) localAllows(now float64) bool {
+	free := b.FreeRetries
+	if b.FleetWide {
 		free = 0
 	}
-	return b.furthers.sum(now, b.Window)+1 <= free+b.Share*b.takes.sum(now, b.Window)
+	return b.retries.sum(now, b.Window)+1 <= free+b.RetryRatio*b.batches.sum(now, b.Window)
 }
 
-// May tells whether there is room for one more, or may be within a moment.
-func (b *Budget) May(now float64) bool {
-	return b == nil || b.own(now) || b.Purse != nil && (b.Purse.Room(now, 1) || b.Purse.Hopes(now, 1))
+// MayRetrySoon tells whether there is room for one more, or may be within a moment.
+func (b *RetryBudget) MayRetrySoon(now float64) bool {
+	return b == nil || b.localAllows(now) || b.Quota != nil && (b.Quota.CanSpend(now, 1) || b.Quota.MayGrantSoon(now, 1))
 }
 
-// Ready tells whether there is room now. What is missing is wanted by that: it is asked for a batch that would leave.
-func (b *Budget) Ready(now float64) bool {
-	if b == nil || b.own(now) {
+// MayRetryNow tells whether there is room now. What is missing is wanted by that: it is asked for a batch that would leave.
+func (b *RetryBudget) MayRetryNow(now float64) bool {
+	if b == nil || b.localAllows(now) {
 		return true
 	}
-	if b.Purse == nil {
+	if b.Quota == nil {
 		return false
 	}
-	if b.Purse.Room(now, 1) {
+	if b.Quota.CanSpend(now, 1) {
 		return true
 	}
-	b.Purse.Want(now, 1)
+	b.Quota.Request(now, 1)
 	return false
 }
 
-// Most gives how many dispatches a batch may have, of those that the platform allows.
-func (r *Route) Most(platform int) int {
-	if r == nil || r.Dispatches == 0 {
+// DispatchLimit gives how many dispatches a batch may have, of those that the platform allows.
+func (r *Route) DispatchLimit(platform int) int {
+	if r == nil || r.MaxDispatches == 0 {
 		return platform
 	}
-	return min(r.Dispatches, platform)
+	return min(r.MaxDispatches, platform)
 }
 
-// Within shortens the time that a dispatch has.
-func (r *Route) Within(wait float64) float64 {
+// CapTimeout shortens the time that a dispatch has.
+func (r *Route) CapTimeout(wait float64) float64 {
 	if r == nil || r.Timeout == 0 {
 		return wait
 	}
 	return min(wait, r.Timeout)
 }
 
-// Rest gives the pause before the next dispatch, by a draw from 0 to 1.
-func (r *Route) Rest(draw float64) float64 {
+// JitteredRetryDelay gives the pause before the next dispatch, by a draw from 0 to 1.
+func (r *Route) JitteredRetryDelay(draw float64) float64 {
 	if r == nil {
 		return 0
 	}
-	return r.Pause * (1 + r.Jitter*(2*draw-1))
+	return r.RetryDelay * (1 + r.Jitter*(2*draw-1))
 }
 
-// glob tells whether a pattern has a star.
-func glob(pattern string) bool { return strings.IndexByte(pattern, '*') >= 0 }
+// hasWildcard tells whether a pattern has a star.
+func hasWildcard(pattern string) bool { return strings.IndexByte(pattern, '*') >= 0 }
 
-// exactness ranks routes: first how many fields are told as they are, then how many by pattern.
-func (r *Route) exactness() (rank int) {
-	for _, p := range r.Match.list() {
+// specificity ranks routes: first how many fields are told as they are, then how many by pattern.
+func (r *Route) specificity() (rank int) {
+	for _, p := range r.Pattern.values() {
 		switch {
 		case p == "":
-		case glob(p):
+		case hasWildcard(p):
 			rank++
 		default:
-			rank += fields + 1
+			rank += fieldCount + 1
 		}
 	}
 	return rank
 }
 
-// matches a pattern with any number of stars, without an allocation.
-func matches(pattern, text string) bool {
+// matchWildcard a pattern with any number of stars, without an allocation.
+func matchWildcard(pattern, text string) bool {
 	star, back := -1, 0
 	p, t := 0, 0
 	for t < len(text) {
@@ -283,15 +283,15 @@
 // Table finds the route of a batch. Routes of the same exact fields are in one map, so that a thousand of them cost as
 // many look-ups as there are sets of fields; those with patterns are tried in turn.
 type Table struct {
-	Routes []*Route // in the file's order
-	shapes []shape  // the most exact first
+	Routes    []*Route   // in the file's order
+	fieldSets []fieldSet // the most exact first
 }
 
-type shape struct {
-	rank   int
-	exact  [fields]bool
-	routes map[[fields]string]*Route
-	globs  []*Route
+type fieldSet struct {
+	specificity    int
+	exact          [fieldCount]bool
+	exactRoutes    map[[fieldCount]string]*Route
+	wildcardRoutes []*Route
 }
 
 // NewTable makes one. Routes of which two are equally exact are found by Check.
@@ -299,38 +299,38 @@
 	t := &Table{Routes: routes}
 	for _, r := range routes {
 		if c := r.Concurrency; c != nil {
-			if r.use == nil {
-				r.use = &usage{}
+			if r.usage == nil {
+				r.usage = &usage{}
 			}
-			if c.use == nil {
-				c.use = &usage{}
+			if c.usage == nil {
+				c.usage = &usage{}
 			}
 			if !slices.Contains(c.routes, r) {
 				c.routes = append(c.routes, r)
 			}
 		}
-		s := shape{rank: r.exactness()}
-		var key [fields]string
+		s := fieldSet{specificity: r.specificity()}
+		var key [fieldCount]string
 		pattern := false
-		for i, p := range r.Match.list() {
-			if s.exact[i] = p != "" && !glob(p); s.exact[i] {
+		for i, p := range r.Pattern.values() {
+			if s.exact[i] = p != "" && !hasWildcard(p); s.exact[i] {
 				key[i] = p
 			}
-			pattern = pattern || glob(p)
+			pattern = pattern || hasWildcard(p)
 		}
-		at := slices.IndexFunc(t.shapes, func(o shape) bool { return o.rank == s.rank && o.exact == s.exact })
+		at := slices.IndexFunc(t.fieldSets, func(o fieldSet) bool { return o.specificity == s.specificity && o.exact == s.exact })
 		if at < 0 {
-			s.routes = map[[fields]string]*Route{}
-			t.shapes = append(t.shapes, s)
-			at = len(t.shapes) - 1
+			s.exactRoutes = map[[fieldCount]string]*Route{}
+			t.fieldSets = append(t.fieldSets, s)
+			at = len(t.fieldSets) - 1
 		}
 		if pattern {
-			t.shapes[at].globs = append(t.shapes[at].globs, r)
-		} else if t.shapes[at].routes[key] == nil {
-			t.shapes[at].routes[key] = r
+			t.fieldSets[at].wildcardRoutes = append(t.fieldSets[at].wildcardRoutes, r)
+		} else if t.fieldSets[at].exactRoutes[key] == nil {
+			t.fieldSets[at].exactRoutes[key] = r
 		}
 	}
-	slices.SortStableFunc(t.shapes, func(a, b shape) int { return b.rank - a.rank })
+	slices.SortStableFunc(t.fieldSets, func(a, b fieldSet) int { return b.specificity - a.specificity })
 	return t
 }
 
@@ -339,22 +339,22 @@
 	if t == nil {
 		return nil
 	}
-	all := f.list()
-	for i := range t.shapes {
-		s := &t.shapes[i]
-		var key [fields]string
+	all := f.values()
+	for i := range t.fieldSets {
+		s := &t.fieldSets[i]
+		var key [fieldCount]string
 		for k, exact := range s.exact {
 			if exact {
 				key[k] = all[k]
 			}
 		}
-		if r := s.routes[key]; r != nil {
+		if r := s.exactRoutes[key]; r != nil {
 			return r
 		}
 	next:
-		for _, r := range s.globs {
-			for k, p := range r.Match.list() {
-				if p != "" && !matches(p, all[k]) {
+		for _, r := range s.wildcardRoutes {
+			for k, p := range r.Pattern.values() {
+				if p != "" && !matchWildcard(p, all[k]) {
 					continue next
 				}
 			}
@@ -370,16 +370,16 @@
 	if found == nil {
 		return "no route matches: the platform's limits hold alone"
 	}
-	out := fmt.Sprintf("route %q (line %d): it matches on %s, and none that does is more exact", found.Name, found.Line, found.Match.String())
+	out := fmt.Sprintf("route %q (line %d): it matches on %s, and none that does is more exact", found.Name, found.Line, found.Pattern.String())
 	var others []string
-	all := f.list()
+	all := f.values()
 	for _, r := range t.Routes {
 		ok := r != found
-		for k, p := range r.Match.list() {
-			ok = ok && (p == "" || matches(p, all[k]))
+		for k, p := range r.Pattern.values() {
+			ok = ok && (p == "" || matchWildcard(p, all[k]))
 		}
 		if ok {
-			others = append(others, fmt.Sprintf("%q on %s", r.Name, r.Match.String()))
+			others = append(others, fmt.Sprintf("%q on %s", r.Name, r.Pattern.String()))
 		}
 	}
 	if len(others) > 0 {
@@ -390,7 +390,7 @@
 
 func (f Fields) String() string {
 	var out []string
-	for i, p := range f.list() {
+	for i, p := range f.values() {
 		if p != "" {
 			out = append(out, FieldNames[i]+"="+p)
 		}
@@ -403,7 +403,7 @@
 
 // ParseFields reads fields as name=value with blanks between them.
 func ParseFields(text string) (f Fields, err error) {
-	into := [fields]*string{&f.Group, &f.Client, &f.Login, &f.Application, &f.Protocol, &f.DataSet}
+	into := [fieldCount]*string{&f.Group, &f.Client, &f.Login, &f.Application, &f.Protocol, &f.DataSet}
 	for _, one := range strings.Fields(text) {
 		name, value, ok := strings.Cut(one, "=")
 		i := slices.Index(FieldNames[:], name)
@@ -426,63 +426,63 @@
 		return fmt.Sprintf("%gs", v)
 	}
 	all := slices.Clone(t.Routes)
-	slices.SortStableFunc(all, func(a, b *Route) int { return b.exactness() - a.exactness() })
+	slices.SortStableFunc(all, func(a, b *Route) int { return b.specificity() - a.specificity() })
 	for _, r := range all {
 		most, budget := "-", "-"
-		if r.Dispatches > 0 {
-			most = fmt.Sprint(r.Dispatches)
+		if r.MaxDispatches > 0 {
+			most = fmt.Sprint(r.MaxDispatches)
 		}
 		if b := r.Budget; b != nil {
-			budget = fmt.Sprintf("%s: %g and %g%% in %gs", b.Name, b.Free, 100*b.Share, b.Window)
-			if b.Fleet {
-				budget = fmt.Sprintf("%s: %g of all routers and %g%% in %gs", b.Name, b.Free, 100*b.Share, b.Window)
+			budget = fmt.Sprintf("%s: %g and %g%% in %gs", b.Name, b.FreeRetries, 100*b.RetryRatio, b.Window)
+			if b.FleetWide {
+				budget = fmt.Sprintf("%s: %g of all routers and %g%% in %gs", b.Name, b.FreeRetries, 100*b.RetryRatio, b.Window)
 			}
 		}
 		copies, concurrency, result, engines := "-", "-", "-", "any"
-		if c := r.Copies; c != nil {
-			copies = fmt.Sprintf("%g%% past %g%%", 100*c.Share, 100*c.After)
-			if c.Zone {
+		if c := r.Hedging; c != nil {
+			copies = fmt.Sprintf("%g%% past %g%%", 100*c.MaxRatio, 100*c.AfterQuantile)
+			if c.OtherZone {
 				copies += ", other zone"
 			}
 		}
 		if c := r.Concurrency; c != nil {
-			concurrency = fmt.Sprintf("%s: %d an engine, %d in all, then %s", c.Name, c.Engine, c.Fleet, c.AtBound)
-			if c.Routers > 0 {
-				concurrency += fmt.Sprintf(", %d of all routers", c.Routers)
+			concurrency = fmt.Sprintf("%s: %d an engine, %d in all, then %s", c.Name, c.PerEngine, c.PerRouter, c.OnLimit)
+			if c.FleetWide > 0 {
+				concurrency += fmt.Sprintf(", %d of all routers", c.FleetWide)
 			}
 		}
-		if r.MostResult > 0 {
-			result = fmt.Sprintf("%gMB", r.MostResult/(1<<20))
+		if r.MaxResultBytes > 0 {
+			result = fmt.Sprintf("%gMB", r.MaxResultBytes/(1<<20))
 		}
-		if r.KindNames != nil {
-			engines = strings.Join(r.KindNames, ",")
+		if r.EngineKinds != nil {
+			engines = strings.Join(r.EngineKinds, ",")
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Line, r.Match, most, or(r.Timeout), or(r.Pause), budget,
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Name, r.Line, r.Pattern, most, or(r.Timeout), or(r.RetryDelay), budget,
 			copies, concurrency, result, engines)
 	}
 	return w.Flush()
 }
 
-// Copy makes a table of the same routes of which nothing has been spent, for another router.
-func (t *Table) Copy() *Table {
-	budgets, concurrencies := map[*Budget]*Budget{}, map[*Concurrency]*Concurrency{}
+// CopyUnspent makes a table of the same routes of which nothing has been spent, for another router.
+func (t *Table) CopyUnspent() *Table {
+	budgets, concurrencies := map[*RetryBudget]*RetryBudget{}, map[*ConcurrencyLimit]*ConcurrencyLimit{}
 	routes := make([]*Route, len(t.Routes))
 	for i, r := range t.Routes {
 		one := *r
 		if b := r.Budget; b != nil {
 			if budgets[b] == nil {
-				budgets[b] = b.Fresh()
+				budgets[b] = b.CopyUnspent()
 			}
 			one.Budget = budgets[b]
 		}
 		if c := r.Concurrency; c != nil {
 			if concurrencies[c] == nil {
-				concurrencies[c] = &Concurrency{Name: c.Name, Engine: c.Engine, Fleet: c.Fleet, Routers: c.Routers, AtBound: c.AtBound, Line: c.Line}
+				concurrencies[c] = &ConcurrencyLimit{Name: c.Name, PerEngine: c.PerEngine, PerRouter: c.PerRouter, FleetWide: c.FleetWide, OnLimit: c.OnLimit, Line: c.Line}
 			}
-			one.Concurrency, one.use = concurrencies[c], nil
+			one.Concurrency, one.usage = concurrencies[c], nil
 		}
-		if c := r.Copies; c != nil {
-			one.Copies = &Copies{After: c.After, Share: c.Share, Zone: c.Zone}
+		if c := r.Hedging; c != nil {
+			one.Hedging = &HedgePolicy{AfterQuantile: c.AfterQuantile, MaxRatio: c.MaxRatio, OtherZone: c.OtherZone}
 		}
 		routes[i] = &one
 	}
--- a/internal/limits/section.go
+++ b/internal/limits/section.go
@@ -63,12 +63,12 @@
 	Fleet  bool    `toml:"fleet"`
 }
 
-// Prove gives all  Whether they could break a rule is found against the platform's settings, by Check.
-func (f *LimitSections) Prove(c findings.To) (out Set) {
-	budgets := map[string]*Budget{}
+// Validate gives all  Whether they could break a rule is found against the platform's settings, by Check.
+func (f *LimitSections) Validate(c findings.To) (out Config) {
+	budgets := map[string]*RetryBudget{}
 	for i, b := range f.Budget {
 		at := fmt.Sprintf("budget[%d]", i)
-		one := budgetOf(c, at, b.Name, &b.budget)
+		one := parseBudget(c, at, b.Name, &b.budget)
 		if b.Name == "" || budgets[b.Name] != nil {
 			c.Found(at+".name", "%q is empty or there twice", b.Name)
 		}
@@ -76,18 +76,18 @@
 		out.Budgets = append(out.Budgets, one)
 	}
 	if f.Further != nil {
-		out.All, out.Engine = budgetOf(c, "further.all", "further.all", f.Further.All), budgetOf(c, "further.engine", "further.engine", f.Further.Engine)
-		if out.All == nil && out.Engine == nil {
+		out.AllRetries, out.EngineRetries = parseBudget(c, "further.all", "further.all", f.Further.All), parseBudget(c, "further.engine", "further.engine", f.Further.Engine)
+		if out.AllRetries == nil && out.EngineRetries == nil {
 			c.Found("further", "it has neither all nor engine")
 		}
-		if out.Engine != nil && out.Engine.Fleet {
+		if out.EngineRetries != nil && out.EngineRetries.FleetWide {
 			c.Found("further.engine.fleet", "to one engine each router has a budget of its own; further.all and [[budget]] may be of all routers")
 		}
 	}
-	concurrencies := f.concurrencies(c, &out)
+	concurrencies := f.parseConcurrencyLimits(c, &out)
 	if a := f.Adaptive; a != nil {
 		out.AdaptiveLine = c.Line("adaptive")
-		out.Adaptive = AdaptiveSettings{Kind: a.Kind, Least: a.Least, Most: a.Most, First: a.First, Stretch: a.Stretch}
+		out.Adaptive = AdaptiveSettings{Kind: a.Kind, Min: a.Least, Max: a.Most, Initial: a.First, MaxSlowdown: a.Stretch}
 		if a.Kind == "" {
 			c.Found("adaptive.kind", "it has to be there")
 		}
@@ -96,10 +96,10 @@
 	for i, r := range f.Route {
 		at := fmt.Sprintf("route[%d]", i)
 		one := &Route{Name: r.Name, Line: c.Line(at), Jitter: r.Jitter, Budget: budgets[r.Budget],
-			Match: Fields{Group: r.Group, Client: r.Client, Login: r.Login, Application: r.Application, Protocol: r.Protocol, DataSet: r.DataSet}}
-		one.Timeout, one.Pause = c.Seconds(at+".time-out", r.Timeout, 3600), c.Seconds(at+".pause", r.Pause, 3600)
+			Pattern: Fields{Group: r.Group, Client: r.Client, Login: r.Login, Application: r.Application, Protocol: r.Protocol, DataSet: r.DataSet}}
+		one.Timeout, one.RetryDelay = c.Seconds(at+".time-out", r.Timeout, 3600), c.Seconds(at+".pause", r.Pause, 3600)
 		if r.Dispatches != nil {
-			if one.Dispatches = *r.Dispatches; one.Dispatches == 0 {
+			if one.MaxDispatches = *r.Dispatches; one.MaxDispatches == 0 {
 				c.Found(at+".dispatches", "rule 1: a batch without a dispatch can't be answered; leave it out for the platform's number")
 			}
 		}
@@ -110,27 +110,27 @@
 			c.Found(at+".concurrency", "there is no concurrency %q", r.Concurrency)
 		}
 		if r.Copies != nil {
-			one.Copies = &Copies{After: r.Copies.After, Share: r.Copies.Share}
+			one.Hedging = &HedgePolicy{AfterQuantile: r.Copies.After, MaxRatio: r.Copies.Share}
 			switch r.Copies.To {
 			case "", "engine":
 			case "zone":
-				one.Copies.Zone = true
+				one.Hedging.OtherZone = true
 			default:
 				c.Found(at+".copies.to", "%q is neither engine nor zone", r.Copies.To)
 			}
 		}
 		if r.MostResult != "" {
-			one.MostResult = c.Megabytes(at+".most-result", r.MostResult) * (1 << 20)
+			one.MaxResultBytes = c.Megabytes(at+".most-result", r.MostResult) * (1 << 20)
 		}
-		one.KindNames = r.Engines
+		one.EngineKinds = r.Engines
 		all = append(all, one)
 	}
 	out.Routes = all
 	return out
 }
 
-// Divided gives the keys of what all routers divide, for which they have to talk.
-func (f *LimitSections) Divided() (keys []string) {
+// FleetWideKeys gives the keys of what all routers divide, for which they have to talk.
+func (f *LimitSections) FleetWideKeys() (keys []string) {
 	for i, b := range f.Budget {
 		if b.Fleet {
 			keys = append(keys, fmt.Sprintf("budget[%d].fleet", i))
@@ -148,27 +148,27 @@
 }
 
 // budget reads one; nil for none.
-func budgetOf(c findings.To, at, name string, b *budget) *Budget {
+func parseBudget(c findings.To, at, name string, b *budget) *RetryBudget {
 	if b == nil {
 		return nil
 	}
-	one := &Budget{Name: name, Free: b.Free, Share: b.Share, Window: c.Seconds(at+".window", b.Window, 3600), Fleet: b.Fleet, Line: c.Line(at)}
+	one := &RetryBudget{Name: name, FreeRetries: b.Free, RetryRatio: b.Share, Window: c.Seconds(at+".window", b.Window, 3600), FleetWide: b.Fleet, Line: c.Line(at)}
 	if one.Window == 0 {
 		one.Window = 10
 	}
 	return one
 }
 
-// concurrencies reads bounds of what is out, by name.
-func (f *LimitSections) concurrencies(c findings.To, out *Set) map[string]*Concurrency {
-	all := map[string]*Concurrency{}
+// parseConcurrencyLimits reads bounds of what is out, by name.
+func (f *LimitSections) parseConcurrencyLimits(c findings.To, out *Config) map[string]*ConcurrencyLimit {
+	all := map[string]*ConcurrencyLimit{}
 	for i, one := range f.Concurrency {
 		at := fmt.Sprintf("concurrency[%d]", i)
-		made := &Concurrency{Name: one.Name, Line: c.Line(at)}
+		made := &ConcurrencyLimit{Name: one.Name, Line: c.Line(at)}
 		for key, set := range map[string]struct {
 			into *int
 			v    *int
-		}{"engine": {&made.Engine, one.Engine}, "fleet": {&made.Fleet, one.Fleet}, "routers": {&made.Routers, one.Routers}} {
+		}{"engine": {&made.PerEngine, one.Engine}, "fleet": {&made.PerRouter, one.Fleet}, "routers": {&made.FleetWide, one.Routers}} {
 			if set.v != nil {
 				if *set.into = *set.v; *set.v == 0 {
 					c.Found(at+"."+key, "rule 1: with none out no batch can be answered; leave it out for no bound")
@@ -176,17 +176,17 @@
 			}
 		}
 		if one.AtBound != "" {
-			if n := slices.Index(Bounds[:], one.AtBound); n >= 0 {
-				made.AtBound = Bound(n)
+			if n := slices.Index(LimitActionNames[:], one.AtBound); n >= 0 {
+				made.OnLimit = LimitAction(n)
 			} else {
-				c.Found(at+".at-bound", "%q is none of %s", one.AtBound, strings.Join(Bounds[:], ", "))
+				c.Found(at+".at-bound", "%q is none of %s", one.AtBound, strings.Join(LimitActionNames[:], ", "))
 			}
 		}
 		if one.Name == "" || all[one.Name] != nil {
 			c.Found(at+".name", "%q is empty or there twice", one.Name)
 		}
 		all[one.Name] = made
-		out.Concurrencies = append(out.Concurrencies, made)
+		out.ConcurrencyLimits = append(out.ConcurrencyLimits, made)
 	}
 	return all
 }
--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -16,7 +16,7 @@
 	other := east("s-2")
 	other.Address = "10.0.0.2:80"
 	h = startWith(t, strings.Replace(grades, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-duplicate":true,`, 1), east("s-1"), other)
-	h.tell(RoutesSet{Routes: limits.NewTable([]*limits.Route{{Name: "r", Match: limits.Fields{Group: "lookup"}, Copies: &limits.Copies{After: 0.9, Share: 0.2}}})})
+	h.tell(RoutesSet{Routes: limits.NewTable([]*limits.Route{{Name: "r", Pattern: limits.Fields{Group: "lookup"}, Hedging: &limits.HedgePolicy{AfterQuantile: 0.9, MaxRatio: 0.2}}})})
 	rise := func() {
 		for _, d := range h.dials {
 			if l := h.connections[d.Connection]; l != nil && !l.Up {
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -345,7 +345,7 @@
 
 // usableRows: the protocol has found no fault, and there is no more than a result holds.
 func (r *Router) usableRows(d *dispatch, reply *traffic.EngineReply) bool {
-	if d.size += reply.Rows.Len(); reply.Invalid == "" && !d.batch.Route.Holds(d.size) && d.batch.client != nil {
+	if d.size += reply.Rows.Len(); reply.Invalid == "" && !d.batch.Route.AllowsResult(d.size) && d.batch.client != nil {
 		reply.Rows.Release()
 		r.tooLarge(d, errRoute)
 		return false
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -58,8 +58,8 @@
 	RoutesSet    struct {
 		Routes   *limits.Table           // the limits of what is taken from now on
 		Adaptive limits.AdaptiveSettings // of what is out at each engine
-		All      *limits.Budget          // of further dispatches of all batches, and
-		Engine   *limits.Budget          // to each engine; nil: none
+		All      *limits.RetryBudget     // of further dispatches of all batches, and
+		Engine   *limits.RetryBudget     // to each engine; nil: none
 	}
 	TalkSet struct { // other routers may be talked to
 		Settings membership.Settings
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -27,7 +27,7 @@
 	if b.Shed {
 		l.shed++
 	} else {
-		l.gauge.Came(b.Demand())
+		l.gauge.BatchArrived(b.Demand())
 	}
 }
 
@@ -35,15 +35,15 @@
 	if l.gauge == nil || b.Shed {
 		return
 	}
-	l.gauge.Clock(now)
+	l.gauge.Advance(now)
 	goal := b.Group.Goal + b.Group.GoalStretch*b.work/max(b.Group.Threads, 1)
-	l.gauge.Ended(b.Group.Utility, code == traffic.Succeeded && now-b.takenAt <= goal, code == traffic.Rejected)
+	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Succeeded && now-b.takenAt <= goal, code == traffic.Rejected)
 }
 
 func (l *level) finished(work, now float64) {
 	if l.gauge != nil {
-		l.gauge.Clock(now)
-		l.gauge.Finished(work)
+		l.gauge.Advance(now)
+		l.gauge.WorkFinished(work)
 	}
 }
 
@@ -55,7 +55,7 @@
 	Since                      float64
 	Step                       int
 	Shed                       int
-	Measures                   levels.Measures
+	Measures                   levels.MeasureValues
 	Batches, Clients, Stopping int
 	Seen                       brain.Stats
 }
@@ -73,10 +73,10 @@
 		return
 	}
 	before := r.level.machine.State()
-	if after := r.level.machine.Change(e.Levels); after.Name != before.Name {
-		r.levelChanged(after, levels.Measures{})
+	if after := r.level.machine.Reconfigure(e.Levels); after.Name != before.Name {
+		r.levelChanged(after, levels.MeasureValues{})
 	} else {
-		r.brain.SetReducedService(r.reduced(after.Does))
+		r.brain.SetReducedService(r.reduced(after.Actions))
 	}
 }
 
@@ -84,10 +84,10 @@
 func (r *Router) lookAtLevel() {
 	r.timers.add(r.now+levelEvery, levelCheck{})
 	seen := r.brain.Stats()
-	r.level.gauge.Clock(r.now)
-	r.level.gauge.Holds(seen.QueuedWork, seen.Engines, seen.Cold+seen.Ejected+seen.Draining)
-	x := r.level.gauge.Measures()
-	state, changed := r.level.machine.Look(r.now, x)
+	r.level.gauge.Advance(r.now)
+	r.level.gauge.SetCurrent(seen.QueuedWork, seen.Engines, seen.Cold+seen.Ejected+seen.Draining)
+	x := r.level.gauge.Values()
+	state, changed := r.level.machine.Update(r.now, x)
 	if changed {
 		r.levelChanged(state, x)
 	}
@@ -100,19 +100,19 @@
 		Stopping: stopping, Seen: seen}})
 }
 
-func (r *Router) levelChanged(s levels.State, x levels.Measures) {
+func (r *Router) levelChanged(s levels.State, x levels.MeasureValues) {
 	fields := []any{"level", s.Name, "number", s.Level, "step", s.Step, "reason", s.Reason, "shed", r.level.shed}
-	for m, name := range levels.Names {
+	for m, name := range levels.MeasureNames {
 		fields = append(fields, name, x[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.SetReducedService(r.reduced(s.Does))
+	r.brain.SetReducedService(r.reduced(s.Actions))
 }
 
 // reduced words a level for the module. A group that has a second one for what has no mark is shed with it.
-func (r *Router) reduced(d levels.Does) brain.ReducedService {
-	out := brain.ReducedService{MinUtilityPerSecond: d.LeastGain, MaxRetries: d.Further, ProbeShare: d.Probes, GiveUpFactor: d.Early}
-	for name, keep := range d.Keep {
+func (r *Router) reduced(d levels.Actions) brain.ReducedService {
+	out := brain.ReducedService{MinUtilityPerSecond: d.MinUtilityRate, MaxRetries: d.MaxRetries, ProbeShare: d.ProbeRatio, GiveUpFactor: d.GiveUpFactor}
+	for name, keep := range d.AdmitRatio {
 		if out.KeepShare == nil {
 			out.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
--- a/internal/router/levels_test.go
+++ b/internal/router/levels_test.go
@@ -11,10 +11,10 @@
 )
 
 func noLookups(hold string) LevelsSet {
-	return LevelsSet{Over: 2, Levels: levels.Settings{Steps: 1, StepTime: 1, Hold: hold, Levels: []levels.Level{{Name: "no lookups", Least: 5,
-		Enter: []levels.Condition{{Measure: levels.PushedBack, Value: 0.5, For: 1}},
-		Exit:  []levels.Condition{{Measure: levels.PushedBack, Below: true, Value: 0.1, For: 1}},
-		Does:  levels.Does{Keep: map[string]float64{"lookup": 0}}}}}}
+	return LevelsSet{Over: 2, Levels: levels.Settings{TrialSteps: 1, TrialStepTime: 1, ForcedLevel: hold, Levels: []levels.Level{{Name: "no lookups", MinDuration: 5,
+		Enter:   []levels.Condition{{Measure: levels.Rejected, Threshold: 0.5, MinDuration: 1}},
+		Exit:    []levels.Condition{{Measure: levels.Rejected, Below: true, Threshold: 0.1, MinDuration: 1}},
+		Actions: levels.Actions{AdmitRatio: map[string]float64{"lookup": 0}}}}}}
 }
 
 func (h *host) lines(text string) (out []Log) {
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -20,7 +20,7 @@
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{bursar}
 	s.Listen, s.Keepers, s.Firm = m.Listen, []string{bursar}, 0
 	h.tell(TalkSet{Settings: m, Shares: &s})
-	route.Name, route.Match = "r", limits.Fields{Group: "lookup"}
+	route.Name, route.Pattern = "r", limits.Fields{Group: "lookup"}
 	h.tell(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
 	h.pass(1)
 	return h
@@ -42,7 +42,7 @@
 }
 
 func TestABatchWaitsForAPartOfWhatAllRoutersMayHaveOut(t *testing.T) {
-	h := fleetwide(t, limits.Route{Concurrency: &limits.Concurrency{Name: "few", Routers: 2}})
+	h := fleetwide(t, limits.Route{Concurrency: &limits.ConcurrencyLimit{Name: "few", FleetWide: 2}})
 	stream, id := h.batch("lookup", 4000)
 	assert.Empty(t, h.dials)
 	i := h.asked()
@@ -58,7 +58,7 @@
 	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
 	h.pass(0.5)
 	assert.Zero(t, h.returned(i.Number), "now it counts nowhere")
-	assert.Zero(t, h.routes.Routes[0].Concurrency.Purse.(*shares.Purse).Out())
+	assert.Zero(t, h.routes.Routes[0].Concurrency.Quota.(*shares.Purse).Out())
 
 	h.batch("lookup", 4000)
 	next := h.asked()
@@ -70,7 +70,7 @@
 }
 
 func TestOneThatComesWhileOthersWaitInVainIsPushedBackAtOnce(t *testing.T) {
-	h := fleetwide(t, limits.Route{Concurrency: &limits.Concurrency{Name: "few", Routers: 2, AtBound: limits.PushBack}})
+	h := fleetwide(t, limits.Route{Concurrency: &limits.ConcurrencyLimit{Name: "few", FleetWide: 2, OnLimit: limits.RejectBatch}})
 	first, _ := h.batch("lookup", 4000)
 	h.pass(0.1)
 	second, _ := h.batch("lookup", 4000)
@@ -80,7 +80,7 @@
 }
 
 func TestAFurtherDispatchGoesByAFreeOneOfTheFleet(t *testing.T) {
-	budget := limits.Budget{Name: "b", Free: 4, Window: 10, Fleet: true}
+	budget := limits.RetryBudget{Name: "b", FreeRetries: 4, Window: 10, FleetWide: true}
 	for _, given := range []bool{true, false} {
 		b := budget
 		h := fleetwide(t, limits.Route{Budget: &b})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -74,7 +74,7 @@
 	level          level         // of reduced service
 	routes         *limits.Table // the operator's limits; nil: none
 	adaptive       limits.AdaptiveSettings
-	ofAll, further *limits.Budget // of further dispatches: of all batches, and to each engine
+	ofAll, further *limits.RetryBudget // of further dispatches: of all batches, and to each engine
 
 	members *members // of its fleet; nil: there is no talk
 	parts   *parts   // of what the fleet divides; nil: the division is fixed
@@ -245,8 +245,8 @@
 
 // setRoutes brings limits for what is taken from now on. What the old ones have spent and have out counts on.
 func (r *Router) setRoutes(e RoutesSet) {
-	e.Routes.Resolve(r.settings.Settings.Kinds)
-	e.Routes.Adopt(r.routes)
+	e.Routes.ResolveEngineKinds(r.settings.Settings.Kinds)
+	e.Routes.CarryOver(r.routes)
 	r.routes = e.Routes
 	if e.Adaptive != r.adaptive {
 		r.adaptive = e.Adaptive
@@ -254,14 +254,14 @@
 			known.ConcurrencyLimit = e.Adaptive.New()
 		}
 	}
-	all := e.All.Fresh()
-	all.Adopt(r.ofAll)
+	all := e.All.CopyUnspent()
+	all.CarryOver(r.ofAll)
 	r.ofAll, r.further = all, e.Engine
 	r.brain.SetRetryBudget(all)
 	r.setPurses()
 	for _, known := range r.engines {
-		next := e.Engine.Fresh()
-		next.Adopt(known.RetryBudget)
+		next := e.Engine.CopyUnspent()
+		next.CarryOver(known.RetryBudget)
 		known.RetryBudget = next
 	}
 	r.log(Info, "routes", "count", len(e.Routes.Routes), "adaptive", e.Adaptive.Kind)
@@ -457,7 +457,7 @@
 			known.ConcurrencyLimit = r.adaptive.New()
 		}
 		if known.RetryBudget == nil {
-			known.RetryBudget = r.further.Fresh()
+			known.RetryBudget = r.further.CopyUnspent()
 		}
 		if e.Address != "" && e.Address != known.address {
 			// What listens at the old address is another one's, or will be.
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -36,9 +36,9 @@
 		longest = max(longest, g.Limit)
 	}
 	m := r.parts.machine
-	further := func(b *limits.Budget, name string) {
-		if b != nil && b.Fleet {
-			b.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.Free, Rest: b.Window})
+	further := func(b *limits.RetryBudget, name string) {
+		if b != nil && b.FleetWide {
+			b.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.FreeRetries, Rest: b.Window})
 		}
 	}
 	further(r.ofAll, "further.all")
@@ -46,8 +46,8 @@
 		if b := route.Budget; b != nil {
 			further(b, "budget "+b.Name)
 		}
-		if c := route.Concurrency; c != nil && c.Routers > 0 {
-			c.Purse = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.Routers), Rest: longest})
+		if c := route.Concurrency; c != nil && c.FleetWide > 0 {
+			c.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.FleetWide), Rest: longest})
 		}
 	}
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -153,7 +153,7 @@
 	if settings == nil {
 		return nil
 	}
-	return &router.RoutesSet{Routes: settings.Routes, Adaptive: settings.Limits.Adaptive, All: settings.Limits.All, Engine: settings.Limits.Engine}
+	return &router.RoutesSet{Routes: settings.Routes, Adaptive: settings.Limits.Adaptive, All: settings.Limits.AllRetries, Engine: settings.Limits.EngineRetries}
 }
 
 // engineProtocols returns a function that finds an engine's protocol. Engines of the same settings entry share one protocol
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -60,7 +60,7 @@
 		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Queued: s.Seen.Queued,
 		InFlight: s.Seen.InFlight, Engines: s.Seen.Engines, Cold: s.Seen.Cold, Ejected: s.Seen.Ejected, Draining: s.Seen.Draining,
 		Load: s.Seen.Load, AdmissionThreshold: s.Seen.AdmissionThreshold}
-	for m, name := range levels.Names {
+	for m, name := range levels.MeasureNames {
 		out.Measures[name] = s.Measures[m]
 	}
 	return out
@@ -76,7 +76,7 @@
 	}
 	fmt.Fprintf(table, "shed\t%d\nbatches\t%d, %d held, %d out\nclients\t%d\nengines\t%d, %d cold, %d aside, %d draining\n", s.Shed, s.Batches,
 		s.Queued, s.InFlight, s.Clients, s.Engines, s.Cold, s.Ejected, s.Draining)
-	for _, name := range levels.Names {
+	for _, name := range levels.MeasureNames {
 		fmt.Fprintf(table, "%s\t%.3g\n", name, s.Measures[name])
 	}
 	if s.Stopping {
--- a/internal/shares/purse.go
+++ b/internal/shares/purse.go
@@ -13,8 +13,8 @@
 	return &Purse{m, of}
 }
 
-// Room tells whether so much may be used now.
-func (p *Purse) Room(now, amount float64) bool {
+// CanSpend tells whether so much may be used now.
+func (p *Purse) CanSpend(now, amount float64) bool {
 	m := p.m
 	m.clock(now)
 	b := m.budget(&p.of)
@@ -39,8 +39,8 @@
 	m.spend(b, amount)
 }
 
-// Want tells that so much is wanted for which there is no room.
-func (p *Purse) Want(now, amount float64) {
+// Request tells that so much is wanted for which there is no room.
+func (p *Purse) Request(now, amount float64) {
 	m := p.m
 	m.clock(now)
 	if b := m.budget(&p.of); amount <= b.Whole*(1-m.Firm) {
@@ -48,9 +48,9 @@
 	}
 }
 
-// Hopes tells whether it is worth a moment's wait to want so much: an exchange with the bursar. Where others have waited longer
+// MayGrantSoon tells whether it is worth a moment's wait to want so much: an exchange with the bursar. Where others have waited longer
 // in vain it is not, and whoever wants it is told so at once.
-func (p *Purse) Hopes(now, amount float64) bool {
+func (p *Purse) MayGrantSoon(now, amount float64) bool {
 	m := p.m
 	m.clock(now)
 	b := m.budget(&p.of)
@@ -61,10 +61,10 @@
 	return b.unmetAt == 0 || m.now <= b.unmetAt+m.Wait || m.now > b.wantAt+2*m.Again
 }
 
-// Freed tells that so much of what was held is no longer. It is taken from the credit that ends first, and from the firm part
+// Release tells that so much of what was held is no longer. It is taken from the credit that ends first, and from the firm part
 // last, whichever it was spent of: then what is still out is covered by credits that end no sooner than those it was spent of,
 // and by the firm part, which ends only with this start and a rest.
-func (p *Purse) Freed(now, amount float64) {
+func (p *Purse) Release(now, amount float64) {
 	m := p.m
 	m.clock(now)
 	b := m.budget(&p.of)
--- a/internal/shares/records_test.go
+++ b/internal/shares/records_test.go
@@ -85,11 +85,11 @@
 func (w *trio) take(i int) bool {
 	p := w.purse(i)
 	for end := w.now + 0.5; w.now < end; w.pass(0.02) {
-		if p.Room(w.now, 1) {
+		if p.CanSpend(w.now, 1) {
 			p.Spend(w.now, 1)
 			return true
 		}
-		p.Want(w.now, 1)
+		p.Request(w.now, 1)
 	}
 	return false
 }
@@ -113,7 +113,7 @@
 	require.Contains(t, []int{a, b}, next)
 	assert.True(t, w.take(b), "three are out, and the fourth is given")
 	assert.False(t, w.take(a), "four are out")
-	w.purse(a).Freed(w.now, 1)
+	w.purse(a).Release(w.now, 1)
 	w.pass(0.1)
 	assert.True(t, w.take(b), "what was given by the one before is freed at the next")
 	assert.False(t, w.take(a))
