--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -534,7 +534,7 @@
 			n.tell(router.EngineOpened{Connection: d.Connection})
 			return
 		}
-		n.tell(router.EngineEnded{Connection: d.Connection, End: router.RefusedDial})
+		n.tell(router.EngineEnded{Connection: d.Connection, End: router.DialRefused})
 	})
 }
 
--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -69,9 +69,9 @@
 
 // answerBeforeClose answers the requests that are still open on a client's connection before this side ends it, unless
 // the client does not read, in which case no answer would reach it, or has broken the protocol.
-func (l *Loop) answerBeforeClose(p *peer, why router.End) {
+func (l *Loop) answerBeforeClose(p *peer, why router.CloseReason) {
 	switch why {
-	case router.Unread, router.NoMemory, router.BadInput, router.LoginRefused:
+	case router.PeerNotReading, router.BufferLimitExceeded, router.BadInput, router.LoginRefused:
 		return
 	}
 	l.failOpenRequests(l.guard.Close(p.number), guard.CloseUnanswered)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -297,7 +297,7 @@
 }
 
 // endReason classifies the error with which a connection ended.
-func endReason(err error) router.End {
+func endReason(err error) router.CloseReason {
 	switch {
 	case err == nil, errors.Is(err, io.EOF):
 		return router.ClosedByPeer
@@ -323,14 +323,14 @@
 
 // endConnection closes a connection from this side. The router already knows, so no event follows. Clients get a
 // lingering close, except one that does not read or takes too much memory.
-func (l *Loop) endConnection(p *peer, why router.End) {
+func (l *Loop) endConnection(p *peer, why router.CloseReason) {
 	switch p.kind {
 	case enginePeer:
 		delete(l.engines, p.number)
 	case clientPeer:
 		delete(l.clients, p.number)
 		l.guard.ClientGone(p.number)
-		if !p.opening && why != router.Unread && why != router.NoMemory {
+		if !p.opening && why != router.PeerNotReading && why != router.BufferLimitExceeded {
 			p.rejecting = why != router.BadInput && why != router.LoginRefused
 			l.startLinger(p, time.Now().Add(flushTime))
 			return
@@ -390,7 +390,7 @@
 		}
 	}
 	if l.isOpen(p) && p.received.Len() > buffers.Size && l.pool.Used()*buffers.Size > l.maxBuffered {
-		l.failConnection(p, router.NoMemory)
+		l.failConnection(p, router.BufferLimitExceeded)
 	}
 }
 
@@ -448,7 +448,7 @@
 
 // failConnection ends a connection that can't be used any more and tells the router. After input that can't be parsed
 // the router answers the client's open batches first and closes the connection itself.
-func (l *Loop) failConnection(p *peer, end router.End) {
+func (l *Loop) failConnection(p *peer, end router.CloseReason) {
 	if p.lingering {
 		l.closeNow(p)
 		return
@@ -680,7 +680,7 @@
 		return
 	}
 	if p.stream.Unsent()+data.Len() > l.maxPeerUnsent {
-		l.failConnection(p, router.Unread)
+		l.failConnection(p, router.PeerNotReading)
 		return
 	}
 	p.stream.Write(data.Parts())
@@ -695,7 +695,7 @@
 				largest = other
 			}
 		}
-		l.failConnection(largest, router.Unread)
+		l.failConnection(largest, router.PeerNotReading)
 	}
 }
 
@@ -722,9 +722,9 @@
 		end := router.ResetByPeer
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
-			end = router.RefusedDial
+			end = router.DialRefused
 		case transient.Is(err): // a shortage of this process, no fault of the engine
-			end = router.NoDescriptor
+			end = router.NoDescriptors
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, syscall.ETIMEDOUT):
 			end = router.DialTimedOut
 		}
--- a/internal/loop/orders.go
+++ b/internal/loop/orders.go
@@ -80,7 +80,7 @@
 func (l *Loop) withdrawUnsent(p *peer, request *traffic.Dispatch) {
 	l.guard.NeverRan(request.ID, p.number)
 	l.processEvent(router.OrderRefused{Connection: p.number, ID: request.ID, Why: router.OrderLate})
-	l.failConnection(p, router.Unread)
+	l.failConnection(p, router.PeerNotReading)
 }
 
 // reportReadEngines tells the router which watched engines have read everything, and returns whether others have not.
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -21,11 +21,11 @@
 type PeerMessaging struct {
 	Fleet            string
 	Settings         membership.Settings
-	Quotas           *shares.Settings                     // for budgets that are divided among the fleet; nil: none
-	LoadReports      *news.Settings                       // for load reports between routers; nil: none are exchanged
-	Networks         []netip.Prefix                       // networks from which datagrams are accepted
-	AddressOverrides map[netip.AddrPort]netip.AddrPort    // where to send instead of the address that a router advertises
-	ReportMembers    func(router.Members, DatagramCounts) // receives the state of the membership, on the event loop; nil: unused
+	Quotas           *shares.Settings                         // for budgets that are divided among the fleet; nil: none
+	LoadReports      *news.Settings                           // for load reports between routers; nil: none are exchanged
+	Networks         []netip.Prefix                           // networks from which datagrams are accepted
+	AddressOverrides map[netip.AddrPort]netip.AddrPort        // where to send instead of the address that a router advertises
+	ReportMembers    func(router.FleetStatus, DatagramCounts) // receives the state of the membership, on the event loop; nil: unused
 }
 
 // DatagramCounts counts datagrams and bytes since the start of the process.
@@ -136,7 +136,7 @@
 }
 
 // reportMembers passes the state of the membership to the callback.
-func (l *Loop) reportMembers(m router.Members) {
+func (l *Loop) reportMembers(m router.FleetStatus) {
 	if l.messenger.ReportMembers != nil {
 		l.messenger.ReportMembers(m, l.messenger.counts)
 	}
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -140,7 +140,7 @@
 	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", textOf{b.said.Text})
 	b.takenAt = r.now
 	r.brain.AddBatch(b.Batch)
-	r.level.came(b)
+	r.level.batchArrived(b)
 }
 
 // route finds the operator's limits for a batch. It keeps them, whatever a reload brings meanwhile.
@@ -189,7 +189,7 @@
 	c.since = r.now
 	a.Stream = b.stream
 	if b.Batch != nil {
-		r.level.answered(b, a.Code, r.now)
+		r.level.batchAnswered(b, a.Code, r.now)
 	}
 	r.unwait(b)
 	if b.dueAt > 0 && r.now > b.dueAt+lateAnswer {
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -124,10 +124,10 @@
 		case len(c.open) > 0:
 		case c.half > 0 && r.now-c.half > silentTime:
 			r.crowd.silent++
-			r.refuseClient(c, Silent)
+			r.refuseClient(c, FrameTimedOut)
 		case !c.said && r.now-c.since > silentTime:
 			r.crowd.silent++
-			r.closeClient(c, Silent)
+			r.closeClient(c, FrameTimedOut)
 		case r.now-c.since > c.speaks.IdleTimeout && c.half == 0:
 			r.crowd.idle++
 			r.closeClient(c, ClosedIdle)
@@ -148,14 +148,14 @@
 	}
 }
 
-func (r *Router) closeClient(c *client, end End) {
+func (r *Router) closeClient(c *client, end CloseReason) {
 	r.do(CloseClient{c.number, end})
 	r.clientEnded(c.number, end)
 }
 
 // refuseClient tells of an error that belongs to no batch and ends the connection. What was taken on it before gets its final
 // answer too, and no other than an error: whoever sends what can't be used is served nothing.
-func (r *Router) refuseClient(c *client, end End) {
+func (r *Router) refuseClient(c *client, end CloseReason) {
 	why := "the connection ends: " + end.String()
 	for _, b := range c.inTurn() {
 		b.why = why
@@ -176,7 +176,7 @@
 	return open
 }
 
-func (r *Router) clientEnded(number uint64, end End) {
+func (r *Router) clientEnded(number uint64, end CloseReason) {
 	c := r.clients[number]
 	if c == nil {
 		return
@@ -189,7 +189,7 @@
 			ids = append(ids, b.id)
 		}
 		r.log(Warn, "client gone with open batches", "client", number, "open", len(open), "end", end.String(),
-			"ours", end.ours(), "since", r.now-open[0].takenAt, "batches", strings.Join(ids, " "))
+			"ours", end.isLocal(), "since", r.now-open[0].takenAt, "batches", strings.Join(ids, " "))
 	}
 	for _, b := range open {
 		r.left(b)
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -39,13 +39,13 @@
 // settleDue: silence ends the connection.
 func (r *Router) settleDue(s *settling) {
 	if l := s.line; r.connections[l.Number] == l && l.Get(settleName) == any(s) {
-		r.closeLine(l, Unanswered)
+		r.closeLine(l, CancelTimedOut)
 	}
 }
 
 func (r *Router) settled(l *line) {
 	l.Close(settleName, false, r.now)
-	r.withdrawalsSettled(l)
+	r.confirmCancellations(l)
 	r.rest(l)
 }
 
@@ -57,17 +57,17 @@
 }
 
 // pick finds a connection for one more, or begins one.
-func (r *Router) pick(e *engine, id string) (*line, End) {
+func (r *Router) pick(e *engine, id string) (*line, CloseReason) {
 	c := e.pool.Pick(id, r.multiplex(e))
 	room := len(r.connections)+r.dialing+2 <= r.most
 	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.spread, r.most/(2*max(len(r.engines), 1)))) {
 		return r.connections[c.Number], 0
 	}
 	if e.address == "" {
-		return nil, Unaddressed
+		return nil, NoAddress
 	}
 	if !room {
-		return nil, NoDescriptor
+		return nil, NoDescriptors
 	}
 	r.dialing++
 	l := &line{Connection: e.pool.Add(r.number(), r.now), engine: e}
@@ -135,7 +135,7 @@
 	if l.Idle() || l.check != nil || !r.settings.Settings.MayProbe || l.engine.speaks.OneAtATime {
 		return
 	}
-	l.check = &probe{engine: l.engine, line: l, tag: tag(r.number())}
+	l.check = &probe{engine: l.engine, conn: l, tag: tag(r.number())}
 	l.Open(l.check.tag, l.check)
 	r.timers.add(r.now+r.settings.Settings.DialTime, l.check)
 	r.send(l, l.check)
@@ -168,7 +168,7 @@
 	}
 	switch {
 	case l.Left:
-		r.closeLine(l, LeftAddress)
+		r.closeLine(l, StaleAddress)
 		return
 	case l.Suspect:
 		r.closeLine(l, ClosedSuspect)
@@ -198,13 +198,13 @@
 	r.closeLine(l, ClosedIdle)
 }
 
-func (r *Router) closeLine(l *line, end End) {
+func (r *Router) closeLine(l *line, end CloseReason) {
 	r.do(CloseEngine{l.Number, end})
 	r.lineEnded(l, end)
 }
 
 // lineEnded ends all that was open on a connection, in the order it was sent.
-func (r *Router) lineEnded(l *line, end End) {
+func (r *Router) lineEnded(l *line, end CloseReason) {
 	delete(r.connections, l.Number)
 	r.timers.stop(l.timer)
 	if !l.Up {
@@ -219,16 +219,16 @@
 		case *dispatch:
 			dispatches = append(dispatches, w)
 		case *probe:
-			r.probed(w, false, nil, false)
+			r.finishProbe(w, false, nil, false)
 		}
 	}
 	slices.SortFunc(dispatches, func(a, b *dispatch) int {
 		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.batch.ID, b.batch.ID))
 	})
 	for _, d := range dispatches {
-		how := outcomes[end].unwritten
+		how := outcomesByReason[end].unwritten
 		if d.written {
-			how = r.brokenOff(d, end)
+			how = r.endingAfterClose(d, end)
 		}
 		r.ended(d, how, nil)
 	}
--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -11,32 +11,32 @@
 	"pitchfield/internal/traffic"
 )
 
-// twice gives a batch of which two copies are out, with the connection and the engine's number of each.
-func twice(t *testing.T) (h *host, stream uint32, id string, lines [2]uint64) {
-	other := east("s-2")
+// newHostWithHedge gives a batch of which two copies are out, with the connection and the engine's number of each.
+func newHostWithHedge(t *testing.T) (h *host, stream uint32, id string, lines [2]uint64) {
+	other := eastEngine("s-2")
 	other.Address = "10.0.0.2:80"
-	h = startWith(t, strings.Replace(grades, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-duplicate":true,`, 1), east("s-1"), other)
-	h.tell(RoutesSet{Routes: limits.NewTable([]*limits.Route{{Name: "r", Pattern: limits.Fields{Group: "lookup"}, Hedging: &limits.HedgePolicy{AfterQuantile: 0.9, MaxRatio: 0.2}}})})
+	h = newHostWith(t, strings.Replace(testSettings, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-duplicate":true,`, 1), eastEngine("s-1"), other)
+	h.deliver(RoutesSet{Routes: limits.NewTable([]*limits.Route{{Name: "r", Pattern: limits.Fields{Group: "lookup"}, Hedging: &limits.HedgePolicy{AfterQuantile: 0.9, MaxRatio: 0.2}}})})
 	rise := func() {
 		for _, d := range h.dials {
 			if l := h.connections[d.Connection]; l != nil && !l.Up {
-				h.tell(EngineOpened{d.Connection})
+				h.deliver(EngineOpened{d.Connection})
 			}
 		}
 	}
 	for range 20 {
-		_, id := h.batch("lookup", 4000)
+		_, id := h.sendBatch("lookup", 4000)
 		rise()
-		h.pass(0.02)
+		h.advance(0.02)
 		for number, text := range h.written {
 			if h.connections[number] != nil && strings.Contains(text, id) {
-				h.say(number, id, "DONE", "sheets=1,toil=20,room=4", "a\t2\t3\n")
+				h.engineReply(number, id, "DONE", "sheets=1,toil=20,room=4", "a\t2\t3\n")
 			}
 		}
-		h.pass(0.2)
+		h.advance(0.2)
 	}
-	stream, id = h.batch("lookup", 4000)
-	for n := 0; n < 2; h.pass(0.02) {
+	stream, id = h.sendBatch("lookup", 4000)
+	for n := 0; n < 2; h.advance(0.02) {
 		n = 0
 		rise()
 		for _, d := range h.dials {
@@ -50,64 +50,64 @@
 	return h, stream, id, lines
 }
 
-func TestTheFirstOfTwoCopiesIsTheAnswerAndTheOtherIsGivenUp(t *testing.T) {
+func TestFirstHedgedAnswerWinsAndOtherDispatchIsCancelled(t *testing.T) {
 	for first := range 2 {
-		h, stream, id, lines := twice(t)
-		h.say(lines[first], id, "DONE", "sheets=1", "x\t2\t3\n")
-		assert.Equal(t, ok+"x\t2\t3\n", h.answers[stream])
+		h, stream, id, lines := newHostWithHedge(t)
+		h.engineReply(lines[first], id, "DONE", "sheets=1", "x\t2\t3\n")
+		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
 		assert.Contains(t, h.written[lines[1-first]], "abort\r\n$16\r\n"+id)
 		assert.NotContains(t, h.written[lines[first]], "abort\r\n$16\r\n"+id)
-		h.say(lines[1-first], id, "DONE", "sheets=3", "y\t2\t3\n")
+		h.engineReply(lines[1-first], id, "DONE", "sheets=3", "y\t2\t3\n")
 		assert.Empty(t, h.batches, "what crosses the giving up changes nothing")
 	}
 }
 
-func TestBothCopiesMayAnswerInOneTurn(t *testing.T) {
-	h, stream, id, lines := twice(t)
-	h.tell(h.saying(lines[0], id, "DONE", "sheets=1", "x\t2\t3\n"), h.saying(lines[1], id, "DONE", "sheets=2", "y\t2\t3\n"))
-	assert.Equal(t, ok+"x\t2\t3\n", h.answers[stream])
-	h.pass(0.5)
+func TestBothHedgedDispatchesAnswerInOneTurn(t *testing.T) {
+	h, stream, id, lines := newHostWithHedge(t)
+	h.deliver(h.engineReplyEvent(lines[0], id, "DONE", "sheets=1", "x\t2\t3\n"), h.engineReplyEvent(lines[1], id, "DONE", "sheets=2", "y\t2\t3\n"))
+	assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
+	h.advance(0.5)
 	assert.Empty(t, h.batches)
 	assert.Zero(t, h.pool.Used())
 }
 
-func TestACopyThatIsTurnedAwayOrCutLeavesTheOther(t *testing.T) {
+func TestRejectedOrBrokenHedgedDispatchLeavesTheOther(t *testing.T) {
 	for first := range 2 {
-		h, stream, id, lines := twice(t)
-		h.say(lines[first], id, "WAIT", "-", "")
+		h, stream, id, lines := newHostWithHedge(t)
+		h.engineReply(lines[first], id, "WAIT", "-", "")
 		assert.NotContains(t, h.answers, stream)
-		h.say(lines[1-first], id, "DONE", "sheets=1", "x\t2\t3\n")
-		assert.Equal(t, ok+"x\t2\t3\n", h.answers[stream])
+		h.engineReply(lines[1-first], id, "DONE", "sheets=1", "x\t2\t3\n")
+		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
 
-		h, stream, id, lines = twice(t)
-		h.tell(EngineEnded{lines[first], ResetByPeer}, h.saying(lines[1-first], id, "DONE", "sheets=1", "x\t2\t3\n"))
-		assert.Equal(t, ok+"x\t2\t3\n", h.answers[stream], "in one turn too")
+		h, stream, id, lines = newHostWithHedge(t)
+		h.deliver(EngineEnded{lines[first], ResetByPeer}, h.engineReplyEvent(lines[1-first], id, "DONE", "sheets=1", "x\t2\t3\n"))
+		assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream], "in one turn too")
 	}
 }
 
-func TestAReloadOrALeaveBetweenCopiesLosesNothing(t *testing.T) {
-	h, stream, id, lines := twice(t)
-	h.tell(RoutesSet{Routes: limits.NewTable(nil)})
-	h.say(lines[1], id, "DONE", "sheets=1", "x\t2\t3\n")
-	assert.Equal(t, ok+"x\t2\t3\n", h.answers[stream])
+func TestReloadOrClientCancelWhileHedged(t *testing.T) {
+	h, stream, id, lines := newHostWithHedge(t)
+	h.deliver(RoutesSet{Routes: limits.NewTable(nil)})
+	h.engineReply(lines[1], id, "DONE", "sheets=1", "x\t2\t3\n")
+	assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
 	assert.Contains(t, h.written[lines[0]], "abort\r\n$16\r\n"+id)
 
-	h, stream, id, lines = twice(t)
-	h.tell(ClientSaid{1, traffic.Cancel{Stream: stream}})
-	h.say(lines[0], id, "DONE", "sheets=1", "x\t2\t3\n")
+	h, stream, id, lines = newHostWithHedge(t)
+	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.engineReply(lines[0], id, "DONE", "sheets=1", "x\t2\t3\n")
 	assert.NotContains(t, h.answers, stream)
-	h.say(lines[1], id, "DONE", "sheets=1", "x\t2\t3\n")
+	h.engineReply(lines[1], id, "DONE", "sheets=1", "x\t2\t3\n")
 	assert.Empty(t, h.batches)
 }
 
 // Rows of one copy that go out end the other: what of it comes later can't be passed on beside them.
-func TestACopyWhoseRowsHaveBegunToGoOutEndsTheOther(t *testing.T) {
-	h, _, id, _ := twice(t)
+func TestStreamingHedgedDispatchCancelsTheOther(t *testing.T) {
+	h, _, id, _ := newHostWithHedge(t)
 	b := h.open[id]
 	h.stream(b.dispatches[1])
 	assert.True(t, b.dispatches[0].ended)
 	assert.True(t, b.Streaming)
 	assert.Same(t, b.dispatches[1], b.streaming())
-	h.tell(EngineEnded{b.dispatches[1].line.Number, ResetByPeer})
+	h.deliver(EngineEnded{b.dispatches[1].line.Number, ResetByPeer})
 	assert.Empty(t, h.batches, "the result is cut, and nothing is sent again")
 }
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -15,22 +15,22 @@
 
 // What comes between two lines: each story brings an event in the moment in which it does most harm.
 
-// list answers as the name service does, question by question, until a list is in force: one that is new has to be told more
+// adoptList answers as the name service does, question by question, until a list is in force: one that is new has to be told more
 // than once.
-func (h *host) list(serial uint32, engines ...directory.Engine) {
+func (h *host) adoptList(serial uint32, engines ...directory.Engine) {
 	h.t.Helper()
 	for range 4 {
-		h.tell(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: serial, Engines: engines}})
+		h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: serial, Engines: engines}})
 		if h.follower.Serial() == serial {
 			return
 		}
-		h.pass(0.006)
+		h.advance(0.006)
 	}
 	require.Fail(h.t, "never in force", "serial %d", serial)
 }
 
 func (h *host) exited() bool {
-	for _, what := range h.did {
+	for _, what := range h.emitted {
 		if _, is := what.(Exit); is {
 			return true
 		}
@@ -38,8 +38,8 @@
 	return false
 }
 
-func (h *host) count(match func(Effect) bool) (n int) {
-	for _, what := range h.did {
+func (h *host) countEffects(match func(Effect) bool) (n int) {
+	for _, what := range h.emitted {
 		if match(what) {
 			n++
 		}
@@ -49,104 +49,104 @@
 
 // What was never sent is harmless to send again, and another router may have the time for it. The error that it got
 // promises nothing, and the module went on sending it while the last bytes were written.
-func TestWhatIsHeldAtTheEndGoesBackAndIsNotSentOnLate(t *testing.T) {
-	h := startWith(t, strings.ReplaceAll(grades, `"on-time-ms":4000,"deadline-ms":9000`, `"on-time-ms":20000,"deadline-ms":30000`)) // no engine at all
-	stream, _ := h.batch("upload", 30000)
-	h.tell(StopAsked{})
-	h.pass(3.3)
+func TestQueuedBatchIsRejectedAtShutdownAndNotSentLater(t *testing.T) {
+	h := newHostWith(t, strings.ReplaceAll(testSettings, `"on-time-ms":4000,"deadline-ms":9000`, `"on-time-ms":20000,"deadline-ms":30000`)) // no engine at all
+	stream, _ := h.sendBatch("upload", 30000)
+	h.deliver(StopAsked{})
+	h.advance(3.3)
 	require.Empty(t, h.answers, "the module has not given it up yet")
-	h.pass(0.2)
-	assert.Equal(t, refusal+"\x01\x01w\x03\x00500", h.answers[stream])
+	h.advance(0.2)
+	assert.Equal(t, answerRejected+"\x01\x01w\x03\x00500", h.answers[stream])
 	require.True(t, h.exited())
 	for range 3 { // more than a list has to be told to be in force
-		h.tell(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 2, Engines: []directory.Engine{east("s-1")}}})
-		h.pass(0.1)
+		h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 2, Engines: []directory.Engine{eastEngine("s-1")}}})
+		h.advance(0.1)
 	}
 	assert.Empty(t, h.dials, "its client has its final answer")
 }
 
-func TestWhatIsOutAtTheEndGoesBackOnlyIfItMayRunAgain(t *testing.T) {
-	h := start(t, east("s-1"))
-	once, _ := h.batch("upload", 9000)
-	again, _ := h.batch("lookup", 8000)
-	h.up()
-	h.tell(StopAsked{})
-	h.pass(3.5)
-	assert.Equal(t, failure, h.answers[once], "it may have run")
-	assert.True(t, strings.HasPrefix(h.answers[again], refusal), "%q", h.answers[again])
+func TestOutstandingBatchIsRejectedAtShutdownOnlyIfSafeToRetry(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	once, _ := h.sendBatch("upload", 9000)
+	again, _ := h.sendBatch("lookup", 8000)
+	h.connectLast()
+	h.deliver(StopAsked{})
+	h.advance(3.5)
+	assert.Equal(t, answerFailed, h.answers[once], "it may have run")
+	assert.True(t, strings.HasPrefix(h.answers[again], answerRejected), "%q", h.answers[again])
 	assert.True(t, h.exited())
 }
 
-func TestWhatComesOnceTheEndIsDecidedIsNotTaken(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.tell(StopAsked{})
-	h.pass(0.8)
+func TestBatchAfterExitIsNotAccepted(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.deliver(StopAsked{})
+	h.advance(0.8)
 	require.True(t, h.exited())
-	h.batch("lookup", 2000)
-	h.pass(0.3)
+	h.sendBatch("lookup", 2000)
+	h.advance(0.3)
 	assert.Empty(t, h.dials)
 	assert.Empty(t, h.answers, "its client comes again elsewhere: it crossed the shutdown")
 }
 
-func TestAStopWaitsForTheOtherHalfOfAFrame(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.tell(StopAsked{})
-	h.pass(0.6)
-	h.tell(ClientBegan{1})
-	h.pass(1)
+func TestStopWaitsForPartialFrame(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.deliver(StopAsked{})
+	h.advance(0.6)
+	h.deliver(ClientBegan{1})
+	h.advance(1)
 	assert.False(t, h.exited(), "somebody is writing")
-	stream, id := h.batch("lookup", 1000)
-	h.say(h.up(), id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
+	stream, id := h.sendBatch("lookup", 1000)
+	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	assert.True(t, h.exited(), "with the last answer")
 }
 
-func TestAStopDoesNotWaitForHalfAFrameForGood(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.tell(StopAsked{})
-	h.tell(ClientBegan{1})
-	h.pass(2.3)
+func TestStopDoesNotWaitForeverForPartialFrame(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.deliver(StopAsked{})
+	h.deliver(ClientBegan{1})
+	h.advance(2.3)
 	assert.True(t, h.exited())
 }
 
 // A connection may take longer to come up than a drain may still be sent to.
-func TestADrainTakesBackWhatWaitsForItsConnection(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 5000)
+func TestDrainRecallsDispatchesWaitingForConnection(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 5000)
 	require.Len(t, h.dials, 1)
-	leaving := east("s-1")
+	leaving := eastEngine("s-1")
 	leaving.Draining = true
 	told := h.now
-	h.tell(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 2, Engines: []directory.Engine{leaving, east("s-2")}}})
+	h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 2, Engines: []directory.Engine{leaving, eastEngine("s-2")}}})
 	assert.Empty(t, h.connections, "it is taken back with the first answer")
-	h.pass(0.006)
-	h.list(2, leaving, east("s-2"))
+	h.advance(0.006)
+	h.adoptList(2, leaving, eastEngine("s-2"))
 	for len(h.dials) < 2 && h.now < told+1 {
-		h.pass(0.001)
+		h.advance(0.001)
 	}
 	require.Len(t, h.dials, 2, "it never ran, and goes elsewhere")
 	assert.Less(t, h.now-told, 0.06, "once the new engine is confirmed and the module looks again")
-	h.tell(EngineOpened{h.dials[0].Connection})
-	assert.Zero(t, h.fetches(id))
-	h.say(h.up(), id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
-	assert.Equal(t, 1, h.fetches(id))
+	h.deliver(EngineOpened{h.dials[0].Connection})
+	assert.Zero(t, h.fetchCount(id))
+	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
+	assert.Equal(t, 1, h.fetchCount(id))
 }
 
-func TestADrainCountsWithItsFirstAnswerWhateverItsNumber(t *testing.T) {
+func TestDrainTakesEffectWithFirstAnswerAtAnySerial(t *testing.T) {
 	for _, serial := range []uint32{0, 1, 2, 9} {
-		h := start(t, east("s-1"), east("s-2"))
-		_, id := h.batch("upload", 5000)
+		h := newHost(t, eastEngine("s-1"), eastEngine("s-2"))
+		_, id := h.sendBatch("upload", 5000)
 		require.Len(t, h.dials, 1)
 		first := h.connections[h.dials[0].Connection].engine
-		leaving := east(first.name)
+		leaving := eastEngine(first.name)
 		leaving.Draining = true
 		other := map[string]string{"s-1": "s-2", "s-2": "s-1"}[first.name]
-		h.tell(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: serial, Engines: []directory.Engine{leaving, east(other)}}})
+		h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: serial, Engines: []directory.Engine{leaving, eastEngine(other)}}})
 		require.Len(t, h.dials, 2, "serial %d: it never ran, and goes elsewhere at once", serial)
-		h.say(h.up(), id, "DONE", "sheets=1", "a\t2\t3\n")
+		h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
 		for range 3 {
-			h.batch("lookup", 2000)
+			h.sendBatch("lookup", 2000)
 		}
 		for _, d := range h.dials[1:] {
 			assert.Equal(t, other, h.connections[d.Connection].engine.name, "serial %d", serial)
@@ -155,52 +155,52 @@
 }
 
 // A request that waits for its engine to read is still ours.
-func TestWhatAnEngineHasNotReadIsTakenBackByADrainAndWhenItsClientGoes(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 5000)
-	c := h.up()
-	h.tell(OrderRefused{Connection: c, ID: id, Why: OrderUnread})
-	_, left := h.batch("upload", 5000)
-	require.Equal(t, 1, h.fetches(id), "refused: the loop has not written it")
-	require.Zero(t, h.fetches(left), "it waits for the same connection")
-	h.tell(ClientSaid{1, traffic.Cancel{Stream: stream + 1}})
-	leaving := east("s-1")
+func TestUnreadRequestIsRecalledOnDrainAndClientCancel(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 5000)
+	c := h.connectLast()
+	h.deliver(OrderRefused{Connection: c, ID: id, Why: OrderUnread})
+	_, left := h.sendBatch("upload", 5000)
+	require.Equal(t, 1, h.fetchCount(id), "refused: the loop has not written it")
+	require.Zero(t, h.fetchCount(left), "it waits for the same connection")
+	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream + 1}})
+	leaving := eastEngine("s-1")
 	leaving.Draining = true
-	h.list(2, leaving, east("s-2"))
-	h.tell(EngineRead{c})
-	h.pass(0.05)
-	h.say(h.up(), id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream], "it never ran there")
-	assert.Zero(t, h.fetches(left))
+	h.adoptList(2, leaving, eastEngine("s-2"))
+	h.deliver(EngineRead{c})
+	h.advance(0.05)
+	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream], "it never ran there")
+	assert.Zero(t, h.fetchCount(left))
 }
 
-func TestWhatAnEngineHasNotReadIsSentOnceItReads(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 5000)
-	c := h.up()
-	h.tell(OrderRefused{Connection: c, ID: id, Why: OrderUnread})
-	before := h.fetches(id)
-	h.pass(0.2)
-	require.Equal(t, before, h.fetches(id))
-	h.tell(EngineRead{c})
-	require.Equal(t, before+1, h.fetches(id))
-	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
+func TestUnreadRequestIsSentOnceEngineReads(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 5000)
+	c := h.connectLast()
+	h.deliver(OrderRefused{Connection: c, ID: id, Why: OrderUnread})
+	before := h.fetchCount(id)
+	h.advance(0.2)
+	require.Equal(t, before, h.fetchCount(id))
+	h.deliver(EngineRead{c})
+	require.Equal(t, before+1, h.fetchCount(id))
+	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 }
 
-func TestADrainLeavesWhatIsOutToBeAnswered(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 5000)
-	c := h.up()
-	leaving := east("s-1")
+func TestDrainLeavesOutstandingDispatchesRunning(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 5000)
+	c := h.connectLast()
+	leaving := eastEngine("s-1")
 	leaving.Draining = true
-	h.list(2, leaving, east("s-2"))
-	h.say(c, id, "DONE", "sheets=2", "a\t2\t3\n")
-	h.say(c, id, "MORE", "sheet=1", "b\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\nb\t2\t3\n", h.answers[stream], "its pages are not new work")
+	h.adoptList(2, leaving, eastEngine("s-2"))
+	h.engineReply(c, id, "DONE", "sheets=2", "a\t2\t3\n")
+	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\n", h.answers[stream], "its pages are not new work")
 }
 
-const forgetful = `{"grades":[
+const dedupSettings = `{"grades":[
  {"name":"lookup","on-time-ms":800,"deadline-ms":4000,"idempotency":"idempotent","worth":1},
  {"name":"load","on-time-ms":4000,"deadline-ms":9000,"idempotency":"deduplicated","group":"all","window-ms":150,"worth":6}],
  "specifics":{"cores-by-kind":[8],"memory-by-kind-mb":[16000],"dop":[1,2]},"dcs":["east"],"flavors":["std"],
@@ -209,124 +209,124 @@
 
 // Engines drop repeats for a time that runs from the first dispatch: a repeat that waits for its connection past that would
 // run a second time.
-func TestARepeatIsNotWrittenOnceTheEnginesHaveForgottenItsFirst(t *testing.T) {
+func TestRetryIsNotWrittenAfterDeduplicationWindow(t *testing.T) {
 	for _, late := range []float64{0.05, 0.2} {
-		h := startWith(t, forgetful, east("s-1"), east("s-2"))
+		h := newHostWith(t, dedupSettings, eastEngine("s-1"), eastEngine("s-2"))
 		const id = "00000000000000f1"
-		h.ask(1, 1, id, "c", "load", "d", "5000", "k", strings.Repeat("a", 32))
-		h.tell(EngineEnded{h.up(), ResetByPeer})
+		h.sendRequest(1, 1, id, "c", "load", "d", "5000", "k", strings.Repeat("a", 32))
+		h.deliver(EngineEnded{h.connectLast(), ResetByPeer})
 		require.Len(t, h.dials, 2, "within the window it goes again")
-		h.pass(late)
-		h.up()
+		h.advance(late)
+		h.connectLast()
 		if late < 0.15 {
-			assert.Equal(t, 2, h.fetches(id))
+			assert.Equal(t, 2, h.fetchCount(id))
 			continue
 		}
-		assert.Equal(t, 1, h.fetches(id))
-		assert.Equal(t, failure, h.answers[1], "it may have run, and can't be sent again")
+		assert.Equal(t, 1, h.fetchCount(id))
+		assert.Equal(t, answerFailed, h.answers[1], "it may have run, and can't be sent again")
 	}
 }
 
-func TestPagesThatNobodyWantsAreGivenUp(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("lookup", 3000)
-	c := h.up()
-	h.say(c, id, "DONE", "sheets=3", "a\t2\t3\n")
+func TestUnwantedPagesAreCancelled(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("lookup", 3000)
+	c := h.connectLast()
+	h.engineReply(c, id, "DONE", "sheets=3", "a\t2\t3\n")
 	require.Equal(t, 2, strings.Count(h.written[c], "more\r\n"))
-	h.tell(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream}})
 	assert.Contains(t, h.written[c], "done\r\n$16\r\n"+id)
-	h.say(c, id, "MORE", "sheet=1", "b\t2\t3\n")
-	h.pass(2)
+	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
+	h.advance(2)
 	assert.Equal(t, 2, strings.Count(h.written[c], "more\r\n"), "nothing is asked for again")
 	assert.Empty(t, h.answers)
 	assert.Zero(t, h.pool.Used())
 }
 
-func TestReadyIsSaidOnceThereIsAList(t *testing.T) {
-	h := start(t)
+func TestReadyOnceEnginesAreListed(t *testing.T) {
+	h := newHost(t)
 	ready := func() bool {
-		h.did = nil
-		h.tell(ClientSaid{1, traffic.ReadinessQuery{Stream: 7}})
-		return h.count(func(e Effect) bool {
+		h.emitted = nil
+		h.deliver(ClientSaid{1, traffic.ReadinessQuery{Stream: 7}})
+		return h.countEffects(func(e Effect) bool {
 			told, is := e.(TellClient)
 			return is && told.What == traffic.ClientReply(traffic.Ready{Stream: 7, Yes: true})
 		}) == 1
 	}
 	assert.False(t, ready(), "all that came would be turned away")
-	h.list(2, east("s-1"))
+	h.adoptList(2, eastEngine("s-1"))
 	assert.True(t, ready())
-	h.tell(StopAsked{})
+	h.deliver(StopAsked{})
 	assert.False(t, ready())
 }
 
 // Bytes that can't be read end a connection, and what was asked for on it before was taken. It gets its final answer, which is
 // never a result: such clients are served nothing.
-func TestRubbishBehindABatchLeavesItNotUnanswered(t *testing.T) {
+func TestMalformedInputAfterBatchStillAnswersBatch(t *testing.T) {
 	for name, rubbish := range map[string]func(h *host) Event{
 		"bytes that are no frame":  func(*host) Event { return ClientSpoilt{2} },
-		"a frame of no known type": func(h *host) Event { return h.said(2, standin.Frame(77, 5, nil, "")) },
+		"a frame of no known type": func(h *host) Event { return h.clientFrame(2, standin.Frame(77, 5, nil, "")) },
 		"a stream that is taken": func(h *host) Event {
-			return h.said(2, standin.Frame(clients.Ask, 1, []string{"c", "upload", "i", "00000000000000bb", "d", "900"}, "SELECT 1"))
+			return h.clientFrame(2, standin.Frame(clients.Ask, 1, []string{"c", "upload", "i", "00000000000000bb", "d", "900"}, "SELECT 1"))
 		},
 	} {
-		h := start(t, east("s-1"))
-		h.tell(h.opened(2))
-		h.ask(2, 1, "00000000000000aa", "c", "upload", "d", "3000")
-		c := h.up()
-		h.tell(rubbish(h))
-		assert.Equal(t, failure, h.answers[1], name)
-		assert.Equal(t, failure, h.answers[0], name)
+		h := newHost(t, eastEngine("s-1"))
+		h.deliver(h.clientOpenedEvent(2))
+		h.sendRequest(2, 1, "00000000000000aa", "c", "upload", "d", "3000")
+		c := h.connectLast()
+		h.deliver(rubbish(h))
+		assert.Equal(t, answerFailed, h.answers[1], name)
+		assert.Equal(t, answerFailed, h.answers[0], name)
 		assert.NotContains(t, h.clients, uint64(2), name)
-		h.say(c, "00000000000000aa", "DONE", "sheets=1", "a\t2\t3\n")
-		assert.Equal(t, failure, h.answers[1], name)
+		h.engineReply(c, "00000000000000aa", "DONE", "sheets=1", "a\t2\t3\n")
+		assert.Equal(t, answerFailed, h.answers[1], name)
 		assert.Empty(t, h.batches, name)
 		assert.Zero(t, h.pool.Used(), name)
 	}
 }
 
 // A socket whose answers have ceased for good, where a new one would be heard.
-func TestASilentNameServiceIsAskedFromAnotherPort(t *testing.T) {
-	h := start(t, east("s-1"))
+func TestSilentNameServiceIsQueriedFromAnotherPort(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
 	moves := func() int {
-		return h.count(func(e Effect) bool { at, is := e.(AskAt); return is && at.Resolver == "127.0.0.1:2" })
+		return h.countEffects(func(e Effect) bool { at, is := e.(AskAt); return is && at.Resolver == "127.0.0.1:2" })
 	}
 	lines := func(text string) int {
-		return h.count(func(e Effect) bool { l, is := e.(Log); return is && strings.Contains(l.Text, text) })
+		return h.countEffects(func(e Effect) bool { l, is := e.(Log); return is && strings.Contains(l.Text, text) })
 	}
-	h.pass(0.9)
+	h.advance(0.9)
 	assert.Zero(t, moves(), "an answer or two may be lost")
-	h.pass(2.3)
+	h.advance(2.3)
 	assert.Equal(t, 3, moves())
 	assert.Equal(t, 1, lines("silent"))
-	h.list(2, east("s-2"))
+	h.adoptList(2, eastEngine("s-2"))
 	assert.Equal(t, 1, lines("heard again"))
 	assert.Contains(t, h.engines, "s-2")
 	before := moves()
 	for range 30 {
-		h.pass(0.1)
-		h.list(2, east("s-2"))
+		h.advance(0.1)
+		h.adoptList(2, eastEngine("s-2"))
 	}
 	assert.Equal(t, before, moves())
 }
 
-func TestWhatWaitsForItsConnectionIsGivenBackWhenItsClientGoes(t *testing.T) {
-	h := start(t, east("s-1"))
-	_, id := h.batch("upload", 5000)
+func TestDispatchWaitingForConnectionIsReleasedWhenClientLeaves(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	_, id := h.sendBatch("upload", 5000)
 	require.Equal(t, 1, h.engines["s-1"].out)
-	h.tell(ClientEnded{1, ClosedByPeer})
+	h.deliver(ClientEnded{1, ClosedByPeer})
 	assert.Zero(t, h.engines["s-1"].out, "its room is free at once")
 	assert.Empty(t, h.batches)
-	h.up()
-	assert.Zero(t, h.fetches(id))
+	h.connectLast()
+	assert.Zero(t, h.fetchCount(id))
 }
 
 // What clients have not read yet has until just before the kill may come, however early all is answered.
-func TestTheEndLeavesUnreadAnswersTheTimeThatThereIs(t *testing.T) {
-	h := start(t, east("s-1")) // the longest time limit is 9 s, which counts as 3
-	h.tell(StopAsked{})
+func TestExitLeavesTimeForUnreadAnswers(t *testing.T) {
+	h := newHost(t, eastEngine("s-1")) // the longest time limit is 9 s, which counts as 3
+	h.deliver(StopAsked{})
 	stopped := h.now
-	h.pass(1)
-	for _, what := range h.did {
+	h.advance(1)
+	for _, what := range h.emitted {
 		if e, is := what.(Exit); is {
 			assert.Greater(t, e.By, stopped+3.5)
 			assert.Less(t, e.By, stopped+3.7, "the kill")
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -53,7 +53,7 @@
 
 func (r *Router) dispatch(b *batch, e *engine, what brain.Decision) {
 	no, wait := what.Number, what.Wait
-	d := &dispatch{batch: b, no: no, engine: e, sentAt: r.now, endAt: r.now + wait, by: r.by(), work: -1, memory: -1}
+	d := &dispatch{batch: b, no: no, engine: e, sentAt: r.now, endAt: r.now + wait, by: r.writeDeadline(), work: -1, memory: -1}
 	if what.SendBefore > 0 {
 		d.by = min(d.by, what.SendBefore)
 	}
@@ -64,7 +64,7 @@
 		"serial", r.follower.Serial(), "age", r.follower.Counts(r.now).Age)
 	l, end := r.pick(e, b.id)
 	if l == nil {
-		r.ended(d, outcomes[end].unwritten, nil)
+		r.ended(d, outcomesByReason[end].unwritten, nil)
 		return
 	}
 	d.line = l
@@ -88,7 +88,7 @@
 		w.written, w.wroteAt = true, r.now
 		r.log(Debug, "written", "id", w.batch.id, "no", w.no, "engine", w.engine.name, "address", w.engine.address,
 			"connection", l.Number, "waited", r.now-w.sentAt, "serial", r.follower.Serial())
-		r.do(OrderEngine{l.Number, w.order(r.now), min(w.by, r.now+r.decisionHolds()), w.batch.origin(!r.settings.Settings.MayHedge)})
+		r.do(OrderEngine{l.Number, w.request(r.now), min(w.by, r.now+r.decisionHolds()), w.batch.origin(!r.settings.Settings.MayHedge)})
 	case *probe:
 		r.do(OrderEngine{l.Number, traffic.Probe{Tag: w.tag, WantLoad: r.settings.Settings.Loads}, math.Inf(1), Origin{}})
 	}
@@ -144,7 +144,7 @@
 	r.log(Warn, "request is taken back, it was not written", "id", d.batch.id, "engine", d.engine.name, "waited", r.now-d.sentAt)
 	d.written = false
 	id, l := d.batch.id, d.line
-	r.ended(d, outcomes[Stopped].unwritten, nil)
+	r.ended(d, outcomesByReason[RouterStopped].unwritten, nil)
 	l.Close(id, false, r.now)
 	r.rest(l)
 }
@@ -204,7 +204,7 @@
 	if d.held {
 		r.hold(d, false)
 	}
-	if d.written && r.mustConfirm(d) && r.withdraw(d, how) {
+	if d.written && r.needsCancelConfirmation(d) && r.cancelAttempt(d, how) {
 		return
 	}
 	if d.written {
@@ -254,7 +254,7 @@
 		r.said(what, reply)
 	case *probe:
 		reply.Rows.Release()
-		r.probed(what, reply.Kind == traffic.ReplyHealthy, reply.Load, false)
+		r.finishProbe(what, reply.Kind == traffic.ReplyHealthy, reply.Load, false)
 	default: // late: the dispatch has ended
 		reply.Rows.Release()
 	}
@@ -277,7 +277,7 @@
 	if reply.Reason != "" {
 		d.batch.why = reply.Reason
 	}
-	if d.withdrawn && r.withdrawnSaid(d, reply) {
+	if d.withdrawn && r.handleReplyAfterCancel(d, reply) {
 		return
 	}
 	switch reply.Kind {
@@ -405,7 +405,7 @@
 	if b.work = d.work; b.work < 0 {
 		b.work = (r.now - d.sentAt) * b.Group.Threads
 	}
-	r.level.finished(b.work, r.now)
+	r.level.workFinished(b.work, r.now)
 	if b.client != nil {
 		parts := d.pages
 		d.pages = nil
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -33,7 +33,7 @@
 	}
 	ClientEnded struct {
 		Client uint64
-		End    End
+		End    CloseReason
 	}
 	EngineOpened struct{ Connection uint64 }
 	EngineSaid   struct {
@@ -44,7 +44,7 @@
 	EngineBegan struct{ Connection uint64 } // part of a reply is there, after whole ones or none
 	EngineEnded struct {
 		Connection uint64
-		End        End
+		End        CloseReason
 	}
 	ListAnswered struct {
 		Query uint16
@@ -136,7 +136,7 @@
 	}
 	CloseClient struct {
 		Client uint64
-		End    End
+		End    CloseReason
 	}
 	Dial struct {
 		Connection uint64
@@ -157,7 +157,7 @@
 	Release     struct{ *buffers.Chain } // what was ordered before has been written
 	CloseEngine struct {
 		Connection uint64
-		End        End
+		End        CloseReason
 	}
 	AskList  struct{ Query uint16 }
 	AskAt    struct{ Resolver string }           // from now on, there and nowhere else
@@ -170,7 +170,7 @@
 		Shares  *shares.Message // nil: nothing of that
 		News    *news.Message   // the same
 	}
-	TellMembers struct{ Members Members } // how the fleet stands, for whoever asks
+	TellMembers struct{ Members FleetStatus } // how the fleet stands, for whoever asks
 	Log         struct {
 		Level  Level
 		Text   string
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -23,22 +23,22 @@
 // host is the fake host of the stories: it keeps what the router asks for and plays clients and engines.
 type host struct {
 	*Router
-	t       *testing.T
-	now     float64
-	pool    *buffers.Pool
-	did     []Effect
-	timer   float64
-	speaks  map[uint64]traffic.Engine
-	frames  *traffic.ClientProtocol
-	client  traffic.Client
-	written map[uint64]string // by connection to an engine
-	answers map[uint32]string // by stream: code, fields and body
-	dials   []Dial
-	queries []uint16
-	ids     int
+	t              *testing.T
+	now            float64
+	pool           *buffers.Pool
+	emitted        []Effect
+	nextTimer      float64
+	sessions       map[uint64]traffic.Engine
+	clientProtocol *traffic.ClientProtocol
+	clientSession  traffic.Client
+	written        map[uint64]string // by connection to an engine
+	answers        map[uint32]string // by stream: code, fields and body
+	dials          []Dial
+	queries        []uint16
+	lastID         int
 }
 
-const grades = `{"grades":[
+const testSettings = `{"grades":[
  {"name":"lookup","on-time-ms":800,"deadline-ms":4000,"idempotency":"idempotent","worth":1},
  {"name":"upload","on-time-ms":4000,"deadline-ms":9000,"idempotency":"at_most_once","worth":6}],
  "specifics":{"cores-by-kind":[8],"memory-by-kind-mb":[16000],"dop":[1,2]},"dcs":["east"],"flavors":["std"],
@@ -46,49 +46,51 @@
  "max-retry-after-ms":500},"feedback":{"how":"probe","names":["waiting"]},"balancers":1,"index":0,
  "rules":{"stop-sending-within-ms":250},"tick-ms":5}`
 
-func start(t *testing.T, listed ...directory.Engine) *host { return startWith(t, grades, listed...) }
+func newHost(t *testing.T, listed ...directory.Engine) *host {
+	return newHostWith(t, testSettings, listed...)
+}
 
-func startWith(t *testing.T, grades string, listed ...directory.Engine) *host {
+func newHostWith(t *testing.T, grades string, listed ...directory.Engine) *host {
 	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + grades + `}`))
 	require.NoError(t, err)
 	c.Known = directory.List{Serial: 1, Engines: listed}
-	h := &host{t: t, now: 100, pool: &buffers.Pool{}, timer: 1e9, written: map[uint64]string{}, answers: map[uint32]string{},
-		speaks: map[uint64]traffic.Engine{}}
+	h := &host{t: t, now: 100, pool: &buffers.Pool{}, nextTimer: 1e9, written: map[uint64]string{}, answers: map[uint32]string{},
+		sessions: map[uint64]traffic.Engine{}}
 	resp := engines.Protocol()
-	h.frames = clients.Protocol(h.pool)
-	h.client = h.frames.New()
+	h.clientProtocol = clients.Protocol(h.pool)
+	h.clientSession = h.clientProtocol.New()
 	h.Router = New(c, func(directory.Engine) *traffic.EngineProtocol { return resp }, h.pool, h.now)
 	h.spread = 1
-	h.tell(h.opened(1))
+	h.deliver(h.clientOpenedEvent(1))
 	return h
 }
 
-func east(id string) directory.Engine {
+func eastEngine(id string) directory.Engine {
 	return directory.Engine{ID: id, Address: "10.0.0.1:80", Zone: "east", Kind: "std", Weight: 1}
 }
 
-// tell brings events of one loop turn.
-func (h *host) tell(events ...Event) {
+// deliver brings events of one loop turn.
+func (h *host) deliver(events ...Event) {
 	for _, e := range append(events, TurnEnded{}) {
 		for _, what := range h.Reduce(h.now, e) {
-			h.did = append(h.did, what)
+			h.emitted = append(h.emitted, what)
 			switch w := what.(type) {
 			case Dial:
 				h.dials = append(h.dials, w)
-				h.speaks[w.Connection] = w.Speaks.New()
+				h.sessions[w.Connection] = w.Speaks.New()
 			case SetTimer:
-				h.timer = w.At
+				h.nextTimer = w.At
 			case AskList:
 				h.queries = append(h.queries, w.Query)
 			case OrderEngine:
 				out := h.pool.Chain()
-				h.speaks[w.Connection].Encode(out, w.What)
+				h.sessions[w.Connection].Encode(out, w.What)
 				h.written[w.Connection] += out.String()
 				out.Release()
 			case TellClient:
 				out := h.pool.Chain()
-				h.client.Encode(out, w.What)
-				h.read(out.String())
+				h.clientSession.Encode(out, w.What)
+				h.readAnswers(out.String())
 				out.Release()
 				if a, is := w.What.(*traffic.Answer); is {
 					rows.Release(a.Rows)
@@ -98,11 +100,11 @@
 			}
 		}
 	}
-	h.agrees()
+	h.checkCounts()
 }
 
-// agrees: what is believed to be out at an engine is what is open on its connections, and no more than that.
-func (h *host) agrees() {
+// checkCounts: what is believed to be out at an engine is what is open on its connections, and no more than that.
+func (h *host) checkCounts() {
 	open := map[*engine]int{}
 	for _, l := range h.connections {
 		for _, what := range l.Opens() {
@@ -122,7 +124,7 @@
 	assert.Len(h.t, h.open, waiting)
 }
 
-func (h *host) read(text string) {
+func (h *host) readAnswers(text string) {
 	for len(text) > 0 {
 		size := int(binary.LittleEndian.Uint32([]byte(text)))
 		if stream := binary.LittleEndian.Uint32([]byte(text[5:])); text[4] == clients.Answer {
@@ -133,50 +135,50 @@
 	}
 }
 
-func (h *host) pass(seconds float64) {
+func (h *host) advance(seconds float64) {
 	for end := h.now + seconds; ; {
-		if h.now = max(h.now, min(h.timer, end)); h.now == end {
+		if h.now = max(h.now, min(h.nextTimer, end)); h.now == end {
 			return
 		}
-		h.timer = 1e9
-		h.tell(TimerFired{})
+		h.nextTimer = 1e9
+		h.deliver(TimerFired{})
 	}
 }
 
-// batch sends one and gives its stream and id.
-func (h *host) batch(group string, left int) (uint32, string) {
-	h.ids++
-	id := fmt.Sprintf("%016x", 240+h.ids)
-	h.tell(h.said(1, standin.Frame(clients.Ask, uint32(h.ids), []string{"c", group, "i", id, "d", strconv.Itoa(left)},
+// sendBatch sends one and gives its stream and id.
+func (h *host) sendBatch(group string, left int) (uint32, string) {
+	h.lastID++
+	id := fmt.Sprintf("%016x", 240+h.lastID)
+	h.deliver(h.clientFrame(1, standin.Frame(clients.Ask, uint32(h.lastID), []string{"c", group, "i", id, "d", strconv.Itoa(left)},
 		"SELECT 1 FROM a_3.b")))
-	return uint32(h.ids), id
+	return uint32(h.lastID), id
 }
 
-// up lets the last dial come up.
-func (h *host) up() uint64 {
+// connectLast lets the last dial come up.
+func (h *host) connectLast() uint64 {
 	require.NotEmpty(h.t, h.dials)
 	number := h.dials[len(h.dials)-1].Connection
-	h.tell(EngineOpened{number})
+	h.deliver(EngineOpened{number})
 	return number
 }
 
-func (h *host) opened(number uint64) Event { return ClientOpened{number, h.frames} }
+func (h *host) clientOpenedEvent(number uint64) Event { return ClientOpened{number, h.clientProtocol} }
 
-// said is a frame as the loop would bring it.
-func (h *host) said(client uint64, frame []byte) Event {
+// clientFrame is a frame as the loop would bring it.
+func (h *host) clientFrame(client uint64, frame []byte) Event {
 	in := h.pool.Chain()
 	in.Write(frame)
-	what, err := h.client.Read(in, nil)
+	what, err := h.clientSession.Read(in, nil)
 	require.NoError(h.t, err)
 	return ClientSaid{client, what}
 }
 
-// say brings an engine's answer: its word, fields and body.
-func (h *host) say(connection uint64, id, word, fields, body string) {
-	h.tell(h.saying(connection, id, word, fields, body))
+// engineReply brings an engine's answer: its word, fields and body.
+func (h *host) engineReply(connection uint64, id, word, fields, body string) {
+	h.deliver(h.engineReplyEvent(connection, id, word, fields, body))
 }
 
-func (h *host) saying(connection uint64, id, word, fields, body string) Event {
+func (h *host) engineReplyEvent(connection uint64, id, word, fields, body string) Event {
 	in := h.pool.Chain()
 	for i, part := range []string{id, word, fields, body} {
 		if i == 0 {
@@ -184,20 +186,20 @@
 		}
 		in.WriteString("$" + strconv.Itoa(len(part)) + "\r\n" + part + "\r\n")
 	}
-	reply, err := h.speaks[connection].Read(in, nil)
+	reply, err := h.sessions[connection].Read(in, nil)
 	require.NoError(h.t, err)
 	return EngineSaid{connection, reply}
 }
 
-func (h *host) fetches(id string) (n int) {
+func (h *host) fetchCount(id string) (n int) {
 	for _, text := range h.written {
 		n += strings.Count(text, "fetch\r\n$"+strconv.Itoa(len(id))+"\r\n"+id+"\r\n")
 	}
 	return n
 }
 
-func (h *host) closed() (ends []End) {
-	for _, what := range h.did {
+func (h *host) engineCloseReasons() (ends []CloseReason) {
+	for _, what := range h.emitted {
 		if c, ok := what.(CloseEngine); ok {
 			ends = append(ends, c.End)
 		}
@@ -205,4 +207,4 @@
 	return ends
 }
 
-const ok, refusal, failure = "\x00\x00", "\x0b", "\x05\x00"
+const answerOK, answerRejected, answerFailed = "\x00\x00", "\x0b", "\x05\x00"
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -8,19 +8,19 @@
 	"pitchfield/internal/traffic"
 )
 
-// levelEvery is how often the measures are looked at, in seconds.
-const levelEvery = 0.5
+// levelInterval is how often the measures are looked at, in seconds.
+const levelInterval = 0.5
 
 type levelCheck struct{}
 
-// level is what the router keeps for levels of reduced service. Without settings for them it does nothing.
-type level struct {
+// serviceLevel is what the router keeps for levels of reduced service. Without settings for them it does nothing.
+type serviceLevel struct {
 	machine *levels.Machine
 	gauge   *levels.Gauge
 	shed    int // batches that a level has refused
 }
 
-func (l *level) came(b *batch) {
+func (l *serviceLevel) batchArrived(b *batch) {
 	if l.gauge == nil {
 		return
 	}
@@ -31,7 +31,7 @@
 	}
 }
 
-func (l *level) answered(b *batch, code traffic.Code, now float64) {
+func (l *serviceLevel) batchAnswered(b *batch, code traffic.Code, now float64) {
 	if l.gauge == nil || b.Shed {
 		return
 	}
@@ -40,7 +40,7 @@
 	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Succeeded && now-b.takenAt <= goal, code == traffic.Rejected)
 }
 
-func (l *level) finished(work, now float64) {
+func (l *serviceLevel) workFinished(work, now float64) {
 	if l.gauge != nil {
 		l.gauge.Advance(now)
 		l.gauge.WorkFinished(work)
@@ -57,7 +57,7 @@
 	Shed                       int
 	Measures                   levels.MeasureValues
 	Batches, Clients, Stopping int
-	Seen                       brain.Stats
+	Decisions                  brain.Stats
 }
 
 func (r *Router) setLevels(e LevelsSet) {
@@ -69,27 +69,27 @@
 			seat = float64(r.settings.Settings.Index) / float64(n-1)
 		}
 		r.level.machine = levels.New(e.Levels, seat, r.now)
-		r.timers.add(r.now+levelEvery, levelCheck{})
+		r.timers.add(r.now+levelInterval, levelCheck{})
 		return
 	}
 	before := r.level.machine.State()
 	if after := r.level.machine.Reconfigure(e.Levels); after.Name != before.Name {
-		r.levelChanged(after, levels.MeasureValues{})
+		r.applyLevel(after, levels.MeasureValues{})
 	} else {
-		r.brain.SetReducedService(r.reduced(after.Actions))
+		r.brain.SetReducedService(r.reducedService(after.Actions))
 	}
 }
 
-// lookAtLevel takes the measures, and has the module follow where the level is another than before.
-func (r *Router) lookAtLevel() {
-	r.timers.add(r.now+levelEvery, levelCheck{})
+// updateLevel takes the measures, and has the module follow where the level is another than before.
+func (r *Router) updateLevel() {
+	r.timers.add(r.now+levelInterval, levelCheck{})
 	seen := r.brain.Stats()
 	r.level.gauge.Advance(r.now)
 	r.level.gauge.SetCurrent(seen.QueuedWork, seen.Engines, seen.Cold+seen.Ejected+seen.Draining)
 	x := r.level.gauge.Values()
 	state, changed := r.level.machine.Update(r.now, x)
 	if changed {
-		r.levelChanged(state, x)
+		r.applyLevel(state, x)
 	}
 	stopping := 0
 	if r.stopAt > 0 {
@@ -97,20 +97,20 @@
 	}
 	r.do(Tell{Status{Name: r.settings.Name, Now: r.now, Level: state.Name, Reason: state.Reason, Since: state.Since,
 		Step: state.Step, Shed: r.level.shed, Measures: x, Batches: len(r.batches), Clients: len(r.clients),
-		Stopping: stopping, Seen: seen}})
+		Stopping: stopping, Decisions: seen}})
 }
 
-func (r *Router) levelChanged(s levels.State, x levels.MeasureValues) {
+func (r *Router) applyLevel(s levels.State, x levels.MeasureValues) {
 	fields := []any{"level", s.Name, "number", s.Level, "step", s.Step, "reason", s.Reason, "shed", r.level.shed}
 	for m, name := range levels.MeasureNames {
 		fields = append(fields, name, x[m])
 	}
 	r.log(Info, "level of service", fields...)
-	r.brain.SetReducedService(r.reduced(s.Actions))
+	r.brain.SetReducedService(r.reducedService(s.Actions))
 }
 
-// reduced words a level for the module. A group that has a second one for what has no mark is shed with it.
-func (r *Router) reduced(d levels.Actions) brain.ReducedService {
+// reducedService words a level for the module. A group that has a second one for what has no mark is shed with it.
+func (r *Router) reducedService(d levels.Actions) brain.ReducedService {
 	out := brain.ReducedService{MinUtilityPerSecond: d.MinUtilityRate, MaxRetries: d.MaxRetries, ProbeShare: d.ProbeRatio, GiveUpFactor: d.GiveUpFactor}
 	for name, keep := range d.AdmitRatio {
 		if out.KeepShare == nil {
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -8,47 +8,47 @@
 	"pitchfield/internal/news"
 )
 
-// told is what this router knows of what the others have out. It is there only where an installation wants it.
-type told struct {
-	machine *news.Machine
-	view    uint64 // number of the view that it goes by
-	stale   float64
+// loadReports is what this router knows of what the others have out. It is there only where an installation wants it.
+type loadReports struct {
+	machine    *news.Machine
+	viewHash   uint64 // number of the view that it goes by
+	staleAfter float64
 }
 
-type newsDue struct{}
+type loadReportDue struct{}
 
-func (r *Router) setNews(s *news.Settings, name string) {
-	r.news = &told{machine: news.New(*s, name, r.now), stale: s.Stale}
+func (r *Router) startLoadReports(s *news.Settings, name string) {
+	r.news = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
 	r.log(Info, "news", "every", s.Every)
-	r.timers.add(r.now+s.Every, newsDue{})
+	r.timers.add(r.now+s.Every, loadReportDue{})
 }
 
-// newsDue tells what is out of this router now.
-func (r *Router) newsDue() {
+// sendLoadReport tells what is out of this router now.
+func (r *Router) sendLoadReport() {
 	n := r.news
-	r.newsView()
+	r.updateReportMembers()
 	var loads []news.Load
 	for _, e := range r.engines {
 		if threads, memory := e.Engine.InFlightResources(); threads > 0 {
-			loads = append(loads, news.Load{Of: of(e), Threads: threads, Memory: memory})
+			loads = append(loads, news.Load{Of: engineInstance(e), Threads: threads, Memory: memory})
 		}
 	}
 	n.machine.Tell(r.now, loads)
-	r.timers.add(n.machine.At(), newsDue{})
-	r.newsSaid()
-	r.newsKnown()
+	r.timers.add(n.machine.At(), loadReportDue{})
+	r.flushLoadReports()
+	r.applyReportedLoads()
 }
 
-// newsView brings who is there. Where that is cut off, or another has this router's name, what is told is of a part of the
+// updateReportMembers brings who is there. Where that is cut off, or another has this router's name, what is told is of a part of the
 // fleet, and nothing of it is believed.
-func (r *Router) newsView() {
+func (r *Router) updateReportMembers() {
 	n, m := r.news, r.members.machine
 	switch c := m.Certainty(); {
 	case c == membership.Alone || c == membership.CutOff:
-		n.view = 0
+		n.viewHash = 0
 		n.machine.View(nil)
-	case n.view != m.Hash():
-		n.view = m.Hash()
+	case n.viewHash != m.Hash():
+		n.viewHash = m.Hash()
 		var all []news.Member
 		for _, o := range m.View().Members {
 			all = append(all, news.Member{Name: o.Name, Address: o.Address})
@@ -57,33 +57,35 @@
 	}
 }
 
-func (r *Router) newsCame(from string, m *news.Message) {
+func (r *Router) receiveLoadReport(from string, m *news.Message) {
 	if r.news.machine.Heard(r.now, from, m) {
-		r.newsKnown()
+		r.applyReportedLoads()
 	}
-	r.newsSaid()
+	r.flushLoadReports()
 }
 
-// newsKnown brings to the module what the others have out.
-func (r *Router) newsKnown() {
+// applyReportedLoads brings to the module what the others have out.
+func (r *Router) applyReportedLoads() {
 	loads, age, known := r.news.machine.Others(r.now)
 	if !known {
 		return
 	}
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
-			l := loads[of(e)]
-			r.brain.SetOthersLoad(&e.Engine, l.Threads, l.Memory, r.now+r.news.stale-age)
+			l := loads[engineInstance(e)]
+			r.brain.SetOthersLoad(&e.Engine, l.Threads, l.Memory, r.now+r.news.staleAfter-age)
 		}
 	}
 }
 
-func (r *Router) newsSaid() {
+func (r *Router) flushLoadReports() {
 	for _, s := range r.news.machine.Sends() {
-		r.members.said++
+		r.members.sent++
 		said := s.Message
 		r.do(Talk{s.To, r.members.machine.Envelope(), nil, &said})
 	}
 }
 
-func of(e *engine) news.Of { return news.Of{Engine: e.Engine.ID, Start: math.Float64bits(e.StartedAt)} }
+func engineInstance(e *engine) news.Of {
+	return news.Of{Engine: e.Engine.ID, Start: math.Float64bits(e.StartedAt)}
+}
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -11,9 +11,9 @@
 	"pitchfield/internal/news"
 )
 
-// told gives what went out of a kind last.
-func (h *host) told(kind news.Kind) (out *news.Message) {
-	for _, what := range h.did {
+// lastLoadReport gives what went out of a kind last.
+func (h *host) lastLoadReport(kind news.Kind) (out *news.Message) {
+	for _, what := range h.emitted {
 		if w, is := what.(Talk); is && w.News != nil && w.News.Kind == kind {
 			out = w.News
 		}
@@ -22,44 +22,44 @@
 }
 
 // A router says what it has out, and sends where it is told that the others have little.
-func TestARouterTellsWhatIsOutAndGoesByWhatItIsTold(t *testing.T) {
-	other := east("s-2")
+func TestRouterReportsLoadAndUsesReceivedReports(t *testing.T) {
+	other := eastEngine("s-2")
 	other.Address = "10.0.0.2:80"
-	h := start(t, east("s-1"), other)
+	h := newHost(t, eastEngine("s-1"), other)
 	m, n := membership.Defaults(), news.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{"10.9.0.2:7500"}
-	h.tell(TalkSet{Settings: m, News: &n})
+	h.deliver(TalkSet{Settings: m, News: &n})
 	first := membership.Member{ID: membership.ID{Name: "a", Start: 1}, Address: "10.9.0.2:7500"}
 	hear := func(m *news.Message) {
-		h.tell(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: first}, News: m})
+		h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: first}, News: m})
 	}
 	full := func(name string) *news.Message {
 		e := h.engines[name]
 		return &news.Message{Kind: news.Down, Routers: 2, Loads: []news.Load{{Of: news.Of{Engine: e.Engine.ID, Start: math.Float64bits(0)}, Threads: 12, Memory: 1000}}}
 	}
-	h.pass(0.2)
+	h.advance(0.2)
 	for i, busy := range []string{"s-1", "s-2", "s-1"} {
 		hear(full(busy))
-		h.pass(0.11) // it has told it on, and its own view has both
+		h.advance(0.11) // it has told it on, and its own view has both
 		hear(full(busy))
-		_, id := h.batch("lookup", 4000)
+		_, id := h.sendBatch("lookup", 4000)
 		require.Len(t, h.dials, i+1)
 		idle := map[string]string{"s-1": "10.0.0.2:80", "s-2": "10.0.0.1:80"}[busy]
 		assert.Equal(t, idle, h.dials[i].Address, "batch %d", i)
-		line := h.up()
-		h.pass(0.11)
-		up := h.told(news.Up)
+		line := h.connectLast()
+		h.advance(0.11)
+		up := h.lastLoadReport(news.Up)
 		require.NotNil(t, up)
 		require.Len(t, up.Loads, 1)
 		assert.InDelta(t, 1, up.Loads[0].Threads, 0)
-		h.say(line, id, "DONE", "sheets=1,toil=20", "a\t2\t3\n")
-		h.closeIdle(line)
+		h.engineReply(line, id, "DONE", "sheets=1,toil=20", "a\t2\t3\n")
+		h.closeByEngine(line)
 	}
-	h.pass(0.2)
-	assert.Empty(t, h.told(news.Up).Loads, "nothing is out any more")
+	h.advance(0.2)
+	assert.Empty(t, h.lastLoadReport(news.Up).Loads, "nothing is out any more")
 	hear(&news.Message{Kind: news.Down, Routers: 9})
 	hear(&news.Message{Kind: news.Down, Routers: 2, Age: math.NaN()})
 }
 
-// closeIdle ends a connection at its engine's side.
-func (h *host) closeIdle(line uint64) { h.tell(EngineEnded{line, ClosedByPeer}) }
+// closeByEngine ends a connection at its engine's side.
+func (h *host) closeByEngine(line uint64) { h.deliver(EngineEnded{line, ClosedByPeer}) }
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -9,12 +9,12 @@
 
 type probe struct {
 	engine *engine
-	line   *line
+	conn   *line
 	tag    string
 	ended  bool
 }
 
-func (r *Router) probe(e *engine) {
+func (r *Router) sendProbe(e *engine) {
 	p := &probe{engine: e, tag: tag(r.number())}
 	var l *line
 	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // its answer tells of the connection too
@@ -27,32 +27,32 @@
 		r.brain.ProbeEnded(&e.Engine, false, nil)
 		return
 	}
-	p.line = l
+	p.conn = l
 	l.Open(p.tag, p)
 	r.timers.add(r.now+r.settings.Settings.DialTime, p)
 	r.send(l, p)
 }
 
-func (r *Router) probed(p *probe, ok bool, load *brain.Report, late bool) {
+func (r *Router) finishProbe(p *probe, ok bool, load *brain.Report, late bool) {
 	if p.ended {
 		return
 	}
 	p.ended = true
-	p.line.queue = slices.DeleteFunc(p.line.queue, func(w any) bool { return w == any(p) })
+	p.conn.queue = slices.DeleteFunc(p.conn.queue, func(w any) bool { return w == any(p) })
 	if !ok {
 		load = nil
 	}
 	r.log(Debug, "probed", "engine", p.engine.name, "ok", ok, "load", load)
-	if p.line.check != p { // that one is ours
+	if p.conn.check != p { // that one is ours
 		r.brain.ProbeEnded(&p.engine.Engine, ok, load)
 	} else {
-		p.line.check = nil
+		p.conn.check = nil
 	}
-	if l := p.line; late && l.engine.speaks.OneAtATime && l.Up && r.connections[l.Number] == l {
+	if l := p.conn; late && l.engine.speaks.OneAtATime && l.Up && r.connections[l.Number] == l {
 		r.order(l, traffic.CancelDispatch{ID: p.tag})
 		r.settle(l)
 		late = false
 	}
-	p.line.Close(p.tag, late, r.now)
-	r.rest(p.line)
+	p.conn.Close(p.tag, late, r.now)
+	r.rest(p.conn)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -71,14 +71,14 @@
 	silent   bool                // the name service
 	spell    bool                // answers that could not be used were told of
 
-	level          level         // of reduced service
+	level          serviceLevel  // of reduced service
 	routes         *limits.Table // the operator's limits; nil: none
 	adaptive       limits.AdaptiveSettings
 	ofAll, further *limits.RetryBudget // of further dispatches: of all batches, and to each engine
 
-	members *members // of its fleet; nil: there is no talk
-	parts   *parts   // of what the fleet divides; nil: the division is fixed
-	news    *told    // of what the others have out; nil: nobody tells
+	members *fleet       // of its fleet; nil: there is no talk
+	parts   *quotas      // of what the fleet divides; nil: the division is fixed
+	news    *loadReports // of what the others have out; nil: nobody tells
 
 	stopAt, killAt float64 // 0: not stopping
 	exited         bool
@@ -227,9 +227,9 @@
 	case LevelsSet:
 		r.setLevels(e)
 	case TalkSet:
-		r.setTalk(e)
+		r.startPeerMessaging(e)
 	case TalkCame:
-		r.talkCame(e)
+		r.receivePeerMessage(e)
 	case OrderRefused:
 		r.orderRefused(e)
 	case TimerFired:
@@ -258,7 +258,7 @@
 	all.CarryOver(r.ofAll)
 	r.ofAll, r.further = all, e.Engine
 	r.brain.SetRetryBudget(all)
-	r.setPurses()
+	r.setQuotaLeases()
 	for _, known := range r.engines {
 		next := e.Engine.CopyUnspent()
 		next.CarryOver(known.RetryBudget)
@@ -289,9 +289,9 @@
 	r.sendQueues()
 	r.pull()
 	if r.parts != nil {
-		r.partsTurn()
+		r.updateQuotas()
 	}
-	r.stopping()
+	r.finishStop()
 	if at := min(r.timers.next(), r.wakeAt); at < r.timerAt {
 		r.timerAt = at
 		r.do(SetTimer{at})
@@ -303,12 +303,12 @@
 	case *dispatch:
 		r.giveUp(what, brain.TimedOut)
 	case *probe:
-		if l := what.line; !what.ended && l.check == what {
+		if l := what.conn; !what.ended && l.check == what {
 			r.closeLine(l, ClosedSuspect)
 		}
-		r.probed(what, false, nil, true)
-	case withdrawalDue:
-		r.withdrawalExpired(what.dispatch)
+		r.finishProbe(what, false, nil, true)
+	case cancelConfirmDue:
+		r.cancelConfirmExpired(what.dispatch)
 	case missingPages:
 		r.pagesDue(what.dispatch)
 	case halfReply:
@@ -326,14 +326,14 @@
 	case clientCheck:
 		r.lookAtClients()
 	case levelCheck:
-		r.lookAtLevel()
-	case membersDue:
-		r.membersDue()
-	case membersTold:
-		r.tellMembers()
-	case partsDue: // the end of this turn looks after it
-	case newsDue:
-		r.newsDue()
+		r.updateLevel()
+	case membershipDue:
+		r.wakeMembership()
+	case fleetReportDue:
+		r.reportFleet()
+	case quotasDue: // the end of this turn looks after it
+	case loadReportDue:
+		r.sendLoadReport()
 	case stopCheck:
 	}
 }
@@ -362,7 +362,7 @@
 				r.giveUp(b.dispatches[d.Number], brain.Canceled)
 			}
 		case brain.Probe:
-			r.probe(r.byBrain[d.Engine])
+			r.sendProbe(r.byBrain[d.Engine])
 		case brain.WakeAt:
 			r.wakeAt = min(r.wakeAt, d.At)
 		case brain.Subscribe: // the list is asked for all the time
@@ -513,12 +513,12 @@
 	for _, c := range slices.Clone(e.pool.Connections) {
 		l := r.connections[c.Number]
 		if !c.Up {
-			r.closeLine(l, LeftAddress)
+			r.closeLine(l, StaleAddress)
 			continue
 		}
 		for _, what := range slices.Clone(l.queue) {
 			if d, is := what.(*dispatch); is {
-				r.ended(d, outcomes[LeftAddress].unwritten, nil)
+				r.ended(d, outcomesByReason[StaleAddress].unwritten, nil)
 				l.Close(d.batch.id, false, r.now)
 			}
 		}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -17,165 +17,165 @@
 	"pitchfield/internal/traffic"
 )
 
-func TestAnAnswerIsFramedOnceAllPagesAreThere(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("lookup", 2000)
-	c := h.up()
+func TestAnswerIsSentOnceAllPagesArrived(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("lookup", 2000)
+	c := h.connectLast()
 	assert.Contains(t, h.written[c], "queue=lookup,budget=1")
-	h.say(c, id, "DONE", "sheets=3,toil=80,room=40", "a\t2\t3\n")
+	h.engineReply(c, id, "DONE", "sheets=3,toil=80,room=40", "a\t2\t3\n")
 	assert.Contains(t, h.written[c], "more\r\n$16\r\n00000000000000f1\r\n$1\r\n1\r\n")
-	h.say(c, id, "MORE", "sheet=2", "c\t2\t3\n")
+	h.engineReply(c, id, "MORE", "sheet=2", "c\t2\t3\n")
 	assert.Empty(t, h.answers, "a page is missing")
-	h.say(c, id, "MORE", "sheet=1", "b\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
-	h.say(c, id, "MORE", "sheet=1", "b\t2\t3\n")
+	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
+	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	assert.Zero(t, h.pool.Used(), "nothing is kept")
 	assert.Empty(t, h.batches)
 }
 
-func TestALostPageMayHaveRun(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 5000)
-	again, id2 := h.batch("lookup", 3000)
-	c := h.up()
-	h.say(c, id, "DONE", "sheets=2", "a\t2\t3\n")
-	h.say(c, id2, "DONE", "sheets=2", "a\t2\t3\n")
-	h.tell(EngineEnded{c, ResetByPeer})
-	assert.Equal(t, failure, h.answers[stream], "once-only: an error, and no other dispatch")
-	c = h.up()
-	h.say(c, id2, "DONE", "sheets=1", "z\t2\t3\n")
-	assert.Equal(t, ok+"z\t2\t3\n", h.answers[again], "repeatable: from its first page on")
-}
-
-func TestWhatNeverLeftNeverRan(t *testing.T) {
-	for _, end := range []End{RefusedDial, DialTimedOut, NoDescriptor} {
-		h := start(t, east("s-1"), east("s-2"))
-		stream, id := h.batch("upload", 5000)
-		h.tell(EngineEnded{h.dials[0].Connection, end})
+func TestLostPageMayHaveRun(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 5000)
+	again, id2 := h.sendBatch("lookup", 3000)
+	c := h.connectLast()
+	h.engineReply(c, id, "DONE", "sheets=2", "a\t2\t3\n")
+	h.engineReply(c, id2, "DONE", "sheets=2", "a\t2\t3\n")
+	h.deliver(EngineEnded{c, ResetByPeer})
+	assert.Equal(t, answerFailed, h.answers[stream], "once-only: an error, and no other dispatch")
+	c = h.connectLast()
+	h.engineReply(c, id2, "DONE", "sheets=1", "z\t2\t3\n")
+	assert.Equal(t, answerOK+"z\t2\t3\n", h.answers[again], "repeatable: from its first page on")
+}
+
+func TestUnwrittenDispatchNeverRan(t *testing.T) {
+	for _, end := range []CloseReason{DialRefused, DialTimedOut, NoDescriptors} {
+		h := newHost(t, eastEngine("s-1"), eastEngine("s-2"))
+		stream, id := h.sendBatch("upload", 5000)
+		h.deliver(EngineEnded{h.dials[0].Connection, end})
 		require.Len(t, h.dials, 2, "once-only goes on after %s", end)
-		h.say(h.up(), id, "DONE", "sheets=1", "a\t2\t3\n")
-		assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
-		assert.Equal(t, 1, h.fetches(id))
+		h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
+		assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
+		assert.Equal(t, 1, h.fetchCount(id))
 	}
 }
 
-func TestWhatWasWrittenMayHaveRun(t *testing.T) {
-	for _, end := range []End{ClosedByPeer, ResetByPeer, BadInput, Unread} {
-		h := start(t, east("s-1"), east("s-2"))
-		stream, id := h.batch("upload", 5000)
-		h.tell(EngineEnded{h.up(), end})
-		h.pass(1)
-		assert.Equal(t, failure, h.answers[stream], end.String())
-		assert.Equal(t, 1, h.fetches(id))
+func TestWrittenDispatchMayHaveRun(t *testing.T) {
+	for _, end := range []CloseReason{ClosedByPeer, ResetByPeer, BadInput, PeerNotReading} {
+		h := newHost(t, eastEngine("s-1"), eastEngine("s-2"))
+		stream, id := h.sendBatch("upload", 5000)
+		h.deliver(EngineEnded{h.connectLast(), end})
+		h.advance(1)
+		assert.Equal(t, answerFailed, h.answers[stream], end.String())
+		assert.Equal(t, 1, h.fetchCount(id))
 	}
 }
 
-func TestEveryEndHasItsOutcomes(t *testing.T) {
-	for e := range ends {
+func TestEveryCloseReasonHasOutcomes(t *testing.T) {
+	for e := range closeReasonCount {
 		assert.NotEmpty(t, e.String())
-		assert.Equal(t, brain.ConnectionLost, outcomes[e].written, "nothing proves that it never ran: %s", e)
-		assert.Contains(t, []brain.Outcome{brain.ConnectFailed, brain.NotSent}, outcomes[e].unwritten, e.String())
+		assert.Equal(t, brain.ConnectionLost, outcomesByReason[e].written, "nothing proves that it never ran: %s", e)
+		assert.Contains(t, []brain.Outcome{brain.ConnectFailed, brain.NotSent}, outcomesByReason[e].unwritten, e.String())
 	}
 }
 
-func TestALateAnswerIsDropped(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 1000)
-	c := h.up()
-	h.pass(1.1)
-	assert.Equal(t, failure, h.answers[stream])
+func TestLateAnswerIsDropped(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 1000)
+	c := h.connectLast()
+	h.advance(1.1)
+	assert.Equal(t, answerFailed, h.answers[stream])
 	assert.Contains(t, h.written[c], "abort\r\n$16\r\n00000000000000f1")
-	h.say(c, id, "DONE", "sheets=1", "late\t2\t3\n")
-	assert.Equal(t, failure, h.answers[stream])
+	h.engineReply(c, id, "DONE", "sheets=1", "late\t2\t3\n")
+	assert.Equal(t, answerFailed, h.answers[stream])
 	assert.Zero(t, h.pool.Used())
 }
 
 // Clients leave on the dot, and a final answer of the last millisecond came too late for them.
-func TestTheAnswerLeavesBeforeTheClientDoes(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, _ := h.batch("upload", 1000)
-	h.up()
-	h.pass(0.995)
-	assert.Equal(t, failure, h.answers[stream])
+func TestFailureIsSentBeforeClientDeadline(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, _ := h.sendBatch("upload", 1000)
+	h.connectLast()
+	h.advance(0.995)
+	assert.Equal(t, answerFailed, h.answers[stream])
 }
 
 // A machine that is cut off leaves its connections open and silent; what is written there lies for long.
-func TestASilentConnectionTakesNothingNew(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.batch("upload", 1000)
-	h.up()
-	h.pass(1.1)
-	assert.Equal(t, []End{ClosedSuspect}, h.closed())
-	h.batch("lookup", 3000)
+func TestSilentConnectionIsNotReused(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.sendBatch("upload", 1000)
+	h.connectLast()
+	h.advance(1.1)
+	assert.Equal(t, []CloseReason{ClosedSuspect}, h.engineCloseReasons())
+	h.sendBatch("lookup", 3000)
 	assert.Len(t, h.dials, 2)
 }
 
-func TestPushedBackByTheEngineItGoesOn(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 5000)
-	c := h.up()
-	h.say(c, id, "WAIT", "-", "")
-	h.pass(0.1)
-	c = h.up()
-	require.Equal(t, 2, h.fetches(id), "a full engine has not run it")
-	h.say(c, id, "BROKE", "-", "")
-	assert.Equal(t, failure, h.answers[stream], "an error may have run")
+func TestBatchRejectedByEngineIsRetried(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 5000)
+	c := h.connectLast()
+	h.engineReply(c, id, "WAIT", "-", "")
+	h.advance(0.1)
+	c = h.connectLast()
+	require.Equal(t, 2, h.fetchCount(id), "a full engine has not run it")
+	h.engineReply(c, id, "BROKE", "-", "")
+	assert.Equal(t, answerFailed, h.answers[stream], "an error may have run")
 }
 
 // The copy of a refusal must not prove of another dispatch that it never ran.
-func TestASecondCopyEndsNothingElse(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 5000)
-	first := h.up()
-	h.say(first, id, "WAIT", "-", "")
-	h.pass(0.1)
+func TestDuplicateReplyEndsNoOtherDispatch(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 5000)
+	first := h.connectLast()
+	h.engineReply(first, id, "WAIT", "-", "")
+	h.advance(0.1)
 	require.Len(t, h.dials, 2, "the id stands once on a connection")
-	second := h.up()
-	h.say(first, id, "WAIT", "-", "")
-	h.tell(EngineEnded{second, ResetByPeer})
-	assert.Equal(t, failure, h.answers[stream], "it may have run")
-	assert.Equal(t, 2, h.fetches(id))
-}
-
-func TestAClientThatLeavesGetsNoAnswer(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("lookup", 2000)
-	_, other := h.batch("lookup", 2000)
-	c := h.up()
-	h.tell(ClientSaid{1, traffic.Cancel{Stream: stream}})
-	h.say(c, id, "DONE", "sheets=4", "a\t2\t3\n")
+	second := h.connectLast()
+	h.engineReply(first, id, "WAIT", "-", "")
+	h.deliver(EngineEnded{second, ResetByPeer})
+	assert.Equal(t, answerFailed, h.answers[stream], "it may have run")
+	assert.Equal(t, 2, h.fetchCount(id))
+}
+
+func TestDepartedClientGetsNoAnswer(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("lookup", 2000)
+	_, other := h.sendBatch("lookup", 2000)
+	c := h.connectLast()
+	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.engineReply(c, id, "DONE", "sheets=4", "a\t2\t3\n")
 	assert.Contains(t, h.written[c], "done\r\n$16\r\n00000000000000f1", "nobody wants the pages")
-	h.tell(ClientEnded{1, ClosedByPeer})
-	h.say(c, other, "DONE", "sheets=1", "a\t2\t3\n")
+	h.deliver(ClientEnded{1, ClosedByPeer})
+	h.engineReply(c, other, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Empty(t, h.answers)
 	assert.Empty(t, h.batches)
 	assert.Zero(t, h.pool.Used())
 }
 
-func TestBadInputEndsAtMostItsConnection(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("nobody's", 2000)
-	assert.Equal(t, failure, h.answers[stream], "an unknown service group")
-	h.tell(h.opened(2))
-	h.tell(h.said(2, standin.Frame(77, 5, nil, "")))
-	assert.Equal(t, failure, h.answers[0])
-	h.tell(h.opened(3))
+func TestBadInputEndsOnlyItsConnection(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("nobody's", 2000)
+	assert.Equal(t, answerFailed, h.answers[stream], "an unknown service group")
+	h.deliver(h.clientOpenedEvent(2))
+	h.deliver(h.clientFrame(2, standin.Frame(77, 5, nil, "")))
+	assert.Equal(t, answerFailed, h.answers[0])
+	h.deliver(h.clientOpenedEvent(3))
 	taken := standin.Frame(clients.Ask, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
-	h.tell(h.said(3, taken))
+	h.deliver(h.clientFrame(3, taken))
 	delete(h.answers, 0)
-	h.tell(h.said(3, taken))
-	assert.Equal(t, failure, h.answers[0], "a stream that is taken")
-	assert.Equal(t, failure, h.answers[9], "what was taken on it is answered")
+	h.deliver(h.clientFrame(3, taken))
+	assert.Equal(t, answerFailed, h.answers[0], "a stream that is taken")
+	assert.Equal(t, answerFailed, h.answers[9], "what was taken on it is answered")
 	assert.NotContains(t, h.clients, uint64(3))
-	stream, id = h.batch("lookup", 2000)
-	c := h.up()
-	h.say(c, "nobody", "DONE", "sheets=x", "a")
-	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
+	stream, id = h.sendBatch("lookup", 2000)
+	c := h.connectLast()
+	h.engineReply(c, "nobody", "DONE", "sheets=x", "a")
+	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 }
 
 // What can't be passed on ends its connection: what else is open there may have run and goes on by the one table.
-func TestAnUnusableAnswerEndsItsConnectionAndNothingOfItIsPassedOn(t *testing.T) {
+func TestUnusableAnswerClosesConnectionAndIsNotForwarded(t *testing.T) {
 	row := "a\tb\tc\n"
 	for _, bad := range []struct {
 		word, fields, body string
@@ -184,110 +184,110 @@
 		{"DONE", "sheets=2", ""},
 		{"MORE", "sheet=7", row}, {"MORE", "sheet=1", row}, {"HM", "", row}} {
 		for _, copies := range []string{"", `"may-duplicate":true,`} {
-			h := startWith(t, strings.Replace(grades, `"attempts-cap":3,`, `"attempts-cap":3,`+copies, 1), east("s-1"))
-			stream, id := h.batch("lookup", 3000)
-			once, _ := h.batch("upload", 3000)
-			h.say(h.up(), id, bad.word, bad.fields, bad.body)
-			assert.Equal(t, []End{BadInput}, h.closed(), "%v", bad)
-			assert.Equal(t, failure, h.answers[once])
-			h.pass(0.3)
+			h := newHostWith(t, strings.Replace(testSettings, `"attempts-cap":3,`, `"attempts-cap":3,`+copies, 1), eastEngine("s-1"))
+			stream, id := h.sendBatch("lookup", 3000)
+			once, _ := h.sendBatch("upload", 3000)
+			h.engineReply(h.connectLast(), id, bad.word, bad.fields, bad.body)
+			assert.Equal(t, []CloseReason{BadInput}, h.engineCloseReasons(), "%v", bad)
+			assert.Equal(t, answerFailed, h.answers[once])
+			h.advance(0.3)
 			if bad.word == "HM" && copies == "" { // it is no end that the protocol knows, so the first may still run
-				assert.True(t, strings.HasPrefix(h.answers[stream], refusal), "%q", h.answers[stream])
+				assert.True(t, strings.HasPrefix(h.answers[stream], answerRejected), "%q", h.answers[stream])
 				assert.Len(t, h.dials, 1)
 				continue
 			}
-			h.say(h.up(), id, "DONE", "sheets=1", row)
-			assert.Equal(t, ok+row, h.answers[stream])
+			h.engineReply(h.connectLast(), id, "DONE", "sheets=1", row)
+			assert.Equal(t, answerOK+row, h.answers[stream])
 			assert.Zero(t, h.pool.Used())
 		}
 	}
 }
 
-func TestMoreThanAResultHoldsEndsTheConnection(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.batch("upload", 3000)
-	_, id := h.batch("lookup", 3000)
-	c := h.up()
+func TestOversizedResultClosesConnection(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.sendBatch("upload", 3000)
+	_, id := h.sendBatch("lookup", 3000)
+	c := h.connectLast()
 	page := strings.Repeat("a\tb\tc\n", 1000)
-	h.say(c, id, "DONE", "sheets=9", page)
+	h.engineReply(c, id, "DONE", "sheets=9", page)
 	for n := 1; n <= mostResult/len(page); n++ {
-		assert.Empty(t, h.closed())
-		h.say(c, id, "MORE", "sheet="+strconv.Itoa(n), page)
+		assert.Empty(t, h.engineCloseReasons())
+		h.engineReply(c, id, "MORE", "sheet="+strconv.Itoa(n), page)
 	}
-	assert.Equal(t, []End{BadInput}, h.closed())
+	assert.Equal(t, []CloseReason{BadInput}, h.engineCloseReasons())
 	assert.Zero(t, h.pool.Used()-1, "but for the text that goes again")
 }
 
-func TestAReplyThatStopsShortEndsItsConnection(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 9000)
-	c := h.up()
-	h.tell(EngineBegan{c})
-	h.pass(0.4)
-	h.say(c, id, "TELL", "detail=done,val=0.5", "")
-	h.pass(0.4)
-	assert.Empty(t, h.closed(), "it became whole")
-	h.tell(EngineBegan{c})
-	h.pass(0.6)
-	assert.Equal(t, []End{BadInput}, h.closed())
-	assert.Equal(t, failure, h.answers[stream])
-}
-
-func TestAPageThatGotLostIsAskedForAgain(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 9000)
-	c := h.up()
-	h.say(c, id, "DONE", "sheets=3", "a\t2\t3\n")
-	h.say(c, id, "MORE", "sheet=2", "c\t2\t3\n")
-	h.say(c, id, "MORE", "sheet=2", "c\t2\t3\n")
-	h.pass(0.15)
+func TestPartialReplyClosesConnection(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 9000)
+	c := h.connectLast()
+	h.deliver(EngineBegan{c})
+	h.advance(0.4)
+	h.engineReply(c, id, "TELL", "detail=done,val=0.5", "")
+	h.advance(0.4)
+	assert.Empty(t, h.engineCloseReasons(), "it became whole")
+	h.deliver(EngineBegan{c})
+	h.advance(0.6)
+	assert.Equal(t, []CloseReason{BadInput}, h.engineCloseReasons())
+	assert.Equal(t, answerFailed, h.answers[stream])
+}
+
+func TestLostPageIsRequestedAgain(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 9000)
+	c := h.connectLast()
+	h.engineReply(c, id, "DONE", "sheets=3", "a\t2\t3\n")
+	h.engineReply(c, id, "MORE", "sheet=2", "c\t2\t3\n")
+	h.engineReply(c, id, "MORE", "sheet=2", "c\t2\t3\n")
+	h.advance(0.15)
 	more := "more\r\n$16\r\n" + id + "\r\n$1\r\n"
 	assert.Equal(t, 2, strings.Count(h.written[c], more+"1"))
 	assert.Equal(t, 1, strings.Count(h.written[c], more+"2"))
-	h.say(c, id, "MORE", "sheet=1", "b\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
+	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
 	assert.Zero(t, h.pool.Used())
 }
 
 // An answer on it was lost, and it stays open: a check tells whether it is of use.
-func TestAConnectionThatSaysNothingMoreIsCheckedAndEnded(t *testing.T) {
-	h := start(t, east("s-1"))
+func TestSilentConnectionIsProbedAndClosed(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
 	h.settings.Settings.MayProbe = true
-	slow, slowID := h.batch("upload", 9000)
-	_, id := h.batch("lookup", 3000)
-	c := h.up()
-	h.say(c, id, "DONE", "sheets=2", "a\t2\t3\n")
-	h.pass(0.15)
+	slow, slowID := h.sendBatch("upload", 9000)
+	_, id := h.sendBatch("lookup", 3000)
+	c := h.connectLast()
+	h.engineReply(c, id, "DONE", "sheets=2", "a\t2\t3\n")
+	h.advance(0.15)
 	require.NotNil(t, h.connections[c].check)
-	h.say(c, h.connections[c].check.tag, "FIT", "-", "")
+	h.engineReply(c, h.connections[c].check.tag, "FIT", "-", "")
 	assert.False(t, h.connections[c].Suspect)
-	h.pass(0.25)
+	h.advance(0.25)
 	assert.Contains(t, h.connections, c)
-	h.pass(0.75)
-	assert.Equal(t, []End{ClosedSuspect}, h.closed())
-	assert.Equal(t, failure, h.answers[slow])
-	assert.Equal(t, 1, h.fetches(slowID))
+	h.advance(0.75)
+	assert.Equal(t, []CloseReason{ClosedSuspect}, h.engineCloseReasons())
+	assert.Equal(t, answerFailed, h.answers[slow])
+	assert.Equal(t, 1, h.fetchCount(slowID))
 }
 
-func TestBatchesShareAConnectionOnlyOnceThereAreMany(t *testing.T) {
-	h := start(t, east("s-1"))
+func TestBatchesShareConnectionsOnlyAtLimit(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
 	h.spread = 3
 	for range 5 {
-		_, id := h.batch("lookup", 2000)
-		if len(h.dials) == 1 && h.fetches(id) == 0 {
-			h.up()
+		_, id := h.sendBatch("lookup", 2000)
+		if len(h.dials) == 1 && h.fetchCount(id) == 0 {
+			h.connectLast()
 		}
 	}
 	assert.Len(t, h.dials, 3)
-	h = start(t, east("s-1"))
+	h = newHost(t, eastEngine("s-1"))
 	h.spread, h.most = 3, 3
 	for range 4 {
-		h.batch("lookup", 2000)
+		h.sendBatch("lookup", 2000)
 	}
 	assert.Len(t, h.dials, 1, "few descriptors")
 }
 
-func (h *host) ask(client uint64, stream uint32, id string, fields ...string) {
+func (h *host) sendRequest(client uint64, stream uint32, id string, fields ...string) {
 	told := map[string]string{"c": "lookup", "i": id, "d": "2000"}
 	for i := 0; i+1 < len(fields); i += 2 {
 		told[fields[i]] = fields[i+1]
@@ -296,44 +296,44 @@
 	for name, value := range told {
 		all = append(all, name, value)
 	}
-	h.tell(h.said(client, standin.Frame(clients.Ask, stream, all, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(client, standin.Frame(clients.Ask, stream, all, "SELECT 1 FROM a_3.b")))
 }
 
 // Whoever sends what can't be used gets an error or a close, and nothing of it reaches an engine.
-func TestABadClientIsToldSoAndNoEngineHearsOfIt(t *testing.T) {
-	h := start(t, east("s-1"))
-	open, id := h.batch("upload", 2000)
-	h.tell(h.opened(2))
-	h.ask(2, 101, id)
-	assert.Equal(t, failure, h.answers[101], "the id of an open batch")
-	h.ask(2, 102, "00000000000000bb", "d", "2000000")
-	assert.Equal(t, failure, h.answers[102], "nobody waits so long")
-	h.ask(2, 103, "00000000000000bc", "c", "lookups")
-	assert.Equal(t, failure, h.answers[103])
+func TestInvalidRequestIsRefusedAndNotForwarded(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	open, id := h.sendBatch("upload", 2000)
+	h.deliver(h.clientOpenedEvent(2))
+	h.sendRequest(2, 101, id)
+	assert.Equal(t, answerFailed, h.answers[101], "the id of an open batch")
+	h.sendRequest(2, 102, "00000000000000bb", "d", "2000000")
+	assert.Equal(t, answerFailed, h.answers[102], "nobody waits so long")
+	h.sendRequest(2, 103, "00000000000000bc", "c", "lookups")
+	assert.Equal(t, answerFailed, h.answers[103])
 	assert.NotContains(t, h.clients, uint64(2), "the third that can't be used")
-	h.tell(h.opened(3))
-	for n := range uint32(h.frames.MaxOpenBatches + 1) {
+	h.deliver(h.clientOpenedEvent(3))
+	for n := range uint32(h.clientProtocol.MaxOpenBatches + 1) {
 		delete(h.answers, 0)
-		h.ask(3, n+201, fmt.Sprintf("%016x", 4000+n))
+		h.sendRequest(3, n+201, fmt.Sprintf("%016x", 4000+n))
 	}
 	assert.NotContains(t, h.clients, uint64(3), "more than a connection carries")
-	h.tell(h.opened(4))
+	h.deliver(h.clientOpenedEvent(4))
 	delete(h.answers, 0)
-	h.ask(4, 301, "00000000000000cc", "c", "nobody's")
-	h.ask(4, 301, "00000000000000cd")
-	assert.Equal(t, failure, h.answers[0], "a number that was answered")
+	h.sendRequest(4, 301, "00000000000000cc", "c", "nobody's")
+	h.sendRequest(4, 301, "00000000000000cd")
+	assert.Equal(t, answerFailed, h.answers[0], "a number that was answered")
 	for _, d := range h.dials {
-		h.tell(EngineOpened{d.Connection})
+		h.deliver(EngineOpened{d.Connection})
 	}
-	assert.Equal(t, 1, h.fetches(id))
-	assert.Zero(t, h.fetches("00000000000000cd"))
+	assert.Equal(t, 1, h.fetchCount(id))
+	assert.Zero(t, h.fetchCount("00000000000000cd"))
 	assert.NotContains(t, h.answers, open)
 	assert.Len(t, h.open, 1)
 }
 
-func (h *host) closedClients() map[uint64]End {
-	out := map[uint64]End{}
-	for _, what := range h.did {
+func (h *host) clientCloseReasons() map[uint64]CloseReason {
+	out := map[uint64]CloseReason{}
+	for _, what := range h.emitted {
 		if c, ok := what.(CloseClient); ok {
 			out[c.Client] = c.End
 		}
@@ -342,115 +342,115 @@
 }
 
 // A client that stood still for over two seconds within a frame lost all that was open beside it.
-func TestHalfAFrameDoesNotLoseWhatIsOpenBesideIt(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("upload", 9000)
-	l := h.up()
-	h.tell(ClientBegan{1})
-	h.pass(2.6)
-	assert.Empty(t, h.closedClients(), "a batch is open there")
-	h.say(l, id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
-	h.pass(1.5)
-	assert.Equal(t, map[uint64]End{1: Silent}, h.closedClients(), "then half a frame counts again")
+func TestPartialFrameKeepsOpenBatches(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("upload", 9000)
+	l := h.connectLast()
+	h.deliver(ClientBegan{1})
+	h.advance(2.6)
+	assert.Empty(t, h.clientCloseReasons(), "a batch is open there")
+	h.engineReply(l, id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
+	h.advance(1.5)
+	assert.Equal(t, map[uint64]CloseReason{1: FrameTimedOut}, h.clientCloseReasons(), "then half a frame counts again")
 }
 
 // A router that was stopped for two seconds ended a client for half a frame, whose other half and twelve batches lay unread.
-func TestWhatCameDuringAStandstillIsReadBeforeClientsAreEndedForSilence(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.pass(0.3)
-	h.tell(ClientBegan{1})
+func TestInputFromProcessPauseIsReadBeforeSilentClientsAreClosed(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.advance(0.3)
+	h.deliver(ClientBegan{1})
 	h.now += 3 // nobody ran us
-	h.tell(TimerFired{})
-	assert.Empty(t, h.closedClients(), "its socket has not been read since")
-	h.batch("upload", 9000)
-	h.pass(0.5)
-	assert.Empty(t, h.closedClients())
-	h = start(t, east("s-1"))
-	h.pass(0.3)
-	h.tell(ClientBegan{1})
+	h.deliver(TimerFired{})
+	assert.Empty(t, h.clientCloseReasons(), "its socket has not been read since")
+	h.sendBatch("upload", 9000)
+	h.advance(0.5)
+	assert.Empty(t, h.clientCloseReasons())
+	h = newHost(t, eastEngine("s-1"))
+	h.advance(0.3)
+	h.deliver(ClientBegan{1})
 	for range mostPutOff {
 		h.now += 3
-		h.tell(TimerFired{})
-		assert.Empty(t, h.closedClients(), "stopped again before it could read")
+		h.deliver(TimerFired{})
+		assert.Empty(t, h.clientCloseReasons(), "stopped again before it could read")
 	}
 	h.now += 3
-	h.tell(TimerFired{})
-	assert.Equal(t, map[uint64]End{1: Silent}, h.closedClients(), "one that is always late looks in the end")
+	h.deliver(TimerFired{})
+	assert.Equal(t, map[uint64]CloseReason{1: FrameTimedOut}, h.clientCloseReasons(), "one that is always late looks in the end")
 }
 
-func TestClientsInUseWinOverSilentOnes(t *testing.T) {
-	h := start(t, east("s-1"))
+func TestClientsInUseAreKeptOverSilentOnes(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
 	h.mostClients = 4
-	busy, id := h.batch("upload", 9000)
-	h.tell(h.opened(2), h.opened(3))
-	h.ask(2, 101, "00000000000000bb")
-	h.say(h.up(), "00000000000000bb", "DONE", "sheets=1", "a\t2\t3\n")
-	h.pass(0.3)
-	h.tell(h.opened(4), h.opened(5))
-	assert.Equal(t, map[uint64]End{3: Crowded}, h.closedClients(), "it has said nothing")
-	h.tell(h.opened(6))
-	assert.Equal(t, map[uint64]End{3: Crowded, 2: Crowded}, h.closedClients(), "idle: its next batch finds another")
-	h.tell(ClientBegan{4})
-	h.pass(2.6)
-	assert.Equal(t, map[uint64]End{3: Crowded, 2: Crowded, 4: Silent, 5: Silent, 6: Silent}, h.closedClients())
-	assert.Equal(t, failure, h.answers[0], "half a frame")
-	h.say(h.dials[0].Connection, id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[busy])
-	h.pass(h.frames.IdleTimeout - 1)
+	busy, id := h.sendBatch("upload", 9000)
+	h.deliver(h.clientOpenedEvent(2), h.clientOpenedEvent(3))
+	h.sendRequest(2, 101, "00000000000000bb")
+	h.engineReply(h.connectLast(), "00000000000000bb", "DONE", "sheets=1", "a\t2\t3\n")
+	h.advance(0.3)
+	h.deliver(h.clientOpenedEvent(4), h.clientOpenedEvent(5))
+	assert.Equal(t, map[uint64]CloseReason{3: Crowded}, h.clientCloseReasons(), "it has said nothing")
+	h.deliver(h.clientOpenedEvent(6))
+	assert.Equal(t, map[uint64]CloseReason{3: Crowded, 2: Crowded}, h.clientCloseReasons(), "idle: its next batch finds another")
+	h.deliver(ClientBegan{4})
+	h.advance(2.6)
+	assert.Equal(t, map[uint64]CloseReason{3: Crowded, 2: Crowded, 4: FrameTimedOut, 5: FrameTimedOut, 6: FrameTimedOut}, h.clientCloseReasons())
+	assert.Equal(t, answerFailed, h.answers[0], "half a frame")
+	h.engineReply(h.dials[0].Connection, id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[busy])
+	h.advance(h.clientProtocol.IdleTimeout - 1)
 	assert.Contains(t, h.clients, uint64(1))
-	h.pass(2)
+	h.advance(2)
 	assert.Empty(t, h.clients, "kept for good after its last answer")
 	for n := range uint64(4) {
-		h.tell(h.opened(n + 10))
+		h.deliver(h.clientOpenedEvent(n + 10))
 	}
 	next := h.settings
 	next.Descriptors = 4
-	h.tell(Reloaded{next})
-	h.pass(0.5)
+	h.deliver(Reloaded{next})
+	h.advance(0.5)
 	assert.Len(t, h.clients, 2, "the bound was set lower")
 }
 
-func TestConnectionsCarrySoManyAndCloseBeforeTheEngineDoes(t *testing.T) {
-	h := start(t, east("s-1"))
-	_, one := h.batch("lookup", 2000)
-	_, two := h.batch("lookup", 2000)
-	_, three := h.batch("lookup", 2000)
+func TestMultiplexLimitAndIdleClose(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	_, one := h.sendBatch("lookup", 2000)
+	_, two := h.sendBatch("lookup", 2000)
+	_, three := h.sendBatch("lookup", 2000)
 	require.Len(t, h.dials, 2, "two on each")
 	for _, d := range h.dials {
-		h.tell(EngineOpened{d.Connection})
+		h.deliver(EngineOpened{d.Connection})
 		for _, id := range []string{one, two, three} {
-			h.say(d.Connection, id, "DONE", "sheets=1", "a\t2\t3\n")
+			h.engineReply(d.Connection, id, "DONE", "sheets=1", "a\t2\t3\n")
 		}
 	}
-	h.pass(11.9)
-	assert.Empty(t, h.closed())
-	h.pass(2.5)
-	assert.Equal(t, []End{ClosedIdle}, h.closed()[:1])
+	h.advance(11.9)
+	assert.Empty(t, h.engineCloseReasons())
+	h.advance(2.5)
+	assert.Equal(t, []CloseReason{ClosedIdle}, h.engineCloseReasons()[:1])
 }
 
-func TestTheListIsAskedForUntilItIsAnswered(t *testing.T) {
-	h := start(t, east("s-1"), east("s-2"))
+func TestEngineListIsQueriedUntilAnswered(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"), eastEngine("s-2"))
 	first := h.queries[0]
-	h.pass(0.09)
+	h.advance(0.09)
 	require.GreaterOrEqual(t, len(h.queries), 3, "lost answers are asked again")
-	drained := east("s-1")
+	drained := eastEngine("s-1")
 	drained.Draining = true
-	h.tell(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 4, Engines: []directory.Engine{drained, east("s-3")}}})
+	h.deliver(ListAnswered{h.queries[len(h.queries)-1], directory.List{Serial: 4, Engines: []directory.Engine{drained, eastEngine("s-3")}}})
 	assert.Equal(t, brain.Draining, h.engines["s-1"].Phase, "the first answer counts for that")
 	assert.Equal(t, brain.Draining, h.engines["s-2"].Phase, "nothing new to what is missing from it")
-	h.pass(0.006)
-	h.list(4, drained, east("s-3"))
+	h.advance(0.006)
+	h.adoptList(4, drained, eastEngine("s-3"))
 	assert.Equal(t, brain.Draining, h.engines["s-1"].Phase)
 	assert.Equal(t, brain.Gone, h.engines["s-2"].Phase, "gone is what a whole answer lacks")
-	h.tell(ListAnswered{first, directory.List{Serial: 2, Engines: []directory.Engine{east("s-1")}}})
+	h.deliver(ListAnswered{first, directory.List{Serial: 2, Engines: []directory.Engine{eastEngine("s-1")}}})
 	assert.Equal(t, brain.Draining, h.engines["s-1"].Phase, "an old answer that comes late")
 	for off := range uint16(3) { // numbers next to ours
-		h.tell(ListAnswered{h.queries[len(h.queries)-1] + off - 1, directory.List{Serial: 9}})
+		h.deliver(ListAnswered{h.queries[len(h.queries)-1] + off - 1, directory.List{Serial: 9}})
 	}
 	assert.Equal(t, brain.Draining, h.engines["s-1"].Phase, "an answer to nobody's question")
 	for range 3 {
-		h.batch("lookup", 2000)
+		h.sendBatch("lookup", 2000)
 	}
 	for _, d := range h.dials {
 		assert.Equal(t, "s-3", h.connections[d.Connection].engine.name, "nothing new where it drains")
@@ -458,171 +458,171 @@
 }
 
 // What the module has learned of an engine, and what it sent to it cold, must not be lost with a flapping list.
-func TestAnEngineThatComesBackIsTheSameOne(t *testing.T) {
-	h := start(t, east("s-1"))
+func TestRelistedEngineKeepsItsState(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
 	first := h.engines["s-1"]
-	h.list(2)
-	stream, _ := h.batch("lookup", 2000)
+	h.adoptList(2)
+	stream, _ := h.sendBatch("lookup", 2000)
 	assert.Empty(t, h.dials)
-	h.pass(0.11)
-	h.list(3, east("s-1"))
+	h.advance(0.11)
+	h.adoptList(3, eastEngine("s-1"))
 	assert.Same(t, first, h.engines["s-1"])
-	h.pass(0.1)
+	h.advance(0.1)
 	require.Len(t, h.dials, 1)
-	h.say(h.up(), "00000000000000f1", "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
+	h.engineReply(h.connectLast(), "00000000000000f1", "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 }
 
-func TestADialThatNeverEndsIsGivenUp(t *testing.T) {
-	h := start(t, east("s-1"), east("s-2"))
-	_, id := h.batch("upload", 5000)
+func TestDialTimesOut(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"), eastEngine("s-2"))
+	_, id := h.sendBatch("upload", 5000)
 	lost := h.dials[0].Connection
-	h.pass(0.3)
+	h.advance(0.3)
 	require.Len(t, h.dials, 2, "it never ran, so a once-only batch goes on")
-	h.tell(EngineOpened{lost})
-	assert.Zero(t, h.fetches(id), "nothing is written where it came up too late")
-	h.up()
-	assert.Equal(t, 1, h.fetches(id))
+	h.deliver(EngineOpened{lost})
+	assert.Zero(t, h.fetchCount(id), "nothing is written where it came up too late")
+	h.connectLast()
+	assert.Equal(t, 1, h.fetchCount(id))
 	assert.Zero(t, h.dialing)
 }
 
-func TestBeyondItsMemoryTheRouterPushesBack(t *testing.T) {
-	h := start(t)
+func TestBatchesBeyondMemoryLimitAreRejected(t *testing.T) {
+	h := newHost(t)
 	h.settings.MemoryMB = 1
 	refused, n := 0, 0
 	for ; n < 100; n++ {
-		if n%h.frames.MaxOpenBatches == 0 {
-			h.tell(h.opened(uint64(n/h.frames.MaxOpenBatches) + 2))
+		if n%h.clientProtocol.MaxOpenBatches == 0 {
+			h.deliver(h.clientOpenedEvent(uint64(n/h.clientProtocol.MaxOpenBatches) + 2))
 		}
 		stream := uint32(n + 1)
-		h.ask(uint64(n/h.frames.MaxOpenBatches)+2, stream, fmt.Sprintf("%016x", n+1))
+		h.sendRequest(uint64(n/h.clientProtocol.MaxOpenBatches)+2, stream, fmt.Sprintf("%016x", n+1))
 		if h.answers[stream] != "" {
 			refused++
-			assert.Equal(t, refusal+"\x01\x01w\x03\x00500", h.answers[stream], "it says when to come back")
+			assert.Equal(t, answerRejected+"\x01\x01w\x03\x00500", h.answers[stream], "it says when to come back")
 		}
 	}
 	assert.Positive(t, refused)
 	assert.Less(t, refused, n)
 }
 
-func TestWhatIsOverLeavesNoTimer(t *testing.T) {
-	h := start(t, east("s-1"))
-	_, id := h.batch("lookup", 2000)
-	c := h.up()
-	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
+func TestFinishedDispatchLeavesNoTimer(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	_, id := h.sendBatch("lookup", 2000)
+	c := h.connectLast()
+	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
 	for _, one := range h.timers {
 		_, left := one.what.(*dispatch)
 		assert.False(t, left)
 	}
 }
 
-func TestAnAddressMayBeAnothersNext(t *testing.T) {
-	h := start(t, east("s-1"))
-	_, id := h.batch("lookup", 2000)
-	c := h.up()
-	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	h.list(2, east("s-2"))
-	assert.Equal(t, []End{LeftAddress}, h.closed())
-	h.batch("lookup", 2000)
+func TestAddressReuseByAnotherEngine(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	_, id := h.sendBatch("lookup", 2000)
+	c := h.connectLast()
+	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
+	h.adoptList(2, eastEngine("s-2"))
+	assert.Equal(t, []CloseReason{StaleAddress}, h.engineCloseReasons())
+	h.sendBatch("lookup", 2000)
 	require.Len(t, h.dials, 2, "the old connection is not the new engine's")
-	h.tell(ListAnswered{h.queries[0], directory.List{Serial: 3}})
-	h.pass(0.11)
-	h.list(3)
-	assert.Equal(t, []End{LeftAddress, LeftAddress}, h.closed(), "a dial to the old engine must not reach its successor")
-	h.tell(EngineOpened{h.dials[1].Connection})
+	h.deliver(ListAnswered{h.queries[0], directory.List{Serial: 3}})
+	h.advance(0.11)
+	h.adoptList(3)
+	assert.Equal(t, []CloseReason{StaleAddress, StaleAddress}, h.engineCloseReasons(), "a dial to the old engine must not reach its successor")
+	h.deliver(EngineOpened{h.dials[1].Connection})
 	assert.Empty(t, h.written[h.dials[1].Connection])
 }
 
-func TestEnginesThatAreGoneForLongAreForgotten(t *testing.T) {
-	h := start(t, east("s-1"))
-	_, id := h.batch("lookup", 4000)
-	c := h.up()
+func TestLongGoneEnginesAreForgotten(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	_, id := h.sendBatch("lookup", 4000)
+	c := h.connectLast()
 	for n := range uint32(50) {
-		h.pass(0.11)
-		h.list(n+2, east("s-"+strconv.Itoa(int(n)+2)))
+		h.advance(0.11)
+		h.adoptList(n+2, eastEngine("s-"+strconv.Itoa(int(n)+2)))
 	}
 	assert.Len(t, h.engines, 51, "one that flaps is the same one")
-	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	h.pass(keepGone + 1)
+	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
+	h.advance(keepGone + 1)
 	assert.Len(t, h.engines, 1)
 	assert.Len(t, h.byBrain, 1)
 	assert.Less(t, len(h.timers), 5)
 }
 
 // A reload moves the name service. Its number goes on: an older list stays older, and old answers are nobody's.
-func TestAReloadMovesTheNameServiceAndDropsNothing(t *testing.T) {
-	h := start(t, east("s-1"))
-	stream, id := h.batch("lookup", 3000)
-	c := h.up()
+func TestReloadMovesNameServiceAndDropsNothing(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	stream, id := h.sendBatch("lookup", 3000)
+	c := h.connectLast()
 	before := h.queries[len(h.queries)-1]
 	next := h.settings
 	next.Resolver, next.Descriptors, next.Known = "127.0.0.1:3", 256, directory.List{Serial: 1}
-	h.tell(Reloaded{next})
-	assert.Contains(t, h.did, AskAt{"127.0.0.1:3"})
-	assert.Contains(t, h.did, Bound{0, 256})
+	h.deliver(Reloaded{next})
+	assert.Contains(t, h.emitted, AskAt{"127.0.0.1:3"})
+	assert.Contains(t, h.emitted, Bound{0, 256})
 	assert.Equal(t, 256/2-spareDescriptors, h.most)
 	after := h.queries[len(h.queries)-1]
 	assert.NotEqual(t, before, after, "it is asked at once")
-	h.tell(ListAnswered{before, directory.List{Serial: 7}})
+	h.deliver(ListAnswered{before, directory.List{Serial: 7}})
 	assert.Equal(t, brain.Ready, h.engines["s-1"].Phase, "the old address's word")
-	h.tell(ListAnswered{after, directory.List{Serial: 2, Engines: []directory.Engine{east("s-1"), east("s-2")}}})
-	h.pass(0.006)
-	h.list(2, east("s-1"), east("s-2"))
+	h.deliver(ListAnswered{after, directory.List{Serial: 2, Engines: []directory.Engine{eastEngine("s-1"), eastEngine("s-2")}}})
+	h.advance(0.006)
+	h.adoptList(2, eastEngine("s-1"), eastEngine("s-2"))
 	assert.Contains(t, h.engines, "s-2")
-	h.tell(Reloaded{next}, Reloaded{next})
-	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[stream])
+	h.deliver(Reloaded{next}, Reloaded{next})
+	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 }
 
-func TestAtTheLimitOfDescriptorsBatchesStillEndWell(t *testing.T) {
-	h := start(t, east("s-1"))
+func TestBatchesAreAnsweredAtDescriptorLimit(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
 	h.most = 2
-	h.batch("lookup", 2000)
-	h.batch("lookup", 2000)
-	stream, _ := h.batch("lookup", 2000)
+	h.sendBatch("lookup", 2000)
+	h.sendBatch("lookup", 2000)
+	stream, _ := h.sendBatch("lookup", 2000)
 	require.Len(t, h.dials, 1)
-	h.pass(2)
-	assert.Equal(t, refusal, h.answers[stream][:1])
-}
-
-func TestAStopTakesAndAnswersAllThatStillComes(t *testing.T) {
-	h := start(t, east("s-1"))
-	early, id := h.batch("lookup", 2000)
-	c := h.up()
-	h.tell(StopAsked{})
-	h.tell(ClientSaid{1, traffic.ReadinessQuery{Stream: 99}})
-	h.pass(0.5)
-	late, _ := h.batch("lookup", 2000)
-	h.say(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	assert.Equal(t, ok+"a\t2\t3\n", h.answers[early])
-	stuck, _ := h.batch("upload", 9000)
-	h.pass(2.0)
+	h.advance(2)
+	assert.Equal(t, answerRejected, h.answers[stream][:1])
+}
+
+func TestStopAcceptsAndAnswersLateBatches(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	early, id := h.sendBatch("lookup", 2000)
+	c := h.connectLast()
+	h.deliver(StopAsked{})
+	h.deliver(ClientSaid{1, traffic.ReadinessQuery{Stream: 99}})
+	h.advance(0.5)
+	late, _ := h.sendBatch("lookup", 2000)
+	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
+	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[early])
+	stuck, _ := h.sendBatch("upload", 9000)
+	h.advance(2.0)
 	assert.Contains(t, h.answers, late)
 	assert.False(t, h.exited(), "one is still out")
-	h.pass(1)
-	assert.Equal(t, failure, h.answers[stuck], "before the kill")
+	h.advance(1)
+	assert.Equal(t, answerFailed, h.answers[stuck], "before the kill")
 	assert.True(t, h.exited())
 }
 
-func TestAQuietRouterStopsOnceNothingMoreCanCome(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.tell(StopAsked{})
-	h.pass(0.6)
+func TestIdleRouterExitsAfterGracePeriod(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.deliver(StopAsked{})
+	h.advance(0.6)
 	assert.False(t, h.exited())
-	h.pass(0.3)
+	h.advance(0.3)
 	assert.True(t, h.exited())
 }
 
-func TestAProbeBringsTheEnginesReport(t *testing.T) {
-	h := start(t, east("s-1"))
-	h.tell()
+func TestProbeReturnsEngineReport(t *testing.T) {
+	h := newHost(t, eastEngine("s-1"))
+	h.deliver()
 	p := func() *probe {
-		h.probe(h.engines["s-1"])
+		h.sendProbe(h.engines["s-1"])
 		return h.connections[h.numbers].Opens()[0].(*probe)
 	}()
-	h.speaks[p.line.Number] = engines.Session{}
-	h.tell(EngineOpened{p.line.Number})
-	assert.Contains(t, h.written[p.line.Number], "stats\r\n")
-	h.say(p.line.Number, p.tag, "FIT", "use=queue:3;x0:0.25", "")
+	h.sessions[p.conn.Number] = engines.Session{}
+	h.deliver(EngineOpened{p.conn.Number})
+	assert.Contains(t, h.written[p.conn.Number], "stats\r\n")
+	h.engineReply(p.conn.Number, p.tag, "FIT", "use=queue:3;x0:0.25", "")
 	assert.True(t, p.ended)
 }
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -8,26 +8,26 @@
 	"pitchfield/internal/traffic"
 )
 
-// parts is what this router has of budgets that the fleet divides among its routers. It is there only where an installation
+// quotas is what this router has of budgets that the fleet divides among its routers. It is there only where an installation
 // wants it.
-type parts struct {
+type quotas struct {
 	machine *shares.Machine
 	timer   *timer
-	at      float64 // of the timer
+	timerAt float64 // of the timer
 }
 
-type partsDue struct{}
+type quotasDue struct{}
 
-// setShares puts the division that moves in place of the fixed one.
-func (r *Router) setShares(s *shares.Settings, self shares.ID) {
-	r.parts = &parts{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
+// startQuotas puts the division that moves in place of the fixed one.
+func (r *Router) startQuotas(s *shares.Settings, self shares.ID) {
+	r.parts = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
 	r.brain.SetQuota(r.parts.machine)
-	r.setPurses()
+	r.setQuotaLeases()
 	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
 }
 
-// setPurses gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
-func (r *Router) setPurses() {
+// setQuotaLeases gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
+func (r *Router) setQuotaLeases() {
 	if r.parts == nil || r.routes == nil {
 		return
 	}
@@ -52,9 +52,9 @@
 	}
 }
 
-// partsTurn asks for what the module has wanted, and lets it look again where something came. What is for oneself comes at
+// updateQuotas asks for what the module has wanted, and lets it look again where something came. What is for oneself comes at
 // once, so there may be more than one round.
-func (r *Router) partsTurn() {
+func (r *Router) updateQuotas() {
 	p := r.parts
 	for range 4 {
 		if !p.machine.Wanted() && r.now < p.machine.At() {
@@ -67,14 +67,14 @@
 		r.brain.QuotaGranted()
 		r.pull()
 	}
-	r.partsSaid()
+	r.flushQuotas()
 }
 
-// partsSaid does what the machine asks for, and sets its next time.
-func (r *Router) partsSaid() {
+// flushQuotas does what the machine asks for, and sets its next time.
+func (r *Router) flushQuotas() {
 	p := r.parts
 	for _, s := range p.machine.Sends() {
-		r.members.said++
+		r.members.sent++
 		said := s.Message
 		r.do(Talk{s.To, r.members.machine.Envelope(), &said, nil})
 	}
@@ -85,17 +85,17 @@
 		}
 		r.log(level, n.Text, n.Fields...)
 	}
-	if at := p.machine.At(); at != p.at || p.timer == nil || p.timer.index < 0 {
+	if at := p.machine.At(); at != p.timerAt || p.timer == nil || p.timer.index < 0 {
 		r.timers.stop(p.timer)
-		p.timer, p.at = nil, at
-		if at < farOff {
-			p.timer = r.timers.add(at, partsDue{})
+		p.timer, p.timerAt = nil, at
+		if at < farFuture {
+			p.timer = r.timers.add(at, quotasDue{})
 		}
 	}
 }
 
-// partsCame takes in what another router says of shares.
-func (r *Router) partsCame(m *shares.Message) {
+// receiveQuotaMessage takes in what another router says of shares.
+func (r *Router) receiveQuotaMessage(m *shares.Message) {
 	p := r.parts
 	if p == nil {
 		return
@@ -104,11 +104,11 @@
 	if p.machine.Came() {
 		r.brain.QuotaGranted()
 	}
-	r.partsSaid()
+	r.flushQuotas()
 }
 
-// by is when the dispatch that the module has just decided has to be on its way.
-func (r *Router) by() float64 {
+// writeDeadline is when the dispatch that the module has just decided has to be on its way.
+func (r *Router) writeDeadline() float64 {
 	if r.parts == nil {
 		return math.Inf(1)
 	}
@@ -116,7 +116,7 @@
 }
 
 // dispatchOrder words a dispatch.
-func (d *dispatch) order(now float64) *traffic.Dispatch {
+func (d *dispatch) request(now float64) *traffic.Dispatch {
 	b := d.batch
 	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, IdempotencyKey: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
 }
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -31,7 +31,7 @@
 	r.timers.add(r.killAt, stopCheck{})
 }
 
-func (r *Router) stopping() {
+func (r *Router) finishStop() {
 	if r.stopAt == 0 || r.exited || r.now < r.stopAt+quietStop {
 		return
 	}
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -17,25 +17,25 @@
 // An end of the connection that we have made, or that only our side knows of, proves nothing. Without a proof in time the request
 // gets no further attempt but its final answer.
 
-// confirmWithin is how long an engine may take to show that it has read that an attempt is given up, in seconds.
-const confirmWithin = 1.0
+// cancelConfirmTimeout is how long an engine may take to show that it has read that an attempt is given up, in seconds.
+const cancelConfirmTimeout = 1.0
 
-// firstPage is asked for to have an answer: an engine that has given a request up says that it knows no such page.
-const firstPage = 1
+// confirmationPage is asked for to have an answer: an engine that has given a request up says that it knows no such page.
+const confirmationPage = 1
 
-// withdrawalDue is due when a withdrawal must be confirmed.
-type withdrawalDue struct{ *dispatch }
+// cancelConfirmDue is due when a withdrawal must be confirmed.
+type cancelConfirmDue struct{ *dispatch }
 
-// mustConfirm tells whether the end of a dispatch has to be proven before the module hears of it. Where nothing is sent again
+// needsCancelConfirmation tells whether the end of a dispatch has to be proven before the module hears of it. Where nothing is sent again
 // whatever comes of it, the final answer need not wait.
-func (r *Router) mustConfirm(d *dispatch) bool {
+func (r *Router) needsCancelConfirmation(d *dispatch) bool {
 	return !r.settings.Settings.MayHedge && d.batch.client != nil && d.batch.Group.Idempotency != brain.AtMostOnce && !d.streams
 }
 
-// withdraw tells an engine that a dispatch is given up, and keeps it open until the engine has shown that it has read that. It
+// cancelAttempt tells an engine that a dispatch is given up, and keeps it open until the engine has shown that it has read that. It
 // reports whether there is time for that.
-func (r *Router) withdraw(d *dispatch, how brain.Outcome) bool {
-	by := min(r.now+confirmWithin, d.batch.Deadline())
+func (r *Router) cancelAttempt(d *dispatch, how brain.Outcome) bool {
+	by := min(r.now+cancelConfirmTimeout, d.batch.Deadline())
 	if by <= r.now || !d.line.Up {
 		return false
 	}
@@ -43,40 +43,40 @@
 	d.withdrawn, d.withdrawnAs = true, how
 	r.timers.stop(d.timer)
 	r.timers.stop(d.paging)
-	d.timer = r.timers.add(by, withdrawalDue{d})
+	d.timer = r.timers.add(by, cancelConfirmDue{d})
 	r.order(l, traffic.CancelDispatch{ID: d.batch.id})
 	if l.engine.speaks.OneAtATime {
 		r.settle(l)
 		return true
 	}
-	r.order(l, traffic.FetchPage{ID: d.batch.id, Page: firstPage})
+	r.order(l, traffic.FetchPage{ID: d.batch.id, Page: confirmationPage})
 	l.Suspect = l.Suspect || l.Heard <= d.wroteAt
 	return true
 }
 
-// withdrawnSaid takes what an engine says of a dispatch that is given up, where that proves its end. All else is taken as ever: a
+// handleReplyAfterCancel takes what an engine says of a dispatch that is given up, where that proves its end. All else is taken as ever: a
 // result that was on its way still is the answer.
-func (r *Router) withdrawnSaid(d *dispatch, reply *traffic.EngineReply) (proven bool) {
+func (r *Router) handleReplyAfterCancel(d *dispatch, reply *traffic.EngineReply) (proven bool) {
 	switch {
 	case reply.Kind == traffic.ReplyFailed, reply.Kind == traffic.ReplyPage && d.pages == nil:
 		reply.Rows.Release()
-		r.endWithdrawn(d, d.withdrawnAs)
+		r.finishCancellation(d, d.withdrawnAs)
 		return true
 	}
 	return false
 }
 
-// withdrawalsSettled: an engine that takes one batch at a time has ended what was given up on a connection.
-func (r *Router) withdrawalsSettled(l *line) {
+// confirmCancellations: an engine that takes one batch at a time has ended what was given up on a connection.
+func (r *Router) confirmCancellations(l *line) {
 	for _, what := range l.Opens() {
 		if d, is := what.(*dispatch); is && d.withdrawn {
-			r.endWithdrawn(d, d.withdrawnAs)
+			r.finishCancellation(d, d.withdrawnAs)
 		}
 	}
 }
 
-// withdrawalExpired: nothing has shown in time that a dispatch has ended.
-func (r *Router) withdrawalExpired(d *dispatch) {
+// cancelConfirmExpired: nothing has shown in time that a dispatch has ended.
+func (r *Router) cancelConfirmExpired(d *dispatch) {
 	if d.ended {
 		return
 	}
@@ -84,24 +84,24 @@
 		"connection", d.line.Number)
 	l := d.line
 	silent := l.Heard <= d.wroteAt
-	r.endWithdrawn(d, brain.Unconfirmed)
+	r.finishCancellation(d, brain.Unconfirmed)
 	if silent && r.connections[l.Number] == l {
 		r.suspect(l)
 	}
 }
 
-// endWithdrawn tells the module of the end of a dispatch that was given up.
-func (r *Router) endWithdrawn(d *dispatch, how brain.Outcome) {
+// finishCancellation tells the module of the end of a dispatch that was given up.
+func (r *Router) finishCancellation(d *dispatch, how brain.Outcome) {
 	l := d.line
 	r.ended(d, how, d.report)
 	l.Close(d.batch.id, true, r.now)
 	r.rest(l)
 }
 
-// brokenOff is how a dispatch ends whose bytes may have left and whose connection has ended.
-func (r *Router) brokenOff(d *dispatch, end End) brain.Outcome {
-	if r.mustConfirm(d) && !d.answered && !end.ByPeer() {
+// endingAfterClose is how a dispatch ends whose bytes may have left and whose connection has ended.
+func (r *Router) endingAfterClose(d *dispatch, end CloseReason) brain.Outcome {
+	if r.needsCancelConfirmation(d) && !d.answered && !end.ByPeer() {
 		return brain.Unconfirmed
 	}
-	return outcomes[end].written
+	return outcomesByReason[end].written
 }
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -59,7 +59,7 @@
 }
 
 // newMembers builds the page from the router's state. before is the previous page, for the byte rates; it may be nil.
-func newMembers(state router.Members, counts loop.DatagramCounts, before *Members) *Members {
+func newMembers(state router.FleetStatus, counts loop.DatagramCounts, before *Members) *Members {
 	view := state.View
 	out := &Members{Router: state.Name, At: unixTime(state.Now), Certainty: view.State.String(), CertainSince: unixTime(view.StateAt), Count: len(view.Members),
 		View: fmt.Sprintf("%016x", view.Hash), Changes: view.Number, SameFor: state.Now - view.Since, Agree: view.Agree, Differ: view.Differ,
@@ -88,7 +88,7 @@
 	return out
 }
 
-func (p *statusPage) setMembers(m router.Members, counts loop.DatagramCounts) {
+func (p *statusPage) setMembers(m router.FleetStatus, counts loop.DatagramCounts) {
 	p.members.Store(newMembers(m, counts, p.members.Load()))
 	if m.Shares != nil {
 		p.quotas.Store(newQuotas(m))
--- a/internal/serve/shares.go
+++ b/internal/serve/shares.go
@@ -65,7 +65,7 @@
 }
 
 // newQuotas builds the page from the router's state.
-func newQuotas(state router.Members) *Quotas {
+func newQuotas(state router.FleetStatus) *Quotas {
 	quotas := state.Shares
 	out := &Quotas{Router: state.Name, At: unixTime(state.Now), Coordinator: quotas.Bursar, IsCoordinator: quotas.Office, Since: unixTime(quotas.Since), IsReplica: quotas.Keeper, Counts: quotas.Stats}
 	if quotas.Stats.Given > 0 {
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -57,9 +57,9 @@
 // newStatus builds the page from the router's state.
 func newStatus(s router.Status) *Status {
 	out := &Status{Router: s.Name, At: unixTime(s.Now), Level: s.Level, Reason: s.Reason, Since: unixTime(s.Since), TrialStep: s.Step, Shed: s.Shed,
-		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Queued: s.Seen.Queued,
-		InFlight: s.Seen.InFlight, Engines: s.Seen.Engines, Cold: s.Seen.Cold, Ejected: s.Seen.Ejected, Draining: s.Seen.Draining,
-		Load: s.Seen.Load, AdmissionThreshold: s.Seen.AdmissionThreshold}
+		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Queued: s.Decisions.Queued,
+		InFlight: s.Decisions.InFlight, Engines: s.Decisions.Engines, Cold: s.Decisions.Cold, Ejected: s.Decisions.Ejected, Draining: s.Decisions.Draining,
+		Load: s.Decisions.Load, AdmissionThreshold: s.Decisions.AdmissionThreshold}
 	for m, name := range levels.MeasureNames {
 		out.Measures[name] = s.Measures[m]
 	}
