--- a/brain/brain.go
+++ b/brain/brain.go
@@ -62,9 +62,9 @@
 	if r.grants && s.MemoryPolicy == Overcommit {
 		r.grantFactor = overcommitGrantFactor
 	}
-	r.fixedQuota = shares.Fixed{Routers: float64(s.Routers), Index: s.Index, Sharers: coldBudgetRouters, Began: now,
-		Whole: coldBudgetShare * s.OverloadFactor * s.ColdCapacityShare * warmUtilization * s.OverloadWindow, Window: s.OverloadWindow}
-	r.quota, r.quotaSharers = shares.NewPlain(r.fixedQuota), min(r.routerCount, coldBudgetRouters)
+	r.fixedQuota = shares.FixedConfig{Routers: float64(s.Routers), Index: s.Index, MaxHolders: coldBudgetRouters, StartedAt: now,
+		Total: coldBudgetShare * s.OverloadFactor * s.ColdCapacityShare * warmUtilization * s.OverloadWindow, Window: s.OverloadWindow}
+	r.quota, r.quotaSharers = shares.NewFixedDivision(r.fixedQuota), min(r.routerCount, coldBudgetRouters)
 	for _, g := range s.Groups {
 		g.Threads = max(g.Threads, 1)
 		r.typicalBatch.batches, r.typicalBatch.threads = r.typicalBatch.batches+1e-3, r.typicalBatch.threads+1e-3*g.Threads
@@ -600,7 +600,7 @@
 		e, figure := r.placeBatch(b)
 		if r.quotaLackingEngine != nil && (e == nil || r.quotaLackingScore < figure) {
 			b.wantsQuota, b.quotaWantedAt = true, cmp.Or(b.quotaWantedAt, r.now)
-			if b.reconsiderAt = b.quotaWantedAt + r.quota.Want(r.now, r.quotaLackingEngine.startID(), b.likelyWork); r.now < b.reconsiderAt {
+			if b.reconsiderAt = b.quotaWantedAt + r.quota.Request(r.now, r.quotaLackingEngine.startID(), b.likelyWork); r.now < b.reconsiderAt {
 				continue
 			}
 		}
@@ -671,7 +671,7 @@
 				f += lockedDataPenalty
 			}
 		} else if (r.routerCount <= 1 || r.hasFreshReport(e) || r.now < e.othersValidUntil) &&
-			shares.Mix(math.Float64bits(b.DataSet)>>24+1, uint64(e.ID))*float64(len(r.engines)) < warmDataEngines {
+			shares.HashFraction(math.Float64bits(b.DataSet)>>24+1, uint64(e.ID))*float64(len(r.engines)) < warmDataEngines {
 			f -= warmDataBonus
 		} else if r.now < e.othersValidUntil && r.randomFloat()*float64(len(r.engines)) >= sampledEngines {
 			f += unsampledPenalty
@@ -707,7 +707,7 @@
 
 // hasQuota: what a cold engine bears is divided among all routers, by a fixed division or by talk.
 func (r *Router) hasQuota(b *Batch, e *Engine) bool {
-	return !r.inSlowStart(e) || !r.stopping && r.quota.Room(r.now, e.startID(), b.likelyWork)
+	return !r.inSlowStart(e) || !r.stopping && r.quota.CanSpend(r.now, e.startID(), b.likelyWork)
 }
 
 // inSlowStart tells whether an engine may still be slow after its start. The time of the start is another machine's
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -59,15 +59,15 @@
 func (b *Batch) Demand() float64 { return b.demand }
 
 // FixedQuota is how work for cold engines is divided among the routers where they don't talk.
-func (r *Router) FixedQuota() shares.Fixed { return r.fixedQuota }
+func (r *Router) FixedQuota() shares.FixedConfig { return r.fixedQuota }
 
-func (e *Engine) startID() shares.Start {
-	return shares.Start{Engine: e.ID, At: e.StartedAt, Cores: e.cores}
+func (e *Engine) startID() shares.EngineStart {
+	return shares.EngineStart{Engine: e.ID, StartedAt: e.StartedAt, Cores: e.cores}
 }
 
 // SetQuota brings a division that goes by what is wanted, in place of the fixed one. What was sent by that is not known to it,
 // so it comes before the first batch, or opens late.
-func (r *Router) SetQuota(parts shares.Parts) { r.quota, r.quotaOnDemand = parts, true }
+func (r *Router) SetQuota(parts shares.ColdStartQuota) { r.quota, r.quotaOnDemand = parts, true }
 
 // QuotaGranted: a part has come, so batches that were put off for want of one look again at once. What rests by its route rests on.
 func (r *Router) QuotaGranted() {
--- a/brain/types.go
+++ b/brain/types.go
@@ -297,14 +297,14 @@
 	maxDispatches               int     // dispatches of a batch
 	batchesPerProbe             float64 // own batches that pay for a probe
 	slowStartTime               float64
-	largestMemory               float64      // memory of any engine; 0: not told
-	fixedQuota                  shares.Fixed // how work for cold engines is divided without talk
-	quota                       shares.Parts // our part of it
-	stopping                    bool         // it is no longer used: another process may go by the same part
-	quotaOnDemand               bool         // it goes to where it is wanted
-	quotaLackingEngine          *Engine      // of which a batch that was just looked at wants a part,
-	quotaLackingScore           float64      // and its figure
-	quotaSharers                float64      // routers of which each has a part
+	largestMemory               float64               // memory of any engine; 0: not told
+	fixedQuota                  shares.FixedConfig    // how work for cold engines is divided without talk
+	quota                       shares.ColdStartQuota // our part of it
+	stopping                    bool                  // it is no longer used: another process may go by the same part
+	quotaOnDemand               bool                  // it goes to where it is wanted
+	quotaLackingEngine          *Engine               // of which a batch that was just looked at wants a part,
+	quotaLackingScore           float64               // and its figure
+	quotaSharers                float64               // routers of which each has a part
 	settleTime, tick            float64
 	updateInterval              float64
 	freeRetries, retryRatio     float64
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -247,7 +247,7 @@
 				set := router.TalkSet{Settings: s}
 				if name == "shares" {
 					own := shares.Defaults()
-					own.Listen, own.Keepers = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
+					own.Listen, own.Replicas = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
 					set.Shares = &own
 				}
 				p.tell(set)
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -18,7 +18,7 @@
 	h := newHost(t, eastEngine("s-1"), other)
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
-	s.Listen, s.Keepers, s.Firm = m.Listen, []string{coordinatorAddress}, 0
+	s.Listen, s.Replicas, s.FixedFraction = m.Listen, []string{coordinatorAddress}, 0
 	h.deliver(TalkSet{Settings: m, Shares: &s})
 	route.Name, route.Pattern = "r", limits.Fields{Group: "lookup"}
 	h.deliver(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
@@ -30,7 +30,7 @@
 func (h *host) returnedAmount(number uint64) (amount float64) {
 	amount = -1
 	for _, what := range h.emitted {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask {
+		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.GrantRequest {
 			for _, i := range w.Shares.Items {
 				if i.Done && i.Number == number {
 					amount = i.Amount
@@ -49,7 +49,7 @@
 	require.NotNil(t, i)
 	assert.Equal(t, shares.Concurrency, i.Key.Kind)
 	assert.InDelta(t, 1, i.Amount, 0)
-	assert.Greater(t, i.Rest, 9.0, "what is out lasts as long as the longest time limit")
+	assert.Greater(t, i.CountedFor, 9.0, "what is out lasts as long as the longest time limit")
 	h.grantCredit(i, 1)
 	line := h.connectLast()
 	h.advance(1.5) // the credit ends, and its batch is still out
@@ -58,7 +58,7 @@
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	h.advance(0.5)
 	assert.Zero(t, h.returnedAmount(i.Number), "now it counts nowhere")
-	assert.Zero(t, h.routes.Routes[0].Concurrency.Quota.(*shares.Purse).Out())
+	assert.Zero(t, h.routes.Routes[0].Concurrency.Quota.(*shares.QuotaLease).InUse())
 
 	h.sendBatch("lookup", 4000)
 	next := h.lastCreditRequest()
@@ -91,7 +91,7 @@
 		require.NotContains(t, h.answers, stream)
 		i := h.lastCreditRequest()
 		require.NotNil(t, i)
-		assert.Equal(t, shares.Further, i.Key.Kind)
+		assert.Equal(t, shares.ExtraDispatches, i.Key.Kind)
 		if !given { // it is answered soon, and not at its limit
 			h.advance(0.2)
 			require.Contains(t, h.answers, stream)
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -23,7 +23,7 @@
 	r.parts = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
 	r.brain.SetQuota(r.parts.machine)
 	r.setQuotaLeases()
-	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
+	r.log(Info, "shares", "keepers", s.Replicas, "firm", s.FixedFraction)
 }
 
 // setQuotaLeases gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
@@ -38,7 +38,7 @@
 	m := r.parts.machine
 	further := func(b *limits.RetryBudget, name string) {
 		if b != nil && b.FleetWide {
-			b.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.FreeRetries, Rest: b.Window})
+			b.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.ExtraDispatches, name), Name: name, Total: b.FreeRetries, CountedFor: b.Window})
 		}
 	}
 	further(r.ofAll, "further.all")
@@ -47,7 +47,7 @@
 			further(b, "budget "+b.Name)
 		}
 		if c := route.Concurrency; c != nil && c.FleetWide > 0 {
-			c.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.FleetWide), Rest: longest})
+			c.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Total: float64(c.FleetWide), CountedFor: longest})
 		}
 	}
 }
@@ -57,11 +57,11 @@
 func (r *Router) updateQuotas() {
 	p := r.parts
 	for range 4 {
-		if !p.machine.Wanted() && r.now < p.machine.At() {
+		if !p.machine.DemandPending() && r.now < p.machine.NextWake() {
 			break
 		}
 		p.machine.Wake(r.now)
-		if !p.machine.Came() {
+		if !p.machine.GrantsArrived() {
 			break
 		}
 		r.brain.QuotaGranted()
@@ -73,19 +73,19 @@
 // flushQuotas does what the machine asks for, and sets its next time.
 func (r *Router) flushQuotas() {
 	p := r.parts
-	for _, s := range p.machine.Sends() {
+	for _, s := range p.machine.TakeOutgoing() {
 		r.members.sent++
 		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), &said, nil})
+		r.do(Talk{s.Destination, r.members.machine.Envelope(), &said, nil})
 	}
-	for _, n := range p.machine.Notes() {
+	for _, n := range p.machine.TakeNotes() {
 		level := Info
-		if n.Loud {
+		if n.Warning {
 			level = Warn
 		}
 		r.log(level, n.Text, n.Fields...)
 	}
-	if at := p.machine.At(); at != p.timerAt || p.timer == nil || p.timer.index < 0 {
+	if at := p.machine.NextWake(); at != p.timerAt || p.timer == nil || p.timer.index < 0 {
 		r.timers.stop(p.timer)
 		p.timer, p.timerAt = nil, at
 		if at < farFuture {
@@ -100,8 +100,8 @@
 	if p == nil {
 		return
 	}
-	p.machine.Heard(r.now, m)
-	if p.machine.Came() {
+	p.machine.Receive(r.now, m)
+	if p.machine.GrantsArrived() {
 		r.brain.QuotaGranted()
 	}
 	r.flushQuotas()
@@ -112,7 +112,7 @@
 	if r.parts == nil {
 		return math.Inf(1)
 	}
-	return r.parts.machine.Ends()
+	return r.parts.machine.SendDeadline()
 }
 
 // dispatchOrder words a dispatch.
--- a/internal/serve/shares.go
+++ b/internal/serve/shares.go
@@ -59,27 +59,27 @@
 	case name != "":
 		return fmt.Sprintf("%s, %s (%s)", k.Kind, name, shares.Kinds[k.Kind].Unit)
 	case k.Kind != shares.ColdWork: // a budget of another router's settings, so its name is unknown
-		return fmt.Sprintf("%s, %016x (%s)", k.Kind, k.At, shares.Kinds[k.Kind].Unit)
+		return fmt.Sprintf("%s, %016x (%s)", k.Kind, k.Qualifier, shares.Kinds[k.Kind].Unit)
 	}
-	return fmt.Sprintf("%s, engine %d started %s (%s)", k.Kind, k.Of, unixTime(math.Float64frombits(k.At)).Format("15:04:05.000"), shares.Kinds[k.Kind].Unit)
+	return fmt.Sprintf("%s, engine %d started %s (%s)", k.Kind, k.Engine, unixTime(math.Float64frombits(k.Qualifier)).Format("15:04:05.000"), shares.Kinds[k.Kind].Unit)
 }
 
 // newQuotas builds the page from the router's state.
 func newQuotas(state router.FleetStatus) *Quotas {
 	quotas := state.Shares
-	out := &Quotas{Router: state.Name, At: unixTime(state.Now), Coordinator: quotas.Bursar, IsCoordinator: quotas.Office, Since: unixTime(quotas.Since), IsReplica: quotas.Keeper, Counts: quotas.Stats}
-	if quotas.Stats.Given > 0 {
-		out.MeanWait = quotas.Stats.Waited / float64(quotas.Stats.Given)
+	out := &Quotas{Router: state.Name, At: unixTime(state.Now), Coordinator: quotas.Coordinator, IsCoordinator: quotas.IsCoordinator, Since: unixTime(quotas.CoordinatorSince), IsReplica: quotas.IsReplica, Counts: quotas.Stats}
+	if quotas.Stats.Granted > 0 {
+		out.MeanWait = quotas.Stats.Waited / float64(quotas.Stats.Granted)
 	}
 	for _, budget := range quotas.Budgets {
-		quota := BudgetQuota{Name: budgetName(budget.Key, budget.Name), Total: budget.Whole, Unspent: budget.Left, Spent: budget.Used, Requested: budget.Asked, GrantedAgo: -1}
-		if budget.Since > 0 {
-			quota.GrantedAgo = state.Now - budget.Since
+		quota := BudgetQuota{Name: budgetName(budget.Key, budget.Name), Total: budget.Total, Unspent: budget.Available, Spent: budget.Used, Requested: budget.Requested, GrantedAgo: -1}
+		if budget.LastGrantAt > 0 {
+			quota.GrantedAgo = state.Now - budget.LastGrantAt
 		}
 		out.Budgets = append(out.Budgets, quota)
 	}
-	for _, budget := range quotas.Books {
-		out.Ledgers = append(out.Ledgers, BudgetLedger{budgetName(budget.Key, budget.Name), budget.Whole, budget.Free, budget.Lent, budget.Resting, budget.Waiting, budget.Open, budget.Holders})
+	for _, budget := range quotas.Ledgers {
+		out.Ledgers = append(out.Ledgers, BudgetLedger{budgetName(budget.Key, budget.Name), budget.Total, budget.Free, budget.Leased, budget.Expiring, budget.Queued, budget.Open, budget.Holders})
 	}
 	return out
 }
@@ -102,8 +102,8 @@
 	}
 	fmt.Fprintf(table, "router\t%s\nat\t%s\nbursar\t%s\nkeeper\t%t\n", s.Router, s.At.Format(time.RFC3339), coordinator, s.IsReplica)
 	counts := s.Counts
-	fmt.Fprintf(table, "credits\t%d asked for, %d given after %.4f s, %d given back, %d ended in hand, %d never\n", counts.Asked, counts.Given, s.MeanWait, counts.Returned, counts.Lapsed, counts.Never)
-	fmt.Fprintf(table, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d received\n", counts.Used, counts.Firm, counts.Sent, counts.Heard)
+	fmt.Fprintf(table, "credits\t%d asked for, %d given after %.4f s, %d given back, %d ended in hand, %d never\n", counts.Requested, counts.Granted, s.MeanWait, counts.Returned, counts.Expired, counts.TooLarge)
+	fmt.Fprintf(table, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d received\n", counts.Used, counts.FixedUsed, counts.Sent, counts.Received)
 	if len(s.Budgets) > 0 {
 		fmt.Fprintln(table, "\nbudget\twhole\tin hand\tused of it\tasked for\tlast given")
 	}
@@ -132,7 +132,7 @@
 // loop's socket would allow a second process there, and two replicas that vote under one address could elect two
 // coordinators.
 func checkAddressUnused(ctx context.Context, s *shares.Settings) error {
-	if !slices.Contains(s.Keepers, s.Listen) {
+	if !slices.Contains(s.Replicas, s.Listen) {
 		return nil
 	}
 	c, err := (&net.ListenConfig{}).ListenPacket(ctx, "udp", s.Listen)
