--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -16,14 +16,14 @@
 // observeEvent reports an event to the guard, before the router gets it.
 func (l *Loop) observeEvent(e router.Event) {
 	switch e := e.(type) {
-	case router.ClientSaid:
-		switch message := e.Said.(type) {
+	case router.ClientMessage:
+		switch message := e.Message.(type) {
 		case *traffic.BatchRequest:
 			l.guard.Taken(guard.Request{Client: e.Client, Stream: message.Stream})
 		case traffic.Cancel:
 			l.guard.Cancelled(guard.Request{Client: e.Client, Stream: message.Stream})
 		}
-	case router.EngineSaid:
+	case router.EngineReplied:
 		switch e.Reply.Kind {
 		case traffic.ReplyOverloaded, traffic.ReplyTooLate:
 			l.guard.NeverRan(e.Reply.ID, e.Connection)
@@ -49,9 +49,9 @@
 }
 
 // allowReply asks the guard whether a reply may be sent to a client. If not, the reply is logged and released.
-func (l *Loop) allowReply(e router.TellClient) bool {
+func (l *Loop) allowReply(e router.SendToClient) bool {
 	var err error
-	switch what := e.What.(type) {
+	switch what := e.Message.(type) {
 	case *traffic.Answer:
 		err = l.guard.Answer(guard.Request{Client: e.Client, Stream: what.Stream})
 	case traffic.Ready:
@@ -63,7 +63,7 @@
 		return true
 	}
 	l.logWithheld(err)
-	l.sendToClient(nil, e.What)
+	l.sendToClient(nil, e.Message)
 	return false
 }
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -62,7 +62,7 @@
 // callbacks run on the event loop and must not block.
 type Environment struct {
 	Listeners      []Listener
-	EngineProtocol router.Speaks
+	EngineProtocol router.ProtocolFunc
 	Pool           *buffers.Pool
 	Levels         *router.LevelsSet   // levels of reduced service; nil: off
 	Routes         *router.RoutesSet   // limits of routes; nil: none
@@ -250,7 +250,7 @@
 	l.clients[p.number] = p
 	l.guard.ClientOpened(p.number)
 	p.opening = true
-	l.processEvent(router.ClientOpened{Client: p.number, Speaks: protocol})
+	l.processEvent(router.ClientOpened{Client: p.number, Protocol: protocol})
 	p.opening = false
 	if !l.isOpen(p) {
 		l.releasePeer(p)
@@ -261,7 +261,7 @@
 
 // engineConnected starts the protocol on a new connection to an engine.
 func (l *Loop) engineConnected(stream *reactor.Stream, dial router.Dial) {
-	p := &peer{loop: l, kind: enginePeer, number: dial.Connection, stream: stream, received: l.pool.Chain(), protocol: dial.Speaks, engine: dial.Speaks.New()}
+	p := &peer{loop: l, kind: enginePeer, number: dial.Connection, stream: stream, received: l.pool.Chain(), protocol: dial.Protocol, engine: dial.Protocol.New()}
 	stream.Handle(p)
 	l.engines[p.number] = p
 	l.guard.EngineUp(p.number)
@@ -384,9 +384,9 @@
 	if l.isOpen(p) && !p.hasPartial && (p.received.Len() > 0 || p.client != nil && p.client.HasPartial()) {
 		p.hasPartial = true
 		if p.kind == clientPeer {
-			l.processEvent(router.ClientBegan{Client: p.number})
+			l.processEvent(router.ClientMessageStarted{Client: p.number})
 		} else {
-			l.processEvent(router.EngineBegan{Connection: p.number})
+			l.processEvent(router.EngineReplyStarted{Connection: p.number})
 		}
 	}
 	if l.isOpen(p) && p.received.Len() > buffers.Size && l.pool.Used()*buffers.Size > l.maxBuffered {
@@ -407,7 +407,7 @@
 		if reply.Kind == traffic.ReplyReady {
 			return router.EngineOpened{Connection: p.number}, nil
 		}
-		return router.EngineSaid{Connection: p.number, Reply: reply}, nil
+		return router.EngineReplied{Connection: p.number, Reply: reply}, nil
 	}
 	message, err := p.client.Read(p.received, l.protocolOut)
 	if message == nil {
@@ -417,7 +417,7 @@
 		go l.verify(p, verify)
 		return nil, nil
 	}
-	return router.ClientSaid{Client: p.number, Said: message}, nil
+	return router.ClientMessage{Client: p.number, Message: message}, nil
 }
 
 // verify runs a slow check of a connection, such as that of a password, on its own goroutine, and then continues the
@@ -438,7 +438,7 @@
 			l.log.Warn("not let in", zap.Uint64("connection", p.number), zap.Error(err))
 			l.failConnection(p, router.LoginRefused)
 		default:
-			l.processEvent(router.ClientSaid{Client: p.number, Said: message})
+			l.processEvent(router.ClientMessage{Client: p.number, Message: message})
 			if l.isOpen(p) {
 				l.receive(p, nil)
 			}
@@ -457,7 +457,7 @@
 		return
 	}
 	if p.kind == clientPeer && end == router.BadInput {
-		l.processEvent(router.ClientSpoilt{Client: p.number})
+		l.processEvent(router.ClientInvalid{Client: p.number})
 		return
 	}
 	l.log.Warn("connection ended", zap.Uint64("connection", p.number), zap.Stringer("kind", p.kind),
@@ -529,17 +529,17 @@
 // perform carries out one effect.
 func (l *Loop) perform(effect router.Effect) {
 	switch e := effect.(type) {
-	case router.TellClient:
+	case router.SendToClient:
 		if l.allowReply(e) {
-			l.sendToClient(l.clients[e.Client], e.What)
+			l.sendToClient(l.clients[e.Client], e.Message)
 		}
-	case router.OrderEngine:
+	case router.SendToEngine:
 		if p := l.engines[e.Connection]; p != nil {
 			l.sendCommand(p, e)
 		}
-	case router.HoldEngine:
+	case router.PauseReading:
 		if p := l.engines[e.Connection]; p != nil {
-			p.stream.Pause(e.Hold)
+			p.stream.Pause(e.Pause)
 		}
 	case router.Release:
 		e.Chain.Release()
@@ -557,28 +557,28 @@
 		}
 	case router.Dial:
 		l.dial(e)
-	case router.AskList:
-		l.sendListQuery(e.Query)
-	case router.AskAt:
+	case router.QueryList:
+		l.sendListQuery(e.QueryID)
+	case router.SetResolver:
 		l.changeResolver(e.Resolver)
-	case router.Bound:
+	case router.SetLimits:
 		l.config.MemoryMB, l.config.Descriptors = e.MemoryMB, e.Descriptors
 		l.setLimits()
 	case router.SetTimer:
 		l.setTimer(e.At)
-	case router.Tell:
+	case router.ReportStatus:
 		if l.reportStatus != nil {
 			l.reportStatus(e.Status)
 		}
-	case router.Talk:
+	case router.SendToPeer:
 		l.sendMessage(e)
-	case router.TellMembers:
+	case router.ReportMembers:
 		l.reportMembers(e.Members)
 	case router.Log:
 		l.writeLog(e)
 	case router.Exit:
 		l.answerBeforeStop()
-		l.stopping, l.stopDeadline = true, time.Now().Add(max(time.Duration((e.By-clock())*float64(time.Second)), flushTime))
+		l.stopping, l.stopDeadline = true, time.Now().Add(max(time.Duration((e.Deadline-clock())*float64(time.Second)), flushTime))
 		for _, p := range l.clients {
 			delete(l.clients, p.number)
 			p.rejecting = true
@@ -712,7 +712,7 @@
 
 // dial opens a connection to an engine and tells the router whether it succeeded.
 func (l *Loop) dial(e router.Dial) {
-	within := time.Duration(e.Within * float64(time.Second))
+	within := time.Duration(e.Timeout * float64(time.Second))
 	l.dials[e.Connection] = l.reactor.Dial(e.Address, within, func(s *reactor.Stream, err error) {
 		delete(l.dials, e.Connection)
 		if err == nil {
--- a/internal/loop/names.go
+++ b/internal/loop/names.go
@@ -109,11 +109,11 @@
 	id, list, err := directory.Parse(data)
 	if err != nil {
 		l.log.Warn("answer of the name service can't be read", zap.Error(err), zap.Int("bytes", len(data)))
-		l.processEvent(router.ListUnusable{Query: id})
+		l.processEvent(router.ListUnusable{QueryID: id})
 		return
 	}
 	if socket == l.nameSockets.current { // answers reach the current socket, so the previous ones are not needed
 		l.closePreviousSockets(0)
 	}
-	l.processEvent(router.ListAnswered{Query: id, List: list})
+	l.processEvent(router.ListAnswered{QueryID: id, List: list})
 }
--- a/internal/loop/orders.go
+++ b/internal/loop/orders.go
@@ -14,18 +14,18 @@
 // its time limit, and not behind bytes that the engine has not read. Otherwise it is returned to the router as not
 // sent. A dispatch that waited in a send buffer could not be withdrawn: it would leave whenever the engine reads, perhaps
 // after a drain, after its client has closed, or after the engines have forgotten the batch's first attempt.
-func (l *Loop) sendCommand(p *peer, e router.OrderEngine) {
-	request, is := e.What.(*traffic.Dispatch)
+func (l *Loop) sendCommand(p *peer, e router.SendToEngine) {
+	request, is := e.Order.(*traffic.Dispatch)
 	if !is {
-		if cancel, is := e.What.(traffic.CancelDispatch); is {
+		if cancel, is := e.Order.(traffic.CancelDispatch); is {
 			l.guard.GivesUp(cancel.ID, e.Connection)
 		}
-		p.engine.Encode(l.encoded, e.What)
+		p.engine.Encode(l.encoded, e.Order)
 		l.write(p, l.encoded)
 		return
 	}
 	switch {
-	case clock() >= e.By:
+	case clock() >= e.WriteBy:
 		l.processEvent(router.OrderRefused{Connection: e.Connection, ID: request.ID, Why: router.OrderLate})
 		return
 	case p.stream.Unsent() > 0:
@@ -37,12 +37,12 @@
 		why := router.OrderInvalid
 		var gone *guard.GoneError
 		if errors.As(err, &gone) {
-			why = router.OrderGone
+			why = router.OrderClientGone
 		}
 		l.processEvent(router.OrderRefused{Connection: e.Connection, ID: request.ID, Why: why})
 		return
 	}
-	p.engine.Encode(l.encoded, e.What)
+	p.engine.Encode(l.encoded, e.Order)
 	size := l.encoded.Len()
 	l.write(p, l.encoded)
 	if l.isOpen(p) && p.stream.Unsent() >= size {
@@ -53,14 +53,14 @@
 }
 
 // checkSend asks the guard whether an attempt may be sent; an error says why not.
-func (l *Loop) checkSend(e router.OrderEngine, id string) error {
-	request := guard.Request{Client: e.For.Client, Stream: e.For.Stream}
-	if e.For.Single {
+func (l *Loop) checkSend(e router.SendToEngine, id string) error {
+	request := guard.Request{Client: e.Origin.Client, Stream: e.Origin.Stream}
+	if e.Origin.Single {
 		if err := l.guard.SendAlone(request); err != nil {
 			return err
 		}
 	}
-	return l.guard.Send(request, id, e.Connection, e.For.OnceOnly)
+	return l.guard.Send(request, id, e.Connection, e.Origin.OnceOnly)
 }
 
 // rejectUnread returns a request to the router because its engine has not read earlier bytes, and watches the engine
@@ -91,7 +91,7 @@
 			continue
 		}
 		delete(l.unreadEngines, p)
-		l.processEvent(router.EngineRead{Connection: p.number})
+		l.processEvent(router.EngineWritable{Connection: p.number})
 	}
 	return more
 }
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -57,7 +57,7 @@
 		return
 	}
 	t.started = true
-	l.processEvent(router.TalkSet{Settings: t.Settings, Shares: t.Quotas, News: t.LoadReports})
+	l.processEvent(router.PeerMessagingSet{Settings: t.Settings, Quotas: t.Quotas, LoadReports: t.LoadReports})
 }
 
 // receiveDatagram decodes a datagram and passes it to the router. Datagrams that are dropped are counted.
@@ -82,7 +82,7 @@
 		t.counts.Malformed++
 		l.logDropped("can't be read", from, err)
 	default:
-		l.processEvent(router.TalkCame{Message: &message.Message, Shares: message.Shares, News: message.News})
+		l.processEvent(router.PeerMessageReceived{Message: &message.Message, Quotas: message.Shares, LoadReports: message.News})
 	}
 }
 
@@ -108,9 +108,9 @@
 
 // sendMessage sends a message to another router. One that can't be sent at once is lost; the protocols repeat requests
 // that get no answer.
-func (l *Loop) sendMessage(e router.Talk) {
+func (l *Loop) sendMessage(e router.SendToPeer) {
 	t := l.messenger
-	data, err := talk.Encode(t.Fleet, &talk.Message{Message: e.Message, Shares: e.Shares, News: e.News})
+	data, err := talk.Encode(t.Fleet, &talk.Message{Message: e.Message, Shares: e.Quotas, News: e.LoadReports})
 	if err == nil {
 		err = t.send(e.To, data)
 	}
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -60,7 +60,7 @@
 	h.clientProtocol = clients.Protocol(h.pool)
 	h.clientSession = h.clientProtocol.New()
 	h.Router = New(c, func(directory.Engine) *traffic.EngineProtocol { return resp }, h.pool, h.now)
-	h.spread = 1
+	h.connectionsPerEngine = 1
 	h.deliver(h.clientOpenedEvent(1))
 	return h
 }
@@ -77,22 +77,22 @@
 			switch w := what.(type) {
 			case Dial:
 				h.dials = append(h.dials, w)
-				h.sessions[w.Connection] = w.Speaks.New()
+				h.sessions[w.Connection] = w.Protocol.New()
 			case SetTimer:
 				h.nextTimer = w.At
-			case AskList:
-				h.queries = append(h.queries, w.Query)
-			case OrderEngine:
+			case QueryList:
+				h.queries = append(h.queries, w.QueryID)
+			case SendToEngine:
 				out := h.pool.Chain()
-				h.sessions[w.Connection].Encode(out, w.What)
+				h.sessions[w.Connection].Encode(out, w.Order)
 				h.written[w.Connection] += out.String()
 				out.Release()
-			case TellClient:
+			case SendToClient:
 				out := h.pool.Chain()
-				h.clientSession.Encode(out, w.What)
+				h.clientSession.Encode(out, w.Message)
 				h.readAnswers(out.String())
 				out.Release()
-				if a, is := w.What.(*traffic.Answer); is {
+				if a, is := w.Message.(*traffic.Answer); is {
 					rows.Release(a.Rows)
 				}
 			case Release:
@@ -115,13 +115,13 @@
 		}
 	}
 	for _, e := range h.engines {
-		assert.Equal(h.t, open[e], e.out, e.name)
+		assert.Equal(h.t, open[e], e.outstanding, e.name)
 	}
 	waiting := 0
 	for _, c := range h.clients {
 		waiting += len(c.open)
 	}
-	assert.Len(h.t, h.open, waiting)
+	assert.Len(h.t, h.openByID, waiting)
 }
 
 func (h *host) readAnswers(text string) {
@@ -170,7 +170,7 @@
 	in.Write(frame)
 	what, err := h.clientSession.Read(in, nil)
 	require.NoError(h.t, err)
-	return ClientSaid{client, what}
+	return ClientMessage{client, what}
 }
 
 // engineReply brings an engine's answer: its word, fields and body.
@@ -188,7 +188,7 @@
 	}
 	reply, err := h.sessions[connection].Read(in, nil)
 	require.NoError(h.t, err)
-	return EngineSaid{connection, reply}
+	return EngineReplied{connection, reply}
 }
 
 func (h *host) fetchCount(id string) (n int) {
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -37,7 +37,7 @@
 	}
 	l.gauge.Advance(now)
 	goal := b.Group.Goal + b.Group.GoalStretch*b.work/max(b.Group.Threads, 1)
-	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Succeeded && now-b.takenAt <= goal, code == traffic.Rejected)
+	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Succeeded && now-b.receivedAt <= goal, code == traffic.Rejected)
 }
 
 func (l *serviceLevel) workFinished(work, now float64) {
@@ -62,11 +62,11 @@
 
 func (r *Router) setLevels(e LevelsSet) {
 	if r.level.machine == nil {
-		r.level.gauge = levels.NewGauge(e.Over, r.now)
+		r.level.gauge = levels.NewGauge(e.DecayTime, r.now)
 		// Routers that are not told their number draw their place.
-		seat := rand.New(rand.NewPCG(r.settings.Seed, 3)).Float64()
-		if n := r.settings.Settings.Routers; n > 1 && r.settings.Settings.Index >= 0 {
-			seat = float64(r.settings.Settings.Index) / float64(n-1)
+		seat := rand.New(rand.NewPCG(r.config.Seed, 3)).Float64()
+		if n := r.config.Settings.Routers; n > 1 && r.config.Settings.Index >= 0 {
+			seat = float64(r.config.Settings.Index) / float64(n-1)
 		}
 		r.level.machine = levels.New(e.Levels, seat, r.now)
 		r.timers.add(r.now+levelInterval, levelCheck{})
@@ -95,7 +95,7 @@
 	if r.stopAt > 0 {
 		stopping = 1
 	}
-	r.do(Tell{Status{Name: r.settings.Name, Now: r.now, Level: state.Name, Reason: state.Reason, Since: state.Since,
+	r.emit(ReportStatus{Status{Name: r.config.Name, Now: r.now, Level: state.Name, Reason: state.Reason, Since: state.Since,
 		Step: state.Step, Shed: r.level.shed, Measures: x, Batches: len(r.batches), Clients: len(r.clients),
 		Stopping: stopping, Decisions: seen}})
 }
@@ -116,7 +116,7 @@
 		if out.KeepShare == nil {
 			out.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
-		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarked[name]} {
+		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarkedGroups[name]} {
 			if g != nil {
 				out.KeepShare[g] = keep
 			}
--- a/internal/router/levels_test.go
+++ b/internal/router/levels_test.go
@@ -11,7 +11,7 @@
 )
 
 func shedLookups(hold string) LevelsSet {
-	return LevelsSet{Over: 2, Levels: levels.Settings{TrialSteps: 1, TrialStepTime: 1, ForcedLevel: hold, Levels: []levels.Level{{Name: "no lookups", MinDuration: 5,
+	return LevelsSet{DecayTime: 2, Levels: levels.Settings{TrialSteps: 1, TrialStepTime: 1, ForcedLevel: hold, Levels: []levels.Level{{Name: "no lookups", MinDuration: 5,
 		Enter:   []levels.Condition{{Measure: levels.Rejected, Threshold: 0.5, MinDuration: 1}},
 		Exit:    []levels.Condition{{Measure: levels.Rejected, Below: true, Threshold: 0.1, MinDuration: 1}},
 		Actions: levels.Actions{AdmitRatio: map[string]float64{"lookup": 0}}}}}}
@@ -63,7 +63,7 @@
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	var last Status
 	for _, what := range h.emitted {
-		if s, is := what.(Tell); is {
+		if s, is := what.(ReportStatus); is {
 			last = s.Status
 		}
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -23,35 +23,35 @@
 const fleetReportInterval = 1.0 // between two words to who looks on
 
 // startPeerMessaging begins to talk. A reload changes nothing of it: who this router is and where it listens counts from its start.
-func (r *Router) startPeerMessaging(e TalkSet) {
+func (r *Router) startPeerMessaging(e PeerMessagingSet) {
 	if r.members != nil {
 		return
 	}
-	told := r.settings.Settings.Routers
-	r.members = &fleet{machine: membership.New(e.Settings, r.settings.Seed, r.now), settledCount: told, reportedCount: told}
+	told := r.config.Settings.Routers
+	r.members = &fleet{machine: membership.New(e.Settings, r.config.Seed, r.now), settledCount: told, reportedCount: told}
 	r.log(Info, "talk", "listen", e.Settings.Listen, "seeds", e.Settings.Seeds, "start", e.Settings.Self.Start)
 	r.flushMembership()
 	r.timers.add(r.now, fleetReportDue{})
-	if e.Shares != nil {
-		r.startQuotas(e.Shares, shares.ID{Name: e.Settings.Self.Name, Start: e.Settings.Self.Start})
+	if e.Quotas != nil {
+		r.startQuotas(e.Quotas, shares.ID{Name: e.Settings.Self.Name, Start: e.Settings.Self.Start})
 	}
-	if e.News != nil {
-		r.startLoadReports(e.News, e.Settings.Self.Name)
+	if e.LoadReports != nil {
+		r.startLoadReports(e.LoadReports, e.Settings.Self.Name)
 	}
 }
 
-func (r *Router) receivePeerMessage(e TalkCame) {
+func (r *Router) receivePeerMessage(e PeerMessageReceived) {
 	if r.members == nil {
 		return
 	}
 	r.members.received++
 	r.members.machine.Heard(r.now, e.Message)
 	r.flushMembership()
-	if e.Shares != nil {
-		r.receiveQuotaMessage(e.Shares)
+	if e.Quotas != nil {
+		r.receiveQuotaMessage(e.Quotas)
 	}
-	if e.News != nil && r.news != nil {
-		r.receiveLoadReport(e.Message.From.Address, e.News)
+	if e.LoadReports != nil && r.loadReports != nil {
+		r.receiveLoadReport(e.Message.From.Address, e.LoadReports)
 	}
 }
 
@@ -65,7 +65,7 @@
 	m := r.members
 	for _, s := range m.machine.Sends() {
 		m.sent++
-		r.do(Talk{s.To, s.Message, nil, nil})
+		r.emit(SendToPeer{s.To, s.Message, nil, nil})
 	}
 	for _, n := range m.machine.Notes() {
 		level := Info
@@ -95,12 +95,12 @@
 	case membership.Settled:
 		m.settledCount = n
 	case membership.Alone:
-		m.settledCount = r.settings.Settings.Routers
+		m.settledCount = r.config.Settings.Routers
 	default:
 		m.settledCount = max(m.settledCount, n)
 	}
-	if r.parts != nil {
-		r.parts.machine.ObserveFleetSize(m.machine.Count())
+	if r.quotas != nil {
+		r.quotas.machine.ObserveFleetSize(m.machine.Count())
 	}
 	if m.settledCount != m.reportedCount {
 		m.reportedCount = m.settledCount
@@ -112,17 +112,17 @@
 func (r *Router) reportFleet() {
 	m := r.members
 	r.timers.add(r.now+fleetReportInterval, fleetReportDue{})
-	told := FleetStatus{Name: r.settings.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Sent: m.sent, Received: m.received}
-	if r.parts != nil {
-		told.Shares = r.parts.machine.State(r.now)
+	told := FleetStatus{Name: r.config.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Sent: m.sent, Received: m.received}
+	if r.quotas != nil {
+		told.Shares = r.quotas.machine.State(r.now)
 	}
-	r.do(TellMembers{told})
+	r.emit(ReportMembers{told})
 }
 
 // leaveFleet says to the others that this router goes, with its last breath.
 func (r *Router) leaveFleet() {
-	if r.parts != nil {
-		r.parts.machine.Leave(r.now)
+	if r.quotas != nil {
+		r.quotas.machine.Leave(r.now)
 		r.flushQuotas()
 	}
 	if r.members != nil {
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -18,14 +18,14 @@
 type loadReportDue struct{}
 
 func (r *Router) startLoadReports(s *news.Settings, name string) {
-	r.news = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
+	r.loadReports = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
 	r.log(Info, "news", "every", s.Every)
 	r.timers.add(r.now+s.Every, loadReportDue{})
 }
 
 // sendLoadReport tells what is out of this router now.
 func (r *Router) sendLoadReport() {
-	n := r.news
+	n := r.loadReports
 	r.updateReportMembers()
 	var loads []news.Load
 	for _, e := range r.engines {
@@ -42,7 +42,7 @@
 // updateReportMembers brings who is there. Where that is cut off, or another has this router's name, what is told is of a part of the
 // fleet, and nothing of it is believed.
 func (r *Router) updateReportMembers() {
-	n, m := r.news, r.members.machine
+	n, m := r.loadReports, r.members.machine
 	switch c := m.Certainty(); {
 	case c == membership.Alone || c == membership.CutOff:
 		n.viewHash = 0
@@ -58,7 +58,7 @@
 }
 
 func (r *Router) receiveLoadReport(from string, m *news.Message) {
-	if r.news.machine.Heard(r.now, from, m) {
+	if r.loadReports.machine.Heard(r.now, from, m) {
 		r.applyReportedLoads()
 	}
 	r.flushLoadReports()
@@ -66,23 +66,23 @@
 
 // applyReportedLoads brings to the module what the others have out.
 func (r *Router) applyReportedLoads() {
-	loads, age, known := r.news.machine.Others(r.now)
+	loads, age, known := r.loadReports.machine.Others(r.now)
 	if !known {
 		return
 	}
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
 			l := loads[engineInstance(e)]
-			r.brain.SetOthersLoad(&e.Engine, l.Threads, l.Memory, r.now+r.news.staleAfter-age)
+			r.brain.SetOthersLoad(&e.Engine, l.Threads, l.Memory, r.now+r.loadReports.staleAfter-age)
 		}
 	}
 }
 
 func (r *Router) flushLoadReports() {
-	for _, s := range r.news.machine.Sends() {
+	for _, s := range r.loadReports.machine.Sends() {
 		r.members.sent++
 		said := s.Message
-		r.do(Talk{s.To, r.members.machine.Envelope(), nil, &said})
+		r.emit(SendToPeer{s.To, r.members.machine.Envelope(), nil, &said})
 	}
 }
 
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -14,8 +14,8 @@
 // lastLoadReport gives what went out of a kind last.
 func (h *host) lastLoadReport(kind news.Kind) (out *news.Message) {
 	for _, what := range h.emitted {
-		if w, is := what.(Talk); is && w.News != nil && w.News.Kind == kind {
-			out = w.News
+		if w, is := what.(SendToPeer); is && w.LoadReports != nil && w.LoadReports.Kind == kind {
+			out = w.LoadReports
 		}
 	}
 	return out
@@ -28,10 +28,10 @@
 	h := newHost(t, eastEngine("s-1"), other)
 	m, n := membership.Defaults(), news.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{"10.9.0.2:7500"}
-	h.deliver(TalkSet{Settings: m, News: &n})
+	h.deliver(PeerMessagingSet{Settings: m, LoadReports: &n})
 	first := membership.Member{ID: membership.ID{Name: "a", Start: 1}, Address: "10.9.0.2:7500"}
 	hear := func(m *news.Message) {
-		h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: first}, News: m})
+		h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: first}, LoadReports: m})
 	}
 	full := func(name string) *news.Message {
 		e := h.engines[name]
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -53,28 +53,28 @@
 	speaks, clientSpeaks := back(p.pool), front(p.pool)
 	p.speaks, p.client = speaks, clientSpeaks.New()
 	p.Router = router.New(c, func(directory.Engine) *traffic.EngineProtocol { return speaks }, p.pool, p.now)
-	p.tell(router.ClientOpened{Client: 1, Speaks: clientSpeaks})
+	p.tell(router.ClientOpened{Client: 1, Protocol: clientSpeaks})
 	return p
 }
 
 func (p *path) tell(e router.Event) {
 	for _, what := range p.Reduce(p.now, e) {
 		switch w := what.(type) {
-		case router.TellClient:
-			p.client.Encode(p.out, w.What)
-			if a, is := w.What.(*traffic.Answer); is {
+		case router.SendToClient:
+			p.client.Encode(p.out, w.Message)
+			if a, is := w.Message.(*traffic.Answer); is {
 				require.Equal(p.t, traffic.Succeeded, a.Code, a.Reason)
 				p.answers++
 				rows.Release(a.Rows)
 			}
 			p.out.Release()
-		case router.OrderEngine:
-			p.engine.Encode(p.out, w.What)
+		case router.SendToEngine:
+			p.engine.Encode(p.out, w.Order)
 			p.out.Release()
 		case router.Release:
 			w.Chain.Release()
-		case router.Talk:
-			_, err := talk.Encode("fleet", &talk.Message{Message: w.Message, Shares: w.Shares})
+		case router.SendToPeer:
+			_, err := talk.Encode("fleet", &talk.Message{Message: w.Message, Shares: w.Quotas})
 			require.NoError(p.t, err)
 		case router.Dial:
 			if p.engine == nil {
@@ -103,7 +103,7 @@
 		if said == nil {
 			break
 		}
-		p.tell(router.ClientSaid{Client: 1, Said: said})
+		p.tell(router.ClientMessage{Client: 1, Message: said})
 	}
 	p.out.Release()
 	p.tell(router.TurnEnded{})
@@ -120,7 +120,7 @@
 		if reply.Kind == traffic.ReplyReady {
 			p.tell(router.EngineOpened{Connection: 1})
 		} else {
-			p.tell(router.EngineSaid{Connection: 1, Reply: reply})
+			p.tell(router.EngineReplied{Connection: 1, Reply: reply})
 		}
 	}
 	p.out.Release()
@@ -244,15 +244,15 @@
 			if talks {
 				s := membership.Defaults()
 				s.Self, s.Listen, s.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{"10.0.0.1:7500"}
-				set := router.TalkSet{Settings: s}
+				set := router.PeerMessagingSet{Settings: s}
 				if name == "shares" {
 					own := shares.Defaults()
 					own.Listen, own.Replicas = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
-					set.Shares = &own
+					set.Quotas = &own
 				}
 				p.tell(set)
 				for i := range 300 {
-					p.tell(router.TalkCame{Message: &membership.Message{Kind: membership.Tell, From: member(i)}})
+					p.tell(router.PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: member(i)}})
 				}
 			}
 			b.ReportAllocs()
@@ -264,7 +264,7 @@
 					require.NoError(b, err)
 					message, err := talk.Decode("fleet", data)
 					require.NoError(b, err)
-					p.tell(router.TalkCame{Message: &message.Message})
+					p.tell(router.PeerMessageReceived{Message: &message.Message})
 					p.tell(router.TimerFired{})
 				}
 			}
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -9,18 +9,18 @@
 
 type probe struct {
 	engine *engine
-	conn   *line
+	conn   *engineConn
 	tag    string
 	ended  bool
 }
 
 func (r *Router) sendProbe(e *engine) {
-	p := &probe{engine: e, tag: tag(r.number())}
-	var l *line
-	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // its answer tells of the connection too
+	p := &probe{engine: e, tag: probeTag(r.nextNumber())}
+	var l *engineConn
+	if c := e.pool.Quiet(r.multiplexLimit(e)); c != nil { // its answer tells of the connection too
 		l = r.connections[c.Number]
 	} else {
-		l, _ = r.pick(e, p.tag)
+		l, _ = r.pickConnection(e, p.tag)
 	}
 	if l == nil {
 		p.ended = true
@@ -29,7 +29,7 @@
 	}
 	p.conn = l
 	l.Open(p.tag, p)
-	r.timers.add(r.now+r.settings.Settings.DialTime, p)
+	r.timers.add(r.now+r.config.Settings.DialTime, p)
 	r.send(l, p)
 }
 
@@ -43,16 +43,16 @@
 		load = nil
 	}
 	r.log(Debug, "probed", "engine", p.engine.name, "ok", ok, "load", load)
-	if p.conn.check != p { // that one is ours
+	if p.conn.healthCheck != p { // that one is ours
 		r.brain.ProbeEnded(&p.engine.Engine, ok, load)
 	} else {
-		p.conn.check = nil
+		p.conn.healthCheck = nil
 	}
-	if l := p.conn; late && l.engine.speaks.OneAtATime && l.Up && r.connections[l.Number] == l {
-		r.order(l, traffic.CancelDispatch{ID: p.tag})
-		r.settle(l)
+	if l := p.conn; late && l.engine.protocol.OneAtATime && l.Up && r.connections[l.Number] == l {
+		r.sendOrder(l, traffic.CancelDispatch{ID: p.tag})
+		r.awaitFree(l)
 		late = false
 	}
 	p.conn.Close(p.tag, late, r.now)
-	r.rest(p.conn)
+	r.closeIfUnneeded(p.conn)
 }
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -20,28 +20,28 @@
 
 // startQuotas puts the division that moves in place of the fixed one.
 func (r *Router) startQuotas(s *shares.Settings, self shares.ID) {
-	r.parts = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
-	r.brain.SetQuota(r.parts.machine)
+	r.quotas = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
+	r.brain.SetQuota(r.quotas.machine)
 	r.setQuotaLeases()
 	r.log(Info, "shares", "keepers", s.Replicas, "firm", s.FixedFraction)
 }
 
 // setQuotaLeases gives to limits what the fleet divides of them. What is out lasts for the longest time limit at the most.
 func (r *Router) setQuotaLeases() {
-	if r.parts == nil || r.routes == nil {
+	if r.quotas == nil || r.routes == nil {
 		return
 	}
 	longest := 0.0
-	for _, g := range r.settings.Settings.Groups {
+	for _, g := range r.config.Settings.Groups {
 		longest = max(longest, g.Limit)
 	}
-	m := r.parts.machine
+	m := r.quotas.machine
 	further := func(b *limits.RetryBudget, name string) {
 		if b != nil && b.FleetWide {
 			b.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.ExtraDispatches, name), Name: name, Total: b.FreeRetries, CountedFor: b.Window})
 		}
 	}
-	further(r.ofAll, "further.all")
+	further(r.retryBudget, "further.all")
 	for _, route := range r.routes.Routes {
 		if b := route.Budget; b != nil {
 			further(b, "budget "+b.Name)
@@ -55,7 +55,7 @@
 // updateQuotas asks for what the module has wanted, and lets it look again where something came. What is for oneself comes at
 // once, so there may be more than one round.
 func (r *Router) updateQuotas() {
-	p := r.parts
+	p := r.quotas
 	for range 4 {
 		if !p.machine.DemandPending() && r.now < p.machine.NextWake() {
 			break
@@ -65,18 +65,18 @@
 			break
 		}
 		r.brain.QuotaGranted()
-		r.pull()
+		r.runDecisions()
 	}
 	r.flushQuotas()
 }
 
 // flushQuotas does what the machine asks for, and sets its next time.
 func (r *Router) flushQuotas() {
-	p := r.parts
+	p := r.quotas
 	for _, s := range p.machine.TakeOutgoing() {
 		r.members.sent++
 		said := s.Message
-		r.do(Talk{s.Destination, r.members.machine.Envelope(), &said, nil})
+		r.emit(SendToPeer{s.Destination, r.members.machine.Envelope(), &said, nil})
 	}
 	for _, n := range p.machine.TakeNotes() {
 		level := Info
@@ -96,7 +96,7 @@
 
 // receiveQuotaMessage takes in what another router says of shares.
 func (r *Router) receiveQuotaMessage(m *shares.Message) {
-	p := r.parts
+	p := r.quotas
 	if p == nil {
 		return
 	}
@@ -109,14 +109,14 @@
 
 // writeDeadline is when the dispatch that the module has just decided has to be on its way.
 func (r *Router) writeDeadline() float64 {
-	if r.parts == nil {
+	if r.quotas == nil {
 		return math.Inf(1)
 	}
-	return r.parts.machine.SendDeadline()
+	return r.quotas.machine.SendDeadline()
 }
 
 // dispatchOrder words a dispatch.
 func (d *dispatch) request(now float64) *traffic.Dispatch {
 	b := d.batch
-	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, IdempotencyKey: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
+	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, IdempotencyKey: b.mark, Wait: max(d.deadline-now, 0.001), Memory: b.memory, Statement: *b.statement}
 }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -26,7 +26,7 @@
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
 	s.Listen, s.Replicas = m.Listen, []string{coordinatorAddress}
-	h.deliver(TalkSet{Settings: m, Shares: &s})
+	h.deliver(PeerMessagingSet{Settings: m, Quotas: &s})
 	h.advance(2)
 	return h
 }
@@ -42,8 +42,8 @@
 // lastCreditRequest gives the last asking that went to the bursar.
 func (h *host) lastCreditRequest() (out *shares.Item) {
 	for _, what := range h.emitted {
-		if w, is := what.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.GrantRequest && w.To == coordinatorAddress {
-			for _, i := range w.Shares.Items {
+		if w, is := what.(SendToPeer); is && w.Quotas != nil && w.Quotas.Kind == shares.GrantRequest && w.To == coordinatorAddress {
+			for _, i := range w.Quotas.Items {
 				if !i.Done {
 					out = &i
 				}
@@ -56,12 +56,12 @@
 func (h *host) grantCredit(i *shares.Item, lease float64) {
 	roll := uint32(0)
 	for _, what := range h.emitted {
-		if w, is := what.(Talk); is && w.Shares != nil {
-			roll = w.Shares.ReplicaSetHash
+		if w, is := what.(SendToPeer); is && w.Quotas != nil {
+			roll = w.Quotas.ReplicaSetHash
 		}
 	}
 	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: coordinatorAddress}
-	h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
+	h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: from}, Quotas: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
 		ToStart: 1, From: shares.ID{Name: "other", Start: 1}, FromAddress: coordinatorAddress, Coordinator: coordinatorAddress, Items: []shares.Item{{Number: i.Number, Attempt: i.Attempt, Key: i.Key, Amount: i.Amount, Lease: lease}}}})
 }
 
@@ -76,8 +76,8 @@
 	line := h.connectLast()
 	assert.Equal(t, 1, h.fetchCount(id))
 	for _, what := range h.emitted {
-		if w, is := what.(OrderEngine); is {
-			assert.Less(t, w.By, h.now+1, "what is by a credit says until when")
+		if w, is := what.(SendToEngine); is {
+			assert.Less(t, w.WriteBy, h.now+1, "what is by a credit says until when")
 		}
 	}
 	h.engineReply(line, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
@@ -122,7 +122,7 @@
 	wakes := func(set bool) (n int) {
 		h := newHost(t, eastEngine("s-1"))
 		if set {
-			h.deliver(TalkSet{Settings: membership.Defaults()})
+			h.deliver(PeerMessagingSet{Settings: membership.Defaults()})
 		}
 		h.emitted = nil
 		for end := h.now + 20; h.now < end; n++ {
@@ -131,11 +131,11 @@
 		}
 		if !set {
 			assert.Nil(t, h.members)
-			assert.Nil(t, h.parts)
+			assert.Nil(t, h.quotas)
 			assert.LessOrEqual(t, n, 2*len(h.queries)+2)
 			for _, what := range h.emitted {
-				if w, is := what.(OrderEngine); is {
-					assert.True(t, math.IsInf(w.By, 1))
+				if w, is := what.(SendToEngine); is {
+					assert.True(t, math.IsInf(w.WriteBy, 1))
 				}
 			}
 		}
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -19,20 +19,20 @@
 	r.stopAt = r.now
 	r.brain.PrepareShutdown()
 	r.log(Info, "stopping", "open", len(r.batches), "clients", len(r.clients))
-	for _, c := range r.inOrder() {
-		r.do(TellClient{c.number, traffic.GoAway{}})
+	for _, c := range r.sortedClients() {
+		r.emit(SendToClient{c.number, traffic.GoAway{}})
 	}
-	r.timers.add(r.now+quietStop, stopCheck{})
+	r.timers.add(r.now+stopGracePeriod, stopCheck{})
 	longest := 0.0
-	for _, g := range r.settings.Settings.Groups {
+	for _, g := range r.config.Settings.Groups {
 		longest = max(longest, g.Limit)
 	}
-	r.killAt = r.now + max(min(longest, killLimit)+killAfter-killEarly, quietStop)
-	r.timers.add(r.killAt, stopCheck{})
+	r.answerDeadline = r.now + max(min(longest, maxKillWait)+killDelay-killMargin, stopGracePeriod)
+	r.timers.add(r.answerDeadline, stopCheck{})
 }
 
 func (r *Router) finishStop() {
-	if r.stopAt == 0 || r.exited || r.now < r.stopAt+quietStop {
+	if r.stopAt == 0 || r.exited || r.now < r.stopAt+stopGracePeriod {
 		return
 	}
 	waiting, half := 0, 0
@@ -44,11 +44,11 @@
 	for _, c := range r.clients {
 		// Its last bytes are on their way, and with the last of them it is ours. This covers slow writers and pieces;
 		// it hurts where somebody only ever sends half a frame: the stop takes two seconds longer.
-		if c.half > 0 && r.now-c.half < silentTime {
+		if c.partialSince > 0 && r.now-c.partialSince < silentTimeout {
 			half++
 		}
 	}
-	if waiting+half > 0 && r.now < r.killAt {
+	if waiting+half > 0 && r.now < r.answerDeadline {
 		return
 	}
 	// What the kill finds unanswered is lost, and the module has had all the time there was.
@@ -58,14 +58,14 @@
 			continue
 		}
 		if d := r.brain.FinalDecision(b.Batch); d.Kind == brain.Reject {
-			r.answer(b, traffic.Rejected, d.Wait)
+			r.answerBatch(b, traffic.Rejected, d.Wait)
 		} else {
-			b.why = "the router has stopped"
-			r.answer(b, traffic.Failed, 0)
+			b.lastError = "the router has stopped"
+			r.answerBatch(b, traffic.Failed, 0)
 		}
 	}
 	r.exited = true
 	r.log(Info, "stopped", "unanswered", waiting)
 	r.leaveFleet()
-	r.do(Exit{By: r.killAt + killEarly - lastBytes})
+	r.emit(Exit{Deadline: r.answerDeadline + killMargin - flushTime})
 }
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -29,28 +29,28 @@
 // needsCancelConfirmation tells whether the end of a dispatch has to be proven before the module hears of it. Where nothing is sent again
 // whatever comes of it, the final answer need not wait.
 func (r *Router) needsCancelConfirmation(d *dispatch) bool {
-	return !r.settings.Settings.MayHedge && d.batch.client != nil && d.batch.Group.Idempotency != brain.AtMostOnce && !d.streams
+	return !r.config.Settings.MayHedge && d.batch.client != nil && d.batch.Group.Idempotency != brain.AtMostOnce && !d.streaming
 }
 
 // cancelAttempt tells an engine that a dispatch is given up, and keeps it open until the engine has shown that it has read that. It
 // reports whether there is time for that.
 func (r *Router) cancelAttempt(d *dispatch, how brain.Outcome) bool {
 	by := min(r.now+cancelConfirmTimeout, d.batch.Deadline())
-	if by <= r.now || !d.line.Up {
+	if by <= r.now || !d.conn.Up {
 		return false
 	}
-	l := d.line
-	d.withdrawn, d.withdrawnAs = true, how
+	l := d.conn
+	d.cancelled, d.cancelledAs = true, how
 	r.timers.stop(d.timer)
-	r.timers.stop(d.paging)
+	r.timers.stop(d.pageTimer)
 	d.timer = r.timers.add(by, cancelConfirmDue{d})
-	r.order(l, traffic.CancelDispatch{ID: d.batch.id})
-	if l.engine.speaks.OneAtATime {
-		r.settle(l)
+	r.sendOrder(l, traffic.CancelDispatch{ID: d.batch.id})
+	if l.engine.protocol.OneAtATime {
+		r.awaitFree(l)
 		return true
 	}
-	r.order(l, traffic.FetchPage{ID: d.batch.id, Page: confirmationPage})
-	l.Suspect = l.Suspect || l.Heard <= d.wroteAt
+	r.sendOrder(l, traffic.FetchPage{ID: d.batch.id, Page: confirmationPage})
+	l.Suspect = l.Suspect || l.Heard <= d.writtenAt
 	return true
 }
 
@@ -60,17 +60,17 @@
 	switch {
 	case reply.Kind == traffic.ReplyFailed, reply.Kind == traffic.ReplyPage && d.pages == nil:
 		reply.Rows.Release()
-		r.finishCancellation(d, d.withdrawnAs)
+		r.finishCancellation(d, d.cancelledAs)
 		return true
 	}
 	return false
 }
 
 // confirmCancellations: an engine that takes one batch at a time has ended what was given up on a connection.
-func (r *Router) confirmCancellations(l *line) {
+func (r *Router) confirmCancellations(l *engineConn) {
 	for _, what := range l.Opens() {
-		if d, is := what.(*dispatch); is && d.withdrawn {
-			r.finishCancellation(d, d.withdrawnAs)
+		if d, is := what.(*dispatch); is && d.cancelled {
+			r.finishCancellation(d, d.cancelledAs)
 		}
 	}
 }
@@ -80,27 +80,27 @@
 	if d.ended {
 		return
 	}
-	r.log(Info, "engine has not shown that an attempt is given up", "id", d.batch.id, "no", d.no, "engine", d.engine.name,
-		"connection", d.line.Number)
-	l := d.line
-	silent := l.Heard <= d.wroteAt
+	r.log(Info, "engine has not shown that an attempt is given up", "id", d.batch.id, "no", d.number, "engine", d.engine.name,
+		"connection", d.conn.Number)
+	l := d.conn
+	silent := l.Heard <= d.writtenAt
 	r.finishCancellation(d, brain.Unconfirmed)
 	if silent && r.connections[l.Number] == l {
-		r.suspect(l)
+		r.suspectConnection(l)
 	}
 }
 
 // finishCancellation tells the module of the end of a dispatch that was given up.
 func (r *Router) finishCancellation(d *dispatch, how brain.Outcome) {
-	l := d.line
-	r.ended(d, how, d.report)
+	l := d.conn
+	r.endDispatch(d, how, d.report)
 	l.Close(d.batch.id, true, r.now)
-	r.rest(l)
+	r.closeIfUnneeded(l)
 }
 
 // endingAfterClose is how a dispatch ends whose bytes may have left and whose connection has ended.
 func (r *Router) endingAfterClose(d *dispatch, end CloseReason) brain.Outcome {
-	if r.needsCancelConfirmation(d) && !d.answered && !end.ByPeer() {
+	if r.needsCancelConfirmation(d) && !d.endedByEngine && !end.ByPeer() {
 		return brain.Unconfirmed
 	}
 	return outcomesByReason[end].written
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -134,9 +134,9 @@
 	case settings == nil || settings.Levels == nil && settings.Status == "":
 		return nil
 	case settings.Levels == nil:
-		return &router.LevelsSet{Over: 5}
+		return &router.LevelsSet{DecayTime: 5}
 	}
-	return &router.LevelsSet{Levels: *settings.Levels, Over: settings.LevelsOver}
+	return &router.LevelsSet{Levels: *settings.Levels, DecayTime: settings.LevelsOver}
 }
 
 // peerMessagingFor returns the settings of peer messaging. The start time identifies this run of the router, so that
@@ -153,7 +153,7 @@
 	if settings == nil {
 		return nil
 	}
-	return &router.RoutesSet{Routes: settings.Routes, Adaptive: settings.Limits.Adaptive, All: settings.Limits.AllRetries, Engine: settings.Limits.EngineRetries}
+	return &router.RoutesSet{Routes: settings.Routes, Adaptive: settings.Limits.Adaptive, RetryBudget: settings.Limits.AllRetries, EngineRetryBudget: settings.Limits.EngineRetries}
 }
 
 // engineProtocols returns a function that finds an engine's protocol. Engines of the same settings entry share one protocol
