--- a/internal/loop/crossings_test.go
+++ b/internal/loop/crossings_test.go
@@ -262,7 +262,7 @@
 func (p *testRouter) nextAnswer(c *standin.Client) standin.Answer {
 	p.t.Helper()
 	for {
-		if a := p.next(c); a.Type == clients.Answer {
+		if a := p.next(c); a.Type == clients.FrameAnswer {
 			return a
 		}
 	}
@@ -407,7 +407,7 @@
 	p.waitForAnswers(3)
 	for range 3 {
 		c := p.client()
-		c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.Frame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 		p.next(c)
 	}
 	crossed := make(chan bool, 1)
@@ -417,11 +417,11 @@
 	})
 	p.mutex.Unlock()
 	other := p.client() // one more than allowed
-	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served, 3: clients.Served}, p.answerCodes(idle, 3))
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.answerCodes(idle, 3))
 	p.expectCleanEnd(idle)
 	require.True(t, <-crossed)
 	require.NoError(t, other.Ask(1, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b"))
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	assert.Len(t, e.Seen("fetch"), 4, "the fourth batch is sent again on another connection and dispatched once")
 }
 
@@ -442,7 +442,7 @@
 	<-paused
 	require.NoError(t, slow.Ask(4, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b"))
 	resume()
-	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served, 3: clients.Served}, p.answerCodes(slow, 3))
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.answerCodes(slow, 3))
 	p.expectCleanEnd(slow)
 	assert.Equal(t, uint32(1), p.nextAnswer(other).Stream)
 	p.expectCleanEnd(other)
@@ -457,17 +457,17 @@
 	p := startRouter(t, 1024, nil, listed("s-0", e))
 	p.nameService.Set(host("s-0", e))
 	c := p.client()
-	frame := standin.Frame(clients.Ask, 1, []string{"c", "once", "i", "00000000000000f1", "d", "6000"}, "SELECT 1")
+	frame := standin.Frame(clients.FrameBatch, 1, []string{"c", "once", "i", "00000000000000f1", "d", "6000"}, "SELECT 1")
 	c.Write(frame[:20]) //nolint:errcheck
 	whole := p.client()
-	whole.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
-	p.next(whole)                                                   // so the first part of the batch has been read
+	whole.Write(standin.Frame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
+	p.next(whole)                                                              // so the first part of the batch has been read
 	p.cancel()
-	assert.Equal(t, uint8(clients.NoMore), p.next(c).Type)
+	assert.Equal(t, uint8(clients.FrameGoAway), p.next(c).Type)
 	_, err := c.Next(time.Second)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the router must wait for the rest")
 	c.Write(frame[20:]) //nolint:errcheck
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
@@ -484,7 +484,7 @@
 	p.nameService.Set(draining(slow.host("s-late")), host("s-other", other))
 	p.log.waitFor(t, "engine listed", "draining:true", "s-late")
 	up := slow.acceptConnections(nil)
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	assert.Empty(t, up.Seen("fetch"), "nothing new for an engine that drains")
 	assert.Len(t, other.Seen("fetch"), 1)
 }
@@ -496,8 +496,8 @@
 	p := startRouter(t, 1024, nil, listed("s-first", first))
 	p.nameService.Set(host("s-first", first))
 	c := p.client()
-	fields := []string{"c", "load", "i", "00000000000000f1", "d", "6000", "k", strings.Repeat("a", clients.MarkDigits)}
-	_, err := c.Write(standin.Frame(clients.Ask, 1, fields, "SELECT 1"))
+	fields := []string{"c", "load", "i", "00000000000000f1", "d", "6000", "k", strings.Repeat("a", clients.IdempotencyKeyDigits)}
+	_, err := c.Write(standin.Frame(clients.FrameBatch, 1, fields, "SELECT 1"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return len(first.Seen("fetch")) == 1 }, waitLimit, time.Millisecond)
 	p.nameService.Set(draining(host("s-first", first)), slow.host("s-late"))
@@ -506,7 +506,7 @@
 	close(hold)
 	slow.waitForDial()
 	up := slow.acceptConnections(nil)
-	assert.Equal(t, uint8(clients.Failed), p.nextAnswer(c).Code, "it may have run")
+	assert.Equal(t, uint8(clients.CodeFailed), p.nextAnswer(c).Code, "it may have run")
 	assert.Empty(t, up.Seen("fetch"), "the engines have forgotten it")
 }
 
@@ -523,7 +523,7 @@
 	slow.waitForDial()
 	up := slow.acceptConnections(nil)
 	require.NoError(t, other.Ask(1, "lookup", "00000000000000f2", clientWait, "SELECT 2"))
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	for _, r := range up.Seen("fetch") {
 		assert.Equal(t, "00000000000000f2", r[1], "nothing may be dispatched for a client that has closed")
 	}
@@ -558,13 +558,13 @@
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) //nolint:errcheck
 	for stream := range uint32(2) {
 		a := p.next(c)
-		assert.Equal(t, []any{uint8(clients.Answer), 1 - stream, uint8(clients.Failed)}, []any{a.Type, a.Stream, a.Code})
+		assert.Equal(t, []any{uint8(clients.FrameAnswer), 1 - stream, uint8(clients.CodeFailed)}, []any{a.Type, a.Stream, a.Code})
 	}
 	p.expectCleanEnd(c)
 	close(hold)
 	whole := p.client()
 	require.NoError(t, whole.Ask(1, "once", "00000000000000f2", clientWait, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(whole).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(whole).Code)
 }
 
 // nameServiceProxy forwards queries to the name service, except those from blocked ports.
@@ -641,7 +641,7 @@
 	p.log.waitFor(t, "engine listed", "s-new")
 	c := p.client()
 	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", clientWait, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	assert.Empty(t, old.Seen("fetch"))
 }
 
@@ -678,14 +678,14 @@
 			}
 		}
 	}
-	assert.Equal(t, uint8(clients.Served), ask("00000000000000f1"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), ask("00000000000000f1"))
 	p.log.waitFor(t, "name service is silent")
 	p.nameService.Set() // uses up the serial number that the router started with
 	p.nameService.Set(draining(host("s-old", old)), host("s-new", fresh))
 	d.setDown(false)
 	p.log.waitFor(t, "engine listed", "s-new")
 	before := len(old.Seen("fetch"))
-	assert.Equal(t, uint8(clients.Served), ask("00000000000000f2"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), ask("00000000000000f2"))
 	assert.Len(t, old.Seen("fetch"), before)
 }
 
@@ -696,13 +696,13 @@
 	ready := func() uint8 {
 		c := p.client()
 		defer c.Close()
-		c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.Frame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 		return p.next(c).Code
 	}
-	assert.Equal(t, uint8(clients.Refused), ready())
+	assert.Equal(t, uint8(clients.CodeRejected), ready())
 	p.nameService.Set(host("s-0", e))
 	p.log.waitFor(t, "engine listed", "s-0")
-	assert.Equal(t, uint8(clients.Served), ready())
+	assert.Equal(t, uint8(clients.CodeSucceeded), ready())
 }
 
 // A batch waits on a connection in the accept queue when the router is told to stop.
@@ -717,7 +717,7 @@
 	c := p.client()
 	require.NoError(t, c.Ask(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
 	resume()
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
@@ -738,7 +738,7 @@
 	p.cancel()
 	got := p.answerCodes(c, 2)
 	assert.Less(t, time.Since(at), 3700*time.Millisecond, "answered after the time of the kill")
-	assert.Equal(t, map[uint32]uint8{1: clients.Failed, 2: clients.Refused}, got)
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeFailed, 2: clients.CodeRejected}, got)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
@@ -759,10 +759,10 @@
 	}
 	c.Close()
 	resume()
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	p.log.waitFor(t, "client gone with open batches", "open:4")
 	require.NoError(t, other.Ask(2, "lookup", "00000000000000fa", clientWait, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	for _, r := range e.Seen("fetch") {
 		assert.Contains(t, []string{"00000000000000f9", "00000000000000fa"}, r[1], "nothing may be dispatched for a client that has closed")
 	}
@@ -775,7 +775,7 @@
 	p.nameService.Set(host("s-0", e))
 	c, other := p.client(), p.client()
 	require.NoError(t, c.Ask(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
-	require.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code)
+	require.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	paused, resume := p.log.pauseAt("batch can't be used")
 	defer resume()
 	require.NoError(t, other.Ask(1, "nobody's", "00000000000000f9", clientWait, "SELECT 1"))
@@ -783,7 +783,7 @@
 	e.Cut()
 	require.NoError(t, c.Ask(2, "once", "00000000000000f2", clientWait, "SELECT 1"))
 	resume()
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code, "the close must be known before the batch is sent")
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code, "the close must be known before the batch is sent")
 }
 
 // A batch arrives in pieces of one byte, with the answer to another batch between them.
@@ -793,11 +793,11 @@
 	p.nameService.Set(host("s-0", e))
 	c := p.client()
 	require.NoError(t, c.Ask(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
-	for _, b := range standin.Frame(clients.Ask, 2, []string{"c", "once", "i", "00000000000000f2", "d", "6000"}, "SELECT 1") {
+	for _, b := range standin.Frame(clients.FrameBatch, 2, []string{"c", "once", "i", "00000000000000f2", "d", "6000"}, "SELECT 1") {
 		_, err := c.Write([]byte{b})
 		require.NoError(t, err)
 	}
-	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served}, p.answerCodes(c, 2))
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded}, p.answerCodes(c, 2))
 }
 
 // Nothing listens at the address of the name service from the start: the configured list of engines is used, and the
@@ -811,14 +811,14 @@
 		return nobody.LocalAddr().String()
 	}, listed("s-0", e))
 	c := p.client()
-	c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
-	assert.Equal(t, uint8(clients.Served), p.next(c).Code, "ready")
+	c.Write(standin.Frame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.next(c).Code, "ready")
 	require.NoError(t, c.Ask(2, "once", "00000000000000f1", clientWait, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	p.log.waitFor(t, "name service is silent")
 	assert.Less(t, strings.Count(p.log.String(), "stood still"), 3, "waiting for the next event must not count as a pause")
 	p.cancel()
-	assert.Equal(t, uint8(clients.NoMore), p.next(c).Type)
+	assert.Equal(t, uint8(clients.FrameGoAway), p.next(c).Type)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
@@ -831,10 +831,10 @@
 	p.nameService.Set(host("s-0", e))
 	idle := p.client()
 	require.NoError(t, idle.Ask(1, "lookup", "0000000000000001", clientWait, "SELECT 1 FROM a_3.b"))
-	require.Equal(t, uint8(clients.Served), p.nextAnswer(idle).Code)
+	require.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(idle).Code)
 	for range 3 {
 		c := p.client()
-		c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.Frame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 		p.next(c)
 	}
 	p.mutex.Lock()
@@ -845,7 +845,7 @@
 	})
 	p.mutex.Unlock()
 	p.client() // one more than allowed
-	assert.Equal(t, map[uint32]uint8{2: clients.Refused, 3: clients.Refused, 4: clients.Refused}, p.answerCodes(idle, 3))
+	assert.Equal(t, map[uint32]uint8{2: clients.CodeRejected, 3: clients.CodeRejected, 4: clients.CodeRejected}, p.answerCodes(idle, 3))
 	p.expectCleanEnd(idle)
 	assert.Len(t, e.Seen("fetch"), 1)
 }
@@ -869,7 +869,7 @@
 	s := &pausedRouter{testRouter: p, first: p.client(), second: p.client()}
 	for i, c := range []*standin.Client{s.first, s.second} {
 		require.NoError(t, c.Ask(1, "lookup", fmt.Sprintf("%016x", 0xf0+i), clientWait, "SELECT 1"))
-		require.Equal(t, uint8(clients.Served), p.nextAnswer(c).Code)
+		require.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	}
 	p.nameService.Withhold(true)
 	require.Eventually(t, func() bool { return p.nameService.Waiting() > 0 }, waitLimit, time.Millisecond)
@@ -931,8 +931,8 @@
 	limit := s.nameService.Drains()["s-0"].Add(drainGrace + socketSlack)
 	s.waitUntil(limit)
 	s.resume()
-	assert.Equal(t, uint8(clients.Served), s.nextAnswer(s.first).Code)
-	assert.Equal(t, uint8(clients.Served), s.nextAnswer(s.second).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.first).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.second).Code)
 	assert.Empty(t, old.after(limit), "requests sent to the draining engine after its grace period")
 	assert.Contains(t, fresh.after(time.Time{}), "0000000000000003")
 }
@@ -944,8 +944,8 @@
 	require.NoError(t, s.first.Close())
 	s.waitUntil(time.Now().Add(100*time.Millisecond + socketSlack))
 	s.resume()
-	assert.Equal(t, uint8(clients.Served), s.nextAnswer(s.second).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.second).Code)
 	require.NoError(t, s.second.Ask(3, "lookup", "0000000000000004", clientWait, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), s.nextAnswer(s.second).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.second).Code)
 	assert.NotContains(t, arrived.after(time.Time{}), "0000000000000002", "an attempt long after its client closed")
 }
--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -19,33 +19,33 @@
 	case router.ClientMessage:
 		switch message := e.Message.(type) {
 		case *traffic.BatchRequest:
-			l.guard.Taken(guard.Request{Client: e.Client, Stream: message.Stream})
+			l.guard.RequestAccepted(guard.Request{Client: e.Client, Stream: message.Stream})
 		case traffic.Cancel:
-			l.guard.Cancelled(guard.Request{Client: e.Client, Stream: message.Stream})
+			l.guard.RequestCancelled(guard.Request{Client: e.Client, Stream: message.Stream})
 		}
 	case router.EngineReplied:
 		switch e.Reply.Kind {
 		case traffic.ReplyOverloaded, traffic.ReplyTooLate:
-			l.guard.NeverRan(e.Reply.ID, e.Connection)
+			l.guard.AttemptNotRun(e.Reply.ID, e.Connection)
 		case traffic.ReplyFailed, traffic.ReplyComplete, traffic.ReplyFirstPage:
-			l.guard.Over(e.Reply.ID, e.Connection)
+			l.guard.AttemptEnded(e.Reply.ID, e.Connection)
 		case traffic.ReplyPage:
-			l.guard.Paged(e.Reply.ID, e.Connection)
+			l.guard.PageReceived(e.Reply.ID, e.Connection)
 		case traffic.ReplyReleased:
-			l.guard.Settled(e.Connection)
+			l.guard.CancellationsConfirmed(e.Connection)
 		}
 	}
 }
 
 // logWithheld logs that a message was withheld because the guard forbids it.
 func (l *Loop) logWithheld(err error, fields ...zap.Field) {
-	var gone *guard.GoneError
+	var gone *guard.ClientGoneError
 	if errors.As(err, &gone) {
 		l.log.Info("request is not sent, its client has just gone", fields...)
 		return
 	}
 	counts := l.guard.Counts()
-	l.log.Error("invariant violated, it is withheld", append(fields, zap.Error(err), zap.Int("violations", counts.Broken()))...)
+	l.log.Error("invariant violated, it is withheld", append(fields, zap.Error(err), zap.Int("violations", counts.TotalViolations()))...)
 }
 
 // allowReply asks the guard whether a reply may be sent to a client. If not, the reply is logged and released.
@@ -74,12 +74,12 @@
 	case router.PeerNotReading, router.BufferLimitExceeded, router.BadInput, router.LoginRefused:
 		return
 	}
-	l.failOpenRequests(l.guard.Close(p.number), guard.CloseUnanswered)
+	l.failOpenRequests(l.guard.CloseClient(p.number), guard.CloseUnanswered)
 }
 
 // answerBeforeStop answers the open requests of all clients before the router stops.
 func (l *Loop) answerBeforeStop() {
-	l.failOpenRequests(l.guard.End(), guard.EndUnanswered)
+	l.failOpenRequests(l.guard.Exit(), guard.ExitUnanswered)
 	l.logRequestCounts()
 }
 
@@ -87,7 +87,7 @@
 // them.
 func (l *Loop) failOpenRequests(open []guard.Request, v guard.Violation) {
 	for _, r := range open {
-		l.logWithheld(&guard.Error{Violation: v, Request: r})
+		l.logWithheld(&guard.ViolationError{Violation: v, Request: r})
 		answer := &traffic.Answer{Stream: r.Stream, Code: traffic.Failed, Reason: "the connection ends"}
 		if l.guard.Answer(r) == nil {
 			l.sendToClient(l.clients[r.Client], answer)
@@ -98,7 +98,7 @@
 // logRequestCounts logs how requests have ended since the start of the process.
 func (l *Loop) logRequestCounts() {
 	c := l.guard.Counts()
-	l.log.Info("requests", zap.Int("taken", c.Taken), zap.Int("answered", c.Answered), zap.Int("cancelled", c.Cancelled),
-		zap.Int("gone with their client", c.Gone), zap.Int("open", l.guard.Open()), zap.Int("violations", c.Broken()),
+	l.log.Info("requests", zap.Int("taken", c.Accepted), zap.Int("answered", c.Answered), zap.Int("cancelled", c.Cancelled),
+		zap.Int("gone with their client", c.Abandoned), zap.Int("open", l.guard.OpenRequests()), zap.Int("violations", c.TotalViolations()),
 		zap.Int("failed system calls", l.reactor.Failures()))
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -264,7 +264,7 @@
 	p := &peer{loop: l, kind: enginePeer, number: dial.Connection, stream: stream, received: l.pool.Chain(), protocol: dial.Protocol, engine: dial.Protocol.New()}
 	stream.Handle(p)
 	l.engines[p.number] = p
-	l.guard.EngineUp(p.number)
+	l.guard.EngineConnected(p.number)
 	up := p.engine.Open(l.protocolOut)
 	l.write(p, l.protocolOut)
 	if up && l.isOpen(p) {
@@ -276,7 +276,7 @@
 func (l *Loop) connectionEnded(p *peer, err error) {
 	end := endReason(err)
 	if p.kind == enginePeer && end.ByPeer() {
-		l.guard.EngineEnded(p.number)
+		l.guard.EngineClosedConnection(p.number)
 	}
 	l.releasePeer(p)
 	if p.lingering {
@@ -310,9 +310,9 @@
 // releasePeer removes a connection from the guard and from the accounts of unsent bytes, and frees its buffers.
 func (l *Loop) releasePeer(p *peer) {
 	if p.kind == clientPeer {
-		l.guard.ClientGone(p.number)
+		l.guard.ClientClosed(p.number)
 	} else {
-		l.guard.EngineGone(p.number)
+		l.guard.EngineDisconnected(p.number)
 	}
 	p.received.Release()
 	l.unsentBytes -= p.unsent
@@ -329,7 +329,7 @@
 		delete(l.engines, p.number)
 	case clientPeer:
 		delete(l.clients, p.number)
-		l.guard.ClientGone(p.number)
+		l.guard.ClientClosed(p.number)
 		if !p.opening && why != router.PeerNotReading && why != router.BufferLimitExceeded {
 			p.rejecting = why != router.BadInput && why != router.LoginRefused
 			l.startLinger(p, time.Now().Add(flushTime))
--- a/internal/loop/orders.go
+++ b/internal/loop/orders.go
@@ -18,7 +18,7 @@
 	request, is := e.Order.(*traffic.Dispatch)
 	if !is {
 		if cancel, is := e.Order.(traffic.CancelDispatch); is {
-			l.guard.GivesUp(cancel.ID, e.Connection)
+			l.guard.CancelSent(cancel.ID, e.Connection)
 		}
 		p.engine.Encode(l.encoded, e.Order)
 		l.write(p, l.encoded)
@@ -35,7 +35,7 @@
 	if err := l.checkSend(e, request.ID); err != nil {
 		l.logWithheld(err, zap.String("id", request.ID), zap.Uint64("connection", e.Connection))
 		why := router.OrderInvalid
-		var gone *guard.GoneError
+		var gone *guard.ClientGoneError
 		if errors.As(err, &gone) {
 			why = router.OrderClientGone
 		}
@@ -56,7 +56,7 @@
 func (l *Loop) checkSend(e router.SendToEngine, id string) error {
 	request := guard.Request{Client: e.Origin.Client, Stream: e.Origin.Stream}
 	if e.Origin.Single {
-		if err := l.guard.SendAlone(request); err != nil {
+		if err := l.guard.CheckNoneInFlight(request); err != nil {
 			return err
 		}
 	}
@@ -78,7 +78,7 @@
 // withdrawUnsent returns a request to the router of which no byte has been sent. Its bytes can be removed from the
 // stream's buffer only by ending the connection.
 func (l *Loop) withdrawUnsent(p *peer, request *traffic.Dispatch) {
-	l.guard.NeverRan(request.ID, p.number)
+	l.guard.AttemptNotRun(request.ID, p.number)
 	l.processEvent(router.OrderRefused{Connection: p.number, ID: request.ID, Why: router.OrderLate})
 	l.failConnection(p, router.PeerNotReading)
 }
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -17,7 +17,7 @@
 func (r *Router) sendProbe(e *engine) {
 	p := &probe{engine: e, tag: probeTag(r.nextNumber())}
 	var l *engineConn
-	if c := e.pool.Quiet(r.multiplexLimit(e)); c != nil { // its answer tells of the connection too
+	if c := e.pool.LongestSilent(r.multiplexLimit(e)); c != nil { // its answer tells of the connection too
 		l = r.connections[c.Number]
 	} else {
 		l, _ = r.pickConnection(e, p.tag)
@@ -28,7 +28,7 @@
 		return
 	}
 	p.conn = l
-	l.Open(p.tag, p)
+	l.AddPending(p.tag, p)
 	r.timers.add(r.now+r.config.Settings.DialTime, p)
 	r.send(l, p)
 }
@@ -53,6 +53,6 @@
 		r.awaitFree(l)
 		late = false
 	}
-	p.conn.Close(p.tag, late, r.now)
+	p.conn.RemovePending(p.tag, late, r.now)
 	r.closeIfUnneeded(p.conn)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -160,7 +160,7 @@
 	h.deliver(h.clientFrame(2, standin.Frame(77, 5, nil, "")))
 	assert.Equal(t, answerFailed, h.answers[0])
 	h.deliver(h.clientOpenedEvent(3))
-	taken := standin.Frame(clients.Ask, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
+	taken := standin.Frame(clients.FrameBatch, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
 	h.deliver(h.clientFrame(3, taken))
 	delete(h.answers, 0)
 	h.deliver(h.clientFrame(3, taken))
@@ -296,7 +296,7 @@
 	for name, value := range told {
 		all = append(all, name, value)
 	}
-	h.deliver(h.clientFrame(client, standin.Frame(clients.Ask, stream, all, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(client, standin.Frame(clients.FrameBatch, stream, all, "SELECT 1 FROM a_3.b")))
 }
 
 // Whoever sends what can't be used gets an error or a close, and nothing of it reaches an engine.
@@ -618,7 +618,7 @@
 	h.deliver()
 	p := func() *probe {
 		h.sendProbe(h.engines["s-1"])
-		return h.connections[h.lastNumber].Opens()[0].(*probe)
+		return h.connections[h.lastNumber].AllPending()[0].(*probe)
 	}()
 	h.sessions[p.conn.Number] = engines.Session{}
 	h.deliver(EngineOpened{p.conn.Number})
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -50,7 +50,7 @@
 		return true
 	}
 	r.sendOrder(l, traffic.FetchPage{ID: d.batch.id, Page: confirmationPage})
-	l.Suspect = l.Suspect || l.Heard <= d.writtenAt
+	l.Suspect = l.Suspect || l.LastReceivedAt <= d.writtenAt
 	return true
 }
 
@@ -68,7 +68,7 @@
 
 // confirmCancellations: an engine that takes one batch at a time has ended what was given up on a connection.
 func (r *Router) confirmCancellations(l *engineConn) {
-	for _, what := range l.Opens() {
+	for _, what := range l.AllPending() {
 		if d, is := what.(*dispatch); is && d.cancelled {
 			r.finishCancellation(d, d.cancelledAs)
 		}
@@ -83,7 +83,7 @@
 	r.log(Info, "engine has not shown that an attempt is given up", "id", d.batch.id, "no", d.number, "engine", d.engine.name,
 		"connection", d.conn.Number)
 	l := d.conn
-	silent := l.Heard <= d.writtenAt
+	silent := l.LastReceivedAt <= d.writtenAt
 	r.finishCancellation(d, brain.Unconfirmed)
 	if silent && r.connections[l.Number] == l {
 		r.suspectConnection(l)
@@ -94,7 +94,7 @@
 func (r *Router) finishCancellation(d *dispatch, how brain.Outcome) {
 	l := d.conn
 	r.endDispatch(d, how, d.report)
-	l.Close(d.batch.id, true, r.now)
+	l.RemovePending(d.batch.id, true, r.now)
 	r.closeIfUnneeded(l)
 }
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -168,7 +168,7 @@
 		protocols[i] = resp
 		if e.Protocol == "tds" {
 			protocols[i] = (&tds.Access{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
-				Program: "pitchfield", Packet: e.Packet, Probe: e.Probe, Load: e.Load, TurnedAway: e.TurnedAway}).Protocol()
+				Program: "pitchfield", Packet: e.PacketSize, Probe: e.ProbeStatement, Load: e.LoadStatement, TurnedAway: e.RejectionCodes}).Protocol()
 		}
 	}
 	return func(e directory.Engine) *traffic.EngineProtocol {
