--- a/internal/levels/section.go
+++ b/internal/levels/section.go
@@ -46,7 +46,7 @@
 
 // Validate gives the levels that the sections tell, nil for none, and the time in seconds over which what they are entered by
 // fades. What is left out has a usual value.
-func (f *LevelSections) Validate(c findings.To) (s *Settings, over float64) {
+func (f *LevelSections) Validate(c findings.Reporter) (s *Settings, over float64) {
 	if f.Levels == nil && len(f.Level) == 0 {
 		return nil, 0
 	}
@@ -69,16 +69,16 @@
 		if l.Turns != 0 {
 			s.MaxTransitionsPerMinute = l.Turns
 		}
-		c.Within("levels.steps", float64(s.TrialSteps), 1, 100)
-		c.Within("levels.turns-a-minute", float64(s.MaxTransitionsPerMinute), 1, 60)
-		c.Within("levels.backoff", s.BackoffFactor, 1, 100)
-		c.Within("levels.spread", s.Spread, 0, 0.9)
+		c.CheckRange("levels.steps", float64(s.TrialSteps), 1, 100)
+		c.CheckRange("levels.turns-a-minute", float64(s.MaxTransitionsPerMinute), 1, 60)
+		c.CheckRange("levels.backoff", s.BackoffFactor, 1, 100)
+		c.CheckRange("levels.spread", s.Spread, 0, 0.9)
 	}
 	names := map[string]bool{Normal: true}
 	for i, l := range f.Level {
 		at := fmt.Sprintf("level[%d]", i)
 		if l.Name == "" || names[l.Name] {
-			c.Found(at+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Normal)
+			c.Errorf(at+".name", "%q is empty, there twice, or %q, which is the service without a level", l.Name, Normal)
 		}
 		names[l.Name] = true
 		one := Level{Name: l.Name, MinDuration: c.Seconds(at+".least", l.Least, maxSeconds)}
@@ -87,30 +87,30 @@
 			one.MinDuration = 30
 		}
 		if l.Further != nil {
-			c.Within(at+".further", float64(*l.Further), 0, 2)
+			c.CheckRange(at+".further", float64(*l.Further), 0, 2)
 			if one.MaxRetries = *l.Further; one.MaxRetries == 0 {
 				one.MaxRetries = -1
 			}
 		}
 		for group, keep := range l.Keep {
-			c.Within(at+".keep."+group, keep, 0, 1)
+			c.CheckRange(at+".keep."+group, keep, 0, 1)
 		}
-		c.Within(at+".probes", l.Probes, 0, 1)
-		c.Within(at+".least-gain", l.LeastGain, 0, 1e9)
+		c.CheckRange(at+".probes", l.Probes, 0, 1)
+		c.CheckRange(at+".least-gain", l.LeastGain, 0, 1e9)
 		if l.Early != 0 {
-			c.Within(at+".early", l.Early, 1, 100)
+			c.CheckRange(at+".early", l.Early, 1, 100)
 		}
 		one.Enter, one.Exit = parseConditions(c, at+".enter", l.Enter), parseConditions(c, at+".exit", l.Exit)
 		if len(one.Enter) == 0 && s.ForcedLevel != l.Name {
-			c.Found(at, "without a condition to enter it is never entered")
+			c.Errorf(at, "without a condition to enter it is never entered")
 		}
 		if len(one.Exit) == 0 {
-			c.Found(at, "without a condition to leave it is left at once")
+			c.Errorf(at, "without a condition to leave it is left at once")
 		}
 		for _, in := range one.Enter {
 			for _, leave := range one.Exit {
 				if in.Measure == leave.Measure && in.Below == leave.Below && len(one.Exit) == 1 {
-					c.Found(at, "it is left by the very condition that it is entered by: %s", in)
+					c.Errorf(at, "it is left by the very condition that it is entered by: %s", in)
 				}
 			}
 		}
@@ -118,21 +118,21 @@
 	}
 	for _, name := range append([]string{s.ForcedLevel}, s.ForbiddenLevels...) {
 		if name != "" && !names[name] {
-			c.Found("levels", "there is no level %q to hold or forbid", name)
+			c.Errorf("levels", "there is no level %q to hold or forbid", name)
 		}
 	}
 	return s, over
 }
 
-func parseConditions(c findings.To, at string, list []condition) (out []Condition) {
+func parseConditions(c findings.Reporter, at string, list []condition) (out []Condition) {
 	for i, one := range list {
 		key := fmt.Sprintf("%s[%d]", at, i)
 		m, known := MeasureByName(one.Measure)
 		if !known {
-			c.Found(key, "%q is no measure; there are %s", one.Measure, strings.Join(MeasureNames[:], ", "))
+			c.Errorf(key, "%q is no measure; there are %s", one.Measure, strings.Join(MeasureNames[:], ", "))
 		}
 		if (one.Above == nil) == (one.Below == nil) {
-			c.Found(key, "a condition has either above or below")
+			c.Errorf(key, "a condition has either above or below")
 			continue
 		}
 		l := Condition{Measure: m, Below: one.Below != nil, MinDuration: c.Seconds(key, one.For, 3600)}
@@ -141,7 +141,7 @@
 		} else {
 			l.Threshold = *one.Above
 		}
-		c.Within(key, l.Threshold, 0, 1e6)
+		c.CheckRange(key, l.Threshold, 0, 1e6)
 		out = append(out, l)
 	}
 	return out
--- a/internal/limits/section.go
+++ b/internal/limits/section.go
@@ -64,13 +64,13 @@
 }
 
 // Validate gives all  Whether they could break a rule is found against the platform's settings, by Check.
-func (f *LimitSections) Validate(c findings.To) (out Config) {
+func (f *LimitSections) Validate(c findings.Reporter) (out Config) {
 	budgets := map[string]*RetryBudget{}
 	for i, b := range f.Budget {
 		at := fmt.Sprintf("budget[%d]", i)
 		one := parseBudget(c, at, b.Name, &b.budget)
 		if b.Name == "" || budgets[b.Name] != nil {
-			c.Found(at+".name", "%q is empty or there twice", b.Name)
+			c.Errorf(at+".name", "%q is empty or there twice", b.Name)
 		}
 		budgets[b.Name] = one
 		out.Budgets = append(out.Budgets, one)
@@ -78,10 +78,10 @@
 	if f.Further != nil {
 		out.AllRetries, out.EngineRetries = parseBudget(c, "further.all", "further.all", f.Further.All), parseBudget(c, "further.engine", "further.engine", f.Further.Engine)
 		if out.AllRetries == nil && out.EngineRetries == nil {
-			c.Found("further", "it has neither all nor engine")
+			c.Errorf("further", "it has neither all nor engine")
 		}
 		if out.EngineRetries != nil && out.EngineRetries.FleetWide {
-			c.Found("further.engine.fleet", "to one engine each router has a budget of its own; further.all and [[budget]] may be of all routers")
+			c.Errorf("further.engine.fleet", "to one engine each router has a budget of its own; further.all and [[budget]] may be of all routers")
 		}
 	}
 	concurrencies := f.parseConcurrencyLimits(c, &out)
@@ -89,7 +89,7 @@
 		out.AdaptiveLine = c.Line("adaptive")
 		out.Adaptive = AdaptiveSettings{Kind: a.Kind, Min: a.Least, Max: a.Most, Initial: a.First, MaxSlowdown: a.Stretch}
 		if a.Kind == "" {
-			c.Found("adaptive.kind", "it has to be there")
+			c.Errorf("adaptive.kind", "it has to be there")
 		}
 	}
 	var all []*Route
@@ -100,14 +100,14 @@
 		one.Timeout, one.RetryDelay = c.Seconds(at+".time-out", r.Timeout, 3600), c.Seconds(at+".pause", r.Pause, 3600)
 		if r.Dispatches != nil {
 			if one.MaxDispatches = *r.Dispatches; one.MaxDispatches == 0 {
-				c.Found(at+".dispatches", "rule 1: a batch without a dispatch can't be answered; leave it out for the platform's number")
+				c.Errorf(at+".dispatches", "rule 1: a batch without a dispatch can't be answered; leave it out for the platform's number")
 			}
 		}
 		if r.Budget != "" && one.Budget == nil {
-			c.Found(at+".budget", "there is no budget %q", r.Budget)
+			c.Errorf(at+".budget", "there is no budget %q", r.Budget)
 		}
 		if one.Concurrency = concurrencies[r.Concurrency]; r.Concurrency != "" && one.Concurrency == nil {
-			c.Found(at+".concurrency", "there is no concurrency %q", r.Concurrency)
+			c.Errorf(at+".concurrency", "there is no concurrency %q", r.Concurrency)
 		}
 		if r.Copies != nil {
 			one.Hedging = &HedgePolicy{AfterQuantile: r.Copies.After, MaxRatio: r.Copies.Share}
@@ -116,7 +116,7 @@
 			case "zone":
 				one.Hedging.OtherZone = true
 			default:
-				c.Found(at+".copies.to", "%q is neither engine nor zone", r.Copies.To)
+				c.Errorf(at+".copies.to", "%q is neither engine nor zone", r.Copies.To)
 			}
 		}
 		if r.MostResult != "" {
@@ -148,7 +148,7 @@
 }
 
 // budget reads one; nil for none.
-func parseBudget(c findings.To, at, name string, b *budget) *RetryBudget {
+func parseBudget(c findings.Reporter, at, name string, b *budget) *RetryBudget {
 	if b == nil {
 		return nil
 	}
@@ -160,7 +160,7 @@
 }
 
 // parseConcurrencyLimits reads bounds of what is out, by name.
-func (f *LimitSections) parseConcurrencyLimits(c findings.To, out *Config) map[string]*ConcurrencyLimit {
+func (f *LimitSections) parseConcurrencyLimits(c findings.Reporter, out *Config) map[string]*ConcurrencyLimit {
 	all := map[string]*ConcurrencyLimit{}
 	for i, one := range f.Concurrency {
 		at := fmt.Sprintf("concurrency[%d]", i)
@@ -171,7 +171,7 @@
 		}{"engine": {&made.PerEngine, one.Engine}, "fleet": {&made.PerRouter, one.Fleet}, "routers": {&made.FleetWide, one.Routers}} {
 			if set.v != nil {
 				if *set.into = *set.v; *set.v == 0 {
-					c.Found(at+"."+key, "rule 1: with none out no batch can be answered; leave it out for no bound")
+					c.Errorf(at+"."+key, "rule 1: with none out no batch can be answered; leave it out for no bound")
 				}
 			}
 		}
@@ -179,11 +179,11 @@
 			if n := slices.Index(LimitActionNames[:], one.AtBound); n >= 0 {
 				made.OnLimit = LimitAction(n)
 			} else {
-				c.Found(at+".at-bound", "%q is none of %s", one.AtBound, strings.Join(LimitActionNames[:], ", "))
+				c.Errorf(at+".at-bound", "%q is none of %s", one.AtBound, strings.Join(LimitActionNames[:], ", "))
 			}
 		}
 		if one.Name == "" || all[one.Name] != nil {
-			c.Found(at+".name", "%q is empty or there twice", one.Name)
+			c.Errorf(at+".name", "%q is empty or there twice", one.Name)
 		}
 		all[one.Name] = made
 		out.ConcurrencyLimits = append(out.ConcurrencyLimits, made)
--- a/internal/loop/crossings_test.go
+++ b/internal/loop/crossings_test.go
@@ -183,7 +183,7 @@
 		p.address, resolver, descriptors, platformSettings))
 	require.NoError(t, err)
 	if len(listed) > 0 {
-		c.Known = directory.List{Serial: 1, Engines: listed}
+		c.KnownEngines = directory.List{Serial: 1, Engines: listed}
 	}
 	pool := &buffers.Pool{}
 	speaks := clients.Protocol(pool)
--- a/internal/loop/names.go
+++ b/internal/loop/names.go
@@ -89,7 +89,7 @@
 	if l.nameSockets.current == nil {
 		return
 	}
-	if err := l.nameSockets.current.Send(directory.Query(query)); err != nil {
+	if err := l.nameSockets.current.Send(directory.EncodeQuery(query)); err != nil {
 		l.log.Debug("query to the name service was not sent", zap.Error(err))
 	}
 }
@@ -106,7 +106,7 @@
 
 // handleListAnswer parses an answer of the name service and passes it to the router.
 func (l *Loop) handleListAnswer(socket *reactor.Datagrams, data []byte) {
-	id, list, err := directory.Parse(data)
+	id, list, err := directory.ParseResponse(data)
 	if err != nil {
 		l.log.Warn("answer of the name service can't be read", zap.Error(err), zap.Int("bytes", len(data)))
 		l.processEvent(router.ListUnusable{QueryID: id})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -56,7 +56,7 @@
 	if out.Installation, err = installation.Load(path, getenv); err != nil {
 		return out, err
 	}
-	return out, out.Installation.Against(path, c.Settings)
+	return out, out.Installation.ValidateAgainst(path, c.Settings)
 }
 
 // Run serves until ctx is done and every accepted batch is answered. A configuration received on reloads replaces the one
@@ -72,7 +72,7 @@
 		front := &tds.Front{Pool: pool, Name: frontSettings.Name, Admit: auth.authenticate, Databases: frontSettings.Databases,
 			Rules: func() *assign.Rules { return &current.Load().Rules }}
 		env.Listeners = append(env.Listeners, loop.Listener{Address: frontSettings.Listen, Protocol: front.Protocol(frontSettings.Idle)})
-		initial.Config.Settings.WithUnmarked()
+		initial.Config.Settings.AddAtMostOnceGroups()
 		log.Info("TDS is spoken", zap.String("listen", frontSettings.Listen), zap.Int("logins", len(frontSettings.Users)))
 	}
 	env.EngineProtocol = engineProtocols(initial.Installation, pool)
@@ -113,7 +113,7 @@
 					current.Store(next.Installation)
 				}
 				if initial.Installation != nil && next.Installation != nil && initial.Installation.TDS != nil {
-					next.Config.Settings.WithUnmarked()
+					next.Config.Settings.AddAtMostOnceGroups()
 				}
 				log.Info("our own settings read again: rules and logins count at once, all else from the next start")
 				select {
@@ -136,7 +136,7 @@
 	case settings.Levels == nil:
 		return &router.LevelsSet{DecayTime: 5}
 	}
-	return &router.LevelsSet{Levels: *settings.Levels, DecayTime: settings.LevelsOver}
+	return &router.LevelsSet{Levels: *settings.Levels, DecayTime: settings.LevelDecayTime}
 }
 
 // peerMessagingFor returns the settings of peer messaging. The start time identifies this run of the router, so that
