--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -245,8 +245,8 @@
 		return l.acceptWhileStopping(stream, protocol)
 	}
 	p := &peer{loop: l, kind: clientPeer, number: l.lastNumber, stream: stream, received: l.pool.Chain(), client: protocol.New()}
-	stream.Handle(p)
-	stream.Drain() // a client that has closed already must be known as closed before anything is decided
+	stream.SetHandler(p)
+	stream.EnableDrain() // a client that has closed already must be known as closed before anything is decided
 	l.clients[p.number] = p
 	l.guard.ClientOpened(p.number)
 	p.opening = true
@@ -262,7 +262,7 @@
 // engineConnected starts the protocol on a new connection to an engine.
 func (l *Loop) engineConnected(stream *reactor.Stream, dial router.Dial) {
 	p := &peer{loop: l, kind: enginePeer, number: dial.Connection, stream: stream, received: l.pool.Chain(), protocol: dial.Protocol, engine: dial.Protocol.New()}
-	stream.Handle(p)
+	stream.SetHandler(p)
 	l.engines[p.number] = p
 	l.guard.EngineConnected(p.number)
 	up := p.engine.Open(l.protocolOut)
@@ -389,7 +389,7 @@
 			l.processEvent(router.EngineReplyStarted{Connection: p.number})
 		}
 	}
-	if l.isOpen(p) && p.received.Len() > buffers.Size && l.pool.Used()*buffers.Size > l.maxBuffered {
+	if l.isOpen(p) && p.received.Len() > buffers.Size && l.pool.InUse()*buffers.Size > l.maxBuffered {
 		l.failConnection(p, router.BufferLimitExceeded)
 	}
 }
@@ -461,7 +461,7 @@
 		return
 	}
 	l.log.Warn("connection ended", zap.Uint64("connection", p.number), zap.Stringer("kind", p.kind),
-		zap.Stringer("end", end), zap.Int("unread", p.unsent), zap.Int("held", l.pool.Used()*buffers.Size))
+		zap.Stringer("end", end), zap.Int("unread", p.unsent), zap.Int("held", l.pool.InUse()*buffers.Size))
 	l.endConnection(p, end)
 	if p.kind == enginePeer {
 		l.processEvent(router.EngineEnded{Connection: p.number, End: end})
@@ -505,7 +505,7 @@
 func (l *Loop) scheduleTurnEnd() {
 	if !l.turnEndSet {
 		l.turnEndSet = true
-		l.reactor.Soon(l.endTurn)
+		l.reactor.Defer(l.endTurn)
 	}
 }
 
@@ -592,7 +592,7 @@
 func (l *Loop) setLimits() {
 	l.maxUnsent, l.maxBuffered = memoryFraction(totalUnsentFraction, l.config), memoryFraction(bufferedFraction, l.config)
 	l.maxPeerUnsent = min(maxPeerUnsentBytes, memoryFraction(peerUnsentFraction, l.config))
-	l.pool.Keep = memoryFraction(freeBufferFraction, l.config) / buffers.Size
+	l.pool.MaxFree = memoryFraction(freeBufferFraction, l.config) / buffers.Size
 }
 
 // stopWhenFlushed stops the event loop once no client lingers any more, or once the deadline has passed.
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -13,7 +13,7 @@
 func TestMemoryBoundsFitTheSmallestLimit(t *testing.T) {
 	l := &Loop{pool: &buffers.Pool{}, config: config.Config{MemoryMB: 32}}
 	l.setLimits()
-	assert.Less(t, l.maxBuffered+l.maxUnsent+l.pool.Keep*buffers.Size, 20<<20)
+	assert.Less(t, l.maxBuffered+l.maxUnsent+l.pool.MaxFree*buffers.Size, 20<<20)
 	assert.Less(t, l.maxPeerUnsent, l.maxUnsent)
 	l.config.MemoryMB = 192
 	l.setLimits()
--- a/internal/loop/names.go
+++ b/internal/loop/names.go
@@ -21,12 +21,12 @@
 // late answers: if each socket without an answer for one second were closed, no answer of a slow name service would ever
 // be received.
 type nameSockets struct {
-	current  *reactor.Datagrams   // nil: none is open
-	previous []*reactor.Datagrams // the oldest first
+	current  *reactor.DatagramSocket   // nil: none is open
+	previous []*reactor.DatagramSocket // the oldest first
 }
 
 // all returns the open sockets, the oldest first.
-func (n *nameSockets) all() []*reactor.Datagrams {
+func (n *nameSockets) all() []*reactor.DatagramSocket {
 	if n.current == nil {
 		return slices.Clone(n.previous)
 	}
@@ -39,7 +39,7 @@
 	if l.resolverVersion != number {
 		return
 	}
-	var socket *reactor.Datagrams
+	var socket *reactor.DatagramSocket
 	socket, err := l.reactor.ConnectDatagrams(resolver, func(data []byte, _ netip.AddrPort) { l.handleListAnswer(socket, data) })
 	if err != nil {
 		l.log.Warn("no socket to the name service", zap.Error(err))
@@ -66,7 +66,7 @@
 }
 
 // useNameSocket makes a socket the current one.
-func (l *Loop) useNameSocket(socket *reactor.Datagrams) {
+func (l *Loop) useNameSocket(socket *reactor.DatagramSocket) {
 	if old := l.nameSockets.current; old != nil {
 		l.nameSockets.previous = append(l.nameSockets.previous, old)
 	}
@@ -105,7 +105,7 @@
 }
 
 // handleListAnswer parses an answer of the name service and passes it to the router.
-func (l *Loop) handleListAnswer(socket *reactor.Datagrams, data []byte) {
+func (l *Loop) handleListAnswer(socket *reactor.DatagramSocket, data []byte) {
 	id, list, err := directory.ParseResponse(data)
 	if err != nil {
 		l.log.Warn("answer of the name service can't be read", zap.Error(err), zap.Int("bytes", len(data)))
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -40,7 +40,7 @@
 // messenger is the state of peer messaging.
 type messenger struct {
 	PeerMessaging
-	socket       *reactor.Datagrams
+	socket       *reactor.DatagramSocket
 	started      bool
 	counts       DatagramCounts
 	dropLoggedAt time.Time // when a dropped datagram was last logged
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -48,7 +48,7 @@
 	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + pathGroups + `}`))
 	require.NoError(t, err)
 	c.KnownEngines = directory.List{Serial: 1, Engines: []directory.Engine{{ID: "s-1", Address: "10.0.0.1:80", Zone: "east", Kind: "std", Weight: 1}}}
-	p := &path{t: t, pool: &buffers.Pool{Keep: 64}, now: 100}
+	p := &path{t: t, pool: &buffers.Pool{MaxFree: 64}, now: 100}
 	p.cin, p.ein, p.out = p.pool.Chain(), p.pool.Chain(), p.pool.Chain()
 	speaks, clientSpeaks := back(p.pool), front(p.pool)
 	p.speaks, p.client = speaks, clientSpeaks.New()
@@ -212,7 +212,7 @@
 			one(n)
 		}
 		require.Equal(t, 50, p.answers)
-		require.Zero(t, p.pool.Used(), "nothing is kept")
+		require.Zero(t, p.pool.InUse(), "nothing is kept")
 	}
 }
 
@@ -275,7 +275,7 @@
 // BenchmarkIdleSession tells the bytes that a session holds between batches.
 func BenchmarkIdleSession(b *testing.B) {
 	prelogin, login, batch, _, _, _ := tdsBytes(b)
-	pool := &buffers.Pool{Keep: 64}
+	pool := &buffers.Pool{MaxFree: 64}
 	protocol := tdsFront(pool)
 	in, out := pool.Chain(), pool.Chain()
 	all := make([]traffic.Client, b.N)
