--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -69,7 +69,7 @@
 	if initial.Installation != nil && initial.Installation.TDS != nil {
 		frontSettings := initial.Installation.TDS
 		auth := newAuthenticator(&current)
-		front := &tds.Front{Pool: pool, Name: frontSettings.Name, Admit: auth.authenticate, Databases: frontSettings.Databases,
+		front := &tds.Server{Pool: pool, Name: frontSettings.Name, Authenticate: auth.authenticate, Databases: frontSettings.Databases,
 			Rules: func() *assign.Rules { return &current.Load().Rules }}
 		env.Listeners = append(env.Listeners, loop.Listener{Address: frontSettings.Listen, Protocol: front.Protocol(frontSettings.Idle)})
 		initial.Config.Settings.AddAtMostOnceGroups()
@@ -167,8 +167,8 @@
 	for i, e := range settings.Engines {
 		protocols[i] = resp
 		if e.Protocol == "tds" {
-			protocols[i] = (&tds.Access{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
-				Program: "pitchfield", Packet: e.PacketSize, Probe: e.ProbeStatement, Load: e.LoadStatement, TurnedAway: e.RejectionCodes}).Protocol()
+			protocols[i] = (&tds.EngineConfig{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
+				AppName: "pitchfield", PacketSize: e.PacketSize, ProbeQuery: e.ProbeStatement, LoadQuery: e.LoadStatement, RejectionNumbers: e.RejectionCodes}).Protocol()
 		}
 	}
 	return func(e directory.Engine) *traffic.EngineProtocol {
