--- a/internal/loop/crossings_test.go
+++ b/internal/loop/crossings_test.go
@@ -27,11 +27,12 @@
 	"pitchfield/internal/traffic"
 )
 
-// Crossings on real sockets: each story holds the loop, an engine or the name service still in the moment in which something
-// else comes. The order is forced by what the router logs or tells and by what the stand-ins hear, never by sleeping.
+// These tests run the loop on real sockets and pause the router, an engine or the name service at the moment at which
+// another event arrives. The order of events is forced by what the router logs or sends and by what the stand-ins
+// receive, never by sleeping.
 
 const (
-	waitLimit        = 20 * time.Second // no time is asserted: only that it comes at all
+	waitLimit        = 20 * time.Second // bounds each wait; the tests do not assert how long one takes
 	clientWait       = 6 * time.Second
 	platformSettings = `{"grades":[
 {"name":"lookup","on-time-ms":2000,"deadline-ms":8000,"idempotency":"idempotent","worth":1},
@@ -42,7 +43,7 @@
 "max-retry-after-ms":500},"feedback":{"how":"none"},"balancers":1,"index":0,"tick-ms":5}`
 )
 
-// testRouter is a router on the loop, with what it talks to.
+// testRouter is a router on the loop with a stand-in for the name service.
 type testRouter struct {
 	t           *testing.T
 	address     string
@@ -52,11 +53,11 @@
 	log         logLines
 
 	mutex          sync.Mutex
-	onClientOpened func() // is called on the loop before a client is let in
+	onClientOpened func() // runs on the event loop before a client is accepted
 	replies        chan traffic.ClientReply
 }
 
-// logLines are what the router logs. A line may be held: the router stands still in it until it is let go on.
+// logLines records what the router logs. It can pause the router in a line until the test resumes it.
 type logLines struct {
 	zapcore.LevelEnabler
 	fields []zapcore.Field
@@ -66,9 +67,9 @@
 type logState struct {
 	mutex     sync.Mutex
 	lines     []string
-	changed   chan struct{} // closed with each further line
+	changed   chan struct{} // closed when a line is added
 	pauseText string
-	paused    chan struct{} // closed once the router stands in it
+	paused    chan struct{} // closed once the router is paused
 	resume    chan struct{}
 }
 
@@ -95,30 +96,31 @@
 	l.lines = append(l.lines, text)
 	close(l.changed)
 	l.changed = make(chan struct{})
-	var there, goOn chan struct{}
+	var paused, resume chan struct{}
 	if l.pauseText != "" && strings.Contains(text, l.pauseText) {
-		l.pauseText, there, goOn = "", l.paused, l.resume
+		l.pauseText, paused, resume = "", l.paused, l.resume
 	}
 	l.mutex.Unlock()
-	if there != nil {
-		close(there)
-		<-goOn
+	if paused != nil {
+		close(paused)
+		<-resume
 	}
 	return nil
 }
 
 func (logLines) Sync() error { return nil }
 
-// pauseAt has the router stand still in the next line with this text; what comes back lets it go on.
-func (l logLines) pauseAt(text string) (there <-chan struct{}, goOn func()) {
+// pauseAt pauses the router in the next line that contains text. paused is closed once the router is there; resume lets
+// it continue.
+func (l logLines) pauseAt(text string) (paused <-chan struct{}, resume func()) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	goOnAgain := make(chan struct{})
-	l.pauseText, l.paused, l.resume = text, make(chan struct{}), goOnAgain
-	return l.paused, sync.OnceFunc(func() { close(goOnAgain) })
+	resumeCh := make(chan struct{})
+	l.pauseText, l.paused, l.resume = text, make(chan struct{}), resumeCh
+	return l.paused, sync.OnceFunc(func() { close(resumeCh) })
 }
 
-// waitFor waits until a line has all these texts.
+// waitFor waits until one line contains all texts.
 func (l logLines) waitFor(t *testing.T, texts ...string) {
 	t.Helper()
 	end := time.After(waitLimit)
@@ -149,7 +151,7 @@
 	return strings.Join(l.lines, "\n")
 }
 
-// recordingClient notes what a client is told.
+// recordingClient records the replies to a client.
 type recordingClient struct {
 	traffic.Client
 	replies chan<- traffic.ClientReply
@@ -163,8 +165,8 @@
 	}
 }
 
-// startRouter starts a router. The name service is asked through via, which is told where it is, or directly without one; listed
-// engines are what the router knows from its start.
+// startRouter starts a router. If via is not nil, it gets the address of the name service and returns the address that the
+// router queries instead. The listed engines are those that the router is configured with.
 func startRouter(t *testing.T, descriptors int, via func(names string) string, listed ...directory.Engine) *testRouter {
 	names, err := standin.NewNames("127.0.0.1:0")
 	require.NoError(t, err)
@@ -217,7 +219,7 @@
 	return p
 }
 
-// waitForEnd waits for the router's end, and may be called again.
+// waitForEnd waits until the router has ended. It may be called again.
 func (p *testRouter) waitForEnd() {
 	select {
 	case err := <-p.ended:
@@ -236,7 +238,7 @@
 	return c
 }
 
-// smallBufferClient is a client that takes little at a time: what it has not read yet lies at the router's machine.
+// smallBufferClient returns a client with a small receive buffer, so that what it has not read stays on the router's side.
 func (p *testRouter) smallBufferClient() *standin.Client {
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
@@ -256,7 +258,7 @@
 	return a
 }
 
-// nextAnswer gives the next final answer.
+// nextAnswer returns the next final answer.
 func (p *testRouter) nextAnswer(c *standin.Client) standin.Answer {
 	p.t.Helper()
 	for {
@@ -266,7 +268,7 @@
 	}
 }
 
-// answerCodes gives the codes of the next final answers, by stream.
+// answerCodes returns the codes of the next n final answers by stream.
 func (p *testRouter) answerCodes(c *standin.Client, n int) map[uint32]uint8 {
 	p.t.Helper()
 	out := map[uint32]uint8{}
@@ -278,7 +280,7 @@
 	return out
 }
 
-// waitForAnswers waits until the router has told so many final answers.
+// waitForAnswers waits until the router has written n final answers.
 func (p *testRouter) waitForAnswers(n int) {
 	p.t.Helper()
 	end := time.After(waitLimit)
@@ -314,7 +316,7 @@
 	return e
 }
 
-// largeResult answers with a result of the largest size there is.
+// largeResult answers with a result of the largest possible size.
 func largeResult(r standin.Request) [][]string {
 	page := strings.Repeat("one\ttwo\tthree 0123456789\n", 5000/25)
 	switch r[0] {
@@ -326,12 +328,12 @@
 	return nil
 }
 
-// lateEngine is an engine whose machine takes connections only once it is told to: until then they don't come up.
+// lateEngine is an engine whose accept queue is full, so that connections to it open only after acceptConnections.
 type lateEngine struct {
 	t         *testing.T
 	address   string
 	file      *os.File
-	firstConn net.Conn // fills the machine's queue
+	firstConn net.Conn // fills the accept queue
 	engine    *standin.Engine
 }
 
@@ -360,7 +362,7 @@
 	return directory.Engine{ID: id, Zone: "hall", Kind: "std", Address: l.address, Weight: 1}
 }
 
-// waitForDial waits until a connection to it is on its way: its first packet has been dropped, and the next comes a second later.
+// waitForDial waits until the router is connecting: its first SYN has been dropped, and the next follows a second later.
 func (l *lateEngine) waitForDial() {
 	l.t.Helper()
 	port := l.firstConn.RemoteAddr().(*net.TCPAddr).Port
@@ -371,7 +373,7 @@
 	}, waitLimit, time.Millisecond)
 }
 
-// acceptConnections lets connections come up: the next time that the router's machine asks.
+// acceptConnections accepts connections from now on; the router's opens when its kernel sends the next SYN.
 func (l *lateEngine) acceptConnections(answer func(standin.Request) [][]string) *standin.Engine {
 	listener, err := net.FileListener(l.file)
 	require.NoError(l.t, err)
@@ -380,7 +382,7 @@
 	return l.engine
 }
 
-// expectCleanEnd reads a connection to its end, which must not be a reset.
+// expectCleanEnd reads until the connection ends, which must not be by a reset.
 func (p *testRouter) expectCleanEnd(c *standin.Client) {
 	p.t.Helper()
 	for {
@@ -392,11 +394,11 @@
 	}
 }
 
-// A batch crosses the close of an idle connection, whose last answers are still on their way. A close over unread bytes
-// resets a connection, and what had been written with it.
+// A batch arrives while the router closes an idle connection whose last answers are still unread. Closing a socket with
+// unread bytes would reset the connection and lose those answers.
 func TestWrittenAnswersArriveWhenABatchCrossesAnIdleClose(t *testing.T) {
 	e := startEngine(t, largeResult)
-	p := startRouter(t, 8, nil, listed("s-0", e)) // four clients
+	p := startRouter(t, 8, nil, listed("s-0", e)) // allows four clients
 	p.nameService.Set(host("s-0", e))
 	idle := p.smallBufferClient()
 	for i := range uint32(3) {
@@ -414,16 +416,16 @@
 		crossed <- idle.Ask(4, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b") == nil
 	})
 	p.mutex.Unlock()
-	other := p.client() // one too many
+	other := p.client() // one more than allowed
 	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.answerCodes(idle, 3))
 	p.expectCleanEnd(idle)
 	require.True(t, <-crossed)
 	require.NoError(t, other.Ask(1, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b"))
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
-	assert.Len(t, e.Seen("fetch"), 4, "sent again on another connection, and sent on once")
+	assert.Len(t, e.Seen("fetch"), 4, "the fourth batch is sent again on another connection and dispatched once")
 }
 
-// The same at the end of the process: the batch comes between the decision to end and the end.
+// As above at the stop of the process: the batch arrives between the decision to stop and the end.
 func TestWrittenAnswersArriveWhenABatchCrossesTheStop(t *testing.T) {
 	e := startEngine(t, largeResult)
 	p := startRouter(t, 1024, nil, listed("s-0", e))
@@ -434,21 +436,22 @@
 	}
 	require.NoError(t, other.Ask(1, "lookup", fmt.Sprintf("%016x", 9), clientWait, "SELECT 1 FROM a_3.b"))
 	p.waitForAnswers(4)
-	there, goOn := p.log.pauseAt("stopped")
-	defer goOn()
+	paused, resume := p.log.pauseAt("stopped")
+	defer resume()
 	p.cancel()
-	<-there
+	<-paused
 	require.NoError(t, slow.Ask(4, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b"))
-	goOn()
+	resume()
 	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.answerCodes(slow, 3))
 	p.expectCleanEnd(slow)
 	assert.Equal(t, uint32(1), p.nextAnswer(other).Stream)
 	p.expectCleanEnd(other)
 	p.waitForEnd()
-	assert.Len(t, e.Seen("fetch"), 4, "what crossed the end is not sent on")
+	assert.Len(t, e.Seen("fetch"), 4, "the batch that crossed the stop is not dispatched")
 }
 
-// Half a batch is there as the router is told to stop, and the rest comes after it would have ended.
+// Part of a batch has been received when the router is told to stop, and the rest arrives after the time at which the
+// router would otherwise have ended.
 func TestStopWaitsForAPartiallyReceivedBatch(t *testing.T) {
 	e := startEngine(t, nil)
 	p := startRouter(t, 1024, nil, listed("s-0", e))
@@ -458,18 +461,18 @@
 	c.Write(frame[:20]) //nolint:errcheck
 	whole := p.client()
 	whole.Write(standin.Frame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
-	p.next(whole)                                                              // so the half has been read
+	p.next(whole)                                                              // so the first part of the batch has been read
 	p.cancel()
 	assert.Equal(t, uint8(clients.FrameGoAway), p.next(c).Type)
 	_, err := c.Next(time.Second)
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is waited for")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the router must wait for the rest")
 	c.Write(frame[20:]) //nolint:errcheck
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
 
-// An engine begins to drain while a batch waits for a connection to it, and the connection comes up after that.
+// An engine starts to drain while a batch waits for a connection to it, and the connection opens after that.
 func TestNoDispatchToADrainingEngineWhoseConnectionOpensLate(t *testing.T) {
 	slow, other := newLateEngine(t), startEngine(t, nil)
 	p := startRouter(t, 1024, nil, slow.listed("s-late"))
@@ -477,7 +480,7 @@
 	c := p.client()
 	require.NoError(t, c.Ask(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
 	p.log.waitFor(t, "dispatch map", "s-late")
-	slow.waitForDial() // before the drain, which may have the router give the connection up
+	slow.waitForDial() // before the drain, after which the router may cancel the dial
 	p.nameService.Set(draining(slow.host("s-late")), host("s-other", other))
 	p.log.waitFor(t, "engine listed", "draining:true", "s-late")
 	up := slow.acceptConnections(nil)
@@ -486,7 +489,7 @@
 	assert.Len(t, other.Seen("fetch"), 1)
 }
 
-// A repeat waits for its connection until the engines have forgotten its first.
+// A retry waits for its connection until the window is over in which engines remember the first attempt.
 func TestNoRetryAfterTheDeduplicationWindow(t *testing.T) {
 	hold := make(chan struct{})
 	first, slow := startEngine(t, func(standin.Request) [][]string { <-hold; return nil }), newLateEngine(t)
@@ -507,7 +510,7 @@
 	assert.Empty(t, up.Seen("fetch"), "the engines have forgotten it")
 }
 
-// A client goes while its batch waits for a connection, and the connection comes up after that.
+// A client closes its connection while its batch waits for one to the engine, which opens after that.
 func TestNoDispatchForAClientThatClosedDuringTheDial(t *testing.T) {
 	slow := newLateEngine(t)
 	p := startRouter(t, 1024, nil, slow.listed("s-late"))
@@ -522,11 +525,11 @@
 	require.NoError(t, other.Ask(1, "lookup", "00000000000000f2", clientWait, "SELECT 2"))
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	for _, r := range up.Seen("fetch") {
-		assert.Equal(t, "00000000000000f2", r[1], "nothing is sent for who has gone")
+		assert.Equal(t, "00000000000000f2", r[1], "nothing may be dispatched for a client that has closed")
 	}
 }
 
-// A client goes between the first page of its result and the next, which the engine never sends.
+// A client closes its connection between the first page of its result and the next, which the engine never sends.
 func TestClientClosingBetweenPagesReleasesTheResult(t *testing.T) {
 	e := startEngine(t, func(r standin.Request) [][]string {
 		if r[0] == "fetch" {
@@ -540,10 +543,10 @@
 	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", clientWait, "SELECT 1"))
 	require.Eventually(t, func() bool { return len(e.Seen("more")) > 0 }, waitLimit, time.Millisecond)
 	c.Close()
-	require.Eventually(t, func() bool { return len(e.Seen("done")) == 1 }, waitLimit, time.Millisecond, "the engine may forget them")
+	require.Eventually(t, func() bool { return len(e.Seen("done")) == 1 }, waitLimit, time.Millisecond, "the router must tell the engine to discard the remaining pages")
 }
 
-// Bytes that can't be read come behind a batch that is out.
+// Bytes that can't be parsed follow a batch that has been dispatched.
 func TestInvalidInputFailsOpenBatches(t *testing.T) {
 	hold := make(chan struct{})
 	e := startEngine(t, func(r standin.Request) [][]string { <-hold; return standin.Toy(r) })
@@ -564,13 +567,13 @@
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(whole).Code)
 }
 
-// nameServiceProxy passes questions on to the name service, but none from those that it has fallen out with.
+// nameServiceProxy forwards queries to the name service, except those from blocked ports.
 type nameServiceProxy struct {
 	net.PacketConn
 	mutex   sync.Mutex
-	seen    map[string]bool // that were seen
-	blocked map[string]bool // that are not heard any more
-	down    bool            // nobody is
+	seen    map[string]bool // ports that sent a query
+	blocked map[string]bool // ports whose queries are dropped
+	down    bool            // all queries are dropped
 }
 
 func newNameServiceProxy(t *testing.T, to string) *nameServiceProxy {
@@ -607,14 +610,14 @@
 	return d
 }
 
-// setDown: nobody is heard, or all are again.
+// setDown drops all queries, or forwards them again.
 func (d *nameServiceProxy) setDown(down bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.down = down
 }
 
-// blockSeenPorts: whoever has asked so far is never heard again.
+// blockSeenPorts drops all further queries from the ports that have sent one so far.
 func (d *nameServiceProxy) blockSeenPorts() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -623,7 +626,7 @@
 	}
 }
 
-// The watch on the list falls silent for good: the way back for its port is gone. A drain that comes then must be seen.
+// Queries from the port in use are lost for good. The router must still learn of a drain that starts after that.
 func TestSilentNameServiceIsQueriedFromAnotherPort(t *testing.T) {
 	old, fresh := startEngine(t, nil), startEngine(t, nil)
 	var d *nameServiceProxy
@@ -642,8 +645,9 @@
 	assert.Empty(t, old.Seen("fetch"))
 }
 
-// Idle clients take all the descriptors that clients may have while the name service says nothing. Engines, the name service and
-// whoever asks keep theirs, and a drain that comes with the name service's return is seen.
+// Idle clients take all descriptors that clients may have while the name service does not answer. Descriptors must remain
+// for engines, the name service and clients that send requests, and the router must learn of a drain once the name
+// service answers again.
 func TestIdleClientsDoNotExhaustDescriptorsWhileTheNameServiceIsDown(t *testing.T) {
 	old, fresh := startEngine(t, nil), startEngine(t, nil)
 	var d *nameServiceProxy
@@ -663,7 +667,7 @@
 			c.Close()
 		}
 	}()
-	ask := func(id string) uint8 { // as clients do that may be shut unread at the bound
+	ask := func(id string) uint8 { // repeats, since a client may be closed unread at the limit of clients
 		for {
 			c := p.client()
 			if c.Ask(1, "lookup", id, clientWait, "SELECT 1") != nil {
@@ -676,7 +680,7 @@
 	}
 	assert.Equal(t, uint8(clients.CodeSucceeded), ask("00000000000000f1"))
 	p.log.waitFor(t, "name service is silent")
-	p.nameService.Set() // the number of the start
+	p.nameService.Set() // uses up the serial number that the router started with
 	p.nameService.Set(draining(host("s-old", old)), host("s-new", fresh))
 	d.setDown(false)
 	p.log.waitFor(t, "engine listed", "s-new")
@@ -685,7 +689,7 @@
 	assert.Len(t, old.Seen("fetch"), before)
 }
 
-// The list is not there yet: a client that asks at once is told to wait, not that all is well.
+// Before the list of engines has arrived, a readiness query is answered with "not ready".
 func TestReadyOnlyAfterTheEngineListArrived(t *testing.T) {
 	e := startEngine(t, nil)
 	p := startRouter(t, 1024, nil)
@@ -701,24 +705,25 @@
 	assert.Equal(t, uint8(clients.CodeSucceeded), ready())
 }
 
-// A batch waits in the queue of connections that are not accepted yet as the router is told to stop.
+// A batch waits on a connection in the accept queue when the router is told to stop.
 func TestBatchInTheAcceptQueueAtTheStopIsAnswered(t *testing.T) {
 	e := startEngine(t, nil)
 	p := startRouter(t, 1024, nil, listed("s-0", e))
 	p.nameService.Set(host("s-0", e))
-	there, goOn := p.log.pauseAt("stopping")
-	defer goOn()
+	paused, resume := p.log.pauseAt("stopping")
+	defer resume()
 	p.cancel()
-	<-there
+	<-paused
 	c := p.client()
 	require.NoError(t, c.Ask(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
-	goOn()
+	resume()
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
 
-// An engine hangs while the router ends: what is out there is answered before the kill, by what is true of it.
+// An engine hangs while the router stops. Batches dispatched to it must be answered before the process is killed: as
+// failed if they may have run and must not run twice, else as rejected.
 func TestStopAnswersBatchesOfAHangingEngine(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -732,37 +737,38 @@
 	at := time.Now()
 	p.cancel()
 	got := p.answerCodes(c, 2)
-	assert.Less(t, time.Since(at), 3700*time.Millisecond, "the kill")
+	assert.Less(t, time.Since(at), 3700*time.Millisecond, "answered after the time of the kill")
 	assert.Equal(t, map[uint32]uint8{1: clients.CodeFailed, 2: clients.CodeRejected}, got)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
 
-// A client asks for much and goes: its end lies behind frames that the router has not read yet.
+// A client sends several requests and closes at once: the end of its connection lies behind frames that the router has
+// not read yet.
 func TestNoDispatchForAClientThatSendsAndCloses(t *testing.T) {
 	e := startEngine(t, nil)
 	p := startRouter(t, 1024, nil, listed("s-0", e))
 	p.nameService.Set(host("s-0", e))
 	c, other := p.client(), p.client()
-	there, goOn := p.log.pauseAt("f9 left:")
-	defer goOn()
+	paused, resume := p.log.pauseAt("f9 left:")
+	defer resume()
 	require.NoError(t, other.Ask(1, "lookup", "00000000000000f9", clientWait, "SELECT 1"))
-	<-there
-	for i := range uint32(4) { // more than is read at a time
+	<-paused
+	for i := range uint32(4) { // more bytes than one read takes
 		require.NoError(t, c.Ask(i+1, "lookup", fmt.Sprintf("%016x", i+1), clientWait, "SELECT 1 /* "+strings.Repeat("x", 60000)+" */"))
 	}
 	c.Close()
-	goOn()
+	resume()
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	p.log.waitFor(t, "client gone with open batches", "open:4")
 	require.NoError(t, other.Ask(2, "lookup", "00000000000000fa", clientWait, "SELECT 1"))
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	for _, r := range e.Seen("fetch") {
-		assert.Contains(t, []string{"00000000000000f9", "00000000000000fa"}, r[1], "nothing is sent for who has gone")
+		assert.Contains(t, []string{"00000000000000f9", "00000000000000fa"}, r[1], "nothing may be dispatched for a client that has closed")
 	}
 }
 
-// An engine closes an idle connection in the moment in which a batch comes that may not be sent twice.
+// An engine closes an idle connection at the moment at which a batch arrives that must not be sent twice.
 func TestBatchIsNotSentOnAnIdleConnectionThatTheEngineClosed(t *testing.T) {
 	e := startEngine(t, nil)
 	p := startRouter(t, 1024, nil, listed("s-0", e))
@@ -770,17 +776,17 @@
 	c, other := p.client(), p.client()
 	require.NoError(t, c.Ask(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
 	require.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
-	there, goOn := p.log.pauseAt("batch can't be used")
-	defer goOn()
+	paused, resume := p.log.pauseAt("batch can't be used")
+	defer resume()
 	require.NoError(t, other.Ask(1, "nobody's", "00000000000000f9", clientWait, "SELECT 1"))
-	<-there
+	<-paused
 	e.Cut()
 	require.NoError(t, c.Ask(2, "once", "00000000000000f2", clientWait, "SELECT 1"))
-	goOn()
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code, "all that has come is known before a batch is sent")
+	resume()
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code, "the close must be known before the batch is sent")
 }
 
-// A batch comes in pieces of one byte, with another's answer between them.
+// A batch arrives in pieces of one byte, with the answer to another batch between them.
 func TestBatchReceivedByteByByte(t *testing.T) {
 	e := startEngine(t, nil)
 	p := startRouter(t, 1024, nil, listed("s-0", e))
@@ -794,7 +800,8 @@
 	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded}, p.answerCodes(c, 2))
 }
 
-// Nobody listens where the name service should be, from the start on: the list of the start serves, and a stop ends as ever.
+// Nothing listens at the address of the name service from the start: the configured list of engines is used, and the
+// router stops as usual.
 func TestConfiguredListServesWithoutANameService(t *testing.T) {
 	e := startEngine(t, nil)
 	p := startRouter(t, 1024, func(string) string {
@@ -809,18 +816,18 @@
 	require.NoError(t, c.Ask(2, "once", "00000000000000f1", clientWait, "SELECT 1"))
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	p.log.waitFor(t, "name service is silent")
-	assert.Less(t, strings.Count(p.log.String(), "stood still"), 3, "waiting for the next event is no standstill")
+	assert.Less(t, strings.Count(p.log.String(), "stood still"), 3, "waiting for the next event must not count as a pause")
 	p.cancel()
 	assert.Equal(t, uint8(clients.FrameGoAway), p.next(c).Type)
 	p.expectCleanEnd(c)
 	p.waitForEnd()
 }
 
-// A router that stood still finds a frame half whole for long, or a connection idle, before it has read what lies in its socket: a
-// request that was written seconds ago went with the connection, unread.
+// After a pause the router may find that a frame has been incomplete or a connection idle for too long before it reads
+// the socket. Closing the connection then lost requests that had been sent seconds before; they must be rejected instead.
 func TestUnreadRequestIsRejectedWhenItsConnectionIsClosed(t *testing.T) {
 	e := startEngine(t, nil)
-	p := startRouter(t, 8, nil, listed("s-0", e)) // four clients
+	p := startRouter(t, 8, nil, listed("s-0", e)) // allows four clients
 	p.nameService.Set(host("s-0", e))
 	idle := p.client()
 	require.NoError(t, idle.Ask(1, "lookup", "0000000000000001", clientWait, "SELECT 1 FROM a_3.b"))
@@ -831,29 +838,29 @@
 		p.next(c)
 	}
 	p.mutex.Lock()
-	p.onClientOpened = sync.OnceFunc(func() { // the loop stands still here, and ends the idle one then
+	p.onClientOpened = sync.OnceFunc(func() { // the loop is paused here and closes the idle connection afterwards
 		for i := range uint32(3) {
 			idle.Ask(2+i, "lookup", fmt.Sprintf("%016x", 2+i), clientWait, "SELECT 1 FROM a_3.b") //nolint:errcheck
 		}
 	})
 	p.mutex.Unlock()
-	p.client() // one too many
+	p.client() // one more than allowed
 	assert.Equal(t, map[uint32]uint8{2: clients.CodeRejected, 3: clients.CodeRejected, 4: clients.CodeRejected}, p.answerCodes(idle, 3))
 	p.expectCleanEnd(idle)
 	assert.Len(t, e.Seen("fetch"), 1)
 }
 
-// pausedRouter is a router that stands still in the middle of a step, twice: while it stands still first, a timer fires and the
-// second request comes, so that the loop finds both at once and decides without looking at its sockets again.
+// pausedRouter is a router that is paused in the middle of a step, twice. During the first pause a timer fires and the
+// second request arrives, so that the loop finds both at once and decides without polling its sockets again.
 type pausedRouter struct {
 	*testRouter
 	first, second *standin.Client
-	resume        func() // lets the second standstill end
+	resume        func() // ends the second pause
 }
 
 const (
 	drainGrace  = 250 * time.Millisecond // stop-sending-within-ms of the settings
-	socketSlack = 50 * time.Millisecond  // what the protocol's page adds on sockets
+	socketSlack = 50 * time.Millisecond  // the tolerance that the protocol's description adds on sockets
 )
 
 func startPausedRouter(t *testing.T, e *standin.Engine) *pausedRouter {
@@ -866,14 +873,14 @@
 	}
 	p.nameService.Withhold(true)
 	require.Eventually(t, func() bool { return p.nameService.Waiting() > 0 }, waitLimit, time.Millisecond)
-	stands, goOn := p.log.pauseAt("batch map")
+	paused, resume := p.log.pauseAt("batch map")
 	require.NoError(t, s.first.Ask(2, "lookup", "0000000000000002", clientWait, "SELECT 1"))
-	<-stands
+	<-paused
 	require.NoError(t, s.second.Ask(2, "lookup", "0000000000000003", clientWait, "SELECT 1"))
 	s.waitUntil(time.Now().Add(2 * drainGrace)) // the timer fires
-	stands, s.resume = p.log.pauseAt("batch map")
-	goOn()
-	<-stands
+	paused, s.resume = p.log.pauseAt("batch map")
+	resume()
+	<-paused
 	return s
 }
 
@@ -882,7 +889,7 @@
 	require.Eventually(s.t, func() bool { return time.Now().After(until) }, waitLimit, time.Millisecond)
 }
 
-// arrivals notes when requests reach an engine.
+// arrivals records when requests reach an engine.
 type arrivals struct {
 	mutex sync.Mutex
 	at    map[string]time.Time
@@ -901,7 +908,7 @@
 	return [][]string{{r[1], "DONE", "sheets=1,toil=1,room=8", "one\ttwo\tthree\n"}}
 }
 
-// after gives the ids of what came after a time.
+// after returns the ids of the requests that arrived after a time.
 func (a *arrivals) after(limit time.Time) (late []string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -913,7 +920,7 @@
 	return late
 }
 
-// What came while it stood still is not read yet: a drain,
+// An engine starts to drain while the router is paused, and the router has not read the new list when it resumes.
 func TestNoDispatchByAnOutdatedListAfterAPause(t *testing.T) {
 	var old, fresh arrivals
 	e0, e1 := startEngine(t, old.answer), startEngine(t, fresh.answer)
@@ -926,11 +933,11 @@
 	s.resume()
 	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.first).Code)
 	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.second).Code)
-	assert.Empty(t, old.after(limit), "after the grace")
+	assert.Empty(t, old.after(limit), "requests sent to the draining engine after its grace period")
 	assert.Contains(t, fresh.after(time.Time{}), "0000000000000003")
 }
 
-// or the end of a client.
+// A client closes its connection while the router is paused, and the router has not read the end when it resumes.
 func TestNoDispatchForAClosedClientAfterAPause(t *testing.T) {
 	var arrived arrivals
 	s := startPausedRouter(t, startEngine(t, arrived.answer))
