--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -68,7 +68,7 @@
 	if t.Own != nil && t.Own.TDS != nil {
 		f := t.Own.TDS
 		door := newDoor(&own)
-		front := &tds.Front{Pool: pool, Name: f.Name, Admit: door.admit, Databases: f.Databases,
+		front := &tds.Server{Pool: pool, Name: f.Name, Authenticate: door.admit, Databases: f.Databases,
 			Rules: func() *assign.Rules { return &own.Load().Rules }}
 		w.Listeners = append(w.Listeners, loop.Listener{Address: f.Listen, Speaks: front.Protocol(f.Idle)})
 		t.Config.Settings.WithUnmarked()
@@ -163,8 +163,8 @@
 	for i, e := range own.Engines {
 		protocols[i] = resp
 		if e.Protocol == "tds" {
-			protocols[i] = (&tds.Access{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
-				Program: "pitchfield", Packet: e.Packet, Probe: e.Probe, Load: e.Load, TurnedAway: e.TurnedAway}).Protocol()
+			protocols[i] = (&tds.EngineConfig{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
+				AppName: "pitchfield", PacketSize: e.Packet, ProbeQuery: e.Probe, LoadQuery: e.Load, RejectionNumbers: e.TurnedAway}).Protocol()
 		}
 	}
 	return func(e directory.Engine) *traffic.EngineProtocol {
