--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -13,90 +13,93 @@
 	"pitchfield/internal/traffic"
 )
 
-// Server is what the sessions of one listener share.
+// Server holds what all client sessions of one listener share.
 type Server struct {
 	Pool *buffers.Pool
-	Name string // of the server, as clients see it
-	// Admit checks a login and gives the client it counts as. It may take long and runs beside the loop.
+	Name string // server name that clients see
+	// Authenticate checks a login and returns the name of the client that its batches are counted under. It may take
+	// long and runs outside the event loop.
 	Authenticate func(user, password string) (client string, err error)
-	// Rules gives those in force.
+	// Rules returns the assignment rules in force.
 	Rules func() *assign.Rules
-	// Databases that a session may use; none: any.
+	// Databases that a session may use; empty: any.
 	Databases []string
 
-	spare []byte
+	spare []byte // output buffer that sessions of the listener pass on to each other
 }
 
-// Protocol is what the core must know of TDS clients. Idle is in seconds.
-func (f *Server) Protocol(idle float64) *traffic.ClientProtocol {
+// Protocol describes TDS clients to the router core. An idle connection is closed after idle seconds.
+func (srv *Server) Protocol(idle float64) *traffic.ClientProtocol {
 	return &traffic.ClientProtocol{Name: "tds", Idle: idle, Open: 1, Stream: true,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsValues(f.Pool, parts) },
-		New:     func() traffic.Client { return f.NewSession() }}
+		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsValues(srv.Pool, parts) },
+		New:     func() traffic.Client { return srv.NewSession() }}
 }
 
-// NewSession gives the state of a new connection.
-func (f *Server) NewSession() *Session {
-	return &Session{server: f, out: writer{packetType: packetTabularResult, packetSize: defaultPacketSize, spare: &f.spare}}
+// NewSession returns the protocol state of a new client connection.
+func (srv *Server) NewSession() *Session {
+	return &Session{server: srv, out: writer{packetType: packetTabularResult, packetSize: defaultPacketSize, spare: &srv.spare}}
 }
 
+// state is the state of a client session.
 type state uint8
 
 const (
 	expectPrelogin state = iota
 	expectLogin
-	authenticating // the login, beside the loop
+	authenticating // the login is being checked outside the event loop
 	ready
 	closed
 )
 
-// What a session may hold; beyond, it is told so.
+// Limits on the state of one session. Exceeding one is answered with an error; the session stays open.
 const (
-	maxSettings     = 64
-	maxSettingBytes = 4 << 10
-	maxHandles      = 256
-	maxHandleBytes  = 128 << 10
+	maxSettings     = 64        // SET options
+	maxSettingBytes = 4 << 10   // total text of the SET statements
+	maxHandles      = 256       // prepared statements
+	maxHandleBytes  = 128 << 10 // total text of the prepared statements
 )
 
-// Session is a connection of a client.
+// Session is the protocol state of one client connection. It does no I/O and is not safe for concurrent use.
 type Session struct {
 	server             *Server
 	state              state
-	requiresEncryption bool // on encryption
+	requiresEncryption bool // the client's PRELOGIN demands encryption
 
-	messageType, messageStatus byte // of the message that is coming
-	message                    []byte
-	oversized                  bool // it is too large, and dropped
+	messageType, messageStatus byte   // from the first packet of the message that is being received
+	message                    []byte // its payload so far; nil: no message has begun
+	oversized                  bool   // it exceeds maxMessageSize; its payload is discarded
 
 	login       login
-	client      string
-	database    string           // that USE chose
-	settings    []sessionSetting // in order
+	client      string           // returned by Server.Authenticate
+	database    string           // set by USE; empty: the login's database
+	settings    []sessionSetting // SET statements in the order in which they were made
 	handles     map[int32]preparedStatement
-	handleBytes int // bytes of handles
+	handleBytes int // total text of handles, in bytes
 	lastHandle  int32
 
-	stream              uint32 // the last batch's
-	pending             bool   // it has no answer yet
-	resetUnacknowledged bool   // the answer says so
+	stream              uint32 // number of the last batch
+	pending             bool   // the last batch has not been answered yet
+	resetUnacknowledged bool   // the next response must report the connection reset
 	response            response
 	out                 writer
 }
 
-// preparedStatement is a statement that a handle stands for.
+// preparedStatement is the text of a prepared statement and the declaration of its parameters.
 type preparedStatement struct{ text, declaration string }
 
-// response is the answer that is being written.
+// response is the state of the response that is being written.
 type response struct {
 	isRPC    bool
-	handle   int32 // to be returned; 0: none
-	columns  []rows.Column
+	handle   int32         // prepared statement handle to return; 0: none
+	columns  []rows.Column // of the open result set; nil: none is open
 	rowCount uint64
 }
 
-// Half tells whether part of a message is there.
+// Half reports whether part of a message has been received.
 func (s *Session) Half() bool { return s.message != nil }
 
-// Read gives the next thing said.
+// Read parses the next client message from in and returns its event, or nil if no whole message is there. Responses that
+// the session gives by itself are written to out. After an error nothing more can be read.
 func (s *Session) Read(in, out *buffers.Chain) (traffic.Said, error) {
 	for s.state != authenticating && s.state != closed {
 		p, ok, err := peekPacket(in)
@@ -105,7 +108,7 @@
 		}
 		if p.packetType == packetAttention {
 			in.Discard(p.size)
-			s.message, s.oversized = nil, false // of which it was given up
+			s.message, s.oversized = nil, false // an Attention cancels a partly sent message
 			if event := s.attention(out); event != nil {
 				return event, nil
 			}
@@ -128,20 +131,21 @@
 		if p.status&statusEOM == 0 {
 			continue
 		}
-		message, large := s.message, s.oversized
+		message, oversized := s.message, s.oversized
 		s.message, s.oversized = nil, false
 		if p.status&statusIgnore != 0 {
 			s.respond(out, func(b []byte) []byte { return appendDone(b, tokenDone, doneError, 0) })
 			return traffic.Stir{}, nil
 		}
-		if event, err := s.handleMessage(message, large, out); event != nil || err != nil {
+		if event, err := s.handleMessage(message, oversized, out); event != nil || err != nil {
 			return event, err
 		}
 	}
 	return nil, nil
 }
 
-// attention: what is open is given up, and the client waits for this DONE. It comes too where the answer crossed it.
+// attention cancels the pending batch and acknowledges the Attention. The client waits for this DONE, so it is also sent
+// if the batch's response was already on its way when the client cancelled.
 func (s *Session) attention(out *buffers.Chain) traffic.Said {
 	if s.state != ready {
 		return nil
@@ -156,14 +160,14 @@
 	return event
 }
 
-// respond writes an answer of the session's own.
+// respond writes a whole response; fill appends its tokens.
 func (s *Session) respond(out *buffers.Chain, fill func([]byte) []byte) {
 	s.beginResponse()
 	s.out.buf = fill(s.out.buf)
 	s.out.endMessage(out)
 }
 
-// beginResponse starts an answer.
+// beginResponse prepares the output buffer and reports a connection reset that has not been acknowledged yet.
 func (s *Session) beginResponse() {
 	s.out.beginMessage()
 	if s.resetUnacknowledged {
@@ -172,7 +176,7 @@
 	}
 }
 
-// sendError tells of an error; the session goes on.
+// sendError answers the request with an error. The session stays open.
 func (s *Session) sendError(out *buffers.Chain, m Message) traffic.Said {
 	s.respond(out, func(b []byte) []byte {
 		return appendDone(appendMessage(b, tokenError, m, s.server.Name), s.finalDoneToken(), doneError, 0)
@@ -181,6 +185,7 @@
 	return traffic.Stir{}
 }
 
+// finalDoneToken returns the DONE token that ends the current response.
 func (s *Session) finalDoneToken() byte {
 	if s.response.isRPC {
 		return tokenDoneProc
@@ -188,7 +193,7 @@
 	return tokenDone
 }
 
-// sendFatalError tells of an error and ends the session.
+// sendFatalError sends an error and closes the session. It returns the error.
 func (s *Session) sendFatalError(out *buffers.Chain, m Message) (traffic.Said, error) {
 	s.respond(out, func(b []byte) []byte {
 		return appendDone(appendMessage(b, tokenError, m, s.server.Name), tokenDone, doneError, 0)
@@ -197,11 +202,12 @@
 	return nil, m
 }
 
-// handleMessage takes a message.
-func (s *Session) handleMessage(b []byte, large bool, out *buffers.Chain) (traffic.Said, error) {
+// handleMessage processes a whole client message according to the session's state. The payload of an oversized message
+// is not in b.
+func (s *Session) handleMessage(b []byte, oversized bool, out *buffers.Chain) (traffic.Said, error) {
 	switch s.state {
 	case expectPrelogin:
-		if s.messageType != packetPrelogin || large {
+		if s.messageType != packetPrelogin || oversized {
 			return nil, errLoginExpected
 		}
 		p, err := parsePrelogin(b)
@@ -213,13 +219,13 @@
 		writeMessage(out, packetTabularResult, 0, defaultPacketSize, appendPrelogin(nil, prelogin{encryption: encryptNotSupported}))
 		return nil, nil
 	case expectLogin:
-		if s.messageType == packetPrelogin || s.messageType == packetLogin7 && s.requiresEncryption { // a handshake of TLS, or a login in spite of the answer
+		if s.messageType == packetPrelogin || s.messageType == packetLogin7 && s.requiresEncryption { // a TLS handshake, or a login although encryption was refused
 			return s.sendFatalError(out, errEncryptionUnsupported)
 		}
 		if s.messageType == packetSSPI {
 			return s.sendFatalError(out, errLoginMethod)
 		}
-		if s.messageType != packetLogin7 || large {
+		if s.messageType != packetLogin7 || oversized {
 			return nil, errLoginExpected
 		}
 		return s.handleLogin(b, out)
@@ -228,7 +234,7 @@
 	if s.messageStatus&(statusResetConnection|statusResetKeepTran) != 0 {
 		s.reset()
 	}
-	if large {
+	if oversized {
 		return s.sendError(out, unsupportedError(fmt.Sprintf("a statement of more than %d bytes", maxMessageSize))), nil
 	}
 	switch s.messageType {
@@ -240,8 +246,8 @@
 		return s.handleBatch(text, out), nil
 	case packetRPC:
 		s.response.isRPC = true
-		c, err := parseRPC(b)
-		event, err := s.unlessRefused(err, out, func() (traffic.Said, error) { return s.handleRPC(c, out) })
+		request, err := parseRPC(b)
+		event, err := s.unlessRefused(err, out, func() (traffic.Said, error) { return s.handleRPC(request, out) })
 		return event, err
 	case packetTransactionManager:
 		return s.sendError(out, unsupportedError("transactions")), nil
@@ -251,20 +257,22 @@
 	return nil, fmt.Errorf("%w: a message of type %d after the login", ErrProtocol, s.messageType)
 }
 
-// unlessRefused goes on unless there is an error. A refusal is told, and the session goes on.
+// unlessRefused calls next unless err is set. A requestError, from either, is sent to the client and the session stays
+// open; any other error is returned.
 func (s *Session) unlessRefused(err error, out *buffers.Chain, next func() (traffic.Said, error)) (traffic.Said, error) {
 	var event traffic.Said
 	if err == nil {
 		event, err = next()
 	}
-	var no requestError
-	if errors.As(err, &no) {
-		return s.sendError(out, no.Message), nil
+	var refused requestError
+	if errors.As(err, &refused) {
+		return s.sendError(out, refused.Message), nil
 	}
 	return event, err
 }
 
-// handleLogin checks a login, which takes long by purpose, beside the loop.
+// handleLogin parses a LOGIN7 and has its password checked outside the event loop, since password hashing is slow by
+// design.
 func (s *Session) handleLogin(b []byte, out *buffers.Chain) (traffic.Said, error) {
 	l, err := parseLogin(b)
 	if err != nil {
@@ -301,24 +309,25 @@
 		}}, nil
 }
 
-func (s *Session) databaseAllowed(base string) bool {
-	if base == "" || len(s.server.Databases) == 0 {
+// databaseAllowed reports whether sessions of this server may use the database. Names ignore case.
+func (s *Session) databaseAllowed(database string) bool {
+	if database == "" || len(s.server.Databases) == 0 {
 		return true
 	}
 	for _, d := range s.server.Databases {
-		if strings.EqualFold(d, base) {
+		if strings.EqualFold(d, database) {
 			return true
 		}
 	}
 	return false
 }
 
-// reset brings the session back to what it was after the login.
+// reset restores the session's state right after the login, as RESETCONNECTION asks.
 func (s *Session) reset() {
 	s.database, s.settings, s.handles, s.handleBytes, s.resetUnacknowledged = "", nil, nil, 0, true
 }
 
-// currentDatabase is the one that a statement's names stand in.
+// currentDatabase returns the database in which a statement's names are resolved.
 func (s *Session) currentDatabase() string {
 	if s.database != "" {
 		return s.database
@@ -326,84 +335,87 @@
 	return s.login.database
 }
 
-// handleBatch takes a SQLBatch.
+// handleBatch processes a SQL batch request. Texts of only SET and USE statements and queries of server values are
+// answered here; everything else becomes a batch for an engine.
 func (s *Session) handleBatch(text string, out *buffers.Chain) traffic.Said {
-	all := statement.Words(text)
-	if why := unsupportedFeature(all); why != "" {
-		return s.sendError(out, unsupportedError(why))
+	words := statement.Words(text)
+	if feature := unsupportedFeature(words); feature != "" {
+		return s.sendError(out, unsupportedError(feature))
 	}
-	before := s.settingsPrefix()
-	set, only := leadingSettings(all, text)
-	if m, ok := s.saveSettings(set); !ok {
+	prefix := s.settingsPrefix() // without the settings of this text, which are sent as part of it
+	settings, only := leadingSettings(words, text)
+	if m, ok := s.saveSettings(settings); !ok {
 		return s.sendError(out, m)
 	}
 	if only {
 		s.respond(out, func(b []byte) []byte {
-			for _, one := range set {
-				if one.database != "" {
-					b = appendEnvChange(b, envDatabase, one.database, s.login.database)
-					b = appendMessage(b, tokenInfo, Message{5701, 2, 0, "Changed database context to '" + one.database + "'."}, s.server.Name)
+			for _, setting := range settings {
+				if setting.database != "" {
+					b = appendEnvChange(b, envDatabase, setting.database, s.login.database)
+					b = appendMessage(b, tokenInfo, Message{5701, 2, 0, "Changed database context to '" + setting.database + "'."}, s.server.Name)
 				}
 			}
 			return appendDone(b, tokenDone, 0, 0)
 		})
 		return traffic.Stir{}
 	}
-	if value, ok := s.serverValues(all); ok {
-		s.sendServerValues(out, value)
+	if values, ok := s.serverValues(words); ok {
+		s.sendServerValues(out, values)
 		return traffic.Stir{}
 	}
-	return s.submit(text, all, before, nil, out)
+	return s.submit(text, words, prefix, nil, out)
 }
 
-// saveSettings keeps what a session has set, the last of each.
-func (s *Session) saveSettings(set []sessionSetting) (Message, bool) {
-	for _, one := range set {
-		if one.database != "" {
-			if !s.databaseAllowed(one.database) {
-				return Message{911, 1, 16, fmt.Sprintf("Database %.60q does not exist.", one.database)}, false
+// saveSettings records the settings that a client made, the last one of each key. If one is not allowed it returns false
+// and the error for the client.
+func (s *Session) saveSettings(settings []sessionSetting) (Message, bool) {
+	for _, setting := range settings {
+		if setting.database != "" {
+			if !s.databaseAllowed(setting.database) {
+				return Message{911, 1, 16, fmt.Sprintf("Database %.60q does not exist.", setting.database)}, false
 			}
-			s.database = one.database
+			s.database = setting.database
 			continue
 		}
-		kept, size := s.settings[:0], len(one.text)
+		kept, size := s.settings[:0], len(setting.text)
 		for _, old := range s.settings {
-			if old.key != one.key {
+			if old.key != setting.key {
 				kept, size = append(kept, old), size+len(old.text)
 			}
 		}
 		if len(kept) >= maxSettings || size > maxSettingBytes {
-			return unsupportedError("so many SET options of one session"), false
+			return unsupportedError("more SET options in one session"), false
 		}
-		s.settings = append(kept, one)
+		s.settings = append(kept, setting)
 	}
 	return Message{}, true
 }
 
-// settingsPrefix is what the session's settings are to an engine.
+// settingsPrefix returns the USE and SET statements that give an engine's connection the session's settings. They are
+// sent ahead of each batch.
 func (s *Session) settingsPrefix() string {
-	var out strings.Builder
+	var prefix strings.Builder
 	if s.database != "" {
-		out.WriteString("USE [" + strings.ReplaceAll(s.database, "]", "]]") + "]; ")
+		prefix.WriteString("USE [" + strings.ReplaceAll(s.database, "]", "]]") + "]; ")
 	}
-	for _, one := range s.settings {
-		out.WriteString(one.text + "; ")
+	for _, setting := range s.settings {
+		prefix.WriteString(setting.text + "; ")
 	}
-	return out.String()
+	return prefix.String()
 }
 
-// submit makes a batch of a statement.
-func (s *Session) submit(text string, all []statement.Word, ahead string, parameters []rows.Parameter, out *buffers.Chain) traffic.Said {
+// submit turns a statement into a batch for an engine and applies the assignment rules to it.
+func (s *Session) submit(text string, words []statement.Word, prefix string, parameters []rows.Parameter, out *buffers.Chain) traffic.Said {
 	ask := &traffic.Ask{Stream: s.stream + 1}
 	b := &ask.Batch
-	b.Client, b.Ahead, b.Parameters = s.client, ahead, parameters
+	b.Client, b.Ahead, b.Parameters = s.client, prefix, parameters
 	b.Login, b.Application = s.login.user, s.login.appName
 	if s.database == "" {
 		b.Database = s.login.database
 	}
 	about := assign.About{Login: s.login.user, Application: s.login.appName, Database: s.currentDatabase()}
-	if len(all) > 0 {
-		about.Form = strings.ToLower(all[0].Text)
+	if len(words) > 0 {
+		about.Form = strings.ToLower(words[0].Text)
 	}
 	if err := s.server.Rules().Assign(about, text, b); err != nil {
 		return s.sendError(out, Message{50404, 1, 16, "pitchfield: " + err.Error() + "."})
@@ -416,38 +428,39 @@
 	return ask
 }
 
-// handleRPC takes an RPC.
-func (s *Session) handleRPC(c rpcRequest, out *buffers.Chain) (traffic.Said, error) {
+// handleRPC processes an RPC request. The sp_executesql and sp_prepare families are handled here; a procedure called by
+// any other name is sent to an engine as an EXEC statement.
+func (s *Session) handleRPC(request rpcRequest, out *buffers.Chain) (traffic.Said, error) {
 	text := func(i int) (string, error) {
-		if i >= len(c.parameters) || c.parameters[i].Kind != rows.Text {
-			return "", requestError{Message{214, 2, 16, "A procedure lacks a parameter of text."}}
+		if i >= len(request.parameters) || request.parameters[i].Kind != rows.Text {
+			return "", requestError{Message{214, 2, 16, "Procedure expects a parameter of a text type."}}
 		}
-		return string(c.parameters[i].Value), nil
+		return string(request.parameters[i].Value), nil
 	}
 	run := func(p preparedStatement, values []parameter) (traffic.Said, error) {
 		parameters, err := nameParameters(p.declaration, values)
 		if err != nil {
 			return nil, err
 		}
-		all := statement.Words(p.text)
-		if why := unsupportedFeature(all); why != "" {
-			return nil, requestError{unsupportedError(why)}
+		words := statement.Words(p.text)
+		if feature := unsupportedFeature(words); feature != "" {
+			return nil, requestError{unsupportedError(feature)}
 		}
-		return s.submit(p.text, all, s.settingsPrefix(), parameters, out), nil
+		return s.submit(p.text, words, s.settingsPrefix(), parameters, out), nil
 	}
 	statementAt := func(i, declaration int) (p preparedStatement, err error) {
-		if p.text, err = text(i); err == nil && declaration < len(c.parameters) && !c.parameters[declaration].Null {
+		if p.text, err = text(i); err == nil && declaration < len(request.parameters) && !request.parameters[declaration].Null {
 			p.declaration, err = text(declaration)
 		}
 		return p, err
 	}
-	switch c.procID {
+	switch request.procID {
 	case procExecuteSQL:
 		p, err := statementAt(0, 1)
 		if err != nil {
 			return nil, err
 		}
-		return run(p, c.parameters[min(2, len(c.parameters)):])
+		return run(p, request.parameters[min(2, len(request.parameters)):])
 	case procPrepare, procPrepExec:
 		p, err := statementAt(2, 1)
 		if err != nil {
@@ -458,24 +471,24 @@
 			return nil, err
 		}
 		s.response.handle = handle
-		if c.procID == procPrepExec {
-			return run(p, c.parameters[3:])
+		if request.procID == procPrepExec {
+			return run(p, request.parameters[3:])
 		}
 		s.beginResponse()
 		s.finishResponse(out)
 		return traffic.Stir{}, nil
 	case procExecute, procUnprepare:
 		handle, ok := int32(0), false
-		if len(c.parameters) > 0 && c.parameters[0].Kind == rows.Int32 && len(c.parameters[0].Value) == 4 {
-			v := c.parameters[0].Value
+		if len(request.parameters) > 0 && request.parameters[0].Kind == rows.Int32 && len(request.parameters[0].Value) == 4 {
+			v := request.parameters[0].Value
 			handle, ok = int32(uint32(v[0])|uint32(v[1])<<8|uint32(v[2])<<16|uint32(v[3])<<24), true
 		}
-		p, there := s.handles[handle]
-		if !ok || !there {
+		p, found := s.handles[handle]
+		if !ok || !found {
 			return nil, requestError{Message{8179, 2, 16, fmt.Sprintf("Could not find prepared statement with handle %d.", handle)}}
 		}
-		if c.procID == procExecute {
-			return run(p, c.parameters[1:])
+		if request.procID == procExecute {
+			return run(p, request.parameters[1:])
 		}
 		delete(s.handles, handle)
 		s.handleBytes -= len(p.text) + len(p.declaration)
@@ -483,19 +496,19 @@
 		s.finishResponse(out)
 		return traffic.Stir{}, nil
 	case 0:
-		return s.handleNamedProcedure(c, out)
+		return s.handleNamedProcedure(request, out)
 	}
-	if c.procID <= 9 {
+	if request.procID <= 9 { // sp_cursor to sp_cursorclose
 		return nil, requestError{unsupportedError("server cursors")}
 	}
-	return nil, requestError{unsupportedError(fmt.Sprintf("the procedure with number %d", c.procID))}
+	return nil, requestError{unsupportedError(fmt.Sprintf("the procedure with number %d", request.procID))}
 }
 
-// prepare keeps a statement under a new handle.
+// prepare stores a statement and returns its new handle.
 func (s *Session) prepare(p preparedStatement) (int32, error) {
 	size := len(p.text) + len(p.declaration)
 	if len(s.handles) >= maxHandles || s.handleBytes+size > maxHandleBytes || s.lastHandle == math.MaxInt32 {
-		return 0, requestError{unsupportedError("so many prepared statements of one session")}
+		return 0, requestError{unsupportedError("more prepared statements in one session")}
 	}
 	if s.handles == nil {
 		s.handles = map[int32]preparedStatement{}
@@ -506,21 +519,21 @@
 	return s.lastHandle, nil
 }
 
-// handleNamedProcedure turns a call by name to a statement; its values stand in it as literals.
-func (s *Session) handleNamedProcedure(c rpcRequest, out *buffers.Chain) (traffic.Said, error) {
-	if c.name == "" || strings.ContainsFunc(c.name, func(r rune) bool { return !isNameRune(r) && !strings.ContainsRune(".[] ", r) }) {
-		return nil, requestError{Message{2812, 62, 16, fmt.Sprintf("%.60q is not the name of a procedure.", c.name)}}
+// handleNamedProcedure turns an RPC request by procedure name into an EXEC statement with its parameters as literals.
+func (s *Session) handleNamedProcedure(request rpcRequest, out *buffers.Chain) (traffic.Said, error) {
+	if request.name == "" || strings.ContainsFunc(request.name, func(r rune) bool { return !isNameRune(r) && !strings.ContainsRune(".[] ", r) }) {
+		return nil, requestError{Message{2812, 62, 16, fmt.Sprintf("%.60q is not a valid procedure name.", request.name)}}
 	}
-	text := "EXEC " + c.name
-	for i, p := range c.parameters {
+	text := "EXEC " + request.name
+	for i, p := range request.parameters {
 		literal, err := rows.Literal(p.Parameter)
 		switch {
 		case p.output:
-			return nil, requestError{unsupportedError("a parameter that returns a value")}
+			return nil, requestError{unsupportedError("output parameters")}
 		case err != nil:
 			return nil, requestError{Message{8114, 5, 16, err.Error()}}
 		case strings.ContainsFunc(p.Name, func(r rune) bool { return !isNameRune(r) && r != '@' }):
-			return nil, requestError{Message{8145, 1, 16, fmt.Sprintf("%.40q is not the name of a parameter.", p.Name)}}
+			return nil, requestError{Message{8145, 1, 16, fmt.Sprintf("%.40q is not a valid parameter name.", p.Name)}}
 		case p.Name != "":
 			literal = p.Name + "=" + literal
 		}
@@ -532,11 +545,13 @@
 	return s.submit(text, statement.Words(text), s.settingsPrefix(), nil, out), nil
 }
 
+// isNameRune reports whether a procedure or parameter name may contain r without brackets.
 func isNameRune(r rune) bool {
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' || r == '$' || r == '#' || r >= 0x80
 }
 
-// Tell writes what the client is told.
+// Tell writes rows, a batch's outcome or a connection error to the client. Rows and outcomes of batches that are no
+// longer pending are ignored.
 func (s *Session) Tell(out *buffers.Chain, what traffic.Tell) {
 	switch w := what.(type) {
 	case *traffic.Rows:
@@ -572,40 +587,42 @@
 	}
 }
 
-// Numbers of the errors that a batch ends with. Drivers hold the first for transient and ask again.
+// Error numbers that report the outcome of a batch to the client.
 const (
-	ErrorNumberRejected = 40501
-	ErrorNumberFailed   = 50510
+	ErrorNumberRejected = 40501 // rejected; drivers treat this number as transient and retry
+	ErrorNumberFailed   = 50510 // failed; it may have run
 )
 
-// failureMessage words an ending. A pushback is a promise; an error is none.
+// failureMessage returns the error that reports a rejected or failed batch. A rejection guarantees that the batch has not
+// run and is safe to retry; a failure guarantees nothing.
 func failureMessage(a *traffic.Answer) Message {
 	if a.Code == traffic.PushedBack {
-		m := Message{ErrorNumberRejected, 1, 16, "The service is currently busy: the batch is pushed back, and to ask again is harmless."}
+		m := Message{ErrorNumberRejected, 1, 16, "The service is currently busy: the batch was rejected and is safe to retry."}
 		if a.Wait > 0 {
 			m.Text += fmt.Sprintf(" Retry the request after %d ms.", int(math.Ceil(a.Wait*1000)))
 		}
 		return m
 	}
-	m := Message{ErrorNumberFailed, 1, 16, "pitchfield: the batch is errored, and whether it has run is not known."}
+	m := Message{ErrorNumberFailed, 1, 16, "pitchfield: the batch failed, and whether it has run is not known."}
 	if a.Why != "" {
 		m.Text += " " + a.Why
 	}
 	return m
 }
 
-// writeRows writes rows. What does not fill a packet waits for more.
+// writeRows writes part of a result set, or the count of changed rows. Bytes that do not fill a packet stay in the
+// buffer.
 func (s *Session) writeRows(out *buffers.Chain, p rows.Part) {
 	if p.Columns != nil {
 		s.endResult(doneMore)
 		s.beginResponse()
 		s.response.columns, s.response.rowCount = p.Columns, 0
 		s.out.buf = appendColMetadata(s.out.buf, p.Columns)
-	} else if p.Data == nil && p.Count > 0 && s.response.columns == nil { // of rows that were changed
+	} else if p.Data == nil && p.Count > 0 && s.response.columns == nil { // a count of changed rows
 		s.out.buf = appendDone(s.out.buf, s.innerDoneToken(), doneMore|doneCount, uint64(p.Count))
 		return
 	}
-	// What does not fit its columns was found when it was taken in.
+	// The error is ignored: rows that do not match their columns were rejected when they were received.
 	_ = rows.Each(p, len(s.response.columns), func(row [][]byte) error {
 		s.out.buf = appendRow(s.out.buf, s.response.columns, row)
 		s.response.rowCount++
@@ -616,6 +633,7 @@
 	})
 }
 
+// innerDoneToken returns the DONE token that ends a result set within a response.
 func (s *Session) innerDoneToken() byte {
 	if s.response.isRPC {
 		return tokenDoneInProc
@@ -623,7 +641,7 @@
 	return tokenDone
 }
 
-// endResult ends a result of an answer that goes on.
+// endResult writes the DONE of the open result set, if there is one.
 func (s *Session) endResult(status int) {
 	if s.response.columns != nil {
 		s.out.buf = appendDone(s.out.buf, s.innerDoneToken(), status|doneCount, s.response.rowCount)
@@ -631,7 +649,7 @@
 	}
 }
 
-// finishResponse ends an answer that is whole.
+// finishResponse ends a successful response.
 func (s *Session) finishResponse(out *buffers.Chain) {
 	switch {
 	case s.response.isRPC:
