--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -14,68 +14,70 @@
 	"pitchfield/internal/traffic"
 )
 
-// EngineConfig is how the router gets into engines that speak TDS.
+// EngineConfig says how to connect to engines that speak TDS.
 type EngineConfig struct {
 	Pool                     *buffers.Pool
 	User, Password, Database string
-	AppName                  string // that it logs in as
-	PacketSize               int    // bytes that it asks for
-	ProbeQuery               string // statement of a health check; it must give a row or nothing
-	LoadQuery                string // statement whose first row is the load report, by the names of its columns; empty: none
-	// TurnedAway are the numbers of errors with which an engine says that it has not run a batch.
+	AppName                  string // host name, application name and client interface name of the LOGIN7
+	PacketSize               int    // requested packet size in bytes
+	ProbeQuery               string // statement of a health check; it must return a row or nothing
+	LoadQuery                string // statement whose first row is the load report, matched by column name; empty: no load reports
+	// RejectionNumbers are the error numbers by which an engine reports that it rejected a batch without running it.
 	RejectionNumbers []int32
 }
 
-// Protocol is what the core must know of TDS engines.
-func (a *EngineConfig) Protocol() *traffic.EngineProtocol {
-	return &traffic.EngineProtocol{Name: "tds", Alone: true, Held: true, New: func() traffic.Engine { return a.NewEngine() }}
+// Protocol describes TDS engines to the router core.
+func (c *EngineConfig) Protocol() *traffic.EngineProtocol {
+	return &traffic.EngineProtocol{Name: "tds", Alone: true, Held: true, New: func() traffic.Engine { return c.NewEngine() }}
 }
 
-// NewEngine gives the state of a new connection.
-func (a *EngineConfig) NewEngine() *Engine { return &Engine{config: a, packetSize: defaultPacketSize} }
+// NewEngine returns the protocol state of a new connection to an engine.
+func (c *EngineConfig) NewEngine() *Engine { return &Engine{config: c, packetSize: defaultPacketSize} }
 
+// phase is the state of a connection to an engine.
 type phase uint8
 
 const (
-	preloginSent phase = iota // PRELOGIN is out
-	loginSent                 // LOGIN7 is out
-	idle
-	running
-	attentionSent // Attention is out
+	preloginSent  phase = iota // waiting for the response to PRELOGIN
+	loginSent                  // waiting for the response to LOGIN7
+	idle                       // no request is pending
+	running                    // a request is pending
+	attentionSent              // the request was cancelled; waiting for the acknowledgement of the Attention
 )
 
-// rowChunkSize is how many bytes of rows are passed on together.
+// rowChunkSize is the number of bytes of rows after which they are passed on in one reply.
 const rowChunkSize = 16 << 10
 
-// Engine is a connection to an engine: one request at a time.
+// Engine is the protocol state of one connection to an engine, which carries one request at a time. It does no I/O and is
+// not safe for concurrent use.
 type Engine struct {
 	config         *EngineConfig
 	phase          phase
-	packetSize     int    // of packets
-	negotiatedSize int    // the size after the login
-	unread         []byte // of the answer, not read yet
-	complete       bool   // its last packet is in
+	packetSize     int    // bytes
+	negotiatedSize int    // packet size that the engine announced during the login; takes effect after it; 0: none
+	unread         []byte // payload of the response that has been received but not parsed
+	complete       bool   // the last packet of the response has been received
 
-	requestID     string
+	requestID     string // of the dispatch or probe that is pending
 	isProbe       bool
-	loadReport    *brain.Report
-	columns       []column
-	resultColumns []rows.Column // of which rows are on their way
-	columnsUnsent bool          // no piece of it has gone on
-	unsent        rows.Part
-	rowsSent      bool // something of the result has been passed on
-	acknowledged  bool // LOGINACK has come
-	firstError    *Message
-	scratch       []byte
+	loadReport    *brain.Report // from the probe's first row
+	columns       []column      // of the open result set, as sent by the engine
+	resultColumns []rows.Column // of the same result set, as passed on
+	columnsUnsent bool          // resultColumns have not been passed on yet
+	unsent        rows.Part     // rows that have not been passed on yet
+	rowsSent      bool          // part of the result has been passed on
+	acknowledged  bool          // LOGINACK, or the DONE that acknowledges the Attention, has been received
+	firstError    *Message      // first error of the response
+	scratch       []byte        // buffer for decoded values
 }
 
-// Open greets the engine.
+// Open writes the PRELOGIN. The connection takes requests only after Read has returned Up.
 func (e *Engine) Open(out *buffers.Chain) bool {
 	writeMessage(out, packetPrelogin, 0, defaultPacketSize, appendPrelogin(nil, prelogin{encryption: encryptNotSupported}))
 	return false
 }
 
-// Order asks for something.
+// Order writes a dispatch, a probe or the cancellation of a dispatch to out.
 func (e *Engine) Order(out *buffers.Chain, what traffic.Order) {
 	switch o := what.(type) {
 	case *traffic.Dispatch:
@@ -97,18 +99,20 @@
 	}
 }
 
+// beginRequest resets the per-request state.
 func (e *Engine) beginRequest(id string, probe bool) {
 	e.phase, e.requestID, e.isProbe, e.loadReport, e.firstError, e.rowsSent = running, id, probe, nil, nil, false
 	e.columns, e.resultColumns, e.columnsUnsent = nil, nil, false
 }
 
-// discardRows forgets rows that nobody wants.
+// discardRows releases the rows that have not been passed on.
 func (e *Engine) discardRows() {
 	e.unsent.Release()
 	e.unsent = rows.Part{}
 }
 
-// writeDispatch writes a batch. The connection is reset with it, so nothing of the batch before is left there.
+// writeDispatch writes a batch, preceded by a comment that describes it. RESETCONNECTION removes the session state that
+// the previous batch left on the connection.
 func (e *Engine) writeDispatch(out *buffers.Chain, d *traffic.Dispatch) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "/* pitchfield id=%s group=%s wait=%dms", d.ID, d.Group, max(int(math.Ceil(d.Wait*1000)), 1))
@@ -127,12 +131,13 @@
 	e.writeRequest(out, text.String(), d.Parameters)
 }
 
-// Send asks for a statement as it is, under an id of the caller's. It is for clients.
+// Send writes a statement unchanged; replies to it carry id. Test clients use it.
 func (e *Engine) Send(out *buffers.Chain, id, text string, parameters []rows.Parameter) {
 	e.beginRequest(id, false)
 	e.writeRequest(out, text, parameters)
 }
 
+// writeRequest writes a SQL batch, or a call of sp_executesql if the statement has parameters.
 func (e *Engine) writeRequest(out *buffers.Chain, text string, parameters []rows.Parameter) {
 	if len(parameters) == 0 {
 		writeMessage(out, packetBatch, statusResetConnection, e.packetSize, appendUTF16(appendAllHeaders(nil), text))
@@ -141,7 +146,8 @@
 	writeMessage(out, packetRPC, statusResetConnection, e.packetSize, appendExecuteSQL(nil, text, parameters))
 }
 
-// Read gives the next reply.
+// Read parses the engine's response from in and returns the next reply, or nil if more bytes are needed. Messages that
+// the login needs are written to out. After an error nothing more can be read.
 func (e *Engine) Read(in, out *buffers.Chain) (*traffic.Reply, error) {
 	for {
 		if len(e.unread) > 0 || e.complete {
@@ -157,7 +163,7 @@
 			return nil, fmt.Errorf("%w: a packet of type %d from an engine", ErrProtocol, p.packetType)
 		}
 		if e.phase == idle {
-			return nil, fmt.Errorf("%w: an answer to nothing", ErrProtocol)
+			return nil, fmt.Errorf("%w: a response without a request", ErrProtocol)
 		}
 		if len(e.unread)+p.size > maxTokenSize+maxPacketSize {
 			return nil, fmt.Errorf("%w: a token of more than %d bytes", ErrProtocol, maxTokenSize)
@@ -172,7 +178,7 @@
 	}
 }
 
-// handlePreloginResponse takes the answer to PRELOGIN.
+// handlePreloginResponse parses the response to PRELOGIN and writes the LOGIN7.
 func (e *Engine) handlePreloginResponse(out *buffers.Chain) error {
 	p, err := parsePrelogin(e.unread)
 	e.unread, e.complete = nil, false
@@ -180,25 +186,26 @@
 		return err
 	}
 	if p.encryption == encryptOn || p.encryption == encryptRequired {
-		return fmt.Errorf("%w: the engine wants encryption, which this router does not have", traffic.ErrLogin)
+		return fmt.Errorf("%w: the engine requires encryption, which this router does not support", traffic.ErrLogin)
 	}
-	a := e.config
+	config := e.config
 	e.phase = loginSent
-	writeMessage(out, packetLogin7, 0, defaultPacketSize, appendLogin(login{packetSize: uint32(a.PacketSize), host: a.AppName, user: a.User,
-		password: a.Password, appName: a.AppName, clientInterface: a.AppName, database: a.Database}))
+	writeMessage(out, packetLogin7, 0, defaultPacketSize, appendLogin(login{packetSize: uint32(config.PacketSize),
+		host: config.AppName, user: config.User, password: config.Password, appName: config.AppName,
+		clientInterface: config.AppName, database: config.Database}))
 	return nil
 }
 
-// readTokens reads on until there is something to tell, or more bytes are needed.
+// readTokens parses tokens until there is a reply to return or more bytes are needed.
 func (e *Engine) readTokens(out *buffers.Chain) (*traffic.Reply, error) {
 	c := cursor{buf: e.unread}
-	used := 0
-	keep := func() { e.unread = e.unread[:copy(e.unread, e.unread[used:])] }
-	for used < len(e.unread) {
+	parsed := 0 // bytes of the tokens that have been parsed whole
+	dropParsed := func() { e.unread = e.unread[:copy(e.unread, e.unread[parsed:])] }
+	for parsed < len(e.unread) {
 		reply, err := e.readToken(&c)
 		if c.err == errIncomplete { //nolint:errorlint
 			if e.complete {
-				return nil, fmt.Errorf("%w: an answer that ends within a token", ErrProtocol)
+				return nil, fmt.Errorf("%w: a response that ends within a token", ErrProtocol)
 			}
 			break
 		}
@@ -208,79 +215,80 @@
 		if err != nil {
 			return nil, err
 		}
-		used = c.offset
+		parsed = c.offset
 		if reply != nil {
-			keep()
+			dropParsed()
 			return reply, nil
 		}
 	}
-	keep()
+	dropParsed()
 	if e.complete && len(e.unread) == 0 {
 		if e.complete = false; cap(e.unread) > maxPacketSize {
 			e.unread = nil
 		}
 		return e.endResponse()
 	}
-	if e.unsent.Len() > 0 { // what came is passed on before more is waited for
+	if e.unsent.Len() > 0 { // pass on the received rows instead of waiting for more
 		return e.takeRows(), nil
 	}
 	return nil, nil
 }
 
-// takeRows passes on the rows that there are.
+// takeRows returns the unsent rows as a reply, with their columns if it is the result set's first.
 func (e *Engine) takeRows() *traffic.Reply {
-	p := e.unsent
+	part := e.unsent
 	e.unsent = rows.Part{}
 	if e.columnsUnsent {
-		p.Columns, e.columnsUnsent = e.resultColumns, false
+		part.Columns, e.columnsUnsent = e.resultColumns, false
 	}
-	p.Form, e.rowsSent = rows.Values, true
-	return &traffic.Reply{ID: e.requestID, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: p}
+	part.Form, e.rowsSent = rows.Values, true
+	return &traffic.Reply{ID: e.requestID, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: part}
 }
 
-// readToken reads one token and what it changes.
+// readToken parses one token and updates the state. A parse error is left in c.err; errIncomplete means that the token
+// has not been received whole and that the state is unchanged.
 func (e *Engine) readToken(c *cursor) (*traffic.Reply, error) {
 	switch kind := c.u8(); kind {
 	case tokenColMetadata:
-		all := c.colMetadata()
+		columns := c.colMetadata()
 		if c.err != nil {
 			return nil, nil
 		}
 		if e.phase != running || e.isProbe {
-			e.columns = all
+			e.columns = columns
 			return nil, nil
 		}
-		var before *traffic.Reply
+		var previous *traffic.Reply // the rest of the previous result set
 		if e.unsent.Len() > 0 || e.columnsUnsent && e.resultColumns != nil {
-			before = e.takeRows()
+			previous = e.takeRows()
 		}
-		e.columns, e.columnsUnsent = all, len(all) > 0
-		e.resultColumns = make([]rows.Column, len(all))
-		for i, one := range all {
-			e.resultColumns[i] = rows.Column{Name: one.name, Type: one.Type}
+		e.columns, e.columnsUnsent = columns, len(columns) > 0
+		e.resultColumns = make([]rows.Column, len(columns))
+		for i, column := range columns {
+			e.resultColumns[i] = rows.Column{Name: column.name, Type: column.Type}
 		}
-		return before, nil
+		return previous, nil
 	case tokenRow, tokenNBCRow:
 		if len(e.columns) == 0 {
-			c.fail("a row without columns")
+			c.fail("a row without COLMETADATA")
 			return nil, nil
 		}
 		return e.readRow(c, kind == tokenNBCRow), nil
 	case tokenDone, tokenDoneProc, tokenDoneInProc:
-		d := c.done(kind)
+		done := c.done(kind)
 		if c.err != nil {
 			return nil, nil
 		}
-		if e.phase == running && !e.isProbe && d.status&doneCount != 0 && e.columns == nil && d.count > 0 && d.count <= math.MaxInt32 {
+		if e.phase == running && !e.isProbe && done.status&doneCount != 0 && e.columns == nil && done.count > 0 && done.count <= math.MaxInt32 {
 			e.rowsSent = true
 			return &traffic.Reply{ID: e.requestID, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1,
-				Rows: rows.Part{Form: rows.Values, Count: int(d.count)}}, nil
+				Rows: rows.Part{Form: rows.Values, Count: int(done.count)}}, nil
 		}
-		if d.status&doneError != 0 && e.firstError == nil {
-			e.firstError = &Message{Text: "the engine tells of an error without saying which"}
+		if done.status&doneError != 0 && e.firstError == nil {
+			e.firstError = &Message{Text: "the engine reported an error without an ERROR token"}
 		}
-		if e.phase == attentionSent && d.status&doneAttention != 0 {
-			e.acknowledged = true // its answer must end here
+		if e.phase == attentionSent && done.status&doneAttention != 0 {
+			e.acknowledged = true // the response must end here
 		}
 		e.columns = nil
 	case tokenError:
@@ -296,7 +304,7 @@
 		}
 		body.u8()
 		if v := body.take(4); v != nil && v[0] < 0x72 {
-			c.fail("the engine speaks TDS %x", v)
+			c.fail("the engine speaks TDS version %x", v)
 		}
 		e.acknowledged = true
 	case tokenEnvChange:
@@ -326,33 +334,34 @@
 		c.skipFeatureExtAck()
 	default:
 		if c.err == nil {
-			c.fail("token %#x", kind)
+			c.fail("unknown token %#x", kind)
 		}
 	}
 	return nil, nil
 }
 
-// readRow reads a row, into the part that is passed on next. Only a whole one changes anything.
-func (e *Engine) readRow(c *cursor, mapped bool) *traffic.Reply {
-	var missing []byte
-	if mapped {
-		missing = c.take((len(e.columns) + 7) / 8)
+// readRow parses a row and adds it to the unsent rows; hasNullBitmap is set for an NBCROW. A row that has not been
+// received whole changes nothing.
+func (e *Engine) readRow(c *cursor, hasNullBitmap bool) *traffic.Reply {
+	var nullBitmap []byte
+	if hasNullBitmap {
+		nullBitmap = c.take((len(e.columns) + 7) / 8)
 	}
 	if e.phase != running || e.isProbe {
-		e.skipRow(c, missing)
+		e.skipRow(c, nullBitmap)
 		return nil
 	}
-	data, at := e.unsent.Data, e.unsent.Len()
+	data, lengthBefore := e.unsent.Data, e.unsent.Len()
 	if data == nil {
 		data = e.config.Pool.Chain()
 	}
 	for i := range e.columns {
 		var v []byte
-		if missing == nil || missing[i/8]&(1<<(i%8)) == 0 {
+		if nullBitmap == nil || nullBitmap[i/8]&(1<<(i%8)) == 0 {
 			v = c.value(&e.columns[i].typeInfo, &e.scratch)
 		}
 		if c.err != nil {
-			data.Truncate(at)
+			data.Truncate(lengthBefore)
 			return nil
 		}
 		rows.Append(data, v)
@@ -365,34 +374,34 @@
 	return nil
 }
 
-// skipRow passes over a row, but takes the first of a probe for its load report.
-func (e *Engine) skipRow(c *cursor, missing []byte) {
-	var rep *brain.Report
+// skipRow parses and discards a row, except that the first row of a probe becomes its load report.
+func (e *Engine) skipRow(c *cursor, nullBitmap []byte) {
+	var report *brain.Report
 	if e.isProbe && e.phase == running && e.loadReport == nil && e.config.LoadQuery != "" {
-		rep = settings.NoReport()
+		report = settings.NoReport()
 	}
 	for i := range e.columns {
-		if missing != nil && missing[i/8]&(1<<(i%8)) != 0 {
+		if nullBitmap != nil && nullBitmap[i/8]&(1<<(i%8)) != 0 {
 			continue
 		}
 		v := c.value(&e.columns[i].typeInfo, &e.scratch)
 		if c.err != nil {
 			return
 		}
-		if rep != nil && v != nil {
+		if report != nil && v != nil {
 			if text, err := rows.Format(e.columns[i].Type, v); err == nil {
 				if f, err := strconv.ParseFloat(text, 64); err == nil && !math.IsNaN(f) && !math.IsInf(f, 0) {
-					settings.Report(rep, strings.ToLower(e.columns[i].name), f)
+					settings.Report(report, strings.ToLower(e.columns[i].name), f)
 				}
 			}
 		}
 	}
-	if rep != nil {
-		e.loadReport = rep
+	if report != nil {
+		e.loadReport = report
 	}
 }
 
-// endResponse: the answer is whole.
+// endResponse handles the end of a response and returns the reply that it amounts to; nil: none.
 func (e *Engine) endResponse() (*traffic.Reply, error) {
 	reply := &traffic.Reply{ID: e.requestID, Pages: -1, Page: -1, Work: -1, Memory: -1}
 	failed := e.firstError
@@ -403,7 +412,7 @@
 			return nil, fmt.Errorf("%w: %w", traffic.ErrLogin, *failed)
 		}
 		if !e.acknowledged {
-			return nil, fmt.Errorf("%w: the engine does not say that it lets us in", traffic.ErrLogin)
+			return nil, fmt.Errorf("%w: the engine did not acknowledge the login", traffic.ErrLogin)
 		}
 		if e.negotiatedSize > 0 {
 			e.packetSize = e.negotiatedSize
@@ -411,7 +420,7 @@
 		e.phase, e.acknowledged = idle, false
 		reply.Word = traffic.Up
 		return reply, nil
-	case attentionSent: // an answer that crossed the Attention ends without this
+	case attentionSent: // a response that was already on its way ends without the acknowledgement; wait for the next
 		if !e.acknowledged {
 			return nil, nil
 		}
@@ -421,7 +430,7 @@
 	case running:
 		if e.unsent.Len() > 0 || e.columnsUnsent {
 			if failed == nil || e.rowsSent {
-				e.complete = true // and the end comes next
+				e.complete = true // the next Read calls endResponse again
 				e.firstError = failed
 				return e.takeRows(), nil
 			}
@@ -442,5 +451,5 @@
 		}
 		return reply, nil
 	}
-	return nil, fmt.Errorf("%w: an answer to nothing", ErrProtocol)
+	return nil, fmt.Errorf("%w: a response without a request", ErrProtocol)
 }
