--- a/internal/tds/login.go
+++ b/internal/tds/login.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// The options of PRELOGIN (2.2.6.5).
+// Options of a PRELOGIN message ([MS-TDS] 2.2.6.5).
 const (
 	optionVersion    = 0
 	optionEncryption = 1
@@ -15,21 +15,23 @@
 	optionMARS       = 4
 	optionEnd        = 0xFF
 
+	// Values of the option ENCRYPTION.
 	encryptOff          = 0
 	encryptOn           = 1
-	encryptNotSupported = 2 // not supported
+	encryptNotSupported = 2
 	encryptRequired     = 3
 
 	maxPreloginOptions = 32
 )
 
-// prelogin is what a PRELOGIN says, as far as it matters.
+// prelogin holds the options of a PRELOGIN message that are used here.
 type prelogin struct{ encryption, mars byte }
 
+// parsePrelogin parses the payload of a PRELOGIN message.
 func parsePrelogin(b []byte) (p prelogin, err error) {
 	p.encryption = encryptNotSupported
 	for i := 0; i < maxPreloginOptions; i++ {
-		at := i * 5
+		at := i * 5 // token, 2 bytes of offset, 2 bytes of length
 		if at >= len(b) {
 			break
 		}
@@ -39,30 +41,31 @@
 		if at+5 > len(b) {
 			break
 		}
-		from, n := int(binary.BigEndian.Uint16(b[at+1:])), int(binary.BigEndian.Uint16(b[at+3:]))
-		if from+n > len(b) {
-			return p, fmt.Errorf("%w: option %d of a PRELOGIN lies outside", ErrProtocol, b[at])
+		offset, length := int(binary.BigEndian.Uint16(b[at+1:])), int(binary.BigEndian.Uint16(b[at+3:]))
+		if offset+length > len(b) {
+			return p, fmt.Errorf("%w: option %d of a PRELOGIN lies outside of the message", ErrProtocol, b[at])
 		}
-		switch value := b[from : from+n]; {
-		case b[at] == optionEncryption && n == 1:
+		switch value := b[offset : offset+length]; {
+		case b[at] == optionEncryption && length == 1:
 			p.encryption = value[0]
-		case b[at] == optionMARS && n == 1:
+		case b[at] == optionMARS && length == 1:
 			p.mars = value[0]
 		}
 	}
-	return p, fmt.Errorf("%w: a PRELOGIN without end", ErrProtocol)
+	return p, fmt.Errorf("%w: a PRELOGIN without terminator", ErrProtocol)
 }
 
+// appendPrelogin appends the payload of a PRELOGIN message.
 func appendPrelogin(out []byte, p prelogin) []byte {
 	values := []struct {
 		option byte
 		value  []byte
 	}{{optionVersion, []byte{16, 0, 0, 0, 0, 0}}, {optionEncryption, []byte{p.encryption}}, {optionInstance, []byte{0}},
 		{optionThread, nil}, {optionMARS, []byte{p.mars}}}
-	at := 5*len(values) + 1
+	offset := 5*len(values) + 1
 	for _, v := range values {
-		out = append(out, v.option, byte(at>>8), byte(at), 0, byte(len(v.value)))
-		at += len(v.value)
+		out = append(out, v.option, byte(offset>>8), byte(offset), 0, byte(len(v.value)))
+		offset += len(v.value)
 	}
 	out = append(out, optionEnd)
 	for _, v := range values {
@@ -71,7 +74,7 @@
 	return out
 }
 
-// login is what a LOGIN7 says (2.2.6.4).
+// login holds the fields of a LOGIN7 message that are used here ([MS-TDS] 2.2.6.4).
 type login struct {
 	version, packetSize                                              uint32
 	host, user, password, appName, server, clientInterface, database string
@@ -79,15 +82,17 @@
 }
 
 const (
+	// login7FixedSize is the number of bytes before the variable part of a LOGIN7.
 	login7FixedSize        = 94
-	flagIntegratedSecurity = 0x80
-	flagExtension          = 0x10
-	featureFedAuth         = 0x02
-	maxLoginChars          = 128
+	flagIntegratedSecurity = 0x80 // fIntSecurity of OptionFlags2
+	flagExtension          = 0x10 // fExtension of OptionFlags3: the message has a FeatureExt
+	featureFedAuth         = 0x02 // FEDAUTH of the FeatureExt
+	maxLoginChars          = 128  // of each text, in UTF-16 units
 )
 
 var errMalformedLogin = fmt.Errorf("%w: a LOGIN7 that does not hold what it says", ErrProtocol)
 
+// parseLogin parses the payload of a LOGIN7 message.
 func parseLogin(b []byte) (l login, err error) {
 	if len(b) < login7FixedSize || int(binary.LittleEndian.Uint32(b)) != len(b) {
 		return l, errMalformedLogin
@@ -95,23 +100,23 @@
 	l.version, l.packetSize = binary.LittleEndian.Uint32(b[4:]), binary.LittleEndian.Uint32(b[8:])
 	l.integrated = b[25]&flagIntegratedSecurity != 0
 	field := func(at int) []byte {
-		from, n := int(binary.LittleEndian.Uint16(b[at:])), 2*int(binary.LittleEndian.Uint16(b[at+2:]))
-		if n == 0 {
+		offset, length := int(binary.LittleEndian.Uint16(b[at:])), 2*int(binary.LittleEndian.Uint16(b[at+2:]))
+		if length == 0 {
 			return nil
 		}
-		if n > 2*maxLoginChars || from+n > len(b) {
+		if length > 2*maxLoginChars || offset+length > len(b) {
 			err = errMalformedLogin
 			return nil
 		}
-		return b[from : from+n]
+		return b[offset : offset+length]
 	}
 	l.host, l.user = fromUTF16(field(36)), fromUTF16(field(40))
-	plain := append([]byte(nil), field(44)...)
-	for i, c := range plain {
+	password := append([]byte(nil), field(44)...) // a copy to undo the obfuscation in
+	for i, c := range password {
 		c ^= 0xA5
-		plain[i] = c<<4 | c>>4
+		password[i] = c<<4 | c>>4
 	}
-	l.password = fromUTF16(plain)
+	l.password = fromUTF16(password)
 	l.appName, l.server, l.clientInterface, l.database = fromUTF16(field(48)), fromUTF16(field(52)), fromUTF16(field(60)), fromUTF16(field(68))
 	if b[27]&flagExtension != 0 && err == nil {
 		l.federated, err = parseLoginFeatures(b)
@@ -119,14 +124,15 @@
 	return l, err
 }
 
-// parseLoginFeatures looks whether a login wants to be checked elsewhere; other features are not answered, which says no.
+// parseLoginFeatures parses the FeatureExt of a LOGIN7 and reports whether the client asks for federated authentication.
+// Other features are ignored: leaving them out of the response declines them.
 func parseLoginFeatures(b []byte) (federated bool, err error) {
-	at, n := int(binary.LittleEndian.Uint16(b[56:])), int(binary.LittleEndian.Uint16(b[58:]))
-	if n < 4 || at+4 > len(b) {
+	offset, length := int(binary.LittleEndian.Uint16(b[56:])), int(binary.LittleEndian.Uint16(b[58:]))
+	if length < 4 || offset+4 > len(b) {
 		return false, errMalformedLogin
 	}
 	c := cursor{buf: b}
-	if c.offset = int(binary.LittleEndian.Uint32(b[at:])); c.offset < 0 || c.offset > len(b) {
+	if c.offset = int(binary.LittleEndian.Uint32(b[offset:])); c.offset < 0 || c.offset > len(b) {
 		return false, errMalformedLogin
 	}
 	for range 64 {
@@ -143,20 +149,21 @@
 	return false, errMalformedLogin
 }
 
+// appendLogin returns the payload of a LOGIN7 message.
 func appendLogin(l login) []byte {
 	out := make([]byte, login7FixedSize, login7FixedSize+256)
 	binary.LittleEndian.PutUint32(out[4:], tdsVersion)
 	binary.LittleEndian.PutUint32(out[8:], l.packetSize)
 	binary.LittleEndian.PutUint32(out[12:], 0x00010000)
-	out[24], out[25] = 0xE0, 0x03 // initial database and language must be there, SET options as ODBC has them
-	put := func(at int, s string, hide bool) {
+	out[24], out[25] = 0xE0, 0x03 // an unknown initial database or language fails the login; SET options as for ODBC
+	put := func(at int, s string, obfuscate bool) {
 		s = truncateUTF16(s, maxLoginChars)
-		from := len(out)
-		binary.LittleEndian.PutUint16(out[at:], uint16(from))
+		offset := len(out)
+		binary.LittleEndian.PutUint16(out[at:], uint16(offset))
 		binary.LittleEndian.PutUint16(out[at+2:], uint16(utf16Units(s)))
 		out = appendUTF16(out, s)
-		if hide {
-			for i := from; i < len(out); i++ {
+		if obfuscate {
+			for i := offset; i < len(out); i++ {
 				out[i] = (out[i]<<4 | out[i]>>4) ^ 0xA5
 			}
 		}
@@ -172,35 +179,36 @@
 	return out
 }
 
-// negotiatePacketSize is the size of packets after a login: what the client asks for, within what is allowed.
-func negotiatePacketSize(asked uint32) int {
-	if asked == 0 {
+// negotiatePacketSize returns the packet size in bytes to use after a login: the one that the client requests, within
+// the allowed range.
+func negotiatePacketSize(requested uint32) int {
+	if requested == 0 {
 		return defaultPacketSize
 	}
-	return int(min(max(asked, minPacketSize), maxPacketSize))
+	return int(min(max(requested, minPacketSize), maxPacketSize))
 }
 
-// appendLoginAck answers a login that is let in.
-func appendLoginAck(out []byte, l login, program string, packet int) []byte {
+// appendLoginAck appends the response to a successful login.
+func appendLoginAck(out []byte, l login, program string, packetSize int) []byte {
 	out = appendEnvChange(out, envDatabase, l.database, "")
 	out = appendMessage(out, tokenInfo, Message{5701, 2, 0, "Changed database context to '" + l.database + "'."}, program)
 	out = append(appendU16(append(out, tokenEnvChange), 8), envCollation, 5)
 	out = append(append(out, collation...), 0)
 	out = appendEnvChange(out, envLanguage, "us_english", "")
-	at := len(out)
+	start := len(out)
 	out = append(out, tokenLoginAck, 0, 0, 1)
 	out = binary.BigEndian.AppendUint32(out, tdsVersion)
 	out = append(appendBVarChar(out, program), 16, 0, 0, 0)
-	binary.LittleEndian.PutUint16(out[at+1:], uint16(len(out)-at-3))
-	out = appendEnvChange(out, envPacketSize, fmt.Sprint(packet), fmt.Sprint(defaultPacketSize))
+	binary.LittleEndian.PutUint16(out[start+1:], uint16(len(out)-start-3))
+	out = appendEnvChange(out, envPacketSize, fmt.Sprint(packetSize), fmt.Sprint(defaultPacketSize))
 	return appendDone(out, tokenDone, 0, 0)
 }
 
-// Errors that clients are told when they come; the numbers are those that drivers know.
+// Errors of the login phase. The numbers are those of SQL Server, which drivers know.
 var (
 	errEncryptionUnsupported = Message{20, 1, 20, "The connection must not be encrypted: this router does not support encryption. Connect with encryption off."}
 	errLoginFailed           = Message{18456, 1, 14, "Login failed."}
 	errLoginMethod           = Message{18452, 1, 14, "Login failed. Only logins by a user and a password that the router's settings name are supported."}
-	errOldVersion            = Message{17809, 1, 20, "This router speaks TDS 7.4 and 7.2 to 7.3 as far as they are alike; the client asks for an older one."}
-	errLoginExpected         = errors.New("a request before the login is done")
+	errOldVersion            = Message{17809, 1, 20, "This router supports TDS 7.4, and 7.2 and 7.3 where they are the same; the client requests an older version."}
+	errLoginExpected         = errors.New("a request before the login is complete")
 )
