--- a/internal/tds/rpc.go
+++ b/internal/tds/rpc.go
@@ -7,7 +7,7 @@
 	"pitchfield/internal/rows"
 )
 
-// The procedures by number (2.2.6.6).
+// Numbers of the stored procedures that an RPC request may name by number ([MS-TDS] 2.2.6.6).
 const (
 	procCursor      = 1
 	procExecuteSQL  = 10
@@ -18,32 +18,34 @@
 	procUnprepare   = 15
 )
 
+// procNames maps the names of these procedures to their numbers.
 var procNames = map[string]uint16{"sp_cursor": 1, "sp_cursoropen": 2, "sp_cursorprepare": 3, "sp_cursorexecute": 4,
 	"sp_cursorprepexec": 5, "sp_cursorunprepare": 6, "sp_cursorfetch": 7, "sp_cursoroption": 8, "sp_cursorclose": 9,
 	"sp_executesql": procExecuteSQL, "sp_prepare": procPrepare, "sp_execute": procExecute, "sp_prepexec": procPrepExec,
 	"sp_prepexecrpc": procPrepExecRPC, "sp_unprepare": procUnprepare}
 
 const (
-	maxParameters     = 2100 // as servers have it
-	paramByReference  = 1
-	paramDefaultValue = 2
+	maxParameters     = 2100 // the limit of SQL Server
+	paramByReference  = 1    // fByRefValue of a parameter's StatusFlags
+	paramDefaultValue = 2    // fDefaultValue of a parameter's StatusFlags
 )
 
-// rpcRequest is an RPC.
+// rpcRequest is a parsed RPC request.
 type rpcRequest struct {
-	procID     uint16
-	name       string // of one that has no number
+	procID     uint16 // 0: a procedure without a number
+	name       string // empty if the request names the procedure by number
 	parameters []parameter
 }
 
+// parameter is a parameter of an RPC request; output is set if it is passed by reference.
 type parameter struct {
 	rows.Parameter
 	output bool
 }
 
-// skipAllHeaders passes over ALL_HEADERS (2.2.5.3).
+// skipAllHeaders skips ALL_HEADERS ([MS-TDS] 2.2.5.3).
 func (c *cursor) skipAllHeaders() {
-	from := c.offset
+	start := c.offset
 	total := int(c.u32())
 	if c.err != nil {
 		return
@@ -52,10 +54,10 @@
 		c.fail("headers of %d bytes", total)
 		return
 	}
-	c.offset = from + total
+	c.offset = start + total
 }
 
-// parseBatch reads a SQLBatch's text.
+// parseBatch returns the SQL text of a batch request.
 func parseBatch(b []byte) (string, error) {
 	c := cursor{buf: b}
 	c.skipAllHeaders()
@@ -68,7 +70,8 @@
 	return fromUTF16(b[c.offset:]), nil
 }
 
-// incompleteIsMalformed: in a message that is whole nothing more comes.
+// incompleteIsMalformed turns errIncomplete into a protocol error: a whole message has been read, so no more bytes of it
+// will follow.
 func incompleteIsMalformed(err error) error {
 	if err == errIncomplete { //nolint:errorlint
 		return fmt.Errorf("%w: a message that does not hold what it says", ErrProtocol)
@@ -76,27 +79,27 @@
 	return err
 }
 
-// requestError is an error of which the session is told, and goes on.
+// requestError is an error that is sent to the client; the session stays open.
 type requestError struct{ Message }
 
-// parseRPC reads a call.
+// parseRPC parses an RPC request. It returns a requestError if the request is valid but not supported.
 func parseRPC(b []byte) (out rpcRequest, err error) {
 	c := cursor{buf: b}
 	c.skipAllHeaders()
-	if n := c.u16(); n == nullLength {
+	if length := c.u16(); length == nullLength {
 		out.procID = c.u16()
 	} else {
-		if out.name = c.chars(int(n)); n > 512 {
-			c.fail("a procedure's name of %d characters", n)
+		if out.name = c.chars(int(length)); length > 512 {
+			c.fail("a procedure's name of %d characters", length)
 		}
-		short := strings.ToLower(out.name)
-		short = short[strings.LastIndexByte(short, '.')+1:]
-		out.procID = procNames[strings.Trim(short, "[]")]
+		base := strings.ToLower(out.name)
+		base = base[strings.LastIndexByte(base, '.')+1:]
+		out.procID = procNames[strings.Trim(base, "[]")]
 	}
-	c.u16() // options: recompile, no metadata
+	c.u16() // OptionFlags: fWithRecomp, fNoMetaData
 	for c.err == nil && c.remaining() > 0 {
 		switch c.buf[c.offset] {
-		case 0xFF, 0xFE, 0x80: // a name is never so long
+		case 0xFF, 0xFE, 0x80: // BatchFlag or NoExecFlag: no parameter name is as long as these bytes would say
 			return out, requestError{unsupportedError("several calls in one request")}
 		}
 		if len(out.parameters) == maxParameters {
@@ -106,45 +109,45 @@
 		p.Name = c.bVarChar()
 		status := c.u8()
 		p.output = status&paramByReference != 0
-		at := c.offset
-		w := c.typeInfo()
-		if c.err != nil && c.err != errIncomplete && at < len(b) { //nolint:errorlint
+		typeOffset := c.offset
+		info := c.typeInfo()
+		if c.err != nil && c.err != errIncomplete && typeOffset < len(b) { //nolint:errorlint
 			return out, requestError{unsupportedError(strings.TrimPrefix(c.err.Error(), ErrProtocol.Error()+": "))}
 		}
-		p.Type = w.Type
+		p.Type = info.Type
 		var scratch []byte
-		v := c.value(&w, &scratch)
+		v := c.value(&info, &scratch)
 		p.Null = v == nil
 		p.Value = append([]byte{}, v...)
 		if status&paramDefaultValue != 0 {
-			return out, requestError{unsupportedError("a parameter's default")}
+			return out, requestError{unsupportedError("default values of parameters")}
 		}
 		out.parameters = append(out.parameters, p)
 	}
 	return out, incompleteIsMalformed(c.err)
 }
 
-// appendExecuteSQL makes a call of sp_executesql.
+// appendExecuteSQL appends an RPC request that calls sp_executesql.
 func appendExecuteSQL(out []byte, text string, parameters []rows.Parameter) []byte {
 	out = appendAllHeaders(out)
 	out = appendU16(appendU16(appendU16(out, nullLength), procExecuteSQL), 0)
-	unnamed := func(s string) {
+	appendUnnamed := func(s string) {
 		out = append(out, 0, 0)
 		t := rows.Type{Kind: rows.Text}
 		out = appendValue(appendType(out, t), t, []byte(s))
 	}
-	unnamed(text)
+	appendUnnamed(text)
 	if len(parameters) == 0 {
 		return out
 	}
-	var declared strings.Builder
+	var declaration strings.Builder
 	for i, p := range parameters {
 		if i > 0 {
-			declared.WriteByte(',')
+			declaration.WriteByte(',')
 		}
-		declared.WriteString(p.Name + " " + SQLType(p.Type))
+		declaration.WriteString(p.Name + " " + SQLType(p.Type))
 	}
-	unnamed(declared.String())
+	appendUnnamed(declaration.String())
 	for _, p := range parameters {
 		out = append(appendBVarChar(out, p.Name), 0)
 		v := p.Value
@@ -156,16 +159,17 @@
 	return out
 }
 
+// appendAllHeaders appends ALL_HEADERS, which consists of a transaction descriptor header.
 func appendAllHeaders(out []byte) []byte {
-	out = appendU32(appendU32(out, 22), 18)
-	out = appendU16(out, 2)                                // the transaction's
-	return append(out, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0) // none; one request
+	out = appendU32(appendU32(out, 22), 18)                // length of all headers, length of the header
+	out = appendU16(out, 2)                                // type: transaction descriptor
+	return append(out, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0) // no transaction; one outstanding request
 }
 
-// SQLType writes a type as SQL does.
+// SQLType returns a type as SQL writes it in a declaration, for example "decimal(9,2)".
 func SQLType(t rows.Type) string {
-	size := func(most int) string {
-		if t.Size == 0 || t.Size > most {
+	size := func(maxSize int) string {
+		if t.Size == 0 || t.Size > maxSize {
 			return "(max)"
 		}
 		return fmt.Sprintf("(%d)", t.Size)
@@ -183,9 +187,9 @@
 	return t.Kind.String()
 }
 
-// declaredNames gives the names in a declaration of parameters, as "@a int, @b decimal(9,2)".
-func declaredNames(declaration string) (out []string) {
-	depth, fresh := 0, true
+// declaredNames returns the parameter names in a declaration like "@a int, @b decimal(9,2)".
+func declaredNames(declaration string) (names []string) {
+	depth, expectName := 0, true
 	for i := 0; i < len(declaration); i++ {
 		switch c := declaration[i]; {
 		case c == '(':
@@ -193,20 +197,21 @@
 		case c == ')':
 			depth--
 		case c == ',' && depth == 0:
-			fresh = true
-		case c == '@' && fresh:
-			n := i + 1
-			for n < len(declaration) && !strings.ContainsRune(" \t\r\n,()", rune(declaration[n])) {
-				n++
+			expectName = true
+		case c == '@' && expectName:
+			end := i + 1
+			for end < len(declaration) && !strings.ContainsRune(" \t\r\n,()", rune(declaration[end])) {
+				end++
 			}
-			out = append(out, declaration[i:n])
-			i, fresh = n-1, false
+			names = append(names, declaration[i:end])
+			i, expectName = end-1, false
 		}
 	}
-	return out
+	return names
 }
 
-// nameParameters gives the values that follow a statement and its declaration their names.
+// nameParameters returns the parameters of a statement, each with its declared name: by its own name or, without one, by
+// its position in the declaration.
 func nameParameters(declaration string, values []parameter) ([]rows.Parameter, error) {
 	names := declaredNames(declaration)
 	if len(values) > len(names) {
@@ -216,7 +221,7 @@
 	seen := map[string]bool{}
 	for i, v := range values {
 		if v.output {
-			return nil, requestError{unsupportedError("a parameter that returns a value")}
+			return nil, requestError{unsupportedError("output parameters")}
 		}
 		name := v.Name
 		if name == "" {
@@ -226,17 +231,17 @@
 			name = "@" + name
 		}
 		key := strings.ToLower(name)
-		known := false
+		declared := false
 		for _, n := range names {
-			known = known || strings.EqualFold(n, name)
+			declared = declared || strings.EqualFold(n, name)
 		}
-		if !known || seen[key] {
+		if !declared || seen[key] {
 			return nil, requestError{Message{8145, 1, 16, fmt.Sprintf("%.40q is not a declared parameter, or is there twice.", name)}}
 		}
 		seen[key] = true
 		p := v.Parameter
 		p.Name = name
-		if _, err := rows.Literal(p); err != nil { // every engine must be able to be told it
+		if _, err := rows.Literal(p); err != nil { // engines of other protocols receive the parameter as a literal
 			return nil, requestError{Message{8114, 5, 16, err.Error()}}
 		}
 		out = append(out, p)
@@ -247,6 +252,7 @@
 	return out, nil
 }
 
-func unsupportedError(what string) Message {
-	return Message{40510, 1, 16, "This router does not carry " + what + "."}
+// unsupportedError is the error for a feature that the router does not support.
+func unsupportedError(feature string) Message {
+	return Message{40510, 1, 16, "This router does not support " + feature + "."}
 }
