--- a/internal/tds/tokens.go
+++ b/internal/tds/tokens.go
@@ -7,7 +7,7 @@
 	"pitchfield/internal/rows"
 )
 
-// The tokens of answers (2.2.7).
+// Tokens of responses ([MS-TDS] 2.2.7).
 const (
 	tokenReturnStatus  = 0x79
 	tokenColMetadata   = 0x81
@@ -30,7 +30,7 @@
 	tokenDoneInProc    = 0xFF
 )
 
-// The status bits of a DONE.
+// Status bits of DONE, DONEPROC and DONEINPROC.
 const (
 	doneMore        = 0x001
 	doneError       = 0x002
@@ -39,7 +39,7 @@
 	doneServerError = 0x100
 )
 
-// The kinds of an ENVCHANGE.
+// Types of ENVCHANGE.
 const (
 	envDatabase        = 1
 	envLanguage        = 2
@@ -48,54 +48,56 @@
 	envResetConnection = 18
 )
 
+// noMetadata is the column count of a COLMETADATA without columns.
 const noMetadata = 0xFFFF
 
-// Message is an ERROR or an INFO.
+// Message is an ERROR or INFO token. Class is the severity.
 type Message struct {
 	Number       int32
 	State, Class byte
 	Text         string
 }
 
+// Error returns the message's text with its number.
 func (m Message) Error() string { return fmt.Sprintf("%s (%d)", m.Text, m.Number) }
 
-// doneToken is a DONE of any kind.
+// doneToken is a DONE, DONEPROC or DONEINPROC token.
 type doneToken struct {
 	kind   byte
 	status uint16
 	count  uint64
 }
 
-// column is one as the wire names it.
+// column is a column of a result set as COLMETADATA describes it.
 type column struct {
 	name string
 	typeInfo
 }
 
-// colMetadata reads COLMETADATA after its token.
+// colMetadata reads COLMETADATA after its token byte.
 func (c *cursor) colMetadata() []column {
-	n := c.u16()
-	if n == noMetadata {
+	count := c.u16()
+	if count == noMetadata {
 		return []column{}
 	}
-	if n > maxColumns {
-		c.fail("%d columns", n)
+	if count > maxColumns {
+		c.fail("%d columns", count)
 		return nil
 	}
-	out := make([]column, 0, min(int(n), 64))
-	for range n {
-		c.take(4 + 2) // the user's type and flags
-		w := c.typeInfo()
+	out := make([]column, 0, min(int(count), 64))
+	for range count {
+		c.take(4 + 2) // UserType and Flags
+		info := c.typeInfo()
 		name := c.bVarChar()
 		if c.err != nil {
 			return nil
 		}
-		out = append(out, column{name, w})
+		out = append(out, column{name, info})
 	}
 	return out
 }
 
-// readMessage reads an ERROR or an INFO after its token.
+// readMessage reads an ERROR or INFO after its token byte.
 func (c *cursor) readMessage() (m Message) {
 	body := cursor{buf: c.take(int(c.u16()))}
 	if c.err != nil {
@@ -108,6 +110,7 @@
 	return m
 }
 
+// done reads a DONE, DONEPROC or DONEINPROC after its token byte, which is kind.
 func (c *cursor) done(kind byte) doneToken {
 	d := doneToken{kind: kind, status: c.u16()}
 	c.u16()
@@ -115,74 +118,76 @@
 	return d
 }
 
-// skipFeatureExtAck passes over FEATUREEXTACK.
+// skipFeatureExtAck skips FEATUREEXTACK after its token byte.
 func (c *cursor) skipFeatureExtAck() {
 	for c.err == nil {
 		if c.u8() == 0xFF {
 			return
 		}
-		n := c.u32()
-		if n > maxTokenSize {
-			c.fail("feature of %d bytes", n)
+		length := c.u32()
+		if length > maxTokenSize {
+			c.fail("feature of %d bytes", length)
 		}
-		c.take(int(n))
+		c.take(int(length))
 	}
 }
 
-// Writers. Each appends a token.
-
+// appendMessage appends an ERROR or INFO token.
 func appendMessage(out []byte, token byte, m Message, server string) []byte {
-	at := len(out)
+	start := len(out)
 	out = append(appendU32(append(out, token, 0, 0), uint32(m.Number)), m.State, m.Class)
 	out = appendBVarChar(appendUSVarChar(out, m.Text), server)
 	out = appendU32(append(out, 0), 1) // no procedure; line 1
-	binary.LittleEndian.PutUint16(out[at+1:], uint16(len(out)-at-3))
+	binary.LittleEndian.PutUint16(out[start+1:], uint16(len(out)-start-3))
 	return out
 }
 
+// appendDone appends a DONE, DONEPROC or DONEINPROC token.
 func appendDone(out []byte, kind byte, status int, count uint64) []byte {
 	return binary.LittleEndian.AppendUint64(appendU16(appendU16(append(out, kind), status), 0), count)
 }
 
-func appendEnvChange(out []byte, kind byte, now, before string) []byte {
-	at := len(out)
-	out = appendBVarChar(appendBVarChar(append(out, tokenEnvChange, 0, 0, kind), now), before)
-	binary.LittleEndian.PutUint16(out[at+1:], uint16(len(out)-at-3))
+// appendEnvChange appends an ENVCHANGE token whose values are texts.
+func appendEnvChange(out []byte, kind byte, newValue, oldValue string) []byte {
+	start := len(out)
+	out = appendBVarChar(appendBVarChar(append(out, tokenEnvChange, 0, 0, kind), newValue), oldValue)
+	binary.LittleEndian.PutUint16(out[start+1:], uint16(len(out)-start-3))
 	return out
 }
 
-func appendColMetadata(out []byte, all []rows.Column) []byte {
-	out = appendU16(append(out, tokenColMetadata), len(all))
-	for _, c := range all {
-		out = append(out, 0, 0, 0, 0, 1, 0) // may be without a value
+// appendColMetadata appends a COLMETADATA token.
+func appendColMetadata(out []byte, columns []rows.Column) []byte {
+	out = appendU16(append(out, tokenColMetadata), len(columns))
+	for _, c := range columns {
+		out = append(out, 0, 0, 0, 0, 1, 0) // UserType 0; Flags: nullable
 		out = appendBVarChar(appendType(out, c.Type), truncateUTF16(c.Name, maxColumnName))
 	}
 	return out
 }
 
-// appendRow writes a row: with a map of what has no value where that is shorter.
-func appendRow(out []byte, all []rows.Column, row [][]byte) []byte {
-	missing := 0
+// appendRow appends a row: an NBCROW, which marks NULL values in a bitmap, if that is shorter, else a ROW.
+func appendRow(out []byte, columns []rows.Column, row [][]byte) []byte {
+	nulls := 0
 	for _, v := range row {
 		if v == nil {
-			missing++
+			nulls++
 		}
 	}
-	if missing*2 <= len(row)/8+1 {
+	if nulls*2 <= len(row)/8+1 {
 		out = append(out, tokenRow)
 		for i, v := range row {
-			out = appendValue(out, all[i].Type, v)
+			out = appendValue(out, columns[i].Type, v)
 		}
 		return out
 	}
 	out = append(out, tokenNBCRow)
-	at := len(out)
+	bitmap := len(out)
 	out = append(out, make([]byte, (len(row)+7)/8)...)
 	for i, v := range row {
 		if v == nil {
-			out[at+i/8] |= 1 << (i % 8)
+			out[bitmap+i/8] |= 1 << (i % 8)
 		} else {
-			out = appendValue(out, all[i].Type, v)
+			out = appendValue(out, columns[i].Type, v)
 		}
 	}
 	return out
