--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -320,8 +320,8 @@
 		c.u16()
 		c.bVarChar()
 		c.take(1 + 4 + 2)
-		w := c.typeInfo()
-		c.value(&w, &e.scratch)
+		info := c.typeInfo()
+		c.value(&info, &e.scratch)
 	case tokenOrder, tokenTabName, tokenColInfo, tokenSSPI:
 		c.take(int(c.u16()))
 	case tokenSessionState, tokenFedAuthInfo:
--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -61,18 +61,18 @@
 	f.Add([]byte{typeVarChar, 10, 0, 5, 4, 0xD0, 0, 0x34, 2, 0, 0xC8, 0x9A})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c := cursor{buf: b}
-		w := c.typeInfo()
+		info := c.typeInfo()
 		var scratch []byte
-		v := c.value(&w, &scratch)
-		if c.err != nil || v != nil && w.Valid(v) != nil {
+		v := c.value(&info, &scratch)
+		if c.err != nil || v != nil && info.Valid(v) != nil {
 			return
 		}
 		want := append([]byte(nil), v...)
-		again := cursor{buf: appendValue(appendType(nil, w.Type), w.Type, v)}
+		again := cursor{buf: appendValue(appendType(nil, info.Type), info.Type, v)}
 		w2 := again.typeInfo()
 		got := again.value(&w2, &scratch)
 		if again.err != nil || (got == nil) != (v == nil) || string(got) != string(want) || again.remaining() != 0 {
-			t.Fatalf("%v %q became %q, %v", w.Type, want, got, again.err)
+			t.Fatalf("%v %q became %q, %v", info.Type, want, got, again.err)
 		}
 	})
 }
--- a/internal/tds/server_values.go
+++ b/internal/tds/server_values.go
@@ -14,15 +14,15 @@
 const productName = "pitchfield, a router before analytic engines"
 
 // serverValues gives the values of a SELECT of nothing but figures of the server, with the names they stand under.
-func (s *Session) serverValues(all []statement.Word) ([]rows.Parameter, bool) {
-	for len(all) > 0 && all[len(all)-1].Text == ";" {
-		all = all[:len(all)-1]
+func (s *Session) serverValues(words []statement.Word) ([]rows.Parameter, bool) {
+	for len(words) > 0 && words[len(words)-1].Text == ";" {
+		words = words[:len(words)-1]
 	}
-	if len(all) < 2 || all[0].Upper != "SELECT" || all[0].Quoted {
+	if len(words) < 2 || words[0].Upper != "SELECT" || words[0].Quoted {
 		return nil, false
 	}
 	var out []rows.Parameter
-	for rest := all[1:]; len(rest) > 0; {
+	for rest := words[1:]; len(rest) > 0; {
 		n := 0
 		for n < len(rest) && rest[n].Text != "," {
 			n++
@@ -41,12 +41,12 @@
 }
 
 // serverValue is one value of such a SELECT, with a name behind it or none.
-func (s *Session) serverValue(all []statement.Word) (v rows.Parameter, ok bool) {
-	if n := len(all); n >= 3 && all[n-2].Upper == "AS" {
-		v.Name, all = all[n-1].Text, all[:n-2]
+func (s *Session) serverValue(words []statement.Word) (v rows.Parameter, ok bool) {
+	if n := len(words); n >= 3 && words[n-2].Upper == "AS" {
+		v.Name, words = words[n-1].Text, words[:n-2]
 	}
 	var b strings.Builder
-	for _, w := range all {
+	for _, w := range words {
 		if w.Quoted {
 			return v, false
 		}
--- a/internal/tds/statements.go
+++ b/internal/tds/statements.go
@@ -14,10 +14,10 @@
 }
 
 // leadingSettings gives the SET and USE statements at the start of a text and whether nothing else is in it.
-func leadingSettings(all []statement.Word, text string) (out []sessionSetting, only bool) {
+func leadingSettings(words []statement.Word, text string) (out []sessionSetting, only bool) {
 	i := 0
-	for i < len(all) {
-		w := all[i]
+	for i < len(words) {
+		w := words[i]
 		if w.Quoted || w.Upper == ";" {
 			if w.Upper != ";" {
 				return out, false
@@ -29,14 +29,14 @@
 			return out, false
 		}
 		n := i + 1
-		for n < len(all) && all[n].Upper != ";" && !statementStarts[all[n].Upper] {
+		for n < len(words) && words[n].Upper != ";" && !statementStarts[words[n].Upper] {
 			n++
 		}
 		if n == i+1 {
 			return out, false
 		}
-		s := sessionSetting{text: strings.TrimSpace(text[w.From:all[n-1].To])}
-		switch name := all[i+1]; {
+		s := sessionSetting{text: strings.TrimSpace(text[w.From:words[n-1].To])}
+		switch name := words[i+1]; {
 		case w.Upper == "USE":
 			s.key, s.database = "USE", name.Text
 		case strings.HasPrefix(name.Text, "@"): // a variable of the batch
@@ -45,8 +45,8 @@
 			s.key = "TRANSACTION ISOLATION LEVEL"
 		default: // SET A ON, SET A, B ON, SET IDENTITY_INSERT table ON
 			s.key = name.Upper
-			for k := i + 2; k+1 < n && all[k].Text == ","; k += 2 {
-				s.key += "," + all[k+1].Upper
+			for k := i + 2; k+1 < n && words[k].Text == ","; k += 2 {
+				s.key += "," + words[k+1].Upper
 			}
 		}
 		out = append(out, s)
@@ -63,11 +63,11 @@
 
 // unsupportedFeature says what of a statement needs a session of its own on an engine, which this router does not give; empty:
 // nothing. Batches of one session go to different engines.
-func unsupportedFeature(all []statement.Word) string {
-	for i, w := range all {
+func unsupportedFeature(words []statement.Word) string {
+	for i, w := range words {
 		next := ""
-		if i+1 < len(all) && !all[i+1].Quoted {
-			next = all[i+1].Upper
+		if i+1 < len(words) && !words[i+1].Quoted {
+			next = words[i+1].Upper
 		}
 		if strings.HasPrefix(w.Text, "#") {
 			return "temporary tables (" + truncateUTF16(w.Text, 40) + ")"
@@ -85,11 +85,11 @@
 				return "transactions"
 			}
 		case "IMPLICIT_TRANSACTIONS":
-			if i > 0 && all[i-1].Upper == "SET" && next == "ON" {
+			if i > 0 && words[i-1].Upper == "SET" && next == "ON" {
 				return "transactions"
 			}
 		case "CURSOR":
-			for _, before := range all[max(0, i-4):i] {
+			for _, before := range words[max(0, i-4):i] {
 				if before.Upper == "DECLARE" {
 					return "server cursors"
 				}
--- a/internal/tds/types.go
+++ b/internal/tds/types.go
@@ -8,7 +8,7 @@
 	"pitchfield/internal/rows"
 )
 
-// The types of values on the wire (2.2.5.4).
+// Data types on the wire ([MS-TDS] 2.2.5.4). The suffix Legacy marks what the specification calls legacy types.
 const (
 	typeNull            = 0x1F
 	typeImage           = 0x22
@@ -56,41 +56,42 @@
 )
 
 const (
-	plpSize          = 0xFFFF // for a size: chunks, of any length
-	nullLength       = 0xFFFF // for a length: no value
-	plpNull          = 0xFFFFFFFFFFFFFFFF
-	plpUnknownLength = 0xFFFFFFFFFFFFFFFE
-	collationUTF8    = 1 << 26
-	maxNVarChar      = 4000 // of a text that has a bound
-	maxVarBinary     = 8000
+	plpSize          = 0xFFFF             // as a type's maximum length: (max), with values in PLP format (partially length-prefixed)
+	nullLength       = 0xFFFF             // as a USHORT length: NULL; as the length of a procedure name: a procedure number follows
+	plpNull          = 0xFFFFFFFFFFFFFFFF // as the total length of a PLP value: NULL
+	plpUnknownLength = 0xFFFFFFFFFFFFFFFE // as the total length of a PLP value: unknown, the chunks tell it
+	collationUTF8    = 1 << 26            // flag of a collation: text is UTF-8
+	maxNVarChar      = 4000               // characters of an nvarchar with a bounded size
+	maxVarBinary     = 8000               // bytes of a varbinary with a bounded size
 )
 
-// lengthEncoding says how a value tells its length.
+// lengthEncoding is the way in which the length of a value is encoded.
 type lengthEncoding uint8
 
 const (
-	fixedLength lengthEncoding = iota
-	byteLength
-	ushortLength
-	plpLength
+	fixedLength  lengthEncoding = iota
+	byteLength                  // a byte before the value
+	ushortLength                // a USHORT before the value
+	plpLength                   // chunks, each with its length (PLP)
 )
 
-// typeInfo is a column's type as it stands on the wire.
+// typeInfo is a parsed TYPE_INFO: a type and how its values are encoded.
 type typeInfo struct {
 	rows.Type
 	lengthEncoding
-	fixedSize  int              // bytes, where fixed
-	maxSize    int              // bytes, where told
-	singleByte bool             // characters of one byte,
-	codePage   *charmap.Charmap // by this table; none: UTF-8
+	fixedSize  int              // bytes of a value, with fixedLength
+	maxSize    int              // maximum bytes of a value, where the type states it
+	singleByte bool             // text in a single-byte code page or UTF-8, not UTF-16
+	codePage   *charmap.Charmap // of single-byte text; nil: UTF-8
 }
 
-// code pages by the language of a collation; all others are taken for Windows-1252.
+// codePages maps the LCID of a collation to its code page. All other LCIDs are taken as Windows-1252.
 var codePages = map[uint32]*charmap.Charmap{0x0405: charmap.Windows1250, 0x041B: charmap.Windows1250, 0x0415: charmap.Windows1250,
 	0x040E: charmap.Windows1250, 0x0424: charmap.Windows1250, 0x041A: charmap.Windows1250, 0x0418: charmap.Windows1250,
 	0x0419: charmap.Windows1251, 0x0422: charmap.Windows1251, 0x0408: charmap.Windows1253, 0x041F: charmap.Windows1254,
 	0x0425: charmap.Windows1257, 0x0426: charmap.Windows1257, 0x0427: charmap.Windows1257}
 
+// fixedTypes are the types whose values have a fixed size in bytes.
 var fixedTypes = map[byte]struct {
 	kind rows.Kind
 	size int
@@ -98,7 +99,7 @@
 	typeInt8: {rows.Int64, 8}, typeFlt4: {rows.Float32, 4}, typeFlt8: {rows.Float64, 8}, typeMoney: {rows.Money, 8},
 	typeMoney4: {rows.SmallMoney, 4}, typeDateTime: {rows.DateTime, 8}, typeDateTime4: {rows.SmallDateTime, 4}}
 
-// kindsBySize are the types whose bytes tell which kind they are.
+// kindsBySize are the nullable types whose size in bytes determines the kind.
 var kindsBySize = map[byte]map[byte]rows.Kind{
 	typeIntN:      {1: rows.Int8, 2: rows.Int16, 4: rows.Int32, 8: rows.Int64},
 	typeBitN:      {1: rows.Bit},
@@ -108,89 +109,91 @@
 	typeGUID:      {16: rows.GUID},
 }
 
+// kindsWithScale are the types that carry a scale.
 var kindsWithScale = map[byte]rows.Kind{typeTime: rows.Time, typeDateTime2: rows.DateTime2, typeDateTimeOffset: rows.DateTimeOffset}
 
-func (c *cursor) collation(w *typeInfo) {
+// collation reads a collation and sets the code page of single-byte text.
+func (c *cursor) collation(info *typeInfo) {
 	if b := c.take(5); b != nil {
-		info := binary.LittleEndian.Uint32(b)
-		if w.singleByte && info&collationUTF8 == 0 {
-			if w.codePage = codePages[info&0xFFFF]; w.codePage == nil {
-				w.codePage = charmap.Windows1252
+		flags := binary.LittleEndian.Uint32(b)
+		if info.singleByte && flags&collationUTF8 == 0 {
+			if info.codePage = codePages[flags&0xFFFF]; info.codePage == nil {
+				info.codePage = charmap.Windows1252
 			}
 		}
 	}
 }
 
-// typeInfo reads a type (2.2.5.6). Types that nothing here can carry are errors that name them.
-func (c *cursor) typeInfo() (w typeInfo) {
+// typeInfo reads a TYPE_INFO ([MS-TDS] 2.2.5.6). An unsupported type is an error that names it.
+func (c *cursor) typeInfo() (info typeInfo) {
 	id := c.u8()
 	if c.err != nil {
-		return w
+		return info
 	}
 	if f, ok := fixedTypes[id]; ok {
-		w.Kind, w.fixedSize = f.kind, f.size
-		return w
+		info.Kind, info.fixedSize = f.kind, f.size
+		return info
 	}
 	if kinds, ok := kindsBySize[id]; ok {
 		size := c.u8()
-		w.lengthEncoding = byteLength
-		if w.Kind, ok = kinds[size]; !ok && c.err == nil {
+		info.lengthEncoding = byteLength
+		if info.Kind, ok = kinds[size]; !ok && c.err == nil {
 			c.fail("type %#x of %d bytes", id, size)
 		}
-		return w
+		return info
 	}
 	if kind, ok := kindsWithScale[id]; ok {
-		w.Kind, w.lengthEncoding, w.Scale = kind, byteLength, c.u8()
-		if w.Scale > 7 {
-			c.fail("%s of scale %d", kind, w.Scale)
+		info.Kind, info.lengthEncoding, info.Scale = kind, byteLength, c.u8()
+		if info.Scale > 7 {
+			c.fail("%s of scale %d", kind, info.Scale)
 		}
-		return w
+		return info
 	}
 	switch id {
 	case typeNull:
-		w.Kind, w.lengthEncoding, w.fixedSize = rows.Text, fixedLength, 0
+		info.Kind, info.lengthEncoding, info.fixedSize = rows.Text, fixedLength, 0
 	case typeDate:
-		w.Kind, w.lengthEncoding = rows.Date, byteLength
+		info.Kind, info.lengthEncoding = rows.Date, byteLength
 	case typeDecimalN, typeNumericN, typeDecimalLegacy, typeNumericLegacy:
 		size := c.u8()
-		w.Kind, w.lengthEncoding, w.Precision, w.Scale = rows.Decimal, byteLength, c.u8(), c.u8()
-		if c.err == nil && (size > 17 || w.Precision < 1 || w.Precision > 38 || w.Scale > w.Precision) {
-			c.fail("decimal(%d,%d) of %d bytes", w.Precision, w.Scale, size)
+		info.Kind, info.lengthEncoding, info.Precision, info.Scale = rows.Decimal, byteLength, c.u8(), c.u8()
+		if c.err == nil && (size > 17 || info.Precision < 1 || info.Precision > 38 || info.Scale > info.Precision) {
+			c.fail("decimal(%d,%d) of %d bytes", info.Precision, info.Scale, size)
 		}
 	case typeVarCharLegacy, typeCharLegacy:
-		w.Kind, w.lengthEncoding, w.singleByte, w.Size, w.codePage = rows.Text, byteLength, true, int(c.u8()), charmap.Windows1252
-		w.maxSize = w.Size
+		info.Kind, info.lengthEncoding, info.singleByte, info.Size, info.codePage = rows.Text, byteLength, true, int(c.u8()), charmap.Windows1252
+		info.maxSize = info.Size
 	case typeVarBinaryLegacy, typeBinaryLegacy:
-		w.Kind, w.lengthEncoding, w.Size = rows.Bytes, byteLength, int(c.u8())
-		w.maxSize = w.Size
+		info.Kind, info.lengthEncoding, info.Size = rows.Bytes, byteLength, int(c.u8())
+		info.maxSize = info.Size
 	case typeVarChar, typeChar, typeNVarChar, typeNChar, typeVarBinary, typeBinary:
 		size := c.u16()
-		w.lengthEncoding, w.Size, w.Kind, w.maxSize = ushortLength, int(size), rows.Text, int(size)
+		info.lengthEncoding, info.Size, info.Kind, info.maxSize = ushortLength, int(size), rows.Text, int(size)
 		if size == plpSize {
-			w.lengthEncoding, w.Size = plpLength, 0
+			info.lengthEncoding, info.Size = plpLength, 0
 		}
 		switch id {
 		case typeVarBinary, typeBinary:
-			w.Kind = rows.Bytes
+			info.Kind = rows.Bytes
 		case typeNVarChar, typeNChar:
-			w.Size /= 2
-			c.collation(&w)
+			info.Size /= 2
+			c.collation(&info)
 		default:
-			w.singleByte = true
-			c.collation(&w)
+			info.singleByte = true
+			c.collation(&info)
 		}
 	default:
 		name := map[byte]string{typeImage: "image", typeText: "text", typeNText: "ntext", typeVariant: "sql_variant",
-			typeUDT: "a user's type", typeXML: "xml", typeTable: "a table"}[id]
+			typeUDT: "user-defined type", typeXML: "xml", typeTable: "table-valued parameter"}[id]
 		if name == "" {
 			name = "unknown"
 		}
-		c.fail("type %#x (%s) is not carried", id, name)
+		c.fail("type %#x (%s) is not supported", id, name)
 	}
-	return w
+	return info
 }
 
-// plpValue reads a value that comes in parts (2.2.5.2.3).
+// plpValue reads a partially length-prefixed (PLP) value ([MS-TDS] 2.2.5.2.3).
 func (c *cursor) plpValue() (out []byte, null bool) {
 	total := c.u64()
 	if total == plpNull {
@@ -205,7 +208,7 @@
 			break
 		}
 		if n > maxTokenSize {
-			c.fail("piece of %d bytes", n)
+			c.fail("chunk of %d bytes", n)
 			break
 		}
 		out = append(out, c.take(int(n))...)
@@ -216,24 +219,25 @@
 	return out, false
 }
 
-// value reads one (2.2.5.5) and gives it as rows hold it; nil: none. Scratch is used for what has to be changed.
-func (c *cursor) value(w *typeInfo, scratch *[]byte) []byte {
+// value reads a value of a type ([MS-TDS] 2.2.5.5) and returns it in the form of package rows; nil: NULL. A value
+// that has to be converted is stored in scratch and is valid until the next call.
+func (c *cursor) value(info *typeInfo, scratch *[]byte) []byte {
 	var b []byte
-	switch w.lengthEncoding {
+	switch info.lengthEncoding {
 	case fixedLength:
-		if b = c.take(w.fixedSize); w.fixedSize == 0 {
+		if b = c.take(info.fixedSize); info.fixedSize == 0 {
 			return nil
 		}
 	case byteLength:
 		n := c.u8()
 		if n == 0 {
-			if c.err == nil && (w.Kind == rows.Bytes || w.singleByte) { // an old short text may be empty
+			if c.err == nil && (info.Kind == rows.Bytes || info.singleByte) { // a legacy text or binary of length 0 is empty, not NULL
 				return []byte{}
 			}
 			return nil
 		}
-		if w.maxSize > 0 && int(n) > w.maxSize {
-			c.fail("%d bytes in a column of %d", n, w.maxSize)
+		if info.maxSize > 0 && int(n) > info.maxSize {
+			c.fail("%d bytes in a column of %d", n, info.maxSize)
 		}
 		b = c.take(int(n))
 	case ushortLength:
@@ -241,8 +245,8 @@
 		if n == nullLength || c.err != nil {
 			return nil
 		}
-		if int(n) > w.maxSize {
-			c.fail("%d bytes in a column of %d", n, w.maxSize)
+		if int(n) > info.maxSize {
+			c.fail("%d bytes in a column of %d", n, info.maxSize)
 		}
 		b = c.take(int(n))
 	case plpLength:
@@ -257,44 +261,45 @@
 	if c.err != nil {
 		return nil
 	}
-	if *scratch == nil { // an empty text is a value, and nil is none
+	if *scratch == nil { // so that an empty text is not returned as nil, which is NULL
 		*scratch = make([]byte, 0, 64)
 	}
-	switch w.Kind {
+	switch info.Kind {
 	case rows.Text:
 		switch {
-		case !w.singleByte:
+		case !info.singleByte:
 			if len(b)%2 != 0 {
 				c.fail("half a character")
 				return nil
 			}
 			*scratch = appendUTF8((*scratch)[:0], b)
 			return *scratch
-		case w.codePage != nil:
+		case info.codePage != nil:
 			out := (*scratch)[:0]
-			for _, one := range b {
-				out = append(out, string(w.codePage.DecodeByte(one))...)
+			for _, char := range b {
+				out = append(out, string(info.codePage.DecodeByte(char))...)
 			}
 			*scratch = out
 			return out
 		}
 	case rows.Money:
-		if len(b) == 8 { // the upper half comes first
+		if len(b) == 8 { // on the wire the upper half comes first
 			*scratch = append(append((*scratch)[:0], b[4:]...), b[:4]...)
 			return *scratch
 		}
 	}
-	if w.Kind != rows.Bytes {
-		if err := w.Valid(b); err != nil {
+	if info.Kind != rows.Bytes {
+		if err := info.Valid(b); err != nil {
 			c.fail("%s", err)
 		}
 	}
 	return b
 }
 
-var collation = []byte{0x09, 0x04, 0xD0, 0x00, 0x34} // SQL_Latin1_General_CP1_CI_AS; of no meaning for two-byte text
+// collation is SQL_Latin1_General_CP1_CI_AS. It is sent with every text type and has no effect on UTF-16 text.
+var collation = []byte{0x09, 0x04, 0xD0, 0x00, 0x34}
 
-// appendType writes a type; all that we write may be without a value.
+// appendType appends a TYPE_INFO. All types that are written are nullable.
 func appendType(out []byte, t rows.Type) []byte {
 	switch t.Kind {
 	case rows.Bit:
@@ -334,7 +339,7 @@
 	return append(out, collation...)
 }
 
-// appendValue writes a value of a type as appendType wrote it; nil is none.
+// appendValue appends a value in the encoding that appendType announced; nil is NULL.
 func appendValue(out []byte, t rows.Type, v []byte) []byte {
 	switch t.Kind {
 	case rows.Text, rows.Bytes:
@@ -347,37 +352,37 @@
 		}
 		return append(append(out, byte(len(v))), v...)
 	}
-	most := maxNVarChar
+	maxSize := maxNVarChar
 	if t.Kind == rows.Bytes {
-		most = maxVarBinary
+		maxSize = maxVarBinary
 	}
-	if t.Size > 0 && t.Size <= most {
+	if t.Size > 0 && t.Size <= maxSize {
 		if v == nil {
 			return appendU16(out, nullLength)
 		}
 		if t.Kind == rows.Bytes {
 			return append(appendU16(out, len(v)), v...)
 		}
-		at := len(out)
+		start := len(out)
 		out = appendUTF16(append(out, 0, 0), v)
-		binary.LittleEndian.PutUint16(out[at:], uint16(len(out)-at-2))
+		binary.LittleEndian.PutUint16(out[start:], uint16(len(out)-start-2))
 		return out
 	}
 	if v == nil {
 		return binary.LittleEndian.AppendUint64(out, plpNull)
 	}
-	at := len(out)
-	out = append(out, make([]byte, 12)...)
+	start := len(out)
+	out = append(out, make([]byte, 12)...) // total length, length of the only chunk
 	if t.Kind == rows.Bytes {
 		out = append(out, v...)
 	} else {
 		out = appendUTF16(out, v)
 	}
-	n := len(out) - at - 12
-	binary.LittleEndian.PutUint64(out[at:], uint64(n))
+	n := len(out) - start - 12
+	binary.LittleEndian.PutUint64(out[start:], uint64(n))
 	if n == 0 {
-		return out // the total, then the end: a piece of no bytes
+		return out // the total, then the terminator: a chunk of no bytes
 	}
-	binary.LittleEndian.PutUint32(out[at+8:], uint32(n))
+	binary.LittleEndian.PutUint32(out[start+8:], uint32(n))
 	return appendU32(out, 0)
 }
