--- a/internal/tds/server_values.go
+++ b/internal/tds/server_values.go
@@ -8,12 +8,15 @@
 	"pitchfield/internal/statement"
 )
 
-// What drivers ask of a server when they connect, and what pools ask to see that a connection lives. It is answered
-// here: it concerns the session, costs no engine anything, and tells whether the router is there.
+// Drivers query server values when they connect, and connection pools query them to check that a connection is alive.
+// The router answers these queries itself: they concern the session, cost no engine anything, and show whether the router
+// is reachable.
 
-const productName = "pitchfield, a router before analytic engines"
+// productName is the value of @@VERSION.
+const productName = "pitchfield, a router for analytic engines"
 
-// serverValues gives the values of a SELECT of nothing but figures of the server, with the names they stand under.
+// serverValues returns the values of a SELECT of nothing but server values, with their column names, and false for any other
+// statement.
 func (s *Session) serverValues(words []statement.Word) ([]rows.Parameter, bool) {
 	for len(words) > 0 && words[len(words)-1].Text == ";" {
 		words = words[:len(words)-1]
@@ -40,23 +43,23 @@
 	return nil, false
 }
 
-// serverValue is one value of such a SELECT, with a name behind it or none.
+// serverValue evaluates one item of such a SELECT, which may end in AS and a column name.
 func (s *Session) serverValue(words []statement.Word) (v rows.Parameter, ok bool) {
 	if n := len(words); n >= 3 && words[n-2].Upper == "AS" {
 		v.Name, words = words[n-1].Text, words[:n-2]
 	}
-	var b strings.Builder
+	var expression strings.Builder
 	for _, w := range words {
 		if w.Quoted {
 			return v, false
 		}
-		b.WriteString(w.Upper)
+		expression.WriteString(w.Upper)
 	}
 	text := func(t string) {
 		v.Type, v.Value, ok = rows.Type{Kind: rows.Text, Size: 256}, []byte(t), true
 	}
 	number := func(n uint32) { v.Type, v.Value, ok = rows.Type{Kind: rows.Int32}, appendU32(nil, n), true }
-	switch b.String() {
+	switch expression.String() {
 	case "1":
 		number(1)
 	case "@@SPID":
@@ -81,6 +84,7 @@
 	return v, ok
 }
 
+// sendServerValues answers with a result set of one row.
 func (s *Session) sendServerValues(out *buffers.Chain, values []rows.Parameter) {
 	columns, row := make([]rows.Column, len(values)), make([][]byte, len(values))
 	for i, v := range values {
--- a/internal/tds/settings.go
+++ b/internal/tds/settings.go
@@ -10,7 +10,7 @@
 	"pitchfield/internal/findings"
 )
 
-// ListenerSection is [tds] of an operator's settings.
+// ListenerSection is the [tds] table of the operator's settings.
 type ListenerSection struct {
 	TDS *struct {
 		Listen    string   `toml:"listen"`
@@ -25,28 +25,30 @@
 	} `toml:"tds"`
 }
 
-// Settings are those of the front for clients.
+// Settings are the validated settings of the listener for TDS clients.
 type Settings struct {
-	Listen, Name string
-	Idle         float64 // seconds
-	Databases    []string
-	Users        map[string]User // by name in lower case
+	Listen    string          // address and port
+	Name      string          // server name that clients see
+	Idle      float64         // seconds after which an idle connection is closed
+	Databases []string        // that clients may use; empty: any
+	Users     map[string]User // by name in lower case
 }
 
-// User is one who may log in.
+// User is a login.
 type User struct {
-	Hash   []byte // bcrypt's
-	Client string // that the user's batches count for
+	Hash   []byte // bcrypt hash of the password
+	Client string // client that the user's batches are counted under
 }
 
 const (
-	maxIdle     = 24 * 3600
-	defaultIdle = 600
-	minHashCost = 4 // of a hash: less is no protection, and may be a slip
+	maxIdle     = 24 * 3600 // seconds
+	defaultIdle = 600       // seconds
+	minHashCost = 4         // of a bcrypt hash: a lower cost is no protection and may be a mistake
 	maxHashCost = 14
 )
 
-// Validate gives the front's settings; nil: nobody speaks TDS here.
+// Validate checks the section and returns its settings, with defaults filled in. Faults are reported to c. It returns
+// nil if there is no [tds] table: the router then has no TDS listener.
 func (f *ListenerSection) Validate(c findings.To) *Settings {
 	t := f.TDS
 	if t == nil {
@@ -67,13 +69,13 @@
 		c.Found("tds", "without a [[tds.login]] nobody can log in")
 	}
 	for i, l := range t.Login {
-		at := fmt.Sprintf("tds.login[%d]", i)
+		key := fmt.Sprintf("tds.login[%d]", i)
 		name := strings.ToLower(l.User)
-		if _, twice := out.Users[name]; twice || name == "" {
-			c.Found(at+".user", "%q is empty or there twice", l.User)
+		if _, duplicate := out.Users[name]; duplicate || name == "" {
+			c.Found(key+".user", "%q is empty or there twice", l.User)
 		}
 		if cost, err := bcrypt.Cost([]byte(l.Hash)); err != nil || cost < minHashCost || cost > maxHashCost {
-			c.Found(at+".hash", "not a bcrypt hash of a cost from %d to %d; 'pitchfield hash' makes one", minHashCost, maxHashCost)
+			c.Found(key+".hash", "not a bcrypt hash of a cost from %d to %d; 'pitchfield hash' makes one", minHashCost, maxHashCost)
 		}
 		out.Users[name] = User{Hash: []byte(l.Hash), Client: l.Client}
 	}
--- a/internal/tds/statements.go
+++ b/internal/tds/statements.go
@@ -6,63 +6,63 @@
 	"pitchfield/internal/statement"
 )
 
-// sessionSetting is a statement that changes the session: SET or USE.
+// sessionSetting is a SET or USE statement.
 type sessionSetting struct {
-	key      string // what of the session it changes
+	key      string // names what it sets; a later setting of the same key replaces it
 	text     string
-	database string // of a USE
+	database string // of a USE; empty: a SET
 }
 
-// leadingSettings gives the SET and USE statements at the start of a text and whether nothing else is in it.
-func leadingSettings(words []statement.Word, text string) (out []sessionSetting, only bool) {
+// leadingSettings returns the SET and USE statements at the start of a text and whether the text has no other statements.
+func leadingSettings(words []statement.Word, text string) (settings []sessionSetting, only bool) {
 	i := 0
 	for i < len(words) {
 		w := words[i]
 		if w.Quoted || w.Upper == ";" {
 			if w.Upper != ";" {
-				return out, false
+				return settings, false
 			}
 			i++
 			continue
 		}
 		if w.Upper != "SET" && w.Upper != "USE" {
-			return out, false
+			return settings, false
 		}
-		n := i + 1
-		for n < len(words) && words[n].Upper != ";" && !statementStarts[words[n].Upper] {
-			n++
+		end := i + 1 // index after the statement's last word
+		for end < len(words) && words[end].Upper != ";" && !statementStarts[words[end].Upper] {
+			end++
 		}
-		if n == i+1 {
-			return out, false
+		if end == i+1 {
+			return settings, false
 		}
-		s := sessionSetting{text: strings.TrimSpace(text[w.From:words[n-1].To])}
+		s := sessionSetting{text: strings.TrimSpace(text[w.From:words[end-1].To])}
 		switch name := words[i+1]; {
 		case w.Upper == "USE":
 			s.key, s.database = "USE", name.Text
-		case strings.HasPrefix(name.Text, "@"): // a variable of the batch
-			return out, false
+		case strings.HasPrefix(name.Text, "@"): // a variable, which belongs to the batch and not to the session
+			return settings, false
 		case name.Upper == "TRANSACTION":
 			s.key = "TRANSACTION ISOLATION LEVEL"
 		default: // SET A ON, SET A, B ON, SET IDENTITY_INSERT table ON
 			s.key = name.Upper
-			for k := i + 2; k+1 < n && words[k].Text == ","; k += 2 {
+			for k := i + 2; k+1 < end && words[k].Text == ","; k += 2 {
 				s.key += "," + words[k+1].Upper
 			}
 		}
-		out = append(out, s)
-		i = n
+		settings = append(settings, s)
+		i = end
 	}
-	return out, true
+	return settings, true
 }
 
-// statementStarts are words that begin another statement; a SET or USE before them ends without a semicolon.
+// statementStarts are the words that begin a new statement, so they end a SET or USE that has no semicolon.
 var statementStarts = map[string]bool{"SET": true, "USE": true, "SELECT": true, "INSERT": true, "UPDATE": true, "DELETE": true,
 	"MERGE": true, "WITH": true, "EXEC": true, "EXECUTE": true, "DECLARE": true, "IF": true, "BEGIN": true,
 	"CREATE": true, "DROP": true, "ALTER": true, "TRUNCATE": true, "PRINT": true, "COMMIT": true, "ROLLBACK": true,
 	"SAVE": true, "WAITFOR": true, "WHILE": true}
 
-// unsupportedFeature says what of a statement needs a session of its own on an engine, which this router does not give; empty:
-// nothing. Batches of one session go to different engines.
+// unsupportedFeature names the feature of a statement that needs a session of its own on an engine; empty: none. The
+// router supports no such feature because batches of one client session run on different engines.
 func unsupportedFeature(words []statement.Word) string {
 	for i, w := range words {
 		next := ""
@@ -89,8 +89,8 @@
 				return "transactions"
 			}
 		case "CURSOR":
-			for _, before := range words[max(0, i-4):i] {
-				if before.Upper == "DECLARE" {
+			for _, previous := range words[max(0, i-4):i] {
+				if previous.Upper == "DECLARE" {
 					return "server cursors"
 				}
 			}
