--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -8,7 +8,7 @@
 	"pitchfield/internal/traffic"
 )
 
-// feedInHalves gives bytes in two pieces, so that what is cut is met too.
+// feedInHalves delivers bytes in two pieces, so that the reader also sees incomplete input.
 func feedInHalves(pool *buffers.Pool, b []byte, read func(in *buffers.Chain) bool) {
 	in := pool.Chain()
 	for _, piece := range [][]byte{b[:len(b)/2], b[len(b)/2:]} {
@@ -19,25 +19,29 @@
 	in.Release()
 }
 
+// FuzzPrelogin parses any bytes as a PRELOGIN.
 func FuzzPrelogin(f *testing.F) {
 	f.Add(appendPrelogin(nil, prelogin{encryption: encryptNotSupported}))
 	f.Fuzz(func(_ *testing.T, b []byte) { parsePrelogin(b) }) //nolint:errcheck
 }
 
+// FuzzLogin parses any bytes as a LOGIN7 and checks the bound of the user name.
 func FuzzLogin(f *testing.F) {
 	f.Add(appendLogin(login{packetSize: 4096, host: "h", user: "ann", password: "p", appName: "a", database: "sales"}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if l, err := parseLogin(b); err == nil && len(l.user) > 4*maxLoginChars {
-			t.Fatal("a name that is too long")
+			t.Fatal("the user name exceeds its bound")
 		}
 	})
 }
 
+// FuzzBatch parses any bytes as a batch request.
 func FuzzBatch(f *testing.F) {
 	f.Add(appendUTF16(appendAllHeaders(nil), "SELECT 1 -- č"))
 	f.Fuzz(func(_ *testing.T, b []byte) { parseBatch(b) }) //nolint:errcheck
 }
 
+// FuzzRPC parses any bytes as an RPC request. Its parameters must have literals.
 func FuzzRPC(f *testing.F) {
 	f.Add(appendExecuteSQL(nil, "SELECT @a", []rows.Parameter{{Column: rows.Column{Name: "@a", Type: rows.Type{Kind: rows.Int32}}, Value: appendU32(nil, 7)}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -53,7 +57,7 @@
 	})
 }
 
-// FuzzValue reads a type and a value, writes both as we do, and reads that again.
+// FuzzValue reads a type and a value, writes both with this package, and reads the result again.
 func FuzzValue(f *testing.F) {
 	f.Add([]byte{typeIntN, 4, 4, 1, 2, 3, 4})
 	f.Add([]byte{typeNVarChar, 0xFF, 0xFF, 9, 4, 0xD0, 0, 0x34, 4, 0, 0, 0, 0, 0, 0, 0, 4, 0, 0, 0, 'a', 0, 'b', 0, 0, 0, 0, 0})
@@ -77,24 +81,24 @@
 	})
 }
 
-// FuzzSession is a client that sends anything, before and after its login.
+// FuzzSession sends any bytes as a client, before and after the login. All buffers must be released.
 func FuzzSession(f *testing.F) {
 	f.Add([]byte{0x12, 1, 0, 8, 0, 0, 1, 0}, false)
-	k := newPair(f)
-	k.engine.phase = running
-	k.engine.Send(k.toSession, "q", "SELECT a", nil)
-	f.Add(k.toSession.Bytes(), true)
+	pair := newPair(f)
+	pair.engine.phase = running
+	pair.engine.Send(pair.toSession, "q", "SELECT a", nil)
+	f.Add(pair.toSession.Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, in bool) {
-		k := newPair(t)
+		pair := newPair(t)
 		if in {
-			k.login()
+			pair.login()
 		}
-		out := k.pool.Chain()
-		feedInHalves(k.pool, b, func(in *buffers.Chain) bool {
-			event, err := k.session.Read(in, out)
+		out := pair.pool.Chain()
+		feedInHalves(pair.pool, b, func(in *buffers.Chain) bool {
+			event, err := pair.session.Read(in, out)
 			if a, is := event.(*traffic.Ask); is {
 				a.Batch.Text.Release()
-				k.session.Tell(out, &traffic.Answer{Stream: a.Stream, Code: traffic.Errored})
+				pair.session.Tell(out, &traffic.Answer{Stream: a.Stream, Code: traffic.Errored})
 			}
 			if v, is := event.(*traffic.Verify); is {
 				v.Done(v.Run(), out) //nolint:errcheck
@@ -102,33 +106,33 @@
 			return event != nil && err == nil
 		})
 		out.Release()
-		if k.pool.Used() != 0 {
-			t.Fatal("buffers are kept")
+		if pair.pool.Used() != 0 {
+			t.Fatal("buffers were not released")
 		}
 	})
 }
 
-// FuzzEngine is an engine that answers anything.
+// FuzzEngine sends any bytes as an engine's response. All buffers must be released.
 func FuzzEngine(f *testing.F) {
-	k := newPair(f).login()
-	a := k.query("SELECT a")
-	k.session.Tell(k.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x", "yy")}})
-	f.Add(k.toClient.Bytes(), false)
-	f.Add(k.toClient.Bytes(), true)
+	pair := newPair(f).login()
+	a := pair.query("SELECT a")
+	pair.session.Tell(pair.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x", "yy")}})
+	f.Add(pair.toClient.Bytes(), false)
+	f.Add(pair.toClient.Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, stop bool) {
-		k := newPair(t)
-		k.engine.phase, k.engine.packetSize = idle, 600
-		out := k.pool.Chain()
-		k.engine.Send(out, "q", "SELECT a", nil)
+		pair := newPair(t)
+		pair.engine.phase, pair.engine.packetSize = idle, 600
+		out := pair.pool.Chain()
+		pair.engine.Send(out, "q", "SELECT a", nil)
 		if stop {
-			k.engine.Order(out, traffic.GiveUp{ID: "q"})
+			pair.engine.Order(out, traffic.GiveUp{ID: "q"})
 		}
-		feedInHalves(k.pool, b, func(in *buffers.Chain) bool {
-			r, err := k.engine.Read(in, out)
+		feedInHalves(pair.pool, b, func(in *buffers.Chain) bool {
+			r, err := pair.engine.Read(in, out)
 			if r != nil {
 				columns := r.Rows.Columns
 				if columns == nil {
-					columns = k.engine.resultColumns
+					columns = pair.engine.resultColumns
 				}
 				if e := rows.Each(r.Rows, len(columns), func([][]byte) error { return nil }); e != nil {
 					t.Fatal(e)
@@ -138,9 +142,9 @@
 			return r != nil && err == nil
 		})
 		out.Release()
-		k.engine.discardRows()
-		if k.pool.Used() != 0 {
-			t.Fatal("buffers are kept")
+		pair.engine.discardRows()
+		if pair.pool.Used() != 0 {
+			t.Fatal("buffers were not released")
 		}
 	})
 }
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -20,7 +20,8 @@
 	"pitchfield/internal/traffic"
 )
 
-// The same draws every time; a hunt for more sets another -rapid.seed, or fuzzes.
+// TestMain gives the property tests a fixed seed. Set another -rapid.seed to search for further failures, or run the fuzz
+// tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -30,14 +31,15 @@
 	os.Exit(m.Run())
 }
 
-// connectedPair is a session and an engine's state that speak with each other, without sockets. Bytes may be cut anywhere.
+// connectedPair is a client session and an engine connection that talk to each other without sockets. The Engine plays
+// the client. Bytes may be delivered in chunks of any size.
 type connectedPair struct {
 	t                     require.TestingT
 	pool                  *buffers.Pool
 	session               *Session
 	engine                *Engine
 	toSession, toClient   *buffers.Chain
-	deliverySize          func(n int) int // of n bytes that are there, how many come
+	chunkSize             func(n int) int // how many of n available bytes are delivered next
 	events                []traffic.Said
 	replies               []*traffic.Reply
 	sessionErr, engineErr error
@@ -45,7 +47,7 @@
 
 func newPair(t require.TestingT) *connectedPair {
 	pool := &buffers.Pool{}
-	front := &Server{Pool: pool, Name: "here", Databases: []string{"sales", "stock"},
+	server := &Server{Pool: pool, Name: "here", Databases: []string{"sales", "stock"},
 		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "report"}} },
 		Authenticate: func(user, password string) (string, error) {
 			if password != "pässword" {
@@ -53,106 +55,106 @@
 			}
 			return "client of " + user, nil
 		}}
-	access := &EngineConfig{Pool: pool, User: "ann", Password: "pässword", Database: "sales", AppName: "test", PacketSize: 600,
+	config := &EngineConfig{Pool: pool, User: "ann", Password: "pässword", Database: "sales", AppName: "test", PacketSize: 600,
 		ProbeQuery: "SELECT 1", LoadQuery: "SELECT load", RejectionNumbers: []int32{ErrorNumberRejected}}
-	return &connectedPair{t: t, pool: pool, session: front.NewSession(), engine: access.NewEngine(), toSession: pool.Chain(),
-		toClient: pool.Chain(), deliverySize: func(n int) int { return n }}
+	return &connectedPair{t: t, pool: pool, session: server.NewSession(), engine: config.NewEngine(), toSession: pool.Chain(),
+		toClient: pool.Chain(), chunkSize: func(n int) int { return n }}
 }
 
-// run passes bytes on until nothing moves.
-func (k *connectedPair) run() {
-	in, back := k.pool.Chain(), k.pool.Chain()
+// run delivers bytes in both directions until none are left.
+func (pair *connectedPair) run() {
+	in, back := pair.pool.Chain(), pair.pool.Chain()
 	for moved := true; moved; {
 		moved = false
-		for k.toSession.Len() > 0 {
+		for pair.toSession.Len() > 0 {
 			moved = true
-			piece := k.toSession.Cut(max(k.deliverySize(k.toSession.Len()), 1))
+			piece := pair.toSession.Cut(max(pair.chunkSize(pair.toSession.Len()), 1))
 			in.Append(piece)
 			piece.Release()
-			k.deliverToSession(in)
+			pair.deliverToSession(in)
 		}
-		for k.toClient.Len() > 0 {
+		for pair.toClient.Len() > 0 {
 			moved = true
-			piece := k.toClient.Cut(max(k.deliverySize(k.toClient.Len()), 1))
+			piece := pair.toClient.Cut(max(pair.chunkSize(pair.toClient.Len()), 1))
 			back.Append(piece)
 			piece.Release()
-			for k.engineErr == nil {
-				r, err := k.engine.Read(back, k.toSession)
-				if k.engineErr = err; r == nil || err != nil {
+			for pair.engineErr == nil {
+				r, err := pair.engine.Read(back, pair.toSession)
+				if pair.engineErr = err; r == nil || err != nil {
 					break
 				}
-				k.replies = append(k.replies, r)
+				pair.replies = append(pair.replies, r)
 			}
 		}
 	}
 }
 
-func (k *connectedPair) deliverToSession(in *buffers.Chain) {
-	for k.sessionErr == nil {
-		event, err := k.session.Read(in, k.toClient)
+func (pair *connectedPair) deliverToSession(in *buffers.Chain) {
+	for pair.sessionErr == nil {
+		event, err := pair.session.Read(in, pair.toClient)
 		if v, is := event.(*traffic.Verify); is {
-			event, err = v.Done(v.Run(), k.toClient)
+			event, err = v.Done(v.Run(), pair.toClient)
 		}
-		if k.sessionErr = err; event == nil || err != nil {
+		if pair.sessionErr = err; event == nil || err != nil {
 			return
 		}
-		k.events = append(k.events, event)
+		pair.events = append(pair.events, event)
 	}
 }
 
-func (k *connectedPair) login() *connectedPair {
-	k.engine.Open(k.toSession)
-	k.run()
-	require.NoError(k.t, k.sessionErr)
-	require.NoError(k.t, k.engineErr)
-	require.Len(k.t, k.replies, 1)
-	require.Equal(k.t, traffic.Up, k.replies[0].Word)
-	k.replies, k.events = nil, nil
-	return k
+func (pair *connectedPair) login() *connectedPair {
+	pair.engine.Open(pair.toSession)
+	pair.run()
+	require.NoError(pair.t, pair.sessionErr)
+	require.NoError(pair.t, pair.engineErr)
+	require.Len(pair.t, pair.replies, 1)
+	require.Equal(pair.t, traffic.Up, pair.replies[0].Word)
+	pair.replies, pair.events = nil, nil
+	return pair
 }
 
-// query sends a statement and gives the batch that the session made of it; nil: it has answered by itself.
-func (k *connectedPair) query(text string, parameters ...rows.Parameter) *traffic.Ask {
-	k.replies, k.events = nil, nil
-	k.engine.Send(k.toSession, "q", text, parameters)
-	k.run()
-	require.NoError(k.t, k.sessionErr)
-	if len(k.events) == 0 {
+// query sends a statement and returns the batch that the session made of it; nil: the session answered it itself.
+func (pair *connectedPair) query(text string, parameters ...rows.Parameter) *traffic.Ask {
+	pair.replies, pair.events = nil, nil
+	pair.engine.Send(pair.toSession, "q", text, parameters)
+	pair.run()
+	require.NoError(pair.t, pair.sessionErr)
+	if len(pair.events) == 0 {
 		return nil
 	}
-	a, _ := k.events[len(k.events)-1].(*traffic.Ask)
+	a, _ := pair.events[len(pair.events)-1].(*traffic.Ask)
 	return a
 }
 
-func (k *connectedPair) tellSession(what traffic.Tell) {
-	k.session.Tell(k.toClient, what)
-	k.run()
+func (pair *connectedPair) tellSession(what traffic.Tell) {
+	pair.session.Tell(pair.toClient, what)
+	pair.run()
 }
 
-// result reads what came back: its rows as texts and the last reply.
-func (k *connectedPair) result() (out []string, last *traffic.Reply) {
-	require.NoError(k.t, k.engineErr)
+// result returns the rows of the replies as text and the last reply.
+func (pair *connectedPair) result() (out []string, last *traffic.Reply) {
+	require.NoError(pair.t, pair.engineErr)
 	var columns []rows.Column
-	for _, r := range k.replies {
+	for _, r := range pair.replies {
 		last = r
 		if r.Rows.Columns != nil {
 			columns = r.Rows.Columns
 		}
-		require.NoError(k.t, rows.Each(r.Rows, len(columns), func(row [][]byte) error {
+		require.NoError(pair.t, rows.Each(r.Rows, len(columns), func(row [][]byte) error {
 			var one []string
 			for i, v := range row {
 				text, err := "NULL", error(nil)
 				if v != nil {
 					text, err = rows.Format(columns[i].Type, v)
 				}
-				require.NoError(k.t, err)
+				require.NoError(pair.t, err)
 				one = append(one, text)
 			}
 			out = append(out, strings.Join(one, "|"))
 			return nil
 		}))
 	}
-	require.NotNil(k.t, last)
+	require.NotNil(pair.t, last)
 	return out, last
 }
 
@@ -164,7 +166,7 @@
 	return p
 }
 
-// genType draws a type and genValue a value of it.
+// genType draws a type.
 func genType(t *rapid.T) rows.Type {
 	ty := rows.Type{Kind: rows.Kind(rapid.IntRange(0, int(rows.GUID)).Draw(t, "kind"))}
 	switch ty.Kind {
@@ -179,6 +181,7 @@
 	return ty
 }
 
+// genValue draws a value of a type; nil is NULL.
 func genValue(t *rapid.T, ty rows.Type) []byte {
 	if rapid.IntRange(0, 3).Draw(t, "null") == 0 {
 		return nil
@@ -213,13 +216,13 @@
 	return rapid.SliceOfN(rapid.Byte(), ty.Bytes(), ty.Bytes()).Draw(t, "raw")
 }
 
-// What goes in at one side comes out at the other, wherever the bytes are cut and however many columns have no value.
+// Results of all types must arrive unchanged, wherever the byte stream is split and however many values are NULL.
 func TestResultsOfAllTypesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newPair(t)
-		k.deliverySize = func(n int) int { return rapid.IntRange(1, n).Draw(t, "cut") }
-		k.login()
-		a := k.query("SELECT a FROM sales_1.b")
+		pair := newPair(t)
+		pair.chunkSize = func(n int) int { return rapid.IntRange(1, n).Draw(t, "cut") }
+		pair.login()
+		a := pair.query("SELECT a FROM sales_1.b")
 		require.NotNil(t, a)
 		a.Batch.Text.Release()
 		var want [][]byte
@@ -227,20 +230,20 @@
 		for i := range columns {
 			columns[i] = rows.Column{Name: fmt.Sprintf("č%d", i), Type: genType(t)}
 		}
-		part := rows.Part{Form: rows.Values, Columns: columns, Data: k.pool.Chain()}
+		part := rows.Part{Form: rows.Values, Columns: columns, Data: pair.pool.Chain()}
 		for range rapid.IntRange(0, 8).Draw(t, "rows") {
 			for _, c := range columns {
 				want = append(want, genValue(t, c.Type))
 				rows.Append(part.Data, want[len(want)-1])
 			}
 		}
-		k.tellSession(&traffic.Rows{Stream: 1, Part: part})
-		k.tellSession(&traffic.Answer{Stream: 1})
+		pair.tellSession(&traffic.Rows{Stream: 1, Part: part})
+		pair.tellSession(&traffic.Answer{Stream: 1})
 		part.Release()
-		require.NoError(t, k.engineErr)
-		require.Equal(t, traffic.Whole, k.replies[len(k.replies)-1].Word)
+		require.NoError(t, pair.engineErr)
+		require.Equal(t, traffic.Whole, pair.replies[len(pair.replies)-1].Word)
 		got := 0
-		for _, r := range k.replies {
+		for _, r := range pair.replies {
 			for i, c := range r.Rows.Columns {
 				require.Equal(t, columns[i].Name, c.Name)
 				require.Equal(t, columns[i].Kind, c.Kind)
@@ -257,13 +260,13 @@
 			r.Rows.Release()
 		}
 		require.Equal(t, len(want), got)
-		require.Zero(t, k.pool.Used())
+		require.Zero(t, pair.pool.Used())
 	})
 }
 
 func TestParametersRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newPair(t).login()
+		pair := newPair(t).login()
 		var want []rows.Parameter
 		for i := range rapid.IntRange(1, 6).Draw(t, "parameters") {
 			p := rows.Parameter{Column: rows.Column{Name: fmt.Sprintf("@p%d", i), Type: genType(t)}}
@@ -271,7 +274,7 @@
 			p.Null = p.Value == nil
 			want = append(want, p)
 		}
-		a := k.query("SELECT @p0", want...)
+		a := pair.query("SELECT @p0", want...)
 		require.NotNil(t, a)
 		require.NoError(t, a.Bad)
 		require.Len(t, a.Batch.Parameters, len(want))
@@ -286,116 +289,116 @@
 }
 
 func TestSessionSettingsPrecedeBatchesUntilReset(t *testing.T) {
-	k := newPair(t).login()
-	assert.Nil(t, k.query("SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500"))
-	assert.Nil(t, k.query("USE stock"))
-	assert.Nil(t, k.query("SET LOCK_TIMEOUT 900"), "the last of each counts")
-	k.session.messageStatus = 0
-	a := k.query("SELECT a FROM x_1.b")
+	pair := newPair(t).login()
+	assert.Nil(t, pair.query("SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500"))
+	assert.Nil(t, pair.query("USE stock"))
+	assert.Nil(t, pair.query("SET LOCK_TIMEOUT 900"), "the last setting of each key is used")
+	pair.session.messageStatus = 0
+	a := pair.query("SELECT a FROM x_1.b")
 	require.NotNil(t, a)
-	// The engine's side resets with each request, as pools do: what was set is gone.
+	// Engine sets RESETCONNECTION on each request, as connection pools do, so the settings are gone.
 	assert.Empty(t, a.Batch.Ahead)
 	assert.Equal(t, "sales", a.Batch.Database)
-	k.tellSession(&traffic.Answer{Stream: a.Stream})
+	pair.tellSession(&traffic.Answer{Stream: a.Stream})
 	plain := func(text string) *traffic.Ask {
-		k.events = nil
-		writeMessage(k.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), text))
-		k.run()
-		require.NoError(t, k.sessionErr)
-		a, _ := k.events[len(k.events)-1].(*traffic.Ask)
+		pair.events = nil
+		writeMessage(pair.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), text))
+		pair.run()
+		require.NoError(t, pair.sessionErr)
+		a, _ := pair.events[len(pair.events)-1].(*traffic.Ask)
 		return a
 	}
-	k.engine.beginRequest("x", false)
+	pair.engine.beginRequest("x", false)
 	assert.Nil(t, plain("SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500"))
-	k.engine.beginRequest("x", false)
+	pair.engine.beginRequest("x", false)
 	assert.Nil(t, plain("USE [stock]"))
-	k.engine.beginRequest("x", false)
+	pair.engine.beginRequest("x", false)
 	a = plain("SET LOCK_TIMEOUT 900 SELECT a FROM x_1.b")
 	require.NotNil(t, a)
 	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500; ", a.Batch.Ahead)
 	assert.Empty(t, a.Batch.Database)
-	k.tellSession(&traffic.Answer{Stream: a.Stream})
-	k.engine.beginRequest("x", false)
+	pair.tellSession(&traffic.Answer{Stream: a.Stream})
+	pair.engine.beginRequest("x", false)
 	a = plain("SELECT a FROM x_1.b")
 	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 900; ", a.Batch.Ahead)
 }
 
 func TestStatementsThatNeedAnEngineSessionAreRefused(t *testing.T) {
-	k := newPair(t).login()
+	pair := newPair(t).login()
 	for text, why := range map[string]string{"BEGIN TRAN": "transactions", "SELECT 1 INTO #t": "temporary", "COMMIT": "transactions",
 		"SET NOCOUNT ON DECLARE c CURSOR FOR SELECT 1": "cursors", "INSERT BULK t (a int)": "bulk",
 		"SET IMPLICIT_TRANSACTIONS ON": "transactions", "USE nowhere": "nowhere", "begin /* now */ transaction": "transactions"} {
-		assert.Nil(t, k.query(text), text)
-		_, last := k.result()
+		assert.Nil(t, pair.query(text), text)
+		_, last := pair.result()
 		assert.Equal(t, traffic.Broke, last.Word)
 		assert.Contains(t, last.Why, why, text)
 	}
-	a := k.query("SELECT 'BEGIN TRAN #x' FROM sales_1.b -- COMMIT")
-	require.NotNil(t, a, "words in strings and comments are none")
-	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
-	lines, last := k.result()
+	a := pair.query("SELECT 'BEGIN TRAN #x' FROM sales_1.b -- COMMIT")
+	require.NotNil(t, a, "words in strings and comments are not statements")
+	pair.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x")}})
+	lines, last := pair.result()
 	assert.Equal(t, []string{"x"}, lines)
 	assert.Equal(t, traffic.Whole, last.Word)
 }
 
 func TestOutcomesAreReportedToTheClient(t *testing.T) {
-	k := newPair(t).login()
-	k.tellSession(&traffic.Answer{Stream: k.query("SELECT a").Stream, Code: traffic.PushedBack, Wait: 0.25})
-	_, last := k.result()
+	pair := newPair(t).login()
+	pair.tellSession(&traffic.Answer{Stream: pair.query("SELECT a").Stream, Code: traffic.PushedBack, Wait: 0.25})
+	_, last := pair.result()
 	assert.Equal(t, traffic.Full, last.Word)
 	assert.Contains(t, last.Why, "after 250 ms")
-	k.tellSession(&traffic.Answer{Stream: k.query("SELECT b").Stream, Code: traffic.Errored, Why: "so it is"})
-	_, last = k.result()
+	pair.tellSession(&traffic.Answer{Stream: pair.query("SELECT b").Stream, Code: traffic.Errored, Why: "so it is"})
+	_, last = pair.result()
 	assert.Equal(t, traffic.Broke, last.Word)
 	assert.Contains(t, last.Why, "so it is")
-	a := k.query("SELECT c")
-	k.tellSession(&traffic.Rows{Stream: a.Stream, Part: textRows(k.pool, strings.Repeat("x", 5000))})
-	k.tellSession(&traffic.Answer{Stream: a.Stream, Code: traffic.Errored, Why: "the result is cut"})
-	lines, last := k.result()
+	a := pair.query("SELECT c")
+	pair.tellSession(&traffic.Rows{Stream: a.Stream, Part: textRows(pair.pool, strings.Repeat("x", 5000))})
+	pair.tellSession(&traffic.Answer{Stream: a.Stream, Code: traffic.Errored, Why: "the result is cut"})
+	lines, last := pair.result()
 	assert.Len(t, lines, 1)
-	assert.Equal(t, traffic.Broke, last.Word, "a cut can be told from an end")
+	assert.Equal(t, traffic.Broke, last.Word, "a truncated result must not look complete")
 }
 
 func TestAttentionIsAcknowledgedExactlyOnce(t *testing.T) {
 	for _, crossed := range []bool{false, true} {
-		k := newPair(t).login()
-		a := k.query("SELECT a")
-		if crossed { // the whole answer is on its way when the client gives up
-			k.session.Tell(k.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
+		pair := newPair(t).login()
+		a := pair.query("SELECT a")
+		if crossed { // the whole response is on its way when the client cancels
+			pair.session.Tell(pair.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x")}})
 		} else {
-			k.session.Tell(k.toClient, &traffic.Rows{Stream: a.Stream, Part: textRows(k.pool, strings.Repeat("y", 3000))})
+			pair.session.Tell(pair.toClient, &traffic.Rows{Stream: a.Stream, Part: textRows(pair.pool, strings.Repeat("y", 3000))})
 		}
-		k.events = nil
-		k.engine.Order(k.toSession, traffic.GiveUp{ID: "q"})
-		k.run()
-		require.NoError(t, k.engineErr)
-		require.Len(t, k.replies, 1)
-		assert.Equal(t, traffic.Free, k.replies[0].Word)
+		pair.events = nil
+		pair.engine.Order(pair.toSession, traffic.GiveUp{ID: "q"})
+		pair.run()
+		require.NoError(t, pair.engineErr)
+		require.Len(t, pair.replies, 1)
+		assert.Equal(t, traffic.Free, pair.replies[0].Word)
 		if crossed {
-			assert.Equal(t, []traffic.Said{traffic.Stir{}}, k.events)
+			assert.Equal(t, []traffic.Said{traffic.Stir{}}, pair.events)
 		} else {
-			assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: a.Stream}}, k.events)
+			assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: a.Stream}}, pair.events)
 		}
-		k.tellSession(&traffic.Answer{Stream: a.Stream})
-		require.NoError(t, k.engineErr, "nothing more is said of it")
-		b := k.query("SELECT b")
-		require.NotNil(t, b, "the connection goes on")
-		k.tellSession(&traffic.Answer{Stream: b.Stream, Rows: []rows.Part{textRows(k.pool, "z")}})
-		lines, _ := k.result()
+		pair.tellSession(&traffic.Answer{Stream: a.Stream})
+		require.NoError(t, pair.engineErr, "nothing more is sent about the cancelled batch")
+		b := pair.query("SELECT b")
+		require.NotNil(t, b, "the connection must stay usable")
+		pair.tellSession(&traffic.Answer{Stream: b.Stream, Rows: []rows.Part{textRows(pair.pool, "z")}})
+		lines, _ := pair.result()
 		assert.Equal(t, []string{"z"}, lines)
 	}
 }
 
 func TestPreparedStatementHandles(t *testing.T) {
-	k := newPair(t).login()
+	pair := newPair(t).login()
 	call := func(proc uint16, fill func([]byte) []byte) *traffic.Ask {
-		k.events, k.replies = nil, nil
-		k.engine.beginRequest("q", false)
+		pair.events, pair.replies = nil, nil
+		pair.engine.beginRequest("q", false)
 		b := appendU16(appendU16(appendU16(appendAllHeaders(nil), nullLength), int(proc)), 0)
-		writeMessage(k.toSession, packetRPC, 0, 600, fill(b))
-		k.run()
-		require.NoError(t, k.sessionErr)
-		a, _ := k.events[len(k.events)-1].(*traffic.Ask)
+		writeMessage(pair.toSession, packetRPC, 0, 600, fill(b))
+		pair.run()
+		require.NoError(t, pair.sessionErr)
+		a, _ := pair.events[len(pair.events)-1].(*traffic.Ask)
 		return a
 	}
 	number := func(b []byte, v int, out byte) []byte {
@@ -413,101 +416,101 @@
 	assert.Nil(t, call(procPrepare, func(b []byte) []byte {
 		return number(text(text(number(b, 0, 1), "@a int, @b decimal(9,2)"), "SELECT @a"), 1, 0)
 	}))
-	_, last := k.result()
+	_, last := pair.result()
 	assert.Equal(t, traffic.Whole, last.Word)
 	execute := func(b []byte) []byte { return number(number(number(b, 1, 0), 7, 0), 8, 0) }
 	a := call(procExecute, execute)
 	require.NotNil(t, a)
 	assert.Equal(t, []string{"@a", "@b"}, []string{a.Batch.Parameters[0].Name, a.Batch.Parameters[1].Name})
-	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
+	pair.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x")}})
 	a = call(procPrepExec, func(b []byte) []byte { return number(text(text(number(b, 0, 1), "@a int"), "SELECT @a"), 7, 0) })
 	require.NotNil(t, a)
-	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
-	lines, _ := k.result()
+	pair.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x")}})
+	lines, _ := pair.result()
 	assert.Equal(t, []string{"x"}, lines)
 	assert.Nil(t, call(procUnprepare, func(b []byte) []byte { return number(b, 1, 0) }))
 	assert.Nil(t, call(procExecute, execute))
-	_, last = k.result()
+	_, last = pair.result()
 	assert.Contains(t, last.Why, "handle 1")
 	assert.Nil(t, call(2, func(b []byte) []byte { return b }))
-	_, last = k.result()
+	_, last = pair.result()
 	assert.Contains(t, last.Why, "cursors")
 }
 
 func TestLoginFailures(t *testing.T) {
-	for name, change := range map[string]func(k *connectedPair){
-		"password": func(k *connectedPair) { k.engine.config.Password = "other" },
-		"database": func(k *connectedPair) { k.engine.config.Database = "nowhere" }} {
-		k := newPair(t)
-		change(k)
-		k.engine.Open(k.toSession)
-		k.run()
-		assert.ErrorIs(t, k.engineErr, traffic.ErrLogin, name)
-		assert.Error(t, k.sessionErr, name)
+	for name, change := range map[string]func(pair *connectedPair){
+		"password": func(pair *connectedPair) { pair.engine.config.Password = "other" },
+		"database": func(pair *connectedPair) { pair.engine.config.Database = "nowhere" }} {
+		pair := newPair(t)
+		change(pair)
+		pair.engine.Open(pair.toSession)
+		pair.run()
+		assert.ErrorIs(t, pair.engineErr, traffic.ErrLogin, name)
+		assert.Error(t, pair.sessionErr, name)
 	}
-	k := newPair(t) // insists on encryption, and goes on in spite of the answer
-	writeMessage(k.toSession, packetPrelogin, 0, defaultPacketSize, appendPrelogin(nil, prelogin{encryption: encryptOn}))
-	k.run()
-	writeMessage(k.toSession, packetLogin7, 0, defaultPacketSize, appendLogin(login{user: "ann", password: "pässword"}))
-	k.run()
-	assert.ErrorContains(t, k.sessionErr, "encrypt")
+	pair := newPair(t) // a client that requires encryption and logs in although it was refused
+	writeMessage(pair.toSession, packetPrelogin, 0, defaultPacketSize, appendPrelogin(nil, prelogin{encryption: encryptOn}))
+	pair.run()
+	writeMessage(pair.toSession, packetLogin7, 0, defaultPacketSize, appendLogin(login{user: "ann", password: "pässword"}))
+	pair.run()
+	assert.ErrorContains(t, pair.sessionErr, "encrypt")
 }
 
-// What can't be read ends the connection at most, and says so where anything can be said.
+// Malformed input must at most end the connection, with an error to the client where one can still be sent.
 func TestMalformedInput(t *testing.T) {
 	bad := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x03\x00\x00\x01\x00", "\x12\x01\xff\xff\x00\x00\x01\x00",
 		"\x01\x01\x00\x08\x00\x00\x01\x00", "\x12\x01\x00\x0d\x00\x00\x01\x00\x00\x00\xff\x00\x06"}
 	for _, text := range bad {
-		k := newPair(t)
-		k.toSession.WriteString(text)
-		k.run()
-		assert.Error(t, k.sessionErr, "%q", text)
+		pair := newPair(t)
+		pair.toSession.WriteString(text)
+		pair.run()
+		assert.Error(t, pair.sessionErr, "%q", text)
 	}
-	k := newPair(t).login()
-	k.query("SELECT a")
-	writeMessage(k.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), "SELECT b"))
-	k.run()
-	assert.ErrorContains(t, k.sessionErr, "before the one before")
-	k.session.Tell(k.toClient, traffic.Complaint{Why: "it can't be read"})
-	k.run()
-	_, last := k.result()
+	pair := newPair(t).login()
+	pair.query("SELECT a")
+	writeMessage(pair.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), "SELECT b"))
+	pair.run()
+	assert.ErrorContains(t, pair.sessionErr, "before the one before")
+	pair.session.Tell(pair.toClient, traffic.Complaint{Why: "it can't be read"})
+	pair.run()
+	_, last := pair.result()
 	assert.Contains(t, last.Why, "it can't be read")
 }
 
 func TestOversizedStatementIsRefused(t *testing.T) {
-	k := newPair(t).login()
-	assert.Nil(t, k.query("SELECT '"+strings.Repeat("x", maxMessageSize)+"'"))
-	_, last := k.result()
+	pair := newPair(t).login()
+	assert.Nil(t, pair.query("SELECT '"+strings.Repeat("x", maxMessageSize)+"'"))
+	_, last := pair.result()
 	assert.Contains(t, last.Why, "more than")
-	assert.NotNil(t, k.query("SELECT a"))
+	assert.NotNil(t, pair.query("SELECT a"))
 }
 
-// An engine that sends a token without end is cut off at a bound.
+// An engine that sends an endless token must be disconnected once the token exceeds maxTokenSize.
 func TestEndlessTokenIsAnError(t *testing.T) {
-	k := newPair(t).login()
-	k.engine.beginRequest("q", false)
-	k.toClient.Write(append([]byte{4, 0, 0, 8 + 15, 0, 0, 1, 0}, 0x81, 1, 0, 0, 0, 0, 0, 1, 0, 0xA5, 0xFF, 0xFF, 1, 'b', 0))
-	k.toClient.Write(append([]byte{4, 0, 0, 8 + 9, 0, 0, 1, 0}, 0xD1, 0xFE, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF))
-	for sent := 0; sent < 2*maxTokenSize && k.engineErr == nil; sent += 30000 {
+	pair := newPair(t).login()
+	pair.engine.beginRequest("q", false)
+	pair.toClient.Write(append([]byte{4, 0, 0, 8 + 15, 0, 0, 1, 0}, 0x81, 1, 0, 0, 0, 0, 0, 1, 0, 0xA5, 0xFF, 0xFF, 1, 'b', 0))
+	pair.toClient.Write(append([]byte{4, 0, 0, 8 + 9, 0, 0, 1, 0}, 0xD1, 0xFE, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF))
+	for sent := 0; sent < 2*maxTokenSize && pair.engineErr == nil; sent += 30000 {
 		piece := append(appendU32(nil, 29988), make([]byte, 29988)...)
-		writeMessage(k.toClient, packetTabularResult, 0, 30008, piece)
-		k.run()
+		writeMessage(pair.toClient, packetTabularResult, 0, 30008, piece)
+		pair.run()
 	}
-	assert.ErrorIs(t, k.engineErr, ErrProtocol)
+	assert.ErrorIs(t, pair.engineErr, ErrProtocol)
 }
 
 func TestProbeReadsLoadReportByColumnName(t *testing.T) {
-	k := newPair(t).login()
-	k.engine.Order(k.toSession, traffic.Probe{Tag: "p1", Load: true})
-	k.run()
+	pair := newPair(t).login()
+	pair.engine.Order(pair.toSession, traffic.Probe{Tag: "p1", Load: true})
+	pair.run()
 	part := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
-		{Name: "x0", Type: rows.Type{Kind: rows.Float64}}}, Data: k.pool.Chain()}
+		{Name: "x0", Type: rows.Type{Kind: rows.Float64}}}, Data: pair.pool.Chain()}
 	rows.Append(part.Data, appendU32(nil, 3))
 	rows.Append(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
-	a := k.events[len(k.events)-1].(*traffic.Ask)
-	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
-	require.NoError(t, k.engineErr)
-	last := k.replies[len(k.replies)-1]
+	a := pair.events[len(pair.events)-1].(*traffic.Ask)
+	pair.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
+	require.NoError(t, pair.engineErr)
+	last := pair.replies[len(pair.replies)-1]
 	assert.Equal(t, traffic.Fit, last.Word)
 	assert.Equal(t, []float64{3, 0.25}, []float64{last.Load.Waiting, last.Load.Memory})
 }
