--- a/brain/brain.go
+++ b/brain/brain.go
@@ -153,16 +153,16 @@
 	if r.grants && settings.MemoryPolicy == Overcommit {
 		r.grantFactor = overcommitGrantFactor
 	}
-	r.fixedQuota = shares.Fixed{
-		Routers: float64(settings.Routers),
-		Index:   settings.Index,
-		Sharers: coldBudgetRouters,
-		Began:   now,
-		Whole: coldBudgetShare * settings.OverloadFactor * settings.ColdCapacityShare * warmUtilization *
+	r.fixedQuota = shares.FixedConfig{
+		Routers:    float64(settings.Routers),
+		Index:      settings.Index,
+		MaxHolders: coldBudgetRouters,
+		StartedAt:  now,
+		Total: coldBudgetShare * settings.OverloadFactor * settings.ColdCapacityShare * warmUtilization *
 			settings.OverloadWindow,
 		Window: settings.OverloadWindow,
 	}
-	r.quota, r.quotaSharers = shares.NewPlain(r.fixedQuota), min(r.routerCount, coldBudgetRouters)
+	r.quota, r.quotaSharers = shares.NewFixedDivision(r.fixedQuota), min(r.routerCount, coldBudgetRouters)
 	for _, g := range settings.Groups {
 		g.Threads = max(g.Threads, 1)
 		r.typicalBatch.batches, r.typicalBatch.threads = r.typicalBatch.batches+1e-3, r.typicalBatch.threads+1e-3*g.Threads
@@ -760,7 +760,7 @@
 		e, score := r.placeBatch(b)
 		if r.quotaLackingEngine != nil && (e == nil || r.quotaLackingScore < score) {
 			b.wantsQuota, b.quotaWantedAt = true, cmp.Or(b.quotaWantedAt, r.now)
-			b.reconsiderAt = b.quotaWantedAt + r.quota.Want(r.now, r.quotaLackingEngine.startID(), b.likelyWork)
+			b.reconsiderAt = b.quotaWantedAt + r.quota.Request(r.now, r.quotaLackingEngine.startID(), b.likelyWork)
 			if r.now < b.reconsiderAt {
 				continue
 			}
@@ -840,7 +840,7 @@
 				score += lockedDataPenalty
 			}
 		} else if (r.routerCount <= 1 || r.hasFreshReport(engine) || r.now < engine.othersValidUntil) &&
-			shares.Mix(math.Float64bits(batch.DataSet)>>24+1, uint64(engine.ID))*float64(len(r.engines)) < warmDataEngines {
+			shares.HashFraction(math.Float64bits(batch.DataSet)>>24+1, uint64(engine.ID))*float64(len(r.engines)) < warmDataEngines {
 			score -= warmDataBonus
 		} else if r.now < engine.othersValidUntil && r.randomFloat()*float64(len(r.engines)) >= sampledEngines {
 			score += unsampledPenalty
@@ -880,7 +880,7 @@
 // hasQuota reports whether this router may send the batch to the engine. The work that a cold engine can take is divided
 // among all routers, either by a fixed division or by a quota coordinator.
 func (r *Router) hasQuota(b *Batch, e *Engine) bool {
-	return !r.inSlowStart(e) || !r.stopping && r.quota.Room(r.now, e.startID(), b.likelyWork)
+	return !r.inSlowStart(e) || !r.stopping && r.quota.CanSpend(r.now, e.startID(), b.likelyWork)
 }
 
 // inSlowStart reports whether an engine is cold, that is, may still be slow after its start. The start time comes from
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -531,7 +531,7 @@
 	for _, e := range list[:2] {
 		h.reportLoad(e, 12)
 	}
-	for list[2].StartedAt = 98; !h.quota.Room(h.now, list[2].startID(), 0.1); list[2].StartedAt += 0.01 {
+	for list[2].StartedAt = 98; !h.quota.CanSpend(h.now, list[2].startID(), 0.1); list[2].StartedAt += 0.01 {
 		h.now += 0.02 // look for a start at which this router is one of the few that share the engine's budget
 		h.SetTime(h.now)
 	}
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -63,16 +63,16 @@
 func (b *Batch) Demand() float64 { return b.demand }
 
 // FixedQuota returns how work for cold engines is divided among the routers if they use no quota coordinator.
-func (r *Router) FixedQuota() shares.Fixed { return r.fixedQuota }
+func (r *Router) FixedQuota() shares.FixedConfig { return r.fixedQuota }
 
 // startID identifies the engine's start for the quota.
-func (e *Engine) startID() shares.Start {
-	return shares.Start{Engine: e.ID, At: e.StartedAt, Cores: e.cores}
+func (e *Engine) startID() shares.EngineStart {
+	return shares.EngineStart{Engine: e.ID, StartedAt: e.StartedAt, Cores: e.cores}
 }
 
 // SetQuota replaces the fixed division by a quota that is moved to the routers that want it. It does not know what was
 // sent under the fixed division, so it must be set before the first batch, or start with a delay.
-func (r *Router) SetQuota(parts shares.Parts) { r.quota, r.quotaOnDemand = parts, true }
+func (r *Router) SetQuota(parts shares.ColdStartQuota) { r.quota, r.quotaOnDemand = parts, true }
 
 // QuotaGranted records that quota has arrived: batches that waited for it are considered again at once. Batches that rest
 // because of their route keep resting.
--- a/brain/types.go
+++ b/brain/types.go
@@ -320,21 +320,21 @@
 	mayHedge           bool
 	mustSubscribe      bool // a Subscribe decision is due
 	limitRetries       bool
-	retryDelay         float64      // that rejections ask of clients, seconds
-	maxDispatches      int          // of one batch
-	batchesPerProbe    float64      // own batches that pay for one probe
-	slowStartTime      float64      // seconds
-	largestMemory      float64      // of any engine, MB; 0: unknown
-	fixedQuota         shares.Fixed // how work for cold engines is divided without a coordinator
-	quota              shares.Parts // this router's share of the work for cold engines
-	stopping           bool         // the quota is no longer used: another process may use the same share
-	quotaOnDemand      bool         // the quota is moved to the routers that want it
-	quotaLackingEngine *Engine      // the engine whose quota the batch last looked at lacks; nil: none
-	quotaLackingScore  float64      // and its score
-	quotaSharers       float64      // number of routers that have a share
-	settleTime         float64      // seconds
-	tick               float64      // seconds
-	updateInterval     float64      // seconds
+	retryDelay         float64               // that rejections ask of clients, seconds
+	maxDispatches      int                   // of one batch
+	batchesPerProbe    float64               // own batches that pay for one probe
+	slowStartTime      float64               // seconds
+	largestMemory      float64               // of any engine, MB; 0: unknown
+	fixedQuota         shares.FixedConfig    // how work for cold engines is divided without a coordinator
+	quota              shares.ColdStartQuota // this router's share of the work for cold engines
+	stopping           bool                  // the quota is no longer used: another process may use the same share
+	quotaOnDemand      bool                  // the quota is moved to the routers that want it
+	quotaLackingEngine *Engine               // the engine whose quota the batch last looked at lacks; nil: none
+	quotaLackingScore  float64               // and its score
+	quotaSharers       float64               // number of routers that have a share
+	settleTime         float64               // seconds
+	tick               float64               // seconds
+	updateInterval     float64               // seconds
 	freeRetries        float64
 	retryRatio         float64
 	retryWindow        float64 // seconds
--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -242,7 +242,7 @@
 	at := n.Machine.At()
 	n.Machine.Heard(n.crowd.Now, &m.Message)
 	if m.Shares != nil && n.purse != nil {
-		n.purse.machine.Heard(n.now(), m.Shares)
+		n.purse.machine.Receive(n.now(), m.Shares)
 		n.purse.turn()
 	}
 	n.effects()
--- a/internal/crowd/parts.go
+++ b/internal/crowd/parts.go
@@ -74,7 +74,7 @@
 		out.Sent, out.Small, out.Heavy = share, quantiles(c.Ledger.Waits), quantiles(c.Ledger.Heavies)
 	}
 
-	unfirm := func(p *Purse) { p.Rate, p.Settings.Firm = 0.5*full, 0 }
+	unfirm := func(p *Purse) { p.Rate, p.Settings.FixedFraction = 0.5*full, 0 }
 	c = play(unfirm)
 	if fresh := c.Nodes[routers-1]; routers > 1 && !c.bursar(fresh) {
 		c.Kill(fresh)
@@ -110,7 +110,7 @@
 		c.Kill(victim)
 		from := c.Now
 		for c.Now < from+patience && out.Dead < 0 {
-			if c.Nodes[i].purse.machine.Owes(victim.Name) == 0 {
+			if c.Nodes[i].purse.machine.Outstanding(victim.Name) == 0 {
 				out.Dead = c.Now - from
 				break
 			}
@@ -135,7 +135,7 @@
 
 // bursar tells whether a router has the office.
 func (c *Crowd) bursar(n *Node) bool {
-	return n.purse != nil && n.purse.machine != nil && n.purse.machine.State(n.now()).Office
+	return n.purse != nil && n.purse.machine != nil && n.purse.machine.State(n.now()).IsCoordinator
 }
 
 func average(all []float64) (sum float64) {
--- a/internal/crowd/purse.go
+++ b/internal/crowd/purse.go
@@ -31,7 +31,7 @@
 // Ledger sums what engines get, whoever sends it, by the true time.
 type Ledger struct {
 	crowd   *Crowd
-	starts  []shares.Start
+	starts  []shares.EngineStart
 	uses    map[shares.Key][]use // within the window; use drops the others
 	sums    map[shares.Key]float64
 	Broken  []string // a whole that was passed, the first few
@@ -56,14 +56,14 @@
 type holder struct {
 	*Node
 	machine *shares.Machine // nil: the division is fixed
-	parts   shares.Parts
+	parts   shares.ColdStartQuota
 	held    []*wish
 	timer   int
 }
 
 // wish is a batch that waits.
 type wish struct {
-	to    shares.Start
+	to    shares.EngineStart
 	work  float64
 	since float64
 	heavy bool
@@ -82,7 +82,7 @@
 	}
 	l := &Ledger{crowd: c, uses: map[shares.Key][]use{}, sums: map[shares.Key]float64{}, By: map[string]int{}, chance: rand.New(rand.NewPCG(c.Seed, 0x7075727365))}
 	for i := range p.Engines {
-		l.starts = append(l.starts, shares.Start{Engine: uint32(i + 1), At: epoch, Cores: 1})
+		l.starts = append(l.starts, shares.EngineStart{Engine: uint32(i + 1), StartedAt: epoch, Cores: 1})
 	}
 	if p.Replaced > 0 {
 		c.After(p.Replaced, l.replace)
@@ -95,7 +95,7 @@
 // replace starts an engine anew: its budget is another one.
 func (l *Ledger) replace() {
 	s := &l.starts[l.chance.IntN(len(l.starts))]
-	s.At = l.crowd.Now
+	s.StartedAt = l.crowd.Now
 	l.crowd.After(l.crowd.Purse.Replaced, l.replace)
 }
 
@@ -128,13 +128,13 @@
 	l.crowd.After(0.25, l.look)
 	used, lent, whole := 0.0, 0.0, 0.0
 	for _, s := range l.starts {
-		l.old(shares.ColdKey(s))
-		used, whole = used+l.sums[shares.ColdKey(s)], whole+l.crowd.Purse.Whole
+		l.old(shares.ColdStartKey(s))
+		used, whole = used+l.sums[shares.ColdStartKey(s)], whole+l.crowd.Purse.Whole
 	}
 	for _, n := range l.crowd.Nodes {
 		if n.purse != nil && n.purse.machine != nil {
 			for _, h := range n.purse.machine.State(n.now()).Budgets {
-				lent += h.Left
+				lent += h.Available
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 
 // use is what came to an engine.
 func (l *Ledger) use(w *wish, by string) {
-	key := shares.ColdKey(w.to)
+	key := shares.ColdStartKey(w.to)
 	l.old(key)
 	l.uses[key], l.sums[key] = append(l.uses[key], use{l.crowd.Now, w.work}), l.sums[key]+w.work
 	share := l.sums[key] / l.crowd.Purse.Whole
@@ -183,14 +183,14 @@
 	if routers == 0 {
 		routers = c.Routers
 	}
-	fixed := shares.Fixed{Whole: p.Whole, Window: p.Window, Routers: float64(routers), Index: n.number % routers, Sharers: 16, Began: n.now()}
+	fixed := shares.FixedConfig{Total: p.Whole, Window: p.Window, Routers: float64(routers), Index: n.number % routers, MaxHolders: 16, StartedAt: n.now()}
 	if p.Fixed {
-		h.parts = shares.NewPlain(fixed)
+		h.parts = shares.NewFixedDivision(fixed)
 	} else {
 		s := p.Settings
 		s.Listen = n.Address
 		for i := range min(p.Keepers, len(c.Nodes)) { // spread over all
-			s.Keepers = append(s.Keepers, c.Nodes[i*len(c.Nodes)/min(p.Keepers, len(c.Nodes))].Address)
+			s.Replicas = append(s.Replicas, c.Nodes[i*len(c.Nodes)/min(p.Keepers, len(c.Nodes))].Address)
 		}
 		h.machine = shares.New(s, shares.ID{Name: n.Name, Start: c.starts}, fixed, n.now())
 		h.parts = h.machine
@@ -203,7 +203,7 @@
 func (h *holder) turn() {
 	c := h.crowd
 	if h.machine != nil {
-		h.machine.Fleet(h.Machine.Count())
+		h.machine.ObserveFleetSize(h.Machine.Count())
 	}
 	for range 4 {
 		for i := 0; i < len(h.held); {
@@ -211,20 +211,20 @@
 			switch {
 			case c.Now > w.since+c.Purse.Patience || !slices.Contains(c.Ledger.starts, w.to):
 				c.Ledger.GivenUp++
-			case h.parts.Room(h.now(), w.to, w.work):
+			case h.parts.CanSpend(h.now(), w.to, w.work):
 				h.send(w)
 			default:
-				h.parts.Want(h.now(), w.to, w.work)
+				h.parts.Request(h.now(), w.to, w.work)
 				i++
 				continue
 			}
 			h.held = slices.Delete(h.held, i, i+1)
 		}
-		if h.machine == nil || !h.machine.Wanted() && h.now() < h.machine.At() {
+		if h.machine == nil || !h.machine.DemandPending() && h.now() < h.machine.NextWake() {
 			break
 		}
 		h.machine.Wake(h.now())
-		if !h.machine.Came() {
+		if !h.machine.GrantsArrived() {
 			break
 		}
 	}
@@ -238,7 +238,7 @@
 	h.parts.Spend(h.now(), w.to, w.work)
 	by := math.Inf(1)
 	if h.machine != nil {
-		by = h.machine.Ends()
+		by = h.machine.SendDeadline()
 	}
 	if c.Purse.Stands == 0 || c.Ledger.chance.Float64() >= c.Purse.Stands {
 		c.Ledger.use(w, h.Name)
@@ -260,10 +260,10 @@
 	if h.machine == nil || h.Machine == nil {
 		return
 	}
-	h.machine.Notes()
-	for _, s := range h.machine.Sends() {
+	h.machine.TakeNotes()
+	for _, s := range h.machine.TakeOutgoing() {
 		said := s.Message
-		h.Node.send(s.To, talk.Message{Message: h.Machine.Envelope(), Shares: &said})
+		h.Node.send(s.Destination, talk.Message{Message: h.Machine.Envelope(), Shares: &said})
 	}
 }
 
@@ -273,7 +273,7 @@
 	timer, life := h.timer, h.Life
 	wait := math.Inf(1)
 	if h.machine != nil {
-		wait = (h.machine.At() - h.now()) / h.rate
+		wait = (h.machine.NextWake() - h.now()) / h.rate
 	}
 	if len(h.held) > 0 {
 		wait = min(wait, 0.05)
--- a/internal/crowd/purse_test.go
+++ b/internal/crowd/purse_test.go
@@ -94,7 +94,7 @@
 		p.Stands = 0.05
 		if seed%4 == 0 {
 			p.Settings = shares.Defaults()
-			p.Settings.Firm = 0
+			p.Settings.FixedFraction = 0
 		}
 		c := New(Options{Routers: 3 + int(seed)%10, Seed: seed, Purse: p, Jitter: 0.001})
 		c.stormy(40)
@@ -111,7 +111,7 @@
 	for seed, told := range []int{6, 3, 1} {
 		p := purse()
 		p.Told, p.Rate, p.Settings, p.Replaced = told, 400, shares.Defaults(), 0
-		p.Settings.Firm = 0.5
+		p.Settings.FixedFraction = 0.5
 		c := New(Options{Routers: 12, Seed: uint64(seed), Purse: p})
 		c.StartAll()
 		c.Run(6) // fixed parts alone were twice, four and twelve times the firm share
@@ -128,7 +128,7 @@
 	for seed := range uint64(12) {
 		p := purse()
 		p.Settings, p.Drift, p.Rate, p.Heavy = shares.Defaults(), 0.6, 120, 0.2
-		p.Settings.Drift = 0
+		p.Settings.MaxDrift = 0
 		c := New(Options{Routers: 8, Seed: seed, Purse: p})
 		c.stormy(40)
 		broken += len(c.Ledger.Broken)
@@ -166,7 +166,7 @@
 		c := New(Options{Routers: 20, Seed: 3, Purse: p})
 		c.StartAll()
 		c.Run(15)
-		bursar := slices.IndexFunc(c.Nodes, func(n *Node) bool { return n.purse.machine.State(n.now()).Office })
+		bursar := slices.IndexFunc(c.Nodes, func(n *Node) bool { return n.purse.machine.State(n.now()).IsCoordinator })
 		require.GreaterOrEqual(t, bursar, 0)
 		before := average(c.Ledger.Took[len(c.Ledger.Took)-20:])
 		switch who {
@@ -195,7 +195,7 @@
 	for _, leaves := range []bool{true, false} {
 		p := purse()
 		p.Replaced, p.Rate, p.Heavy, p.Settings = 0, 800, 0, shares.Defaults()
-		p.Settings.Firm = 0
+		p.Settings.FixedFraction = 0
 		c := New(Options{Routers: 9, Seed: 8, Purse: p})
 		c.StartAll()
 		c.Run(12)
--- a/internal/emulator/talk.go
+++ b/internal/emulator/talk.go
@@ -27,7 +27,7 @@
 		all := s.world.Routers
 		keepers := min(talkKeepers, all-(all+1)%2) // an odd number, spread over all
 		for i := range keepers {
-			own.Keepers = append(own.Keepers, talkAddress(i*all/keepers))
+			own.Replicas = append(own.Replicas, talkAddress(i*all/keepers))
 		}
 		set.Shares = &own
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -159,7 +159,7 @@
 		one.Load = v.Load
 		if one.Talk = v.Talk || v.Shares; v.Shares {
 			s := shares.Defaults()
-			s.Firm = v.Firm
+			s.FixedFraction = v.Firm
 			one.Shares = &s
 		}
 		if v.Adaptive != "" {
--- a/internal/explore/shares.go
+++ b/internal/explore/shares.go
@@ -74,7 +74,7 @@
 type shareRouter struct {
 	number  int
 	life    uint64
-	purse   *shares.Purse // of what is held
+	purse   *shares.QuotaLease // of what is held
 	machine *shares.Machine
 	stopped bool
 	ended   int       // what it held and has ended while it stood still
@@ -86,7 +86,7 @@
 	message shares.Message
 }
 
-var engine = shares.Start{Engine: 1, At: 1, Cores: 1}
+var engine = shares.EngineStart{Engine: 1, StartedAt: 1, Cores: 1}
 
 // New makes a world, settled.
 func (s Shares) New() World {
@@ -118,20 +118,20 @@
 	s := w.Settings
 	s.Listen = address(i)
 	for k := range w.Keepers {
-		s.Keepers = append(s.Keepers, address(k))
+		s.Replicas = append(s.Replicas, address(k))
 	}
 	r := w.all[i]
 	r.stopped, r.ended, r.late, r.life = false, 0, nil, w.starts
-	r.machine = shares.New(s, shares.ID{Name: fmt.Sprint("n", i), Start: w.starts}, shares.Fixed{Whole: w.Whole, Window: w.Window, Routers: float64(w.Routers), Index: i, Sharers: 16,
-		Began: w.own(i)}, w.own(i))
-	r.purse = r.machine.Purse(shares.Budget{Key: w.key(), Whole: w.Whole, Rest: w.Window})
+	r.machine = shares.New(s, shares.ID{Name: fmt.Sprint("n", i), Start: w.starts}, shares.FixedConfig{Total: w.Whole, Window: w.Window, Routers: float64(w.Routers), Index: i, MaxHolders: 16,
+		StartedAt: w.own(i)}, w.own(i))
+	r.purse = r.machine.QuotaLease(shares.Budget{Key: w.key(), Total: w.Whole, CountedFor: w.Window})
 }
 
 func (w *sharesWorld) key() shares.Key {
 	if w.Held {
 		return shares.NamedKey(shares.Concurrency, "held")
 	}
-	return shares.ColdKey(engine)
+	return shares.ColdStartKey(engine)
 }
 
 // room, spend and want are a router's for one unit.
@@ -139,7 +139,7 @@
 	if w.Held {
 		return w.all[i].purse.CanSpend(w.own(i), 1)
 	}
-	return w.all[i].machine.Room(w.own(i), engine, 1)
+	return w.all[i].machine.CanSpend(w.own(i), engine, 1)
 }
 
 func (w *sharesWorld) spend(i int) {
@@ -154,7 +154,7 @@
 	if w.Held {
 		w.all[i].purse.Request(w.own(i), 1)
 	} else {
-		w.all[i].machine.Want(w.own(i), engine, 1)
+		w.all[i].machine.Request(w.own(i), engine, 1)
 	}
 }
 
@@ -254,7 +254,7 @@
 		w.now += w.Step
 		w.over()
 		for k, r := range w.all {
-			if !r.stopped && r.machine.At() <= w.own(k) {
+			if !r.stopped && r.machine.NextWake() <= w.own(k) {
 				r.machine.Wake(w.own(k))
 				w.said(r)
 			}
@@ -268,7 +268,7 @@
 		}
 		if r := w.all[f.to]; !r.stopped {
 			message := f.message
-			r.machine.Heard(w.own(f.to), &message)
+			r.machine.Receive(w.own(f.to), &message)
 			w.said(r)
 		}
 	case Use, Late:
@@ -280,7 +280,7 @@
 			return
 		}
 		w.spend(i)
-		by := r.machine.Ends()
+		by := r.machine.SendDeadline()
 		if e.Kind == Late {
 			w.Lates--
 			r.late = append(r.late, by)
@@ -317,7 +317,7 @@
 		for ; r.ended > 0; r.ended-- {
 			r.purse.Release(w.own(i), 1)
 		}
-		if r.machine.At() <= w.own(i) {
+		if r.machine.NextWake() <= w.own(i) {
 			r.machine.Wake(w.own(i))
 			w.said(r)
 		}
@@ -327,11 +327,11 @@
 func (w *sharesWorld) use(i int) { w.uses = append(w.uses, used{w.now, i, w.all[i].life}) }
 
 func (w *sharesWorld) said(r *shareRouter) {
-	r.machine.Notes()
-	r.machine.Came()
-	for _, s := range r.machine.Sends() {
+	r.machine.TakeNotes()
+	r.machine.GrantsArrived()
+	for _, s := range r.machine.TakeOutgoing() {
 		for i := range w.all {
-			if address(i) == s.To {
+			if address(i) == s.Destination {
 				w.flight = append(w.flight, flying{i, s.Message})
 			}
 		}
@@ -366,7 +366,7 @@
 func (w *sharesWorld) Broken() string {
 	sum := float64(len(w.uses))
 	for i, r := range w.all {
-		sum += r.machine.InHand(w.own(i), w.key())
+		sum += r.machine.Available(w.own(i), w.key())
 		for _, by := range r.late {
 			if w.own(i) < by {
 				sum++
@@ -389,7 +389,7 @@
 func Worlds() (out []Named) {
 	add := func(name string, edit func(s *Shares)) {
 		own := shares.Defaults()
-		own.Firm, own.Lease, own.Term, own.Again, own.Idle, own.Largest = 0, 0.5, 1, 1, 0.5, 1
+		own.FixedFraction, own.Lease, own.Term, own.RetryInterval, own.IdleTimeout, own.MaxRequestFraction = 0, 0.5, 1, 1, 0.5, 1
 		s := Shares{Routers: 2, Keepers: 1, Step: 0.25, Whole: 2, Window: 0.75, Settings: own, InFlight: 4, Settle: 5}
 		if edit(&s); s.Keepers > 1 { // what is given is told to them first
 			s.InFlight = max(s.InFlight, 8)
@@ -420,10 +420,10 @@
 	held("clocks that differ", func(s *Shares) { s.Stops, s.Rates = 1, []float64{1.008, 0.992} })
 	held("three keepers, one leaves", func(s *Shares) { s.Routers, s.Keepers, s.Leaves = 3, 3, 1 })
 	held("three keepers, many kills", func(s *Shares) { s.Routers, s.Keepers, s.Kills, s.Stops, s.Window = 3, 3, 12, 4, 2 })
-	held("a firm part", func(s *Shares) { s.Whole, s.Kills, s.Settings.Firm = 4, 2, 0.5 })
+	held("a firm part", func(s *Shares) { s.Whole, s.Kills, s.Settings.FixedFraction = 4, 2, 0.5 })
 	held("all of it", func(s *Shares) {
 		s.Routers, s.Keepers, s.Kills, s.Stops, s.Lates, s.Doubles, s.Leaves, s.InFlight = 4, 3, 12, 12, 20, 40, 6, 10
-		s.Whole, s.Settings.Firm = 6, 0.25
+		s.Whole, s.Settings.FixedFraction = 6, 0.25
 		s.Rates = []float64{1.008, 0.992, 1, 1.004}
 	})
 	return out
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -125,7 +125,7 @@
 	i, err = Parse("x.toml", []byte(divides), env)
 	require.NoError(t, err)
 	require.NotNil(t, i.Shares)
-	assert.Equal(t, []float64{0.5, 1, 0.2}, []float64{i.Shares.Lease, i.Shares.Term, i.Shares.Firm})
+	assert.Equal(t, []float64{0.5, 1, 0.2}, []float64{i.Shares.Lease, i.Shares.Term, i.Shares.FixedFraction})
 	assert.Equal(t, "10.1.0.4:7500", i.Shares.Listen)
 	for change, why := range map[string]string{
 		`, "10.2.0.9:7500"]` + "\nlease|]\nlease":               "x.toml:9: shares.keepers: 2 addresses",
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -107,7 +107,7 @@
 		m.settledCount = max(m.settledCount, n)
 	}
 	if r.parts != nil {
-		r.parts.machine.Fleet(m.machine.Count())
+		r.parts.machine.ObserveFleetSize(m.machine.Count())
 	}
 	if m.settledCount != m.reportedCount {
 		m.reportedCount = m.settledCount
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -260,7 +260,7 @@
 				event := router.TalkSet{Settings: s}
 				if name == "shares" {
 					quotas := shares.Defaults()
-					quotas.Listen, quotas.Keepers = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
+					quotas.Listen, quotas.Replicas = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
 					event.Shares = &quotas
 				}
 				p.deliver(event)
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -19,7 +19,7 @@
 	h := newHost(t, eastEngine("s-1"), other)
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
-	s.Listen, s.Keepers, s.Firm = m.Listen, []string{coordinatorAddress}, 0
+	s.Listen, s.Replicas, s.FixedFraction = m.Listen, []string{coordinatorAddress}, 0
 	h.deliver(TalkSet{Settings: m, Shares: &s})
 	route.Name, route.Pattern = "r", limits.Fields{Group: "lookup"}
 	h.deliver(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
@@ -32,7 +32,7 @@
 func (h *host) returnedAmount(number uint64) (amount float64) {
 	amount = -1
 	for _, effect := range h.emitted {
-		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask {
+		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.GrantRequest {
 			for _, i := range w.Shares.Items {
 				if i.Done && i.Number == number {
 					amount = i.Amount
@@ -51,7 +51,7 @@
 	require.NotNil(t, request)
 	assert.Equal(t, shares.Concurrency, request.Key.Kind)
 	assert.InDelta(t, 1, request.Amount, 0)
-	assert.Greater(t, request.Rest, 9.0, "an outstanding batch may last as long as the longest time limit")
+	assert.Greater(t, request.CountedFor, 9.0, "an outstanding batch may last as long as the longest time limit")
 	h.grantCredit(request, 1)
 	connection := h.connectLast()
 	h.advance(1.5) // the credit ends while its batch is still outstanding
@@ -60,7 +60,7 @@
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	h.advance(0.5)
 	assert.Zero(t, h.returnedAmount(request.Number), "the finished batch no longer counts")
-	assert.Zero(t, h.routes.Routes[0].Concurrency.Quota.(*shares.Purse).Out())
+	assert.Zero(t, h.routes.Routes[0].Concurrency.Quota.(*shares.QuotaLease).InUse())
 
 	h.sendBatch("lookup", 4000)
 	next := h.lastCreditRequest()
@@ -93,7 +93,7 @@
 		require.NotContains(t, h.answers, stream)
 		request := h.lastCreditRequest()
 		require.NotNil(t, request)
-		assert.Equal(t, shares.Further, request.Key.Kind)
+		assert.Equal(t, shares.ExtraDispatches, request.Key.Kind)
 		if !granted { // the batch is answered soon, not at its time limit
 			h.advance(0.2)
 			require.Contains(t, h.answers, stream)
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -24,7 +24,7 @@
 	r.parts = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
 	r.brain.SetQuota(r.parts.machine)
 	r.setQuotaLeases()
-	r.log(Info, "shares", "keepers", s.Keepers, "firm", s.Firm)
+	r.log(Info, "shares", "keepers", s.Replicas, "firm", s.FixedFraction)
 }
 
 // setQuotaLeases gives each fleet-wide limit its quota lease. A batch counts against a concurrency limit for at most the longest
@@ -40,7 +40,7 @@
 	m := r.parts.machine
 	setRetryLease := func(b *limits.RetryBudget, name string) {
 		if b != nil && b.FleetWide {
-			b.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Further, name), Name: name, Whole: b.FreeRetries, Rest: b.Window})
+			b.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.ExtraDispatches, name), Name: name, Total: b.FreeRetries, CountedFor: b.Window})
 		}
 	}
 	setRetryLease(r.ofAll, "further.all")
@@ -49,7 +49,7 @@
 			setRetryLease(b, "budget "+b.Name)
 		}
 		if c := route.Concurrency; c != nil && c.FleetWide > 0 {
-			c.Quota = m.Purse(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Whole: float64(c.FleetWide), Rest: longest})
+			c.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.Concurrency, c.Name), Name: "concurrency " + c.Name, Total: float64(c.FleetWide), CountedFor: longest})
 		}
 	}
 }
@@ -59,11 +59,11 @@
 func (r *Router) updateQuotas() {
 	q := r.parts
 	for range 4 {
-		if !q.machine.Wanted() && r.now < q.machine.At() {
+		if !q.machine.DemandPending() && r.now < q.machine.NextWake() {
 			break
 		}
 		q.machine.Wake(r.now)
-		if !q.machine.Came() {
+		if !q.machine.GrantsArrived() {
 			break
 		}
 		r.brain.QuotaGranted()
@@ -75,19 +75,19 @@
 // flushQuotas sends the messages and logs the notes that the quota machine has produced, and sets its next timer.
 func (r *Router) flushQuotas() {
 	q := r.parts
-	for _, send := range q.machine.Sends() {
+	for _, send := range q.machine.TakeOutgoing() {
 		r.members.sent++
 		message := send.Message
-		r.do(Talk{send.To, r.members.machine.Envelope(), &message, nil})
+		r.do(Talk{send.Destination, r.members.machine.Envelope(), &message, nil})
 	}
-	for _, note := range q.machine.Notes() {
+	for _, note := range q.machine.TakeNotes() {
 		level := Info
-		if note.Loud {
+		if note.Warning {
 			level = Warn
 		}
 		r.log(level, note.Text, note.Fields...)
 	}
-	if at := q.machine.At(); at != q.timerAt || q.timer == nil || q.timer.index < 0 {
+	if at := q.machine.NextWake(); at != q.timerAt || q.timer == nil || q.timer.index < 0 {
 		r.timers.stop(q.timer)
 		q.timer, q.timerAt = nil, at
 		if at < farFuture {
@@ -102,8 +102,8 @@
 	if q == nil {
 		return
 	}
-	q.machine.Heard(r.now, message)
-	if q.machine.Came() {
+	q.machine.Receive(r.now, message)
+	if q.machine.GrantsArrived() {
 		r.brain.QuotaGranted()
 	}
 	r.flushQuotas()
@@ -115,7 +115,7 @@
 	if r.parts == nil {
 		return math.Inf(1)
 	}
-	return r.parts.machine.Ends()
+	return r.parts.machine.SendDeadline()
 }
 
 // request returns the dispatch as it is sent to its engine. The engine may take the time that is left until the dispatch ends, but
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -27,7 +27,7 @@
 		`"stop-sending-within-ms":250,"cold-from":0.35,"cold-ms":15000,"fall-multiple":2,"fall-ms":1000`, 1), e)
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
-	s.Listen, s.Keepers = m.Listen, []string{coordinatorAddress}
+	s.Listen, s.Replicas = m.Listen, []string{coordinatorAddress}
 	h.deliver(TalkSet{Settings: m, Shares: &s})
 	h.advance(2)
 	return h
@@ -44,7 +44,7 @@
 // lastCreditRequest returns the last request for a credit that was sent to the coordinator; nil: none.
 func (h *host) lastCreditRequest() (request *shares.Item) {
 	for _, effect := range h.emitted {
-		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.Ask && w.To == coordinatorAddress {
+		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.GrantRequest && w.To == coordinatorAddress {
 			for _, i := range w.Shares.Items {
 				if !i.Done {
 					request = &i
@@ -60,12 +60,12 @@
 	roll := uint32(0)
 	for _, effect := range h.emitted {
 		if w, is := effect.(Talk); is && w.Shares != nil {
-			roll = w.Shares.Roll
+			roll = w.Shares.ReplicaSetHash
 		}
 	}
 	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: coordinatorAddress}
-	h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.Reply, Roll: roll,
-		To: 1, From: shares.ID{Name: "other", Start: 1}, At: coordinatorAddress, Bursar: coordinatorAddress, Items: []shares.Item{{Number: request.Number, Try: request.Try, Key: request.Key, Amount: request.Amount, Lease: lease}}}})
+	h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
+		ToStart: 1, From: shares.ID{Name: "other", Start: 1}, FromAddress: coordinatorAddress, Coordinator: coordinatorAddress, Items: []shares.Item{{Number: request.Number, Attempt: request.Attempt, Key: request.Key, Amount: request.Amount, Lease: lease}}}})
 }
 
 func TestHeavyBatchReachesColdEngineWithCredit(t *testing.T) {
--- a/internal/serve/shares.go
+++ b/internal/serve/shares.go
@@ -58,26 +58,26 @@
 	case name != "":
 		return fmt.Sprintf("%s, %s (%s)", k.Kind, name, shares.Kinds[k.Kind].Unit)
 	case k.Kind != shares.ColdWork: // of another's settings
-		return fmt.Sprintf("%s, %016x (%s)", k.Kind, k.At, shares.Kinds[k.Kind].Unit)
+		return fmt.Sprintf("%s, %016x (%s)", k.Kind, k.Qualifier, shares.Kinds[k.Kind].Unit)
 	}
-	return fmt.Sprintf("%s, engine %d started %s (%s)", k.Kind, k.Of, at(math.Float64frombits(k.At)).Format("15:04:05.000"), shares.Kinds[k.Kind].Unit)
+	return fmt.Sprintf("%s, engine %d started %s (%s)", k.Kind, k.Engine, at(math.Float64frombits(k.Qualifier)).Format("15:04:05.000"), shares.Kinds[k.Kind].Unit)
 }
 
 func newShares(m router.FleetStatus) *Shares {
 	s := m.Shares
-	out := &Shares{Router: m.Name, At: at(m.Now), Bursar: s.Bursar, Office: s.Office, Since: at(s.Since), Keeper: s.Keeper, Counts: s.Stats}
-	if s.Stats.Given > 0 {
-		out.Waited = s.Stats.Waited / float64(s.Stats.Given)
+	out := &Shares{Router: m.Name, At: at(m.Now), Bursar: s.Coordinator, Office: s.IsCoordinator, Since: at(s.CoordinatorSince), Keeper: s.IsReplica, Counts: s.Stats}
+	if s.Stats.Granted > 0 {
+		out.Waited = s.Stats.Waited / float64(s.Stats.Granted)
 	}
 	for _, b := range s.Budgets {
-		one := ShareOf{What: nameOf(b.Key, b.Name), Whole: b.Whole, Left: b.Left, Used: b.Used, Asked: b.Asked, Ago: -1}
-		if b.Since > 0 {
-			one.Ago = m.Now - b.Since
+		one := ShareOf{What: nameOf(b.Key, b.Name), Whole: b.Total, Left: b.Available, Used: b.Used, Asked: b.Requested, Ago: -1}
+		if b.LastGrantAt > 0 {
+			one.Ago = m.Now - b.LastGrantAt
 		}
 		out.Budgets = append(out.Budgets, one)
 	}
-	for _, b := range s.Books {
-		out.Books = append(out.Books, ShareBook{nameOf(b.Key, b.Name), b.Whole, b.Free, b.Lent, b.Resting, b.Waiting, b.Open, b.Holders})
+	for _, b := range s.Ledgers {
+		out.Books = append(out.Books, ShareBook{nameOf(b.Key, b.Name), b.Total, b.Free, b.Leased, b.Expiring, b.Queued, b.Open, b.Holders})
 	}
 	return out
 }
@@ -100,8 +100,8 @@
 	}
 	fmt.Fprintf(t, "router\t%s\nat\t%s\nbursar\t%s\nkeeper\t%t\n", s.Router, s.At.Format(time.RFC3339), who, s.Keeper)
 	c := s.Counts
-	fmt.Fprintf(t, "credits\t%d asked for, %d given after %.4f s, %d given back, %d ended in hand, %d never\n", c.Asked, c.Given, s.Waited, c.Returned, c.Lapsed, c.Never)
-	fmt.Fprintf(t, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d heard\n", c.Used, c.Firm, c.Sent, c.Heard)
+	fmt.Fprintf(t, "credits\t%d asked for, %d given after %.4f s, %d given back, %d ended in hand, %d never\n", c.Requested, c.Granted, s.Waited, c.Returned, c.Expired, c.TooLarge)
+	fmt.Fprintf(t, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d heard\n", c.Used, c.FixedUsed, c.Sent, c.Received)
 	if len(s.Budgets) > 0 {
 		fmt.Fprintln(t, "\nbudget\twhole\tin hand\tused of it\tasked for\tlast given")
 	}
@@ -129,7 +129,7 @@
 // alone tells whether a keeper's address is this process's own. The loop's socket would let a second process under it, and two
 // that promise under one address could make two bursars.
 func alone(ctx context.Context, s *shares.Settings) error {
-	if !slices.Contains(s.Keepers, s.Listen) {
+	if !slices.Contains(s.Replicas, s.Listen) {
 		return nil
 	}
 	c, err := (&net.ListenConfig{}).ListenPacket(ctx, "udp", s.Listen)
--- a/internal/shares/records.go
+++ b/internal/shares/records.go
@@ -13,278 +13,280 @@
 // run for so short a time that the books stay closed as before. It is what Viewstamped Replication does without disks (Oki and
 // Liskov, PODC 1988; Liskov and Cowling, 2012), with leases in place of a log.
 
-// MostRecords are on one message: each has its holder's name, and the longest names have to fit a datagram.
-const MostRecords = 7
+// MaxRecordsPerMessage are on one message: each has its holder's name, and the longest names have to fit a datagram.
+const MaxRecordsPerMessage = 7
 
-// record is what a keeper knows of a credit.
-type record struct {
-	amount      units
-	whole, rest float64 // of its budget
-	until       float64 // it counts
+// replicaRecord is what a keeper knows of a credit.
+type replicaRecord struct {
+	amount            microUnits
+	total, countedFor float64 // of its budget
+	countsUntil       float64 // it counts
 }
 
-// keep notes what a bursar tells. Of one credit amounts only fall, in whichever order they come; one that is told late
+// storeRecord notes what a bursar tells. Of one credit amounts only fall, in whichever order they come; one that is told late
 // counts on until it would have, which takes nothing from anybody but time.
-func (k *keeper) keep(now float64, i *Item) {
-	of, all, amount := holder{i.Of, i.Number}, k.records[i.Key], toUnits(i.Amount)
+func (k *replica) storeRecord(now float64, i *Item) {
+	of, all, amount := grantID{i.Holder, i.Number}, k.records[i.Key], toMicroUnits(i.Amount)
 	if before, known := all[of]; known {
 		amount = min(amount, before.amount)
 	}
 	switch {
 	case amount > 0 && all == nil:
-		k.records[i.Key] = map[holder]record{of: {amount, i.Whole, i.Rest, now + k.longer(i.Lease)}}
+		k.records[i.Key] = map[grantID]replicaRecord{of: {amount, i.Total, i.CountedFor, now + k.padForDrift(i.Lease)}}
 	case amount > 0:
-		all[of] = record{amount, i.Whole, i.Rest, now + k.longer(i.Lease)}
+		all[of] = replicaRecord{amount, i.Total, i.CountedFor, now + k.padForDrift(i.Lease)}
 	default:
 		delete(all, of)
 	}
 }
 
-// forget drops what no longer counts.
-func (k *keeper) forget(now float64) {
+// dropExpired drops what no longer counts.
+func (k *replica) dropExpired(now float64) {
 	for key, all := range k.records {
-		maps.DeleteFunc(all, func(_ holder, r record) bool { return now >= r.until })
+		maps.DeleteFunc(all, func(_ grantID, r replicaRecord) bool { return now >= r.countsUntil })
 		if len(all) == 0 {
 			delete(k.records, key)
 		}
 	}
 }
 
-// known gives all that counts, in one order.
-func (k *keeper) known(now float64) (out []Item) {
-	k.forget(now)
+// currentRecords gives all that counts, in one order.
+func (k *replica) currentRecords(now float64) (out []Item) {
+	k.dropExpired(now)
 	for key, all := range k.records {
 		for of, r := range all {
-			out = append(out, Item{Key: key, Of: of.ID, Number: of.Number, Amount: float64(r.amount) / 1e6, Whole: r.whole, Rest: r.rest, Lease: r.until - now})
+			out = append(out, Item{Key: key, Holder: of.ID, Number: of.Number, Amount: float64(r.amount) / 1e6, Total: r.total, CountedFor: r.countedFor, Lease: r.countsUntil - now})
 		}
 	}
 	slices.SortFunc(out, func(a, b Item) int {
-		return cmp.Or(compareKeys(a.Key, b.Key), cmp.Compare(a.Of.Name, b.Of.Name), cmp.Compare(a.Of.Start, b.Of.Start), cmp.Compare(a.Number, b.Number))
+		return cmp.Or(compareKeys(a.Key, b.Key), cmp.Compare(a.Holder.Name, b.Holder.Name), cmp.Compare(a.Holder.Start, b.Holder.Start), cmp.Compare(a.Number, b.Number))
 	})
 	return out
 }
 
-// up is for how long this start has been told all that was given. Its quiet time counts for nothing: a bursar whom the start
+// completeFor is for how long this start has been told all that was given. Its quiet time counts for nothing: a bursar whom the start
 // before promised may have given until then without asking this one.
-func (k *keeper) up(now float64) float64 { return max(now-k.knows, 0) }
+func (k *replica) completeFor(now float64) float64 { return max(now-k.completeSince, 0) }
 
-// parked are credits that most keepers don't know of yet.
-type parked struct {
-	number uint64
-	items  []Item // what they are told,
-	by     []string
-	sends  []Send // and what goes out then
-	again  float64
+// pendingGrants are credits that most keepers don't know of yet.
+type pendingGrants struct {
+	number         uint64
+	records        []Item // what they are told,
+	acknowledgedBy []string
+	replies        []OutgoingMessage // and what goes out then
+	resendAt       float64
 }
 
-// recall is what a new bursar hears of what counts.
-type recall struct {
-	number uint64 // of the last time he asked
-	again  float64
-	from   map[string]*pages // by keeper's address
-	done   int               // keepers of whom all has come
+// recovery is what a new bursar hears of what counts.
+type recovery struct {
+	number           uint64 // of the last time he asked
+	resendAt         float64
+	pages            map[string]*recoveredPages // by keeper's address
+	completeReplicas int                        // keepers of whom all has come
 }
 
-type pages struct {
-	number uint64
-	start  uint64
-	all    [][]Item
-	left   int
-	up     float64
+type recoveredPages struct {
+	number      uint64
+	start       uint64
+	items       [][]Item
+	missing     int
+	completeFor float64
 }
 
-// begin opens the books of a new office: they can't be used before most keepers have told what they know.
-func (b *bursar) begin(h *handed) {
-	b.books, b.parked, b.handed, b.up = map[Key]*book{}, nil, h, 0
-	b.recall = &recall{from: map[string]*pages{}}
+// beginRecovery opens the books of a new office: they can't be used before most keepers have told what they know.
+func (b *coordinator) beginRecovery(h *handover) {
+	b.ledgers, b.pending, b.handover, b.recordsCompleteFor = map[Key]*budgetLedger{}, nil, h, 0
+	b.recovery = &recovery{pages: map[string]*recoveredPages{}}
 }
 
-// hear takes in a page of what a keeper knows. It gives true once most have told all.
-func (r *recall) hear(m *Message, keepers int) bool {
+// addPage takes in a page of what a keeper knows. It gives true once most have told all.
+func (r *recovery) addPage(m *Message, keepers int) bool {
 	if m.Number != r.number || m.Pages == 0 || m.Page >= m.Pages {
 		return false
 	}
-	p := r.from[m.At]
+	p := r.pages[m.FromAddress]
 	switch {
-	case p != nil && p.left == 0:
+	case p != nil && p.missing == 0:
 		return false
-	case p == nil || p.number != m.Number || p.start != m.From.Start || len(p.all) != int(m.Pages):
-		p = &pages{number: m.Number, start: m.From.Start, all: make([][]Item, m.Pages), left: int(m.Pages), up: m.Up}
-		r.from[m.At] = p
+	case p == nil || p.number != m.Number || p.start != m.From.Start || len(p.items) != int(m.Pages):
+		p = &recoveredPages{number: m.Number, start: m.From.Start, items: make([][]Item, m.Pages), missing: int(m.Pages), completeFor: m.CompleteFor}
+		r.pages[m.FromAddress] = p
 	}
-	if p.all[m.Page] == nil {
-		p.all[m.Page] = append([]Item{}, m.Items...)
-		p.left--
+	if p.items[m.Page] == nil {
+		p.items[m.Page] = append([]Item{}, m.Items...)
+		p.missing--
 	}
-	p.up = min(p.up, m.Up)
-	if p.left == 0 {
-		r.done++
+	p.completeFor = min(p.completeFor, m.CompleteFor)
+	if p.missing == 0 {
+		r.completeReplicas++
 	}
-	return 2*r.done > keepers
+	return 2*r.completeReplicas > keepers
 }
 
-// open fills the books with what most keepers know.
-func (b *bursar) open(now, wonAt float64) {
-	b.up = math.Inf(1)
-	for _, p := range b.recall.from {
-		if p.left > 0 {
+// applyRecovery fills the books with what most keepers know.
+func (b *coordinator) applyRecovery(now, wonAt float64) {
+	b.recordsCompleteFor = math.Inf(1)
+	for _, p := range b.recovery.pages {
+		if p.missing > 0 {
 			continue
 		}
-		b.up = min(b.up, p.up)
-		for _, items := range p.all {
+		b.recordsCompleteFor = min(b.recordsCompleteFor, p.completeFor)
+		for _, items := range p.items {
 			for _, i := range items {
-				k, of := b.find(now, &i), holder{i.Of, i.Number}
-				k.rest, k.whole, k.next = max(k.rest, i.Rest), min(k.whole, i.Whole), min(k.next, i.Whole)
-				c := &credit{amount: toUnits(i.Amount), until: now + b.longer(i.Lease), recalled: true}
-				if before := k.given[of]; before != nil { // where one keeper missed that less is out the larger counts
-					c.amount, c.until = max(c.amount, before.amount), max(c.until, before.until)
+				k, of := b.getOrCreateLedger(now, &i), grantID{i.Holder, i.Number}
+				k.countedFor, k.total, k.nextTotal = max(k.countedFor, i.CountedFor), min(k.total, i.Total), min(k.nextTotal, i.Total)
+				c := &issuedGrant{amount: toMicroUnits(i.Amount), countsUntil: now + b.padForDrift(i.Lease), recovered: true}
+				if before := k.grants[of]; before != nil { // where one keeper missed that less is out the larger counts
+					c.amount, c.countsUntil = max(c.amount, before.amount), max(c.countsUntil, before.countsUntil)
 				}
-				k.give(of, c)
+				k.add(of, c)
 			}
 		}
 	}
-	b.recall = nil
-	if h := b.handed; h != nil {
+	b.recovery = nil
+	if h := b.handover; h != nil {
 		for n, i := range h.items {
-			k := b.find(now, &i)
-			k.rest = max(k.rest, i.Lease)
-			if more := toUnits(i.Amount) - k.sum; more > 0 && !b.complete(k) {
-				k.give(holder{h.by, uint64(n)}, &credit{amount: more, until: h.at + b.longer(i.Rest), done: true})
+			k := b.getOrCreateLedger(now, &i)
+			k.countedFor = max(k.countedFor, i.Lease)
+			if more := toMicroUnits(i.Amount) - k.granted; more > 0 && !b.recordsComplete(k) {
+				k.add(grantID{h.by, uint64(n)}, &issuedGrant{amount: more, countsUntil: h.receivedAt + b.padForDrift(i.CountedFor), done: true})
 			}
 		}
 	}
-	for _, k := range b.books {
-		b.opens(k, wonAt)
+	for _, k := range b.ledgers {
+		b.updateOpensAt(k, wonAt)
 	}
 }
 
-// complete: those who told what they know have run for longer than anything counts that they may have forgotten.
-func (b *bursar) complete(k *book) bool { return b.up >= b.longer(b.longer(b.Lease+k.rest)) }
+// recordsComplete: those who told what they know have run for longer than anything counts that they may have forgotten.
+func (b *coordinator) recordsComplete(k *budgetLedger) bool {
+	return b.recordsCompleteFor >= b.padForDrift(b.padForDrift(b.Lease+k.countedFor))
+}
 
-// opens sets when a book may be used: at once if all that counts is in it, else when what is not is over.
-func (b *bursar) opens(k *book, wonAt float64) {
-	if k.openAt = 0; b.handed == nil && !b.complete(k) {
-		k.openAt = wonAt + b.longer(b.Lease+k.rest)
+// updateOpensAt sets when a book may be used: at once if all that counts is in it, else when what is not is over.
+func (b *coordinator) updateOpensAt(k *budgetLedger, wonAt float64) {
+	if k.opensAt = 0; b.handover == nil && !b.recordsComplete(k) {
+		k.opensAt = wonAt + b.padForDrift(b.Lease+k.countedFor)
 	}
 }
 
-// park keeps what is to be given until most keepers know of it, and tells them.
-func (m *Machine) park(sends []Send) {
-	b, k := &m.bursar, m.keeper
+// replicate keeps what is to be given until most keepers know of it, and tells them.
+func (m *Machine) replicate(sends []OutgoingMessage) {
+	b, k := &m.coordinator, m.replica
 	for len(sends) > 0 {
-		some := sends[:min(len(sends), MostRecords)]
+		some := sends[:min(len(sends), MaxRecordsPerMessage)]
 		sends = sends[len(some):]
-		b.numbers++
-		p := &parked{number: b.numbers, by: []string{m.Listen}, again: m.now + m.Again}
+		b.lastNumber++
+		p := &pendingGrants{number: b.lastNumber, acknowledgedBy: []string{m.Listen}, resendAt: m.now + m.RetryInterval}
 		for _, s := range some {
 			i := &s.Items[0]
-			of := b.books[i.Key]
-			c := of.given[holder{i.Of, i.Number}]
-			told := Item{Key: i.Key, Of: i.Of, Number: i.Number, Amount: i.Amount, Whole: of.whole, Rest: of.rest, Lease: c.until - m.now}
-			i.Of = ID{}
-			k.keep(m.now, &told)
-			c.parked = true
-			p.items, p.sends = append(p.items, told), append(p.sends, s)
+			of := b.ledgers[i.Key]
+			c := of.grants[grantID{i.Holder, i.Number}]
+			told := Item{Key: i.Key, Holder: i.Holder, Number: i.Number, Amount: i.Amount, Total: of.total, CountedFor: of.countedFor, Lease: c.countsUntil - m.now}
+			i.Holder = ID{}
+			k.storeRecord(m.now, &told)
+			c.unreplicated = true
+			p.records, p.replies = append(p.records, told), append(p.replies, s)
 		}
-		b.parked = append(b.parked, p)
-		m.keepers(Message{Kind: Record, Number: p.number, Items: p.items})
-		m.known(p)
+		b.pending = append(b.pending, p)
+		m.broadcast(Message{Kind: RecordUpdate, Number: p.number, Items: p.records})
+		m.sendIfReplicated(p)
 	}
 }
 
-// known sends what most keepers know of, if the office still lasts: whoever has it next has heard of it then.
-func (m *Machine) known(p *parked) {
-	b := &m.bursar
-	if 2*len(p.by) <= len(m.Keepers) || !m.keeper.office(m.now) {
+// sendIfReplicated sends what most keepers know of, if the office still lasts: whoever has it next has heard of it then.
+func (m *Machine) sendIfReplicated(p *pendingGrants) {
+	b := &m.coordinator
+	if 2*len(p.acknowledgedBy) <= len(m.Replicas) || !m.replica.isCoordinator(m.now) {
 		return
 	}
-	b.parked = slices.DeleteFunc(b.parked, func(o *parked) bool { return o == p })
-	for n, s := range p.sends {
-		i := &p.items[n]
-		if k := b.books[i.Key]; k != nil {
-			if c := k.given[holder{i.Of, i.Number}]; c != nil {
-				c.parked = false
+	b.pending = slices.DeleteFunc(b.pending, func(o *pendingGrants) bool { return o == p })
+	for n, s := range p.replies {
+		i := &p.records[n]
+		if k := b.ledgers[i.Key]; k != nil {
+			if c := k.grants[grantID{i.Holder, i.Number}]; c != nil {
+				c.unreplicated = false
 			}
 		}
-		m.send(s.To, s.Message)
+		m.send(s.Destination, s.Message)
 	}
 }
 
-// recorded: a keeper knows of some credits now.
-func (m *Machine) recorded(message *Message) {
-	b := &m.bursar
-	n := slices.IndexFunc(b.parked, func(p *parked) bool { return p.number == message.Number })
-	if n < 0 || m.rank(message.At) < 0 || slices.Contains(b.parked[n].by, message.At) {
+// handleRecordAck: a keeper knows of some credits now.
+func (m *Machine) handleRecordAck(message *Message) {
+	b := &m.coordinator
+	n := slices.IndexFunc(b.pending, func(p *pendingGrants) bool { return p.number == message.Number })
+	if n < 0 || m.replicaIndex(message.FromAddress) < 0 || slices.Contains(b.pending[n].acknowledgedBy, message.FromAddress) {
 		return
 	}
-	p := b.parked[n]
-	p.by = append(p.by, message.At)
-	m.known(p)
+	p := b.pending[n]
+	p.acknowledgedBy = append(p.acknowledgedBy, message.FromAddress)
+	m.sendIfReplicated(p)
 }
 
-// lessens tells keepers of what counts for less now. Where that is lost it counts for longer.
-func (m *Machine) lessens(items []Item) {
+// replicateReductions tells keepers of what counts for less now. Where that is lost it counts for longer.
+func (m *Machine) replicateReductions(items []Item) {
 	for len(items) > 0 {
-		some := items[:min(len(items), MostRecords)]
+		some := items[:min(len(items), MaxRecordsPerMessage)]
 		items = items[len(some):]
 		for n := range some {
-			m.keeper.keep(m.now, &some[n])
+			m.replica.storeRecord(m.now, &some[n])
 		}
-		m.keepers(Message{Kind: Record, Items: some})
+		m.broadcast(Message{Kind: RecordUpdate, Items: some})
 	}
 }
 
-// record is the part of a keeper in both.
-func (m *Machine) record(message *Message) {
+// handleRecordUpdate is the part of a keeper in both.
+func (m *Machine) handleRecordUpdate(message *Message) {
 	for n := range message.Items {
-		m.keeper.keep(m.now, &message.Items[n])
+		m.replica.storeRecord(m.now, &message.Items[n])
 	}
 	if message.Number > 0 {
-		m.send(message.At, Message{Kind: Recorded, To: message.From.Start, Number: message.Number})
+		m.send(message.FromAddress, Message{Kind: RecordAck, ToStart: message.From.Start, Number: message.Number})
 	}
 }
 
-// tells gives a new bursar all that this keeper knows, in as many messages as it takes.
-func (m *Machine) tells(message *Message) {
-	k := m.keeper
-	if m.rank(message.At) < 0 {
+// sendRecoveryPages gives a new bursar all that this keeper knows, in as many messages as it takes.
+func (m *Machine) sendRecoveryPages(message *Message) {
+	k := m.replica
+	if m.replicaIndex(message.FromAddress) < 0 {
 		return
 	}
-	items := k.known(m.now)
-	n := max((len(items)+MostRecords-1)/MostRecords, 1)
+	items := k.currentRecords(m.now)
+	n := max((len(items)+MaxRecordsPerMessage-1)/MaxRecordsPerMessage, 1)
 	for page := range n {
-		some := items[min(page*MostRecords, len(items)):min((page+1)*MostRecords, len(items))]
-		m.send(message.At, Message{Kind: Recalled, To: message.From.Start, Number: message.Number, Page: uint32(page), Pages: uint32(n), Up: k.up(m.now), Items: some})
+		some := items[min(page*MaxRecordsPerMessage, len(items)):min((page+1)*MaxRecordsPerMessage, len(items))]
+		m.send(message.FromAddress, Message{Kind: RecoveryPage, ToStart: message.From.Start, Number: message.Number, Page: uint32(page), Pages: uint32(n), CompleteFor: k.completeFor(m.now), Items: some})
 	}
 }
 
-// recalls asks keepers for what counts until most have told it, and parked credits' keepers again.
-func (m *Machine) recalls() {
-	b, k := &m.bursar, m.keeper
-	if r := b.recall; r != nil && m.now >= r.again {
-		b.numbers++
-		r.number, r.again, r.done = b.numbers, m.now+m.Again, 0
-		r.from = map[string]*pages{m.Listen: {number: r.number, start: m.self.Start, all: [][]Item{k.known(m.now)}, up: k.up(m.now)}}
-		r.done = 1
-		if 2*r.done > len(m.Keepers) {
-			m.opened()
+// resendToReplicas asks keepers for what counts until most have told it, and parked credits' keepers again.
+func (m *Machine) resendToReplicas() {
+	b, k := &m.coordinator, m.replica
+	if r := b.recovery; r != nil && m.now >= r.resendAt {
+		b.lastNumber++
+		r.number, r.resendAt, r.completeReplicas = b.lastNumber, m.now+m.RetryInterval, 0
+		r.pages = map[string]*recoveredPages{m.Listen: {number: r.number, start: m.self.Start, items: [][]Item{k.currentRecords(m.now)}, completeFor: k.completeFor(m.now)}}
+		r.completeReplicas = 1
+		if 2*r.completeReplicas > len(m.Replicas) {
+			m.finishRecovery()
 			return
 		}
-		m.keepers(Message{Kind: Recall, Number: r.number})
+		m.broadcast(Message{Kind: RecoveryRequest, Number: r.number})
 	}
-	for _, p := range b.parked {
-		if m.now >= p.again {
-			p.again = m.now + m.Again
-			for _, to := range m.Keepers {
-				if !slices.Contains(p.by, to) {
-					m.send(to, Message{Kind: Record, Number: p.number, Items: p.items})
+	for _, p := range b.pending {
+		if m.now >= p.resendAt {
+			p.resendAt = m.now + m.RetryInterval
+			for _, to := range m.Replicas {
+				if !slices.Contains(p.acknowledgedBy, to) {
+					m.send(to, Message{Kind: RecordUpdate, Number: p.number, Items: p.records})
 				}
 			}
 		}
 	}
 }
 
-func (m *Machine) opened() {
-	m.bursar.open(m.now, m.keeper.wonAt)
-	m.note(false, "books", "count", len(m.bursar.books), "keepers up", m.bursar.up, "handed over", m.bursar.handed != nil)
+func (m *Machine) finishRecovery() {
+	m.coordinator.applyRecovery(m.now, m.replica.leaderSince)
+	m.note(false, "books", "count", len(m.coordinator.ledgers), "keepers up", m.coordinator.recordsCompleteFor, "handed over", m.coordinator.handover != nil)
 }
--- a/internal/shares/section.go
+++ b/internal/shares/section.go
@@ -15,20 +15,20 @@
 
 // Section is what the file says.
 type Section struct {
-	Keepers []string `toml:"keepers"`
-	Firm    *float64 `toml:"firm"`
-	Lease   string   `toml:"lease"`
-	Term    string   `toml:"term"`
-	Drift   *float64 `toml:"drift"`
+	Replicas      []string `toml:"keepers"`
+	FixedFraction *float64 `toml:"firm"`
+	Lease         string   `toml:"lease"`
+	Term          string   `toml:"term"`
+	Drift         *float64 `toml:"drift"`
 }
 
 const (
-	mostKeepers             = 9
-	leastLease, mostLease   = 0.2, 30
-	leastTerm, mostTerm     = 0.4, 60
-	leastDrift, mostDrift   = 0.0001, 0.2
-	mostFirm                = 0.9
-	termOfLease, usualTerms = 2, 2
+	maxReplicas                      = 9
+	minLease, maxLease               = 0.2, 30
+	minTerm, maxTerm                 = 0.4, 60
+	minDrift, maxDrift               = 0.0001, 0.2
+	maxFixedFraction                 = 0.9
+	minTermLeases, defaultTermLeases = 2, 2
 )
 
 // Prove gives what came of it, but for the own address; nil: nothing is divided by talk. listen is where this router talks, and
@@ -43,44 +43,44 @@
 	if listen == "" {
 		f.Found("shares", "without [fleet] there is nobody to divide anything with")
 	}
-	if n := len(c.Keepers); n == 0 || n > mostKeepers || n%2 == 0 {
-		f.Found("shares.keepers", "%d addresses: 1, 3, 5, 7 or %d are wanted, the same at every router; most of them have to be there, and an even number bears no more deaths than one fewer", n, mostKeepers)
+	if n := len(c.Replicas); n == 0 || n > maxReplicas || n%2 == 0 {
+		f.Found("shares.keepers", "%d addresses: 1, 3, 5, 7 or %d are wanted, the same at every router; most of them have to be there, and an even number bears no more deaths than one fewer", n, maxReplicas)
 	}
-	for i, text := range c.Keepers {
+	for i, text := range c.Replicas {
 		key := fmt.Sprintf("shares.keepers[%d]", i)
 		a, err := netip.ParseAddrPort(text)
 		switch {
 		case err != nil || a.Port() == 0:
 			f.Found(key, "%q is not an address and a port, as 10.1.0.4:7500", text)
-		case slices.Index(c.Keepers, text) < i:
+		case slices.Index(c.Replicas, text) < i:
 			f.Found(key, "%q is there twice: it would count for two", text)
 		case listen != "" && !slices.ContainsFunc(networks, func(p netip.Prefix) bool { return p.Contains(a.Addr().Unmap()) }):
 			f.Found(key, "%q is in none of the networks of [fleet], so nobody would hear it", text)
 		}
 	}
-	out.Keepers = c.Keepers
-	if c.Firm != nil {
-		f.Within("shares.firm", *c.Firm, 0, mostFirm)
-		out.Firm = *c.Firm
+	out.Replicas = c.Replicas
+	if c.FixedFraction != nil {
+		f.Within("shares.firm", *c.FixedFraction, 0, maxFixedFraction)
+		out.FixedFraction = *c.FixedFraction
 	}
-	if lease := f.Seconds("shares.lease", c.Lease, mostLease); lease > 0 {
-		if lease < leastLease {
-			f.Found("shares.lease", "%q is below %g s: it would end before it is used", c.Lease, leastLease)
+	if lease := f.Seconds("shares.lease", c.Lease, maxLease); lease > 0 {
+		if lease < minLease {
+			f.Found("shares.lease", "%q is below %g s: it would end before it is used", c.Lease, minLease)
 		}
-		out.Lease, out.Term = lease, usualTerms*lease
+		out.Lease, out.Term = lease, defaultTermLeases*lease
 	}
-	if term := f.Seconds("shares.term", c.Term, mostTerm); term > 0 {
-		if term < leastTerm {
-			f.Found("shares.term", "%q is below %g s: a bursar who is late for once would lose his office", c.Term, leastTerm)
+	if term := f.Seconds("shares.term", c.Term, maxTerm); term > 0 {
+		if term < minTerm {
+			f.Found("shares.term", "%q is below %g s: a bursar who is late for once would lose his office", c.Term, minTerm)
 		}
 		out.Term = term
 	}
-	if out.Term < termOfLease*out.Lease {
-		f.Found("shares", "the term has to be at least %d times the lease (%g s, %g s): no credit outlasts the office that it was given in", termOfLease, out.Term, out.Lease)
+	if out.Term < minTermLeases*out.Lease {
+		f.Found("shares", "the term has to be at least %d times the lease (%g s, %g s): no credit outlasts the office that it was given in", minTermLeases, out.Term, out.Lease)
 	}
 	if c.Drift != nil {
-		f.Within("shares.drift", *c.Drift, leastDrift, mostDrift)
-		out.Drift = *c.Drift
+		f.Within("shares.drift", *c.Drift, minDrift, maxDrift)
+		out.MaxDrift = *c.Drift
 	}
 	return &out
 }
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -14,77 +14,77 @@
 	"slices"
 )
 
-// Start is one start of an engine: one that is replaced has a budget of its own.
-type Start struct {
-	Engine uint32
-	At     float64 // seconds; by the list
-	Cores  float64
+// EngineStart is one start of an engine: one that is replaced has a budget of its own.
+type EngineStart struct {
+	Engine    uint32
+	StartedAt float64 // seconds; by the list
+	Cores     float64
 }
 
-// Parts is what the decision module asks about the budgets of engines that are cold.
-type Parts interface {
+// ColdStartQuota is what the decision module asks about the budgets of engines that are cold.
+type ColdStartQuota interface {
 	// Room tells whether so much work may be sent there now.
-	Room(now float64, to Start, work float64) bool
+	CanSpend(now float64, to EngineStart, work float64) bool
 	// Spend counts what is sent.
-	Spend(now float64, to Start, work float64)
+	Spend(now float64, to EngineStart, work float64)
 	// Want tells of a batch for which there was no room, at one engine alone: what lies idle here is missing elsewhere. It
 	// gives for how many seconds, from the first time on, the batch may well wait for a part to come.
-	Want(now float64, to Start, work float64) float64
+	Request(now float64, to EngineStart, work float64) float64
 }
 
-// Fixed says how a whole is divided when nobody talks. Times are seconds.
-type Fixed struct {
-	Whole   float64 // for each core, within Window, over all routers
-	Window  float64
-	Routers float64 // as settings tell; below 1: not known, so nobody may use anything
-	Index   int     // own number among them; below 0: not told
-	Sharers int     // no more than so many have a part of one engine's; the same at every router
-	Began   float64 // own start: an earlier one may have spent all
+// FixedConfig says how a whole is divided when nobody talks. Times are seconds.
+type FixedConfig struct {
+	Total      float64 // for each core, within Window, over all routers
+	Window     float64
+	Routers    float64 // as settings tell; below 1: not known, so nobody may use anything
+	Index      int     // own number among them; below 0: not told
+	MaxHolders int     // no more than so many have a part of one engine's; the same at every router
+	StartedAt  float64 // own start: an earlier one may have spent all
 }
 
-// overlap is how much longer than its window a use counts: what is sent last may come late.
-const overlap = 0.1
+// lateSendMargin is how much longer than its window a use counts: what is sent last may come late.
+const lateSendMargin = 0.1
 
-// spareParts is for processes beyond the routers that settings tell. A second one under a router's name and number, as while one
+// spareShares is for processes beyond the routers that settings tell. A second one under a router's name and number, as while one
 // takes over from another, has that router's part once more, and neither can know of the other.
-const spareParts = 1
+const spareShares = 1
 
-// Plain is the fixed division.
-type Plain struct {
-	Fixed
-	part  float64          // for each core
-	spent map[uint32][]use // by engine; Spend deletes what no longer counts
+// FixedDivision is the fixed division.
+type FixedDivision struct {
+	FixedConfig
+	sharePerCore float64          // for each core
+	spent        map[uint32][]use // by engine; Spend deletes what no longer counts
 }
 
-type use struct{ at, work float64 }
+type use struct{ at, amount float64 }
 
-// NewPlain divides a whole.
-func NewPlain(f Fixed) *Plain {
-	p := &Plain{Fixed: f, spent: map[uint32][]use{}}
+// NewFixedDivision divides a whole.
+func NewFixedDivision(f FixedConfig) *FixedDivision {
+	p := &FixedDivision{FixedConfig: f, spent: map[uint32][]use{}}
 	if f.Routers >= 1 {
-		p.part = f.Whole / (min(f.Routers, float64(f.Sharers)) + spareParts)
+		p.sharePerCore = f.Total / (min(f.Routers, float64(f.MaxHolders)) + spareShares)
 	}
 	return p
 }
 
-// Room holds a wish against the own part. Few routers have it all, picked alike everywhere by engine, start and own number.
-func (p *Plain) Room(now float64, to Start, work float64) bool {
-	n, first := int(p.Routers), int(Mix(uint64(to.Engine), math.Float64bits(to.At))*p.Routers)
-	if now < p.Began+p.Window || p.Index < 0 || p.Index >= n || (p.Index-first+n)%n >= p.Sharers {
+// CanSpend holds a wish against the own part. Few routers have it all, picked alike everywhere by engine, start and own number.
+func (p *FixedDivision) CanSpend(now float64, to EngineStart, work float64) bool {
+	n, first := int(p.Routers), int(HashFraction(uint64(to.Engine), math.Float64bits(to.StartedAt))*p.Routers)
+	if now < p.StartedAt+p.Window || p.Index < 0 || p.Index >= n || (p.Index-first+n)%n >= p.MaxHolders {
 		return false
 	}
-	room := p.part * to.Cores
+	room := p.sharePerCore * to.Cores
 	for _, u := range p.spent[to.Engine] {
-		if u.at > now-p.Window-overlap {
-			room -= u.work
+		if u.at > now-p.Window-lateSendMargin {
+			room -= u.amount
 		}
 	}
 	return work <= room
 }
 
 // Spend counts what is sent, and forgets what no longer counts.
-func (p *Plain) Spend(now float64, to Start, work float64) {
-	old := func(u use) bool { return u.at < now-p.Window-overlap }
+func (p *FixedDivision) Spend(now float64, to EngineStart, work float64) {
+	old := func(u use) bool { return u.at < now-p.Window-lateSendMargin }
 	if _, known := p.spent[to.Engine]; !known {
 		for engine, uses := range p.spent {
 			if old(uses[len(uses)-1]) {
@@ -95,11 +95,11 @@
 	p.spent[to.Engine] = append(slices.DeleteFunc(p.spent[to.Engine], old), use{now, work})
 }
 
-// Want changes nothing: there is nobody to ask.
-func (p *Plain) Want(float64, Start, float64) float64 { return 0 }
+// Request changes nothing: there is nobody to ask.
+func (p *FixedDivision) Request(float64, EngineStart, float64) float64 { return 0 }
 
-// Mix draws a number below 1 that is alike at every router.
-func Mix(a, b uint64) float64 {
+// HashFraction draws a number below 1 that is alike at every router.
+func HashFraction(a, b uint64) float64 {
 	h := a*0x9e3779b97f4a7c15 ^ b*0xc2b2ae3d27d4eb4f
 	h = (h ^ h>>29) * 0xbf58476d1ce4e5b9
 	return float64(h>>32) / (1 << 32)
@@ -111,9 +111,9 @@
 // The kinds.
 const (
 	ColdWork Kind = iota + 1
-	Further
+	ExtraDispatches
 	Concurrency
-	kinds
+	endOfKinds
 )
 
 // Kinds has each kind once: what its amounts are, and over which time they are summed. What is held is used until it is freed, and
@@ -122,9 +122,9 @@
 	Name, Unit, Window string
 	Held, Counted      bool
 }{
-	ColdWork:    {"cold work", "core-seconds", "fall time", false, false},
-	Further:     {"free further dispatches", "dispatches", "the budget's window", false, true},
-	Concurrency: {"dispatches out", "dispatches", "while they are out", true, true},
+	ColdWork:        {"cold work", "core-seconds", "fall time", false, false},
+	ExtraDispatches: {"free further dispatches", "dispatches", "the budget's window", false, true},
+	Concurrency:     {"dispatches out", "dispatches", "while they are out", true, true},
 }
 
 func (k Kind) String() string {
@@ -136,29 +136,31 @@
 
 // Key names a budget alike at every router.
 type Key struct {
-	Kind Kind
-	Of   uint32 // an engine; 0: none
-	At   uint64 // the bits of the time of its start; where operators name the budget, the hash of that name
+	Kind      Kind
+	Engine    uint32 // an engine; 0: none
+	Qualifier uint64 // the bits of the time of its start; where operators name the budget, the hash of that name
 }
 
 // Budget is something of which all routers together may use only so much.
 type Budget struct {
-	Key   Key
-	Name  string  // for who looks on; empty: the key tells it
-	Whole float64 // over all routers
-	Rest  float64 // seconds for which a use counts; of what is held, how long it lasts at the most
+	Key        Key
+	Name       string  // for who looks on; empty: the key tells it
+	Total      float64 // over all routers
+	CountedFor float64 // seconds for which a use counts; of what is held, how long it lasts at the most
 }
 
 func (b *Budget) held() bool { return Kinds[b.Key.Kind].Held }
 
-// ColdKey names the budget of a start of an engine.
-func ColdKey(of Start) Key { return Key{ColdWork, of.Engine, math.Float64bits(of.At)} }
+// ColdStartKey names the budget of a start of an engine.
+func ColdStartKey(of EngineStart) Key {
+	return Key{ColdWork, of.Engine, math.Float64bits(of.StartedAt)}
+}
 
 // NamedKey names a budget that operators have named.
 func NamedKey(kind Kind, name string) Key {
 	h := fnv.New64a()
 	h.Write([]byte(name)) //nolint:errcheck // it never fails
-	return Key{Kind: kind, At: h.Sum64()}
+	return Key{Kind: kind, Qualifier: h.Sum64()}
 }
 
 // ID is one start of a router: a name used twice is two of them.
@@ -172,40 +174,40 @@
 
 // The kinds of messages.
 const (
-	Claim    MessageKind = iota + 1 // to a keeper: promise me that nobody else is the bursar
-	Promise                         // of a keeper, for the claim of that number
-	Refusal                         // of a keeper: another has my promise, or I have just started
-	Yield                           // to a keeper: I no longer want what you promised me for claims up to this number
-	Ask                             // to the bursar: these credits are wanted, those are done with
-	Handover                        // a yield of a bursar who leaves, with all that still counts in his books
-	Reply                           // of the bursar, or of a keeper who is not: who is
-	Record                          // to a keeper: this is given, or counts for less now; with a number it wants to be answered
-	Recorded                        // of a keeper: I know
-	Recall                          // of a new bursar to a keeper: what counts?
-	Recalled                        // a page of that
-	messageKinds
+	Claim           MessageKind = iota + 1 // to a keeper: promise me that nobody else is the bursar
+	Promise                                // of a keeper, for the claim of that number
+	Refusal                                // of a keeper: another has my promise, or I have just started
+	Resign                                 // to a keeper: I no longer want what you promised me for claims up to this number
+	GrantRequest                           // to the bursar: these credits are wanted, those are done with
+	Handover                               // a yield of a bursar who leaves, with all that still counts in his books
+	GrantReply                             // of the bursar, or of a keeper who is not: who is
+	RecordUpdate                           // to a keeper: this is given, or counts for less now; with a number it wants to be answered
+	RecordAck                              // of a keeper: I know
+	RecoveryRequest                        // of a new bursar to a keeper: what counts?
+	RecoveryPage                           // a page of that
+	endOfMessageKinds
 )
 
 // Message is one datagram.
 type Message struct {
-	Kind   MessageKind
-	From   ID
-	At     string // address of the sender
-	To     uint64 // of an answer: the start that it is for. Numbers begin anew with each, and an answer may come to the next one
-	Roll   uint32 // hash of the keepers' list: those who were told other keepers have nothing to do with each other
-	Number uint64 // of a claim, and of what answers or ends it
-	Bursar string // address, where it is known
-	Prior  ID     // of a promise: whom its keeper promised before
-	Items  []Item
+	Kind            MessageKind
+	From            ID
+	FromAddress     string // address of the sender
+	ToStart         uint64 // of an answer: the start that it is for. Numbers begin anew with each, and an answer may come to the next one
+	ReplicaSetHash  uint32 // hash of the keepers' list: those who were told other keepers have nothing to do with each other
+	Number          uint64 // of a claim, and of what answers or ends it
+	Coordinator     string // address, where it is known
+	PreviousPromise ID     // of a promise: whom its keeper promised before
+	Items           []Item
 
 	Page, Pages uint32  // of what a keeper knows
-	Up          float64 // for how long it has been told all, seconds
+	CompleteFor float64 // for how long it has been told all, seconds
 }
 
-// answers tells whether it is an answer to one start of a router.
-func (m *Message) answers() bool {
+// isAnswer tells whether it is an answer to one start of a router.
+func (m *Message) isAnswer() bool {
 	switch m.Kind {
-	case Promise, Refusal, Reply, Recorded, Recalled:
+	case Promise, Refusal, GrantReply, RecordAck, RecoveryPage:
 		return true
 	}
 	return false
@@ -213,53 +215,53 @@
 
 // Item is about one credit.
 type Item struct {
-	Number uint64 // of its holder's
-	Try    uint32 // of asking for it; an answer has that of the asking that it answers, as the lease runs from there
-	Key    Key
-	Amount float64 // wanted, or given; of one that is done, used
-	Whole  float64 // of the budget, as the holder knows it
-	Rest   float64 // seconds that a use counts on
-	Lease  float64 // seconds for which it is given; of a record: for which it counts
-	Of     ID      // of a record: its holder
-	Done   bool    // nothing more is used of it
-	Never  bool    // the whole does not bear it
+	Number     uint64 // of its holder's
+	Attempt    uint32 // of asking for it; an answer has that of the asking that it answers, as the lease runs from there
+	Key        Key
+	Amount     float64 // wanted, or given; of one that is done, used
+	Total      float64 // of the budget, as the holder knows it
+	CountedFor float64 // seconds that a use counts on
+	Lease      float64 // seconds for which it is given; of a record: for which it counts
+	Holder     ID      // of a record: its holder
+	Done       bool    // nothing more is used of it
+	TooLarge   bool    // the whole does not bear it
 }
 
-// Send is a message that is to go to an address.
-type Send struct {
-	To string
+// OutgoingMessage is a message that is to go to an address.
+type OutgoingMessage struct {
+	Destination string
 	Message
 }
 
 // Settings say how a machine goes about it. Times are seconds.
 type Settings struct {
-	Keepers []string // addresses of the routers that choose a bursar among themselves; the same at every router
-	Listen  string   // own address
-	Firm    float64  // share of each whole that stays divided as Plain does, whatever happens
-	Lease   float64  // of a credit
-	Term    float64  // of the bursar's office, unless it is renewed
-	Drift   float64  // no two clocks of the fleet differ by more in their rates
-	Write   float64  // what is spent has to be on its way by then: a connection may still have to be made
-	Again   float64  // an asking without an answer is sent again
-	Wait    float64  // a batch may well wait so long for a credit: an exchange, and a turn of a loop that is busy
-	Idle    float64  // a credit that nobody has wanted for so long goes back
-	Pending int      // askings that wait at the bursar for one budget, at the most
-	Largest float64  // share of a whole that is asked for at once, beyond what a single batch takes
+	Replicas           []string // addresses of the routers that choose a bursar among themselves; the same at every router
+	Listen             string   // own address
+	FixedFraction      float64  // share of each whole that stays divided as Plain does, whatever happens
+	Lease              float64  // of a credit
+	Term               float64  // of the bursar's office, unless it is renewed
+	MaxDrift           float64  // no two clocks of the fleet differ by more in their rates
+	SendTimeout        float64  // what is spent has to be on its way by then: a connection may still have to be made
+	RetryInterval      float64  // an asking without an answer is sent again
+	GrantWait          float64  // a batch may well wait so long for a credit: an exchange, and a turn of a loop that is busy
+	IdleTimeout        float64  // a credit that nobody has wanted for so long goes back
+	MaxQueued          int      // askings that wait at the bursar for one budget, at the most
+	MaxRequestFraction float64  // share of a whole that is asked for at once, beyond what a single batch takes
 }
 
 // Defaults fit routers in one hall.
 func Defaults() Settings {
-	return Settings{Firm: 0.1, Lease: 1, Term: 2, Drift: 0.01, Write: 0.1, Again: 0.1, Wait: 0.02, Idle: 0.1, Pending: 1024, Largest: 0.125}
+	return Settings{FixedFraction: 0.1, Lease: 1, Term: 2, MaxDrift: 0.01, SendTimeout: 0.1, RetryInterval: 0.1, GrantWait: 0.02, IdleTimeout: 0.1, MaxQueued: 1024, MaxRequestFraction: 0.125}
 }
 
-// longer is a time of one's own that lasts longer than that time does on any other clock of the fleet.
-func (s *Settings) longer(t float64) float64 { return t * (1 + 2*s.Drift) }
+// padForDrift is a time of one's own that lasts longer than that time does on any other clock of the fleet.
+func (s *Settings) padForDrift(t float64) float64 { return t * (1 + 2*s.MaxDrift) }
 
-// roll is the hash of the keepers' list, and of how they go about it: a bursar who told keepers nothing of what he gave must not be
+// replicaSetHash is the hash of the keepers' list, and of how they go about it: a bursar who told keepers nothing of what he gave must not be
 // followed by one who believes them to know.
-func (s *Settings) roll() uint32 {
+func (s *Settings) replicaSetHash() uint32 {
 	h := uint32(2166136261) ^ 2
-	for _, k := range s.Keepers {
+	for _, k := range s.Replicas {
 		for _, c := range []byte(k + " ") {
 			h = (h ^ uint32(c)) * 16777619
 		}
@@ -269,7 +271,7 @@
 
 // Note is a change, for who looks on.
 type Note struct {
-	Text   string
-	Loud   bool
-	Fields []any
+	Text    string
+	Warning bool
+	Fields  []any
 }
--- a/internal/shares/state.go
+++ b/internal/shares/state.go
@@ -2,93 +2,93 @@
 
 // State is how a machine stands, for who looks on.
 type State struct {
-	Bursar  string // address; empty: not known
-	Office  bool   // it is this router
-	Since   float64
-	Keeper  bool
-	Stats   Stats
-	Budgets []Held
-	Books   []Given // of the bursar
+	Coordinator      string // address; empty: not known
+	IsCoordinator    bool   // it is this router
+	CoordinatorSince float64
+	IsReplica        bool
+	Stats            Stats
+	Budgets          []BudgetState
+	Ledgers          []LedgerState // of the bursar
 }
 
-// Held is what a router has of one budget.
-type Held struct {
-	Key   Key
-	Name  string // by operators; empty: the key tells it
-	Whole float64
-	Left  float64 // in hand and not used
-	Used  float64 // of what is in hand
-	Asked float64 // for, without an answer
-	Since float64 // when something was last given
+// BudgetState is what a router has of one budget.
+type BudgetState struct {
+	Key         Key
+	Name        string // by operators; empty: the key tells it
+	Total       float64
+	Available   float64 // in hand and not used
+	Used        float64 // of what is in hand
+	Requested   float64 // for, without an answer
+	LastGrantAt float64 // when something was last given
 }
 
-// Given is what a bursar has given of one budget.
-type Given struct {
-	Key     Key
-	Name    string // where this router has the budget too
-	Whole   float64
-	Free    float64 // below 0: the whole has become less
-	Lent    float64 // in routers' hands
-	Resting float64 // used, or not returned, and counted until that must be over
-	Waiting int
-	Open    bool
-	Holders map[string]float64 // by name, what is lent
+// LedgerState is what a bursar has given of one budget.
+type LedgerState struct {
+	Key      Key
+	Name     string // where this router has the budget too
+	Total    float64
+	Free     float64 // below 0: the whole has become less
+	Leased   float64 // in routers' hands
+	Expiring float64 // used, or not returned, and counted until that must be over
+	Queued   int
+	Open     bool
+	Holders  map[string]float64 // by name, what is lent
 }
 
 // State tells it.
 func (m *Machine) State(now float64) *State {
-	m.clock(now)
-	s := &State{Bursar: m.at, Keeper: m.keeper != nil, Stats: m.stats}
-	for _, key := range m.keys() {
+	m.advanceClock(now)
+	s := &State{Coordinator: m.coordinatorAddress, IsReplica: m.replica != nil, Stats: m.stats}
+	for _, key := range m.sortedKeys() {
 		b := m.budgets[key]
-		h := Held{Key: key, Name: b.Name, Whole: b.Whole, Left: b.left(m.now), Since: b.freeAt}
-		for _, g := range b.credits {
+		h := BudgetState{Key: key, Name: b.Name, Total: b.Total, Available: b.available(m.now), LastGrantAt: b.lastGrantAt}
+		for _, g := range b.grants {
 			h.Used += g.used
 		}
 		if b.held() {
-			h.Used = b.out()
+			h.Used = b.inUse()
 		}
-		if b.asking != nil {
-			h.Asked = b.asking.item.Amount
+		if b.request != nil {
+			h.Requested = b.request.item.Amount
 		}
 		s.Budgets = append(s.Budgets, h)
 	}
-	if k := m.keeper; k != nil && k.office(m.now) {
-		s.Office, s.Since = true, k.wonAt
-		for _, b := range m.bursar.inOrder() {
-			b.drop(m.now)
-			g := Given{Key: b.key, Name: m.name(b.key), Whole: b.whole, Free: float64(m.bursar.pool(b)-b.sum) / 1e6, Waiting: len(b.waiting), Open: m.bursar.recall == nil && m.now >= b.openAt,
+	if k := m.replica; k != nil && k.isCoordinator(m.now) {
+		s.IsCoordinator, s.CoordinatorSince = true, k.leaderSince
+		for _, b := range m.coordinator.sortedLedgers() {
+			b.dropExpired(m.now)
+			g := LedgerState{Key: b.key, Name: m.budgetName(b.key), Total: b.total, Free: float64(m.coordinator.grantable(b)-b.granted) / 1e6, Queued: len(b.queue), Open: m.coordinator.recovery == nil && m.now >= b.opensAt,
 				Holders: map[string]float64{}}
-			for of, c := range b.given {
-				if amount := float64(c.amount) / 1e6; c.done || m.now > c.until-m.longer(b.rest) {
-					g.Resting += amount
+			for of, c := range b.grants {
+				if amount := float64(c.amount) / 1e6; c.done || m.now > c.countsUntil-m.padForDrift(b.countedFor) {
+					g.Expiring += amount
 				} else {
-					g.Lent += amount
+					g.Leased += amount
 					g.Holders[of.Name] += amount
 				}
 			}
-			s.Books = append(s.Books, g)
+			s.Ledgers = append(s.Ledgers, g)
 		}
 	}
 	return s
 }
 
-// name is what operators call a budget.
-func (m *Machine) name(of Key) string {
+// budgetName is what operators call a budget.
+func (m *Machine) budgetName(of Key) string {
 	if b := m.budgets[of]; b != nil {
 		return b.Name
 	}
 	return ""
 }
 
-// Owes is what still counts of a router's, over all that this bursar has given; below 0: this router is not the bursar.
-func (m *Machine) Owes(name string) (sum float64) {
-	if m.keeper == nil || !m.keeper.office(m.now) {
+// Outstanding is what still counts of a router's, over all that this bursar has given; below 0: this router is not the bursar.
+func (m *Machine) Outstanding(name string) (sum float64) {
+	if m.replica == nil || !m.replica.isCoordinator(m.now) {
 		return -1
 	}
-	for _, b := range m.bursar.books {
-		b.drop(m.now)
-		for of, c := range b.given {
+	for _, b := range m.coordinator.ledgers {
+		b.dropExpired(m.now)
+		for of, c := range b.grants {
 			if of.Name == name {
 				sum += float64(c.amount) / 1e6
 			}
--- a/internal/talk/shares.go
+++ b/internal/talk/shares.go
@@ -9,9 +9,9 @@
 )
 
 var sharesKinds = map[shares.MessageKind]SharesKind{shares.Claim: SharesKind_CLAIM, shares.Promise: SharesKind_PROMISE, shares.Refusal: SharesKind_REFUSAL,
-	shares.Yield: SharesKind_YIELD, shares.Ask: SharesKind_CREDIT_ASK, shares.Reply: SharesKind_CREDIT_REPLY,
-	shares.Handover: SharesKind_HANDOVER, shares.Record: SharesKind_RECORD, shares.Recorded: SharesKind_RECORDED, shares.Recall: SharesKind_RECALL,
-	shares.Recalled: SharesKind_RECALLED}
+	shares.Resign: SharesKind_YIELD, shares.GrantRequest: SharesKind_CREDIT_ASK, shares.GrantReply: SharesKind_CREDIT_REPLY,
+	shares.Handover: SharesKind_HANDOVER, shares.RecordUpdate: SharesKind_RECORD, shares.RecordAck: SharesKind_RECORDED, shares.RecoveryRequest: SharesKind_RECALL,
+	shares.RecoveryPage: SharesKind_RECALLED}
 
 // Bounds of what is taken for an amount or a time of another router; what is beyond is no packet of this form.
 const (
@@ -22,11 +22,11 @@
 )
 
 func sharesOut(m *shares.Message) *Shares {
-	out := &Shares{Kind: sharesKinds[m.Kind], Roll: m.Roll, Number: m.Number, Bursar: m.Bursar, Prior: m.Prior.Name, PriorStart: m.Prior.Start,
-		Start: m.From.Start, To: m.To, Page: m.Page, Pages: m.Pages, Up: min(m.Up, mostTime)}
+	out := &Shares{Kind: sharesKinds[m.Kind], Roll: m.ReplicaSetHash, Number: m.Number, Bursar: m.Coordinator, Prior: m.PreviousPromise.Name, PriorStart: m.PreviousPromise.Start,
+		Start: m.From.Start, To: m.ToStart, Page: m.Page, Pages: m.Pages, Up: min(m.CompleteFor, mostTime)}
 	for _, i := range m.Items {
-		out.Items = append(out.Items, &Credit{Number: i.Number, Attempt: i.Try, Kind: uint32(i.Key.Kind), Of: i.Key.Of, At: i.Key.At, Amount: i.Amount,
-			Whole: i.Whole, Rest: i.Rest, Lease: i.Lease, Done: i.Done, Never: i.Never, Name: i.Of.Name, Start: i.Of.Start})
+		out.Items = append(out.Items, &Credit{Number: i.Number, Attempt: i.Attempt, Kind: uint32(i.Key.Kind), Of: i.Key.Engine, At: i.Key.Qualifier, Amount: i.Amount,
+			Whole: i.Total, Rest: i.CountedFor, Lease: i.Lease, Done: i.Done, Never: i.TooLarge, Name: i.Holder.Name, Start: i.Holder.Start})
 	}
 	return out
 }
@@ -36,8 +36,8 @@
 	if p == nil || len(p.Items) > mostItems {
 		return nil, false
 	}
-	m := &shares.Message{From: shares.ID{Name: from.Name, Start: p.Start}, At: from.Address, To: p.To, Roll: p.Roll, Number: p.Number, Bursar: p.Bursar,
-		Prior: shares.ID{Name: p.Prior, Start: p.PriorStart}, Page: p.Page, Pages: p.Pages, Up: p.Up}
+	m := &shares.Message{From: shares.ID{Name: from.Name, Start: p.Start}, FromAddress: from.Address, ToStart: p.To, ReplicaSetHash: p.Roll, Number: p.Number, Coordinator: p.Bursar,
+		PreviousPromise: shares.ID{Name: p.Prior, Start: p.PriorStart}, Page: p.Page, Pages: p.Pages, CompleteFor: p.Up}
 	for kind, worded := range sharesKinds {
 		if worded == p.Kind {
 			m.Kind = kind
@@ -64,8 +64,8 @@
 		if _, known := shares.Kinds[shares.Kind(min(c.Kind, math.MaxUint8))]; !known {
 			continue
 		}
-		m.Items = append(m.Items, shares.Item{Number: c.Number, Try: c.Attempt, Key: shares.Key{Kind: shares.Kind(c.Kind), Of: c.Of, At: c.At},
-			Amount: c.Amount, Whole: c.Whole, Rest: c.Rest, Lease: c.Lease, Done: c.Done, Never: c.Never, Of: shares.ID{Name: c.Name, Start: c.Start}})
+		m.Items = append(m.Items, shares.Item{Number: c.Number, Attempt: c.Attempt, Key: shares.Key{Kind: shares.Kind(c.Kind), Engine: c.Of, Qualifier: c.At},
+			Amount: c.Amount, Total: c.Whole, CountedFor: c.Rest, Lease: c.Lease, Done: c.Done, TooLarge: c.Never, Holder: shares.ID{Name: c.Name, Start: c.Start}})
 	}
 	return m, true
 }
--- a/internal/talk/talk_test.go
+++ b/internal/talk/talk_test.go
@@ -51,10 +51,10 @@
 
 func TestWhatIsSaidOfSharesComesBackAsItWas(t *testing.T) {
 	from := someone("n1")
-	m := &Message{Message: membership.Message{Kind: membership.Tell, From: from, View: 7, Count: 3}, Shares: &shares.Message{Kind: shares.Ask,
-		From: shares.ID{Name: from.Name, Start: from.Start}, At: from.Address, Roll: 9, Number: 4, Bursar: "127.0.0.1:7501",
-		Items: []shares.Item{{Number: 1 << 40, Try: 2, Key: shares.ColdKey(shares.Start{Engine: 7, At: 1e9}), Amount: 1.5, Whole: 6, Rest: 1.1},
-			{Number: 8, Key: shares.ColdKey(shares.Start{Engine: 8, At: 1e9}), Done: true}}}}
+	m := &Message{Message: membership.Message{Kind: membership.Tell, From: from, View: 7, Count: 3}, Shares: &shares.Message{Kind: shares.GrantRequest,
+		From: shares.ID{Name: from.Name, Start: from.Start}, FromAddress: from.Address, ReplicaSetHash: 9, Number: 4, Coordinator: "127.0.0.1:7501",
+		Items: []shares.Item{{Number: 1 << 40, Attempt: 2, Key: shares.ColdStartKey(shares.EngineStart{Engine: 7, StartedAt: 1e9}), Amount: 1.5, Total: 6, CountedFor: 1.1},
+			{Number: 8, Key: shares.ColdStartKey(shares.EngineStart{Engine: 8, StartedAt: 1e9}), Done: true}}}}
 	data, err := Encode("fleet", m)
 	require.NoError(t, err)
 	got, err := Decode("fleet", data)
@@ -96,11 +96,11 @@
 	name, address, large := strings.Repeat("n", 64), "255.255.255.255:65535", uint64(math.MaxUint64)
 	from := membership.Member{ID: membership.ID{Name: name, Start: large}, Address: address, Incarnation: math.MaxUint32}
 	envelope := membership.Message{Kind: membership.Tell, From: from, View: large, Count: 1 << 20}
-	item := shares.Item{Number: large, Try: math.MaxUint32, Key: shares.Key{Kind: shares.Concurrency, Of: math.MaxUint32, At: large}, Amount: 1.1, Whole: 1.1, Rest: 1.1,
-		Lease: 1.1, Of: shares.ID{Name: name, Start: large}}
-	said := shares.Message{Kind: shares.Recalled, From: shares.ID{Name: name, Start: large}, At: address, To: large, Roll: math.MaxUint32, Number: large, Bursar: address,
-		Page: 4000, Pages: 4001, Up: 1.1}
-	for range shares.MostRecords {
+	item := shares.Item{Number: large, Attempt: math.MaxUint32, Key: shares.Key{Kind: shares.Concurrency, Engine: math.MaxUint32, Qualifier: large}, Amount: 1.1, Total: 1.1, CountedFor: 1.1,
+		Lease: 1.1, Holder: shares.ID{Name: name, Start: large}}
+	said := shares.Message{Kind: shares.RecoveryPage, From: shares.ID{Name: name, Start: large}, FromAddress: address, ToStart: large, ReplicaSetHash: math.MaxUint32, Number: large, Coordinator: address,
+		Page: 4000, Pages: 4001, CompleteFor: 1.1}
+	for range shares.MaxRecordsPerMessage {
 		said.Items = append(said.Items, item)
 	}
 	all := news.Message{Kind: news.Down, Routers: 1 << 20, Age: 0.1}
