--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -164,7 +164,7 @@
 		protocols[i] = resp
 		if e.Protocol == "tds" {
 			protocols[i] = (&tds.EngineConfig{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
-				AppName: "pitchfield", PacketSize: e.Packet, ProbeQuery: e.Probe, LoadQuery: e.Load, RejectionNumbers: e.TurnedAway}).Protocol()
+				AppName: "pitchfield", PacketSize: e.PacketSize, ProbeQuery: e.ProbeStatement, LoadQuery: e.LoadStatement, RejectionNumbers: e.RejectionCodes}).Protocol()
 		}
 	}
 	return func(e directory.Engine) *traffic.EngineProtocol {
