--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -378,7 +378,7 @@
 func (e *Engine) skipRow(c *cursor, nullBitmap []byte) {
 	var report *brain.Report
 	if e.isProbe && e.phase == running && e.loadReport == nil && e.config.LoadQuery != "" {
-		report = settings.NoReport()
+		report = settings.EmptyReport()
 	}
 	for i := range e.columns {
 		if nullBitmap != nil && nullBitmap[i/8]&(1<<(i%8)) != 0 {
@@ -391,7 +391,7 @@
 		if report != nil && v != nil {
 			if text, err := rows.Format(e.columns[i].Type, v); err == nil {
 				if f, err := strconv.ParseFloat(text, 64); err == nil && !math.IsNaN(f) && !math.IsInf(f, 0) {
-					settings.Report(report, strings.ToLower(e.columns[i].name), f)
+					settings.SetReportField(report, strings.ToLower(e.columns[i].name), f)
 				}
 			}
 		}
--- a/internal/tds/settings.go
+++ b/internal/tds/settings.go
@@ -49,7 +49,7 @@
 
 // Validate checks the section and returns its settings, with defaults filled in. Faults are reported to c. It returns
 // nil if there is no [tds] table: the router then has no TDS listener.
-func (f *ListenerSection) Validate(c findings.To) *Settings {
+func (f *ListenerSection) Validate(c findings.Reporter) *Settings {
 	t := f.TDS
 	if t == nil {
 		return nil
@@ -59,23 +59,23 @@
 		out.Name = "pitchfield"
 	}
 	if a, err := netip.ParseAddrPort(t.Listen); err != nil || a.Port() == 0 {
-		c.Found("tds.listen", "%q is not an address and a port, as 127.0.0.1:1433", t.Listen)
+		c.Errorf("tds.listen", "%q is not an address and a port, as 127.0.0.1:1433", t.Listen)
 	}
 	out.Idle = c.Seconds("tds.idle", t.Idle, maxIdle)
 	if out.Idle == 0 {
 		out.Idle = defaultIdle
 	}
 	if len(t.Login) == 0 {
-		c.Found("tds", "without a [[tds.login]] nobody can log in")
+		c.Errorf("tds", "without a [[tds.login]] nobody can log in")
 	}
 	for i, l := range t.Login {
 		key := fmt.Sprintf("tds.login[%d]", i)
 		name := strings.ToLower(l.User)
 		if _, duplicate := out.Users[name]; duplicate || name == "" {
-			c.Found(key+".user", "%q is empty or there twice", l.User)
+			c.Errorf(key+".user", "%q is empty or there twice", l.User)
 		}
 		if cost, err := bcrypt.Cost([]byte(l.Hash)); err != nil || cost < minHashCost || cost > maxHashCost {
-			c.Found(key+".hash", "not a bcrypt hash of a cost from %d to %d; 'pitchfield hash' makes one", minHashCost, maxHashCost)
+			c.Errorf(key+".hash", "not a bcrypt hash of a cost from %d to %d; 'pitchfield hash' makes one", minHashCost, maxHashCost)
 		}
 		out.Users[name] = User{Hash: []byte(l.Hash), Client: l.Client}
 	}
