--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -106,7 +106,7 @@
 			return event != nil && err == nil
 		})
 		out.Release()
-		if pair.pool.Used() != 0 {
+		if pair.pool.InUse() != 0 {
 			t.Fatal("buffers were not released")
 		}
 	})
@@ -143,7 +143,7 @@
 		})
 		out.Release()
 		pair.engine.discardRows()
-		if pair.pool.Used() != 0 {
+		if pair.pool.InUse() != 0 {
 			t.Fatal("buffers were not released")
 		}
 	})
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -260,7 +260,7 @@
 			r.Rows.Release()
 		}
 		require.Equal(t, len(want), got)
-		require.Zero(t, pair.pool.Used())
+		require.Zero(t, pair.pool.InUse())
 	})
 }
 
