--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -28,7 +28,7 @@
 
 // Protocol describes TDS engines to the router core.
 func (c *EngineConfig) Protocol() *traffic.EngineProtocol {
-	return &traffic.EngineProtocol{Name: "tds", Alone: true, Held: true, New: func() traffic.Engine { return c.NewEngine() }}
+	return &traffic.EngineProtocol{Name: "tds", OneAtATime: true, Pausable: true, New: func() traffic.Engine { return c.NewEngine() }}
 }
 
 // NewEngine returns the protocol state of a new connection to an engine.
@@ -77,8 +77,8 @@
 	return false
 }
 
-// Order writes a dispatch, a probe or the cancellation of a dispatch to out.
-func (e *Engine) Order(out *buffers.Chain, what traffic.Order) {
+// Encode writes a dispatch, a probe or the cancellation of a dispatch to out.
+func (e *Engine) Encode(out *buffers.Chain, what traffic.EngineCommand) {
 	switch o := what.(type) {
 	case *traffic.Dispatch:
 		e.beginRequest(o.ID, false)
@@ -86,11 +86,11 @@
 	case traffic.Probe:
 		e.beginRequest(o.Tag, true)
 		text := e.config.ProbeQuery
-		if o.Load && e.config.LoadQuery != "" {
+		if o.WantLoad && e.config.LoadQuery != "" {
 			text = e.config.LoadQuery
 		}
 		writeMessage(out, packetBatch, statusResetConnection, e.packetSize, appendUTF16(appendAllHeaders(nil), text))
-	case traffic.GiveUp:
+	case traffic.CancelDispatch:
 		if e.phase == running && e.requestID == o.ID {
 			e.phase = attentionSent
 			e.discardRows()
@@ -116,8 +116,8 @@
 func (e *Engine) writeDispatch(out *buffers.Chain, d *traffic.Dispatch) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "/* pitchfield id=%s group=%s wait=%dms", d.ID, d.Group, max(int(math.Ceil(d.Wait*1000)), 1))
-	if d.Mark != "" {
-		text.WriteString(" mark=" + d.Mark)
+	if d.IdempotencyKey != "" {
+		text.WriteString(" mark=" + d.IdempotencyKey)
 	}
 	if d.Memory > 0 {
 		text.WriteString(" memory=" + strconv.Itoa(int(math.Ceil(d.Memory))) + "MB")
@@ -126,7 +126,7 @@
 	if d.Database != "" {
 		text.WriteString("USE [" + strings.ReplaceAll(d.Database, "]", "]]") + "]; ")
 	}
-	text.WriteString(d.Ahead)
+	text.WriteString(d.SessionSetup)
 	text.WriteString(d.Text.String())
 	e.writeRequest(out, text.String(), d.Parameters)
 }
@@ -148,7 +148,7 @@
 
 // Read parses the engine's response from in and returns the next reply, or nil if more bytes are needed. Messages that
 // the login needs are written to out. After an error nothing more can be read.
-func (e *Engine) Read(in, out *buffers.Chain) (*traffic.Reply, error) {
+func (e *Engine) Read(in, out *buffers.Chain) (*traffic.EngineReply, error) {
 	for {
 		if len(e.unread) > 0 || e.complete {
 			if reply, err := e.readTokens(out); reply != nil || err != nil {
@@ -197,7 +197,7 @@
 }
 
 // readTokens parses tokens until there is a reply to return or more bytes are needed.
-func (e *Engine) readTokens(out *buffers.Chain) (*traffic.Reply, error) {
+func (e *Engine) readTokens(out *buffers.Chain) (*traffic.EngineReply, error) {
 	c := cursor{buf: e.unread}
 	parsed := 0 // bytes of the tokens that have been parsed whole
 	dropParsed := func() { e.unread = e.unread[:copy(e.unread, e.unread[parsed:])] }
@@ -235,19 +235,19 @@
 }
 
 // takeRows returns the unsent rows as a reply, with their columns if it is the result set's first.
-func (e *Engine) takeRows() *traffic.Reply {
+func (e *Engine) takeRows() *traffic.EngineReply {
 	part := e.unsent
 	e.unsent = rows.Part{}
 	if e.columnsUnsent {
 		part.Columns, e.columnsUnsent = e.resultColumns, false
 	}
 	part.Form, e.rowsSent = rows.Values, true
-	return &traffic.Reply{ID: e.requestID, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: part}
+	return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: part}
 }
 
 // readToken parses one token and updates the state. A parse error is left in c.err; errIncomplete means that the token
 // has not been received whole and that the state is unchanged.
-func (e *Engine) readToken(c *cursor) (*traffic.Reply, error) {
+func (e *Engine) readToken(c *cursor) (*traffic.EngineReply, error) {
 	switch kind := c.u8(); kind {
 	case tokenColMetadata:
 		columns := c.colMetadata()
@@ -258,7 +258,7 @@
 			e.columns = columns
 			return nil, nil
 		}
-		var previous *traffic.Reply // the rest of the previous result set
+		var previous *traffic.EngineReply // the rest of the previous result set
 		if e.unsent.Len() > 0 || e.columnsUnsent && e.resultColumns != nil {
 			previous = e.takeRows()
 		}
@@ -281,7 +281,7 @@
 		}
 		if e.phase == running && !e.isProbe && done.status&doneCount != 0 && e.columns == nil && done.count > 0 && done.count <= math.MaxInt32 {
 			e.rowsSent = true
-			return &traffic.Reply{ID: e.requestID, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1,
+			return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1,
 				Rows: rows.Part{Form: rows.Values, Count: int(done.count)}}, nil
 		}
 		if done.status&doneError != 0 && e.firstError == nil {
@@ -342,7 +342,7 @@
 
 // readRow parses a row and adds it to the unsent rows; hasNullBitmap is set for an NBCROW. A row that has not been
 // received whole changes nothing.
-func (e *Engine) readRow(c *cursor, hasNullBitmap bool) *traffic.Reply {
+func (e *Engine) readRow(c *cursor, hasNullBitmap bool) *traffic.EngineReply {
 	var nullBitmap []byte
 	if hasNullBitmap {
 		nullBitmap = c.take((len(e.columns) + 7) / 8)
@@ -402,8 +402,8 @@
 }
 
 // endResponse handles the end of a response and returns the reply that it amounts to; nil: none.
-func (e *Engine) endResponse() (*traffic.Reply, error) {
-	reply := &traffic.Reply{ID: e.requestID, Pages: -1, Page: -1, Work: -1, Memory: -1}
+func (e *Engine) endResponse() (*traffic.EngineReply, error) {
+	reply := &traffic.EngineReply{ID: e.requestID, Pages: -1, Page: -1, Work: -1, Memory: -1}
 	failed := e.firstError
 	e.firstError = nil
 	switch e.phase {
@@ -418,14 +418,14 @@
 			e.packetSize = e.negotiatedSize
 		}
 		e.phase, e.acknowledged = idle, false
-		reply.Word = traffic.Up
+		reply.Kind = traffic.ReplyReady
 		return reply, nil
 	case attentionSent: // a response that was already on its way ends without the acknowledgement; wait for the next
 		if !e.acknowledged {
 			return nil, nil
 		}
 		e.phase, e.acknowledged = idle, false
-		reply.Word = traffic.Free
+		reply.Kind = traffic.ReplyReleased
 		return reply, nil
 	case running:
 		if e.unsent.Len() > 0 || e.columnsUnsent {
@@ -439,15 +439,15 @@
 		e.phase = idle
 		switch {
 		case e.isProbe && failed == nil:
-			reply.Word, reply.Load = traffic.Fit, e.loadReport
+			reply.Kind, reply.Load = traffic.ReplyHealthy, e.loadReport
 		case e.isProbe:
-			reply.Word, reply.Why = traffic.Unfit, failed.Error()
+			reply.Kind, reply.Reason = traffic.ReplyUnhealthy, failed.Error()
 		case failed == nil:
-			reply.Word = traffic.Whole
+			reply.Kind = traffic.ReplyComplete
 		case !e.rowsSent && slices.Contains(e.config.RejectionNumbers, failed.Number):
-			reply.Word, reply.Why = traffic.Full, failed.Error()
+			reply.Kind, reply.Reason = traffic.ReplyOverloaded, failed.Error()
 		default:
-			reply.Word, reply.Why = traffic.Broke, failed.Error()
+			reply.Kind, reply.Reason = traffic.ReplyFailed, failed.Error()
 		}
 		return reply, nil
 	}
--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -96,9 +96,9 @@
 		out := pair.pool.Chain()
 		feedInHalves(pair.pool, b, func(in *buffers.Chain) bool {
 			event, err := pair.session.Read(in, out)
-			if a, is := event.(*traffic.Ask); is {
+			if a, is := event.(*traffic.BatchRequest); is {
 				a.Batch.Text.Release()
-				pair.session.Tell(out, &traffic.Answer{Stream: a.Stream, Code: traffic.Errored})
+				pair.session.Encode(out, &traffic.Answer{Stream: a.Stream, Code: traffic.Failed})
 			}
 			if v, is := event.(*traffic.Verify); is {
 				v.Done(v.Run(), out) //nolint:errcheck
@@ -116,7 +116,7 @@
 func FuzzEngine(f *testing.F) {
 	pair := newPair(f).login()
 	a := pair.query("SELECT a")
-	pair.session.Tell(pair.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x", "yy")}})
+	pair.session.Encode(pair.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x", "yy")}})
 	f.Add(pair.toClient.Bytes(), false)
 	f.Add(pair.toClient.Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, stop bool) {
@@ -125,7 +125,7 @@
 		out := pair.pool.Chain()
 		pair.engine.Send(out, "q", "SELECT a", nil)
 		if stop {
-			pair.engine.Order(out, traffic.GiveUp{ID: "q"})
+			pair.engine.Encode(out, traffic.CancelDispatch{ID: "q"})
 		}
 		feedInHalves(pair.pool, b, func(in *buffers.Chain) bool {
 			r, err := pair.engine.Read(in, out)
--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -30,9 +30,9 @@
 
 // Protocol describes TDS clients to the router core. An idle connection is closed after idle seconds.
 func (srv *Server) Protocol(idle float64) *traffic.ClientProtocol {
-	return &traffic.ClientProtocol{Name: "tds", Idle: idle, Open: 1, Stream: true,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsValues(srv.Pool, parts) },
-		New:     func() traffic.Client { return srv.NewSession() }}
+	return &traffic.ClientProtocol{Name: "tds", IdleTimeout: idle, MaxOpenBatches: 1, Stream: true,
+		ConvertResult: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsValues(srv.Pool, parts) },
+		New:           func() traffic.Client { return srv.NewSession() }}
 }
 
 // NewSession returns the protocol state of a new client connection.
@@ -95,12 +95,12 @@
 	rowCount uint64
 }
 
-// Half reports whether part of a message has been received.
-func (s *Session) Half() bool { return s.message != nil }
+// HasPartial reports whether part of a message has been received.
+func (s *Session) HasPartial() bool { return s.message != nil }
 
 // Read parses the next client message from in and returns its event, or nil if no whole message is there. Responses that
 // the session gives by itself are written to out. After an error nothing more can be read.
-func (s *Session) Read(in, out *buffers.Chain) (traffic.Said, error) {
+func (s *Session) Read(in, out *buffers.Chain) (traffic.ClientMessage, error) {
 	for s.state != authenticating && s.state != closed {
 		p, ok, err := peekPacket(in)
 		if err != nil || !ok {
@@ -135,7 +135,7 @@
 		s.message, s.oversized = nil, false
 		if p.status&statusIgnore != 0 {
 			s.respond(out, func(b []byte) []byte { return appendDone(b, tokenDone, doneError, 0) })
-			return traffic.Stir{}, nil
+			return traffic.HandledLocally{}, nil
 		}
 		if event, err := s.handleMessage(message, oversized, out); event != nil || err != nil {
 			return event, err
@@ -146,11 +146,11 @@
 
 // attention cancels the pending batch and acknowledges the Attention. The client waits for this DONE, so it is also sent
 // if the batch's response was already on its way when the client cancelled.
-func (s *Session) attention(out *buffers.Chain) traffic.Said {
+func (s *Session) attention(out *buffers.Chain) traffic.ClientMessage {
 	if s.state != ready {
 		return nil
 	}
-	var event traffic.Said = traffic.Stir{}
+	var event traffic.ClientMessage = traffic.HandledLocally{}
 	if s.pending {
 		event = traffic.Cancel{Stream: s.stream}
 	}
@@ -177,12 +177,12 @@
 }
 
 // sendError answers the request with an error. The session stays open.
-func (s *Session) sendError(out *buffers.Chain, m Message) traffic.Said {
+func (s *Session) sendError(out *buffers.Chain, m Message) traffic.ClientMessage {
 	s.respond(out, func(b []byte) []byte {
 		return appendDone(appendMessage(b, tokenError, m, s.server.Name), s.finalDoneToken(), doneError, 0)
 	})
 	s.response = response{}
-	return traffic.Stir{}
+	return traffic.HandledLocally{}
 }
 
 // finalDoneToken returns the DONE token that ends the current response.
@@ -194,7 +194,7 @@
 }
 
 // sendFatalError sends an error and closes the session. It returns the error.
-func (s *Session) sendFatalError(out *buffers.Chain, m Message) (traffic.Said, error) {
+func (s *Session) sendFatalError(out *buffers.Chain, m Message) (traffic.ClientMessage, error) {
 	s.respond(out, func(b []byte) []byte {
 		return appendDone(appendMessage(b, tokenError, m, s.server.Name), tokenDone, doneError, 0)
 	})
@@ -204,7 +204,7 @@
 
 // handleMessage processes a whole client message according to the session's state. The payload of an oversized message
 // is not in b.
-func (s *Session) handleMessage(b []byte, oversized bool, out *buffers.Chain) (traffic.Said, error) {
+func (s *Session) handleMessage(b []byte, oversized bool, out *buffers.Chain) (traffic.ClientMessage, error) {
 	switch s.state {
 	case expectPrelogin:
 		if s.messageType != packetPrelogin || oversized {
@@ -247,7 +247,7 @@
 	case packetRPC:
 		s.response.isRPC = true
 		request, err := parseRPC(b)
-		event, err := s.unlessRefused(err, out, func() (traffic.Said, error) { return s.handleRPC(request, out) })
+		event, err := s.unlessRefused(err, out, func() (traffic.ClientMessage, error) { return s.handleRPC(request, out) })
 		return event, err
 	case packetTransactionManager:
 		return s.sendError(out, unsupportedError("transactions")), nil
@@ -259,8 +259,8 @@
 
 // unlessRefused calls next unless err is set. A requestError, from either, is sent to the client and the session stays
 // open; any other error is returned.
-func (s *Session) unlessRefused(err error, out *buffers.Chain, next func() (traffic.Said, error)) (traffic.Said, error) {
-	var event traffic.Said
+func (s *Session) unlessRefused(err error, out *buffers.Chain, next func() (traffic.ClientMessage, error)) (traffic.ClientMessage, error) {
+	var event traffic.ClientMessage
 	if err == nil {
 		event, err = next()
 	}
@@ -273,7 +273,7 @@
 
 // handleLogin parses a LOGIN7 and has its password checked outside the event loop, since password hashing is slow by
 // design.
-func (s *Session) handleLogin(b []byte, out *buffers.Chain) (traffic.Said, error) {
+func (s *Session) handleLogin(b []byte, out *buffers.Chain) (traffic.ClientMessage, error) {
 	l, err := parseLogin(b)
 	if err != nil {
 		return nil, err
@@ -294,7 +294,7 @@
 			client, err = s.server.Authenticate(l.user, l.password)
 			return err
 		},
-		Done: func(err error, out *buffers.Chain) (traffic.Said, error) {
+		Done: func(err error, out *buffers.Chain) (traffic.ClientMessage, error) {
 			l.password = ""
 			if err != nil {
 				m := errLoginFailed
@@ -305,7 +305,7 @@
 			size := negotiatePacketSize(l.packetSize)
 			s.respond(out, func(b []byte) []byte { return appendLoginAck(b, l, s.server.Name, size) })
 			s.out.packetSize = size // from the next message on
-			return traffic.Hello{Who: l.user + " with " + l.appName}, nil
+			return traffic.Hello{Name: l.user + " with " + l.appName}, nil
 		}}, nil
 }
 
@@ -337,7 +337,7 @@
 
 // handleBatch processes a SQL batch request. Texts of only SET and USE statements and queries of server values are
 // answered here; everything else becomes a batch for an engine.
-func (s *Session) handleBatch(text string, out *buffers.Chain) traffic.Said {
+func (s *Session) handleBatch(text string, out *buffers.Chain) traffic.ClientMessage {
 	words := statement.Words(text)
 	if feature := unsupportedFeature(words); feature != "" {
 		return s.sendError(out, unsupportedError(feature))
@@ -357,11 +357,11 @@
 			}
 			return appendDone(b, tokenDone, 0, 0)
 		})
-		return traffic.Stir{}
+		return traffic.HandledLocally{}
 	}
 	if values, ok := s.serverValues(words); ok {
 		s.sendServerValues(out, values)
-		return traffic.Stir{}
+		return traffic.HandledLocally{}
 	}
 	return s.submit(text, words, prefix, nil, out)
 }
@@ -405,10 +405,10 @@
 }
 
 // submit turns a statement into a batch for an engine and applies the assignment rules to it.
-func (s *Session) submit(text string, words []statement.Word, prefix string, parameters []rows.Parameter, out *buffers.Chain) traffic.Said {
-	ask := &traffic.Ask{Stream: s.stream + 1}
+func (s *Session) submit(text string, words []statement.Word, prefix string, parameters []rows.Parameter, out *buffers.Chain) traffic.ClientMessage {
+	ask := &traffic.BatchRequest{Stream: s.stream + 1}
 	b := &ask.Batch
-	b.Client, b.Ahead, b.Parameters = s.client, prefix, parameters
+	b.Client, b.SessionSetup, b.Parameters = s.client, prefix, parameters
 	b.Login, b.Application = s.login.user, s.login.appName
 	if s.database == "" {
 		b.Database = s.login.database
@@ -420,7 +420,7 @@
 	if err := s.server.Rules().Assign(about, text, b); err != nil {
 		return s.sendError(out, Message{50404, 1, 16, "pitchfield: " + err.Error() + "."})
 	}
-	b.NoMark = b.Mark == ""
+	b.NoIdempotencyKey = b.IdempotencyKey == ""
 	b.Text = s.server.Pool.Chain()
 	b.Text.WriteString(text)
 	s.stream++
@@ -430,14 +430,14 @@
 
 // handleRPC processes an RPC request. The sp_executesql and sp_prepare families are handled here; a procedure called by
 // any other name is sent to an engine as an EXEC statement.
-func (s *Session) handleRPC(request rpcRequest, out *buffers.Chain) (traffic.Said, error) {
+func (s *Session) handleRPC(request rpcRequest, out *buffers.Chain) (traffic.ClientMessage, error) {
 	text := func(i int) (string, error) {
 		if i >= len(request.parameters) || request.parameters[i].Kind != rows.Text {
 			return "", requestError{Message{214, 2, 16, "Procedure expects a parameter of a text type."}}
 		}
 		return string(request.parameters[i].Value), nil
 	}
-	run := func(p preparedStatement, values []parameter) (traffic.Said, error) {
+	run := func(p preparedStatement, values []parameter) (traffic.ClientMessage, error) {
 		parameters, err := nameParameters(p.declaration, values)
 		if err != nil {
 			return nil, err
@@ -476,7 +476,7 @@
 		}
 		s.beginResponse()
 		s.finishResponse(out)
-		return traffic.Stir{}, nil
+		return traffic.HandledLocally{}, nil
 	case procExecute, procUnprepare:
 		handle, ok := int32(0), false
 		if len(request.parameters) > 0 && request.parameters[0].Kind == rows.Int32 && len(request.parameters[0].Value) == 4 {
@@ -494,7 +494,7 @@
 		s.handleBytes -= len(p.text) + len(p.declaration)
 		s.beginResponse()
 		s.finishResponse(out)
-		return traffic.Stir{}, nil
+		return traffic.HandledLocally{}, nil
 	case 0:
 		return s.handleNamedProcedure(request, out)
 	}
@@ -520,7 +520,7 @@
 }
 
 // handleNamedProcedure turns an RPC request by procedure name into an EXEC statement with its parameters as literals.
-func (s *Session) handleNamedProcedure(request rpcRequest, out *buffers.Chain) (traffic.Said, error) {
+func (s *Session) handleNamedProcedure(request rpcRequest, out *buffers.Chain) (traffic.ClientMessage, error) {
 	if request.name == "" || strings.ContainsFunc(request.name, func(r rune) bool { return !isNameRune(r) && !strings.ContainsRune(".[] ", r) }) {
 		return nil, requestError{Message{2812, 62, 16, fmt.Sprintf("%.60q is not a valid procedure name.", request.name)}}
 	}
@@ -550,9 +550,9 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' || r == '$' || r == '#' || r >= 0x80
 }
 
-// Tell writes rows, a batch's outcome or a connection error to the client. Rows and outcomes of batches that are no
+// Encode writes rows, a batch's outcome or a connection error to the client. Rows and outcomes of batches that are no
 // longer pending are ignored.
-func (s *Session) Tell(out *buffers.Chain, what traffic.Tell) {
+func (s *Session) Encode(out *buffers.Chain, what traffic.ClientReply) {
 	switch w := what.(type) {
 	case *traffic.Rows:
 		if s.pending && w.Stream == s.stream {
@@ -563,7 +563,7 @@
 			return
 		}
 		s.pending = false
-		if w.Code == traffic.Returned {
+		if w.Code == traffic.Succeeded {
 			for _, p := range w.Rows {
 				s.writeRows(out, p)
 			}
@@ -577,10 +577,10 @@
 		s.out.buf = appendDone(appendMessage(s.out.buf, tokenError, failureMessage(w), s.server.Name), s.finalDoneToken(), doneError, 0)
 		s.out.endMessage(out)
 		s.response = response{}
-	case traffic.Complaint:
+	case traffic.ConnectionError:
 		if s.state != closed {
 			s.state = closed
-			s.out.buf = appendMessage(s.out.buf, tokenError, Message{50500, 1, 20, "pitchfield: " + w.Why + "."}, s.server.Name)
+			s.out.buf = appendMessage(s.out.buf, tokenError, Message{50500, 1, 20, "pitchfield: " + w.Reason + "."}, s.server.Name)
 			s.out.buf = appendDone(s.out.buf, tokenDone, doneError|doneServerError, 0)
 			s.out.endMessage(out)
 		}
@@ -596,16 +596,16 @@
 // failureMessage returns the error that reports a rejected or failed batch. A rejection guarantees that the batch has not
 // run and is safe to retry; a failure guarantees nothing.
 func failureMessage(a *traffic.Answer) Message {
-	if a.Code == traffic.PushedBack {
+	if a.Code == traffic.Rejected {
 		m := Message{ErrorNumberRejected, 1, 16, "The service is currently busy: the batch was rejected and is safe to retry."}
-		if a.Wait > 0 {
-			m.Text += fmt.Sprintf(" Retry the request after %d ms.", int(math.Ceil(a.Wait*1000)))
+		if a.RetryAfter > 0 {
+			m.Text += fmt.Sprintf(" Retry the request after %d ms.", int(math.Ceil(a.RetryAfter*1000)))
 		}
 		return m
 	}
 	m := Message{ErrorNumberFailed, 1, 16, "pitchfield: the batch failed, and whether it has run is not known."}
-	if a.Why != "" {
-		m.Text += " " + a.Why
+	if a.Reason != "" {
+		m.Text += " " + a.Reason
 	}
 	return m
 }
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -40,8 +40,8 @@
 	engine                *Engine
 	toSession, toClient   *buffers.Chain
 	chunkSize             func(n int) int // how many of n available bytes are delivered next
-	events                []traffic.Said
-	replies               []*traffic.Reply
+	events                []traffic.ClientMessage
+	replies               []*traffic.EngineReply
 	sessionErr, engineErr error
 }
 
@@ -108,13 +108,13 @@
 	require.NoError(pair.t, pair.sessionErr)
 	require.NoError(pair.t, pair.engineErr)
 	require.Len(pair.t, pair.replies, 1)
-	require.Equal(pair.t, traffic.Up, pair.replies[0].Word)
+	require.Equal(pair.t, traffic.ReplyReady, pair.replies[0].Kind)
 	pair.replies, pair.events = nil, nil
 	return pair
 }
 
 // query sends a statement and returns the batch that the session made of it; nil: the session answered it itself.
-func (pair *connectedPair) query(text string, parameters ...rows.Parameter) *traffic.Ask {
+func (pair *connectedPair) query(text string, parameters ...rows.Parameter) *traffic.BatchRequest {
 	pair.replies, pair.events = nil, nil
 	pair.engine.Send(pair.toSession, "q", text, parameters)
 	pair.run()
@@ -122,17 +122,17 @@
 	if len(pair.events) == 0 {
 		return nil
 	}
-	a, _ := pair.events[len(pair.events)-1].(*traffic.Ask)
+	a, _ := pair.events[len(pair.events)-1].(*traffic.BatchRequest)
 	return a
 }
 
-func (pair *connectedPair) tellSession(what traffic.Tell) {
-	pair.session.Tell(pair.toClient, what)
+func (pair *connectedPair) tellSession(what traffic.ClientReply) {
+	pair.session.Encode(pair.toClient, what)
 	pair.run()
 }
 
 // result returns the rows of the replies as text and the last reply.
-func (pair *connectedPair) result() (out []string, last *traffic.Reply) {
+func (pair *connectedPair) result() (out []string, last *traffic.EngineReply) {
 	require.NoError(pair.t, pair.engineErr)
 	var columns []rows.Column
 	for _, r := range pair.replies {
@@ -241,7 +241,7 @@
 		pair.tellSession(&traffic.Answer{Stream: 1})
 		part.Release()
 		require.NoError(t, pair.engineErr)
-		require.Equal(t, traffic.Whole, pair.replies[len(pair.replies)-1].Word)
+		require.Equal(t, traffic.ReplyComplete, pair.replies[len(pair.replies)-1].Kind)
 		got := 0
 		for _, r := range pair.replies {
 			for i, c := range r.Rows.Columns {
@@ -276,7 +276,7 @@
 		}
 		a := pair.query("SELECT @p0", want...)
 		require.NotNil(t, a)
-		require.NoError(t, a.Bad)
+		require.NoError(t, a.Err)
 		require.Len(t, a.Batch.Parameters, len(want))
 		for i, p := range a.Batch.Parameters {
 			require.Equal(t, want[i].Name, p.Name)
@@ -297,15 +297,15 @@
 	a := pair.query("SELECT a FROM x_1.b")
 	require.NotNil(t, a)
 	// Engine sets RESETCONNECTION on each request, as connection pools do, so the settings are gone.
-	assert.Empty(t, a.Batch.Ahead)
+	assert.Empty(t, a.Batch.SessionSetup)
 	assert.Equal(t, "sales", a.Batch.Database)
 	pair.tellSession(&traffic.Answer{Stream: a.Stream})
-	plain := func(text string) *traffic.Ask {
+	plain := func(text string) *traffic.BatchRequest {
 		pair.events = nil
 		writeMessage(pair.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), text))
 		pair.run()
 		require.NoError(t, pair.sessionErr)
-		a, _ := pair.events[len(pair.events)-1].(*traffic.Ask)
+		a, _ := pair.events[len(pair.events)-1].(*traffic.BatchRequest)
 		return a
 	}
 	pair.engine.beginRequest("x", false)
@@ -315,12 +315,12 @@
 	pair.engine.beginRequest("x", false)
 	a = plain("SET LOCK_TIMEOUT 900 SELECT a FROM x_1.b")
 	require.NotNil(t, a)
-	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500; ", a.Batch.Ahead)
+	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500; ", a.Batch.SessionSetup)
 	assert.Empty(t, a.Batch.Database)
 	pair.tellSession(&traffic.Answer{Stream: a.Stream})
 	pair.engine.beginRequest("x", false)
 	a = plain("SELECT a FROM x_1.b")
-	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 900; ", a.Batch.Ahead)
+	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 900; ", a.Batch.SessionSetup)
 }
 
 func TestStatementsThatNeedAnEngineSessionAreRefused(t *testing.T) {
@@ -330,33 +330,33 @@
 		"SET IMPLICIT_TRANSACTIONS ON": "transactions", "USE nowhere": "nowhere", "begin /* now */ transaction": "transactions"} {
 		assert.Nil(t, pair.query(text), text)
 		_, last := pair.result()
-		assert.Equal(t, traffic.Broke, last.Word)
-		assert.Contains(t, last.Why, why, text)
+		assert.Equal(t, traffic.ReplyFailed, last.Kind)
+		assert.Contains(t, last.Reason, why, text)
 	}
 	a := pair.query("SELECT 'BEGIN TRAN #x' FROM sales_1.b -- COMMIT")
 	require.NotNil(t, a, "words in strings and comments are not statements")
 	pair.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x")}})
 	lines, last := pair.result()
 	assert.Equal(t, []string{"x"}, lines)
-	assert.Equal(t, traffic.Whole, last.Word)
+	assert.Equal(t, traffic.ReplyComplete, last.Kind)
 }
 
 func TestOutcomesAreReportedToTheClient(t *testing.T) {
 	pair := newPair(t).login()
-	pair.tellSession(&traffic.Answer{Stream: pair.query("SELECT a").Stream, Code: traffic.PushedBack, Wait: 0.25})
+	pair.tellSession(&traffic.Answer{Stream: pair.query("SELECT a").Stream, Code: traffic.Rejected, RetryAfter: 0.25})
 	_, last := pair.result()
-	assert.Equal(t, traffic.Full, last.Word)
-	assert.Contains(t, last.Why, "after 250 ms")
-	pair.tellSession(&traffic.Answer{Stream: pair.query("SELECT b").Stream, Code: traffic.Errored, Why: "so it is"})
+	assert.Equal(t, traffic.ReplyOverloaded, last.Kind)
+	assert.Contains(t, last.Reason, "after 250 ms")
+	pair.tellSession(&traffic.Answer{Stream: pair.query("SELECT b").Stream, Code: traffic.Failed, Reason: "so it is"})
 	_, last = pair.result()
-	assert.Equal(t, traffic.Broke, last.Word)
-	assert.Contains(t, last.Why, "so it is")
+	assert.Equal(t, traffic.ReplyFailed, last.Kind)
+	assert.Contains(t, last.Reason, "so it is")
 	a := pair.query("SELECT c")
 	pair.tellSession(&traffic.Rows{Stream: a.Stream, Part: textRows(pair.pool, strings.Repeat("x", 5000))})
-	pair.tellSession(&traffic.Answer{Stream: a.Stream, Code: traffic.Errored, Why: "the result is cut"})
+	pair.tellSession(&traffic.Answer{Stream: a.Stream, Code: traffic.Failed, Reason: "the result is cut"})
 	lines, last := pair.result()
 	assert.Len(t, lines, 1)
-	assert.Equal(t, traffic.Broke, last.Word, "a truncated result must not look complete")
+	assert.Equal(t, traffic.ReplyFailed, last.Kind, "a truncated result must not look complete")
 }
 
 func TestAttentionIsAcknowledgedExactlyOnce(t *testing.T) {
@@ -364,20 +364,20 @@
 		pair := newPair(t).login()
 		a := pair.query("SELECT a")
 		if crossed { // the whole response is on its way when the client cancels
-			pair.session.Tell(pair.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x")}})
+			pair.session.Encode(pair.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(pair.pool, "x")}})
 		} else {
-			pair.session.Tell(pair.toClient, &traffic.Rows{Stream: a.Stream, Part: textRows(pair.pool, strings.Repeat("y", 3000))})
+			pair.session.Encode(pair.toClient, &traffic.Rows{Stream: a.Stream, Part: textRows(pair.pool, strings.Repeat("y", 3000))})
 		}
 		pair.events = nil
-		pair.engine.Order(pair.toSession, traffic.GiveUp{ID: "q"})
+		pair.engine.Encode(pair.toSession, traffic.CancelDispatch{ID: "q"})
 		pair.run()
 		require.NoError(t, pair.engineErr)
 		require.Len(t, pair.replies, 1)
-		assert.Equal(t, traffic.Free, pair.replies[0].Word)
+		assert.Equal(t, traffic.ReplyReleased, pair.replies[0].Kind)
 		if crossed {
-			assert.Equal(t, []traffic.Said{traffic.Stir{}}, pair.events)
+			assert.Equal(t, []traffic.ClientMessage{traffic.HandledLocally{}}, pair.events)
 		} else {
-			assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: a.Stream}}, pair.events)
+			assert.Equal(t, []traffic.ClientMessage{traffic.Cancel{Stream: a.Stream}}, pair.events)
 		}
 		pair.tellSession(&traffic.Answer{Stream: a.Stream})
 		require.NoError(t, pair.engineErr, "nothing more is sent about the cancelled batch")
@@ -391,14 +391,14 @@
 
 func TestPreparedStatementHandles(t *testing.T) {
 	pair := newPair(t).login()
-	call := func(proc uint16, fill func([]byte) []byte) *traffic.Ask {
+	call := func(proc uint16, fill func([]byte) []byte) *traffic.BatchRequest {
 		pair.events, pair.replies = nil, nil
 		pair.engine.beginRequest("q", false)
 		b := appendU16(appendU16(appendU16(appendAllHeaders(nil), nullLength), int(proc)), 0)
 		writeMessage(pair.toSession, packetRPC, 0, 600, fill(b))
 		pair.run()
 		require.NoError(t, pair.sessionErr)
-		a, _ := pair.events[len(pair.events)-1].(*traffic.Ask)
+		a, _ := pair.events[len(pair.events)-1].(*traffic.BatchRequest)
 		return a
 	}
 	number := func(b []byte, v int, out byte) []byte {
@@ -417,7 +417,7 @@
 		return number(text(text(number(b, 0, 1), "@a int, @b decimal(9,2)"), "SELECT @a"), 1, 0)
 	}))
 	_, last := pair.result()
-	assert.Equal(t, traffic.Whole, last.Word)
+	assert.Equal(t, traffic.ReplyComplete, last.Kind)
 	execute := func(b []byte) []byte { return number(number(number(b, 1, 0), 7, 0), 8, 0) }
 	a := call(procExecute, execute)
 	require.NotNil(t, a)
@@ -431,10 +431,10 @@
 	assert.Nil(t, call(procUnprepare, func(b []byte) []byte { return number(b, 1, 0) }))
 	assert.Nil(t, call(procExecute, execute))
 	_, last = pair.result()
-	assert.Contains(t, last.Why, "handle 1")
+	assert.Contains(t, last.Reason, "handle 1")
 	assert.Nil(t, call(2, func(b []byte) []byte { return b }))
 	_, last = pair.result()
-	assert.Contains(t, last.Why, "cursors")
+	assert.Contains(t, last.Reason, "cursors")
 }
 
 func TestLoginFailures(t *testing.T) {
@@ -471,17 +471,17 @@
 	writeMessage(pair.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), "SELECT b"))
 	pair.run()
 	assert.ErrorContains(t, pair.sessionErr, "before the one before")
-	pair.session.Tell(pair.toClient, traffic.Complaint{Why: "it can't be read"})
+	pair.session.Encode(pair.toClient, traffic.ConnectionError{Reason: "it can't be read"})
 	pair.run()
 	_, last := pair.result()
-	assert.Contains(t, last.Why, "it can't be read")
+	assert.Contains(t, last.Reason, "it can't be read")
 }
 
 func TestOversizedStatementIsRefused(t *testing.T) {
 	pair := newPair(t).login()
 	assert.Nil(t, pair.query("SELECT '"+strings.Repeat("x", maxMessageSize)+"'"))
 	_, last := pair.result()
-	assert.Contains(t, last.Why, "more than")
+	assert.Contains(t, last.Reason, "more than")
 	assert.NotNil(t, pair.query("SELECT a"))
 }
 
@@ -501,16 +501,16 @@
 
 func TestProbeReadsLoadReportByColumnName(t *testing.T) {
 	pair := newPair(t).login()
-	pair.engine.Order(pair.toSession, traffic.Probe{Tag: "p1", Load: true})
+	pair.engine.Encode(pair.toSession, traffic.Probe{Tag: "p1", WantLoad: true})
 	pair.run()
 	part := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
 		{Name: "x0", Type: rows.Type{Kind: rows.Float64}}}, Data: pair.pool.Chain()}
 	rows.Append(part.Data, appendU32(nil, 3))
 	rows.Append(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
-	a := pair.events[len(pair.events)-1].(*traffic.Ask)
+	a := pair.events[len(pair.events)-1].(*traffic.BatchRequest)
 	pair.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 	require.NoError(t, pair.engineErr)
 	last := pair.replies[len(pair.replies)-1]
-	assert.Equal(t, traffic.Fit, last.Word)
+	assert.Equal(t, traffic.ReplyHealthy, last.Kind)
 	assert.Equal(t, []float64{3, 0.25}, []float64{last.Load.Waiting, last.Load.Memory})
 }
