--- a/internal/torture/cmd/main.go
+++ b/internal/torture/cmd/main.go
@@ -123,21 +123,21 @@
 	fmt.Println("routers  killed  returned  pushed back  errored  dispatches a batch  cold budget used: mean  most  all alive  some dead  probes a second  longest without")
 	for _, routers := range []int{2, 4, 8, 12} {
 		for _, killed := range []bool{false, true} {
-			var sum torture.Figures
+			var sum torture.Summary
 			for i := range o.seeds {
-				r, err := torture.Run(torture.Options{Program: program, Seed: o.first + i, Long: o.long, Clients: o.clients, Folder: o.folder, Routers: routers, Talk: o.talk, Shares: o.shares, Limits: o.limits, Firm: o.firm,
-					Steps: torture.Replacements(o.long, routers, killed)})
+				r, err := torture.Run(torture.Options{Program: program, Seed: o.first + i, Duration: o.long, Clients: o.clients, Folder: o.folder, Routers: routers, PeerMessaging: o.talk, QuotaShares: o.shares, SharedLimits: o.limits, FirmShare: o.firm,
+					Steps: torture.ReplacementScript(o.long, routers, killed)})
 				if err != nil {
 					return err
 				}
 				if len(r.Findings) > 0 {
 					tell(r)
 				}
-				sum.Add(r.Figures())
+				sum.Add(r.Summary())
 			}
 			f := sum.Mean()
-			fmt.Printf("%7d  %6t  %8.3f  %11.3f  %7.3f  %18.2f  %22.2f  %4.2f  %9.2f  %9.2f  %15.2f  %15.2f\n", routers, killed, f.Returned, f.Pushed,
-				f.Errored, f.Dispatches, f.Cold.Mean, f.Cold.Most, f.Cold.Alive, f.Cold.Dead, f.Probing.Mean, f.Probing.Longest.Seconds())
+			fmt.Printf("%7d  %6t  %8.3f  %11.3f  %7.3f  %18.2f  %22.2f  %4.2f  %9.2f  %9.2f  %15.2f  %15.2f\n", routers, killed, f.Returned, f.Rejected,
+				f.Errored, f.Dispatches, f.ColdBudget.Mean, f.ColdBudget.Max, f.ColdBudget.AllRunning, f.ColdBudget.SomeDown, f.Probes.Mean, f.Probes.LongestGap.Seconds())
 		}
 	}
 	return nil
@@ -159,8 +159,8 @@
 	broken, batches, excused := 0, 0, 0
 	var failure error
 	parallel.Each(o.beside, int(o.seeds), func(i int) {
-		r, err := torture.Run(torture.Options{Program: program, Older: older, Seed: o.first + uint64(i), Long: o.long, Clients: o.clients, Folder: o.folder,
-			Routers: o.routers, Talk: o.talk, Shares: o.shares, Limits: o.limits, Firm: o.firm, Soak: o.soak, Debug: o.debug})
+		r, err := torture.Run(torture.Options{Program: program, OlderProgram: older, Seed: o.first + uint64(i), Duration: o.long, Clients: o.clients, Folder: o.folder,
+			Routers: o.routers, PeerMessaging: o.talk, QuotaShares: o.shares, SharedLimits: o.limits, FirmShare: o.firm, Soak: o.soak, Debug: o.debug})
 		mutex.Lock()
 		defer mutex.Unlock()
 		if err != nil {
@@ -168,12 +168,12 @@
 			return
 		}
 		batches += len(r.Batches)
-		fmt.Printf("seed %d: %s, %d findings; cold budget used %.2f at the most", r.Seed, r.Counts(), len(r.Findings), r.Uses()[0].Most)
+		fmt.Printf("seed %d: %s, %d findings; cold budget used %.2f at the most", r.Seed, r.Counts(), len(r.Findings), r.Usages()[0].Max)
 		if o.limits {
-			fmt.Printf(", free further dispatches %.2f, reports at once %d", r.Uses()[1].Most, r.AtOnce())
+			fmt.Printf(", free further dispatches %.2f, reports at once %d", r.Usages()[1].Max, r.MaxConcurrentReports())
 		}
 		fmt.Println()
-		if !r.Played() {
+		if !r.Conclusive() {
 			excused++
 		}
 		if len(r.Findings) > 0 {
@@ -202,7 +202,7 @@
 				fmt.Println("       ", h)
 			}
 		}
-		for _, l := range r.Said(f) {
+		for _, l := range r.LogLines(f) {
 			fmt.Println("        ", l)
 		}
 	}
@@ -233,8 +233,8 @@
 			out.err = d.Build(o.root, "./cmd/pitchfield", program)
 		}
 		for seed := o.first; seed < o.first+o.seeds && out.err == nil && out.finding == nil; seed++ {
-			r, err := torture.Run(torture.Options{Program: program, Seed: seed, Long: o.long, Clients: o.clients, Folder: folder,
-				Routers: routers, Talk: o.talk || d.Talk, Shares: o.shares || d.Shares, Limits: o.limits || d.Limits, Firm: cmp.Or(d.Firm, o.firm), Soak: o.soak || d.Soak})
+			r, err := torture.Run(torture.Options{Program: program, Seed: seed, Duration: o.long, Clients: o.clients, Folder: folder,
+				Routers: routers, PeerMessaging: o.talk || d.Talk, QuotaShares: o.shares || d.Shares, SharedLimits: o.limits || d.Limits, FirmShare: cmp.Or(d.Firm, o.firm), Soak: o.soak || d.Soak})
 			if out.err = err; err != nil {
 				break
 			}
