--- a/internal/torture/budgets.go
+++ b/internal/torture/budgets.go
@@ -12,22 +12,23 @@
 	"pitchfield/internal/standin"
 )
 
-// Budget is something of which all routers together may use only so much within a window. The checker sums what came to
-// the stand-ins; a further budget is a further line of budgetList.
+// Budget is a resource of which all routers together may use only a limited amount per window. The checker sums what
+// arrived at the stand-in engines. Each budget is an entry of budgetKinds.
 type Budget struct {
 	Name   string
 	Unit   string
 	Rule   int
 	Window time.Duration
-	// Of tells what a run takes, and of which budget of this kind; 0: nothing.
+	// Charge returns the amount that a dispatch uses, and of which instance of the budget; 0: nothing.
 	Charge func(c *dispatchChecker, r standin.Run) (of string, amount float64)
-	// All are those of this kind that there were.
+	// Instances lists the instances of the budget that the scenario had.
 	Instances func(c *dispatchChecker) []string
-	// Whole is what may be used within the window that ends at a time. Below 0: it does not count then.
+	// Limit is the amount that may be used within the window that ends at a time; below 0: the budget does not apply
+	// then.
 	Limit func(c *dispatchChecker, of string, at time.Duration) float64
 }
 
-// budgetKinds has all that the fleet shares. What is here is also measured: Use.
+// budgetKinds lists all budgets of the fleet. Usages measures the same list.
 var budgetKinds = []Budget{
 	{Name: "cold work", Unit: "s of work", Rule: 4, Window: fallTime,
 		Charge: func(c *dispatchChecker, r standin.Run) (string, float64) {
@@ -88,49 +89,50 @@
 		}},
 }
 
-// startName names a start of a router, and remembers whose it is.
-func (c *dispatchChecker) startName(router, life int) string {
-	name := fmt.Sprintf("%s, start %d", c.Routers[router].Name, life)
+// startName names a start of a router and records which router it belongs to.
+func (c *dispatchChecker) startName(router, incarnation int) string {
+	name := fmt.Sprintf("%s, start %d", c.Routers[router].Name, incarnation)
 	c.routerByStart[name] = router
 	return name
 }
 
-// dividedFraction is the share of what an engine bears at its start that routers divide, by number or by talk, and a tenth for what
-// clients tell only nearly right.
+// dividedFraction is the fraction of a starting engine's capacity that routers divide among themselves (0.77, whether
+// by their number or by quota), plus a tenth because clients declare the work of a batch only approximately.
 const dividedFraction = 0.77 * 1.1
 
-// coldCapacity is the work that a cold engine bears within a fall time; below 0: it is not cold. What its pace is between its start
-// and warmth is not disclosed; a straight line is what this fleet does. Several routers are held to what it bears at its start,
-// all the time: that is the whole which they divide. By the line, three starts that each forgot the one before came to 0.81 to
-// 0.94 of it, and were no finding in four hunts.
+// coldCapacity is the work in seconds that a cold engine can take within fallTime; below 0: the engine is not cold. How
+// an engine's speed grows between its start and its full speed is not specified; this fleet uses a straight line.
+// Several routers are held to the capacity at the start for the whole cold period, because that is the total which they
+// divide. Against the straight line, three successive starts that each forgot what the one before had sent reached 0.81
+// to 0.94 of the limit and went unnoticed in four defect searches.
 func (c *dispatchChecker) coldCapacity(engine string, at time.Duration) float64 {
 	e := c.Engines[engine]
 	age := at - e.Started.Sub(c.Began)
 	if e.Started.IsZero() || age < 0 || age > coldTime {
 		return -1
 	}
-	pace := coldFraction + (1-coldFraction)*age.Seconds()/coldTime.Seconds()
+	speed := coldFraction + (1-coldFraction)*age.Seconds()/coldTime.Seconds()
 	if len(c.Routers) > 1 {
-		pace = coldFraction * dividedFraction
+		speed = coldFraction * dividedFraction
 	}
-	return fallMultiple * pace * cores * fallTime.Seconds()
+	return fallMultiple * speed * cores * fallTime.Seconds()
 }
 
-// isRetry: it is not its batch's first dispatch.
+// isRetry reports whether a dispatch is not the first one of its batch.
 func (c *dispatchChecker) isRetry(r standin.Run) bool {
 	if c.firstDispatch == nil {
 		c.firstDispatch = map[string]time.Time{}
-		for _, one := range c.runs {
-			if _, seen := c.firstDispatch[one.ID]; !seen {
-				c.firstDispatch[one.ID] = one.Began
+		for _, run := range c.runs {
+			if _, seen := c.firstDispatch[run.ID]; !seen {
+				c.firstDispatch[run.ID] = run.Began
 			}
 		}
 	}
 	return c.firstDispatch[r.ID].Before(r.Began)
 }
 
-// retryLimit is what a router may send again within the look-back. It counts at its own times, so batches of a standstill
-// before count here too.
+// retryLimit is the number of retries that a router may send within retryWindow. A router counts batches when it reads
+// them, so batches that were written during an earlier pause are counted as well.
 func (c *dispatchChecker) retryLimit(router int, at time.Duration) float64 {
 	if c.received == nil {
 		c.received = make([][]time.Duration, len(c.Routers))
@@ -146,160 +148,161 @@
 	return freeRetries + 1 + retryRatio*float64(n-sort.Search(n, func(i int) bool { return t[i] > at-retryWindow-2*maxPause }))
 }
 
-// checkBudgets holds what was done to each line of the list.
+// checkBudgets compares the use of each budget with its limit and reports each instance once.
 func (c *dispatchChecker) checkBudgets() {
 	for _, b := range budgetKinds {
-		told := map[string]bool{}
-		c.forEachCharge(b, func(r standin.Run, of string, parts []charge, used, whole float64) {
-			if used > whole && !told[of] {
-				told[of] = true
-				c.found(b.Rule, r, "%s of %s: %.2f %s within %s, and %.2f is the whole; of %s", b.Name, of, used, b.Unit, b.Window, whole, c.describeSpenders(parts))
+		reported := map[string]bool{}
+		c.forEachCharge(b, func(r standin.Run, instance string, charges []charge, used, limit float64) {
+			if used > limit && !reported[instance] {
+				reported[instance] = true
+				c.found(b.Rule, r, "%s of %s: %.2f %s within %s exceed the limit of %.2f; used by %s", b.Name, instance, used, b.Unit, b.Window, limit, c.describeSpenders(charges))
 			}
 		})
 	}
 }
 
-// checkConcurrency holds what reports run at once, over all engines, to what all routers together may have out. Their end is known where an
-// engine ended them itself: what was given up was over for its router before, and is left out, as is what came late.
+// checkConcurrency compares the number of reports that run at once on all engines with what all routers together may
+// have in progress. Only reports that their engine finished are counted: a cancelled one was over for its router
+// earlier, and one from a faulty link may be late.
 func (c *dispatchChecker) checkConcurrency() {
 	if !c.SharedLimits {
 		return
 	}
-	type moment struct {
+	type event struct {
 		at    time.Time
 		begin bool
 		run   standin.Run
 	}
-	var moments []moment
+	var events []event
 	for _, r := range c.runs {
 		if r.Group != "report" || r.Act.Deed == standin.TurnAway || r.GivenUp || r.Ended.IsZero() || c.linkFaulty(r, c.at(r)-maxTransit, r.Ended.Sub(c.Began)) {
 			continue
 		}
-		moments = append(moments, moment{r.Began, true, r}, moment{r.Ended, false, r})
+		events = append(events, event{r.Began, true, r}, event{r.Ended, false, r})
 	}
-	slices.SortStableFunc(moments, func(a, b moment) int { return a.at.Compare(b.at) })
-	out, told := map[string]charge{}, false
-	for _, m := range moments {
-		of := m.run.Engine + " " + m.run.ID
+	slices.SortStableFunc(events, func(a, b event) int { return a.at.Compare(b.at) })
+	running, reported := map[string]charge{}, false
+	for _, m := range events {
+		id := m.run.Engine + " " + m.run.ID
 		if !m.begin {
-			delete(out, of)
+			delete(running, id)
 			continue
 		}
-		out[of] = charge{c.at(m.run), 1, m.run}
-		if len(out) > c.maxConcurrent {
-			c.maxConcurrent = len(out)
+		running[id] = charge{c.at(m.run), 1, m.run}
+		if len(running) > c.maxConcurrent {
+			c.maxConcurrent = len(running)
 		}
-		if len(out) > maxConcurrentReports && !told {
-			told = true
-			parts := slices.SortedFunc(maps.Values(out), func(a, b charge) int { return cmp.Compare(a.at, b.at) })
-			c.found(7, m.run, "%d reports run at once, and %d may be out of all routers; of %s", len(out), maxConcurrentReports, c.describeSpenders(parts))
+		if len(running) > maxConcurrentReports && !reported {
+			reported = true
+			charges := slices.SortedFunc(maps.Values(running), func(a, b charge) int { return cmp.Compare(a.at, b.at) })
+			c.found(7, m.run, "%d reports run at once, and %d may be out of all routers; of %s", len(running), maxConcurrentReports, c.describeSpenders(charges))
 		}
 	}
 }
 
-// MaxConcurrentReports is how many reports ran at once, at the most.
+// MaxConcurrentReports is the largest number of reports that ran at once.
 func (r *Result) MaxConcurrentReports() int {
 	c := newDispatchChecker(r)
 	c.checkConcurrency()
 	return c.maxConcurrent
 }
 
-// charge is what one run took of a budget.
+// charge is the amount that one dispatch used of a budget.
 type charge struct {
 	at     time.Duration
 	amount float64
 	run    standin.Run
 }
 
-// describeSpenders tells which starts of routers took how much, and over which time.
-func (c *dispatchChecker) describeSpenders(parts []charge) string {
+// describeSpenders lists how much each start of a router used, and in which interval.
+func (c *dispatchChecker) describeSpenders(charges []charge) string {
 	sums, batches := map[string]float64{}, map[string]int{}
-	for _, p := range parts {
+	for _, p := range charges {
 		router := c.router(p.run)
-		of := c.startName(router, c.incarnation(router, p.at))
-		sums[of], batches[of] = sums[of]+p.amount, batches[of]+1
+		start := c.startName(router, c.incarnation(router, p.at))
+		sums[start], batches[start] = sums[start]+p.amount, batches[start]+1
 	}
 	var out []string
-	for _, of := range slices.Sorted(maps.Keys(sums)) {
-		out = append(out, fmt.Sprintf("%s %.2f in %d batches", of, sums[of], batches[of]))
+	for _, start := range slices.Sorted(maps.Keys(sums)) {
+		out = append(out, fmt.Sprintf("%s %.2f in %d batches", start, sums[start], batches[start]))
 	}
-	return fmt.Sprintf("%s, from %.3f to %.3f s", strings.Join(out, "; "), parts[0].at.Seconds(), parts[len(parts)-1].at.Seconds())
+	return fmt.Sprintf("%s, from %.3f to %.3f s", strings.Join(out, "; "), charges[0].at.Seconds(), charges[len(charges)-1].at.Seconds())
 }
 
-// forEachCharge sums each budget of a kind over its window, run by run.
-func (c *dispatchChecker) forEachCharge(b Budget, do func(r standin.Run, of string, parts []charge, used, whole float64)) {
-	parts, sums := map[string][]charge{}, map[string]float64{}
+// forEachCharge sums each instance of a budget over its window and calls do for each dispatch.
+func (c *dispatchChecker) forEachCharge(b Budget, do func(r standin.Run, instance string, charges []charge, used, limit float64)) {
+	charges, sums := map[string][]charge{}, map[string]float64{}
 	for _, r := range c.runs {
-		of, amount := b.Charge(c, r)
+		instance, amount := b.Charge(c, r)
 		if amount <= 0 {
 			continue
 		}
 		at := c.at(r)
-		parts[of], sums[of] = append(parts[of], charge{at, amount, r}), sums[of]+amount
-		for parts[of][0].at < at-b.Window {
-			sums[of] -= parts[of][0].amount
-			parts[of] = parts[of][1:]
+		charges[instance], sums[instance] = append(charges[instance], charge{at, amount, r}), sums[instance]+amount
+		for charges[instance][0].at < at-b.Window {
+			sums[instance] -= charges[instance][0].amount
+			charges[instance] = charges[instance][1:]
 		}
-		if whole := b.Limit(c, of, at); whole >= 0 {
-			do(r, of, parts[of], sums[of], whole)
+		if limit := b.Limit(c, instance, at); limit >= 0 {
+			do(r, instance, charges[instance], sums[instance], limit)
 		}
 	}
 }
 
-// Usage is how much of a kind of budget was used.
+// Usage is the used fraction of a budget.
 type Usage struct {
 	Name       string
-	Mean, Max  float64 // of the whole: over all windows that were looked at, and in the fullest
-	AllRunning float64 // mean while all routers ran, and
-	SomeDown   float64 // while some did not
+	Mean, Max  float64 // fraction of the limit: over all measured windows, and in the fullest
+	AllRunning float64 // mean while all routers ran
+	SomeDown   float64 // mean while some did not run
 	Windows    int
 }
 
 const usageInterval = 100 * time.Millisecond
 
-// Usages measures each line of the list: what of it was used in windows that end each tenth of a second.
+// Usages measures each budget of budgetKinds in windows that end every usageInterval.
 func (r *Result) Usages() (out []Usage) {
 	c := newDispatchChecker(r)
 	for _, b := range budgetKinds {
 		of := b.Instances(c)
 		u := Usage{Name: b.Name}
-		parts := map[string][]charge{}
+		charges := map[string][]charge{}
 		for _, run := range c.runs {
 			if of, amount := b.Charge(c, run); amount > 0 {
-				parts[of] = append(parts[of], charge{c.at(run), amount, run})
+				charges[of] = append(charges[of], charge{c.at(run), amount, run})
 			}
 		}
-		alive, dead := 0, 0
+		allRunning, someDown := 0, 0
 		for at := b.Window; at <= r.Duration; at += usageInterval {
 			for _, of := range of {
-				whole := b.Limit(c, of, at)
-				if whole < 0 {
+				limit := b.Limit(c, of, at)
+				if limit < 0 {
 					continue
 				}
 				used := 0.0
-				for _, p := range parts[of] {
+				for _, p := range charges[of] {
 					if p.at > at-b.Window && p.at <= at {
 						used += p.amount
 					}
 				}
-				share := used / whole
+				share := used / limit
 				u.Windows, u.Mean, u.Max = u.Windows+1, u.Mean+share, max(u.Max, share)
 				if r.runningRouters(at) == len(r.Routers) {
-					alive, u.AllRunning = alive+1, u.AllRunning+share
+					allRunning, u.AllRunning = allRunning+1, u.AllRunning+share
 				} else {
-					dead, u.SomeDown = dead+1, u.SomeDown+share
+					someDown, u.SomeDown = someDown+1, u.SomeDown+share
 				}
 			}
 		}
 		u.Mean /= float64(max(u.Windows, 1))
-		u.AllRunning /= float64(max(alive, 1))
-		u.SomeDown /= float64(max(dead, 1))
+		u.AllRunning /= float64(max(allRunning, 1))
+		u.SomeDown /= float64(max(someDown, 1))
 		out = append(out, u)
 	}
 	return out
 }
 
-// runningRouters counts the routers of which a process ran at a time.
+// runningRouters counts the routers that had a running process at a time.
 func (r *Result) runningRouters(at time.Duration) (n int) {
 	for _, one := range r.Routers {
 		if slices.ContainsFunc(one.Incarnations, func(l Incarnation) bool { return l.Began <= at && (l.Ended == 0 || l.Ended > at) }) {
@@ -309,14 +312,14 @@
 	return n
 }
 
-// ProbeStats is what engines bore of probes.
+// ProbeStats is the probe load of the engines.
 type ProbeStats struct {
-	LongestGap   time.Duration // that an engine which was there went unprobed
-	Mean         float64       // probes a second of an engine
-	MaxPerSecond int           // of an engine within a second
+	LongestGap   time.Duration // longest time in which an engine that was there received no probe
+	Mean         float64       // probes per second and engine
+	MaxPerSecond int           // most probes that an engine received within a second
 }
 
-// ProbeStats measures them, of engines that were there for a while.
+// ProbeStats measures the probe load of the engines that were probed for at least two seconds.
 func (r *Result) ProbeStats() (out ProbeStats) {
 	const settled = 2 * time.Second
 	by := map[string][]time.Duration{}
--- a/internal/torture/checker.go
+++ b/internal/torture/checker.go
@@ -6,83 +6,84 @@
 	"time"
 )
 
-// Answer is one frame that came for a batch.
+// Answer is one response frame that a client received for a batch.
 type Answer struct {
 	At   time.Duration
-	Code uint8 // 0 returned, 11 pushed back, 5 errored
+	Code uint8 // 0 returned, 11 rejected, 5 errored
 	Body string
 }
 
-// Batch is what a client knows of one of its own.
+// Batch is what a client recorded about one of its requests. Times count from the start of the scenario.
 type Batch struct {
 	ID, Group, Key  string
-	Rows            int    // that its result has
-	RetryOf         string // id of the batch that it asks for again; empty: none
+	Rows            int    // that its result must have
+	RetryOf         string // ID of the batch that this one retries; empty: it is no retry
 	Connection      int
-	Router          int           // that it came to, and
-	Incarnation     int           // which of its starts
-	WriteBegan      time.Duration // just before its last byte was written, and
-	WriteEnded      time.Duration // just after: on a busy machine far later
+	Router          int           // number of the router that it was sent to
+	Incarnation     int           // number of the start of that router
+	WriteBegan      time.Duration // just before the last byte was written
+	WriteEnded      time.Duration // just after the last byte was written: much later on a busy machine
 	Deadline        time.Duration // when the client stops waiting
 	Answers         []Answer
-	Cancelled       time.Duration // when the client said that it waits no more; 0: never
-	ConnectionEnded time.Duration // when its connection ended while it was open; 0: it did not
-	ConnectionError string        // how, as the client saw it
+	Cancelled       time.Duration // when the client wrote its cancellation; 0: never
+	ConnectionEnded time.Duration // when its connection ended while the batch was unanswered; 0: it did not
+	ConnectionError string        // the read error with which the connection ended
 
-	FirstOnConnection bool // it was the first on its connection
-	Resent            bool // it crossed the close of its connection, so its client has sent it once more on a new one
+	FirstOnConnection bool // it was the first batch on its connection
+	Resent            bool // its connection closed while it was in flight, so its client has sent it again on a new one
 
-	dataSet  int  // number of its data set
-	isResend bool // it is one that was sent again
-	// what it was written with, but for its deadline
+	dataSet  int  // number of the data set that it reads
+	isResend bool // it is the second transmission of a batch whose connection closed
+	// Fields and text of the request frame, except for its deadline.
 	fields []string
 	text   string
 }
 
-const codeRejected = 11 // code of an answer
+const codeRejected = 11 // code of an answer: rejected with a retry delay
 
-// Incarnation is one start of the router.
+// Incarnation is one start of a router: one process of it. Times count from the start of the scenario.
 type Incarnation struct {
-	Began  time.Duration
-	Term   time.Duration // SIGTERM; 0: none
-	Killed time.Duration // SIGKILL; 0: none
-	Ended  time.Duration // 0: never
-	Exit   string        // how it ended
+	Began      time.Duration
+	Terminated time.Duration // when SIGTERM was sent; 0: not
+	Killed     time.Duration // when SIGKILL was sent; 0: not
+	Ended      time.Duration // when the process ended; 0: never
+	Exit       string        // exit state of the process
 }
 
-// endedUnexpectedly tells of a process that ended before any signal to end, or other than well after SIGTERM.
+// endedUnexpectedly reports whether the process ended without a signal to do so, or with a failure after SIGTERM.
 func (l Incarnation) endedUnexpectedly() bool {
 	killed := l.Killed > 0 && l.Killed <= l.Ended
-	stopped := l.Term > 0 && l.Term <= l.Ended && l.Exit == "exit status 0"
+	stopped := l.Terminated > 0 && l.Terminated <= l.Ended && l.Exit == "exit status 0"
 	return l.Ended > 0 && !killed && !stopped
 }
 
-// Interval is a time in which the router got no processor, or a part of one.
+// Interval is a period of the scenario, counted from its start.
 type Interval struct{ From, To time.Duration }
 
-// Finding is a broken rule.
+// Finding is a violation of a rule that the checker found.
 type Finding struct {
 	Rule       int
 	Text       string
-	Batch      string // its id, if it is one batch's
-	Connection int    // of the client that lost it; 0: none
+	Batch      string // ID of the batch that it is about; empty: none
+	Connection int    // number of the client connection that lost the batch; 0: none
 	At         time.Duration
 }
 
 func (f Finding) String() string { return fmt.Sprintf("rule %d: %s", f.Rule, f.Text) }
 
-// Bounds of what is held against a router. They are wide where a machine may stand still, for verdicts that are the same
-// every time: what is looked for is an answer that never comes, not one that is late.
+// Tolerances of the checker. They are wide because a busy machine may pause any process, and findings have to be the
+// same in every run: the checker looks for answers that never come, not for late ones.
 const (
-	answerGrace     = 3 * time.Second       // after a client's time for an answer that still counts as one
-	closeRaceWindow = 50 * time.Millisecond // a request that crosses the close of a connection with nothing else open is sent again
-	maxDispatches   = 3                     // dispatches of a batch
+	answerGrace     = 3 * time.Second       // how long after the client's deadline an answer still counts
+	closeRaceWindow = 50 * time.Millisecond // a batch written this shortly before its connection closes, with no older one pending there, is sent again
+	maxDispatches   = 3                     // attempts per batch
 
-	maxTransit = time.Second     // from a decision to its arrival on a busy machine
-	maxPause   = 2 * time.Second // that we put the router in, at the most
+	maxTransit = time.Second     // from a router's decision to its arrival at an engine, on a busy machine
+	maxPause   = 2 * time.Second // longest pause of a router that a script injects
 )
 
-// Check goes through what clients and engines have seen of a play.
+// Check compares what clients and engines saw during a scenario with the rules and returns the violations. It also
+// counts the excused requests in seen.Excused.
 func Check(seen *Result) (out []Finding) {
 	batches := seen.Batches
 	found := func(rule int, b *Batch, at time.Duration, format string, args ...any) {
@@ -94,8 +95,8 @@
 	}
 	for _, r := range seen.Routers {
 		for i, l := range r.Incarnations {
-			if l.Term > 0 && l.Killed > l.Term && r.pausedWithin(l.Term, l.Killed) == 0 {
-				found(0, nil, l.Term, "start %d of %s had to be killed %.3f s after SIGTERM", i, r.Name, (l.Killed - l.Term).Seconds())
+			if l.Terminated > 0 && l.Killed > l.Terminated && r.pausedWithin(l.Terminated, l.Killed) == 0 {
+				found(0, nil, l.Terminated, "start %d of %s had to be killed %.3f s after SIGTERM", i, r.Name, (l.Killed - l.Terminated).Seconds())
 			}
 			if l.endedUnexpectedly() {
 				found(0, nil, l.Ended, "start %d of %s ended at %.3f s: %s", i, r.Name, l.Ended.Seconds(), l.Exit)
@@ -116,8 +117,8 @@
 			found(1, b, b.Answers[1].At, "%s has %d answers", b.ID, len(b.Answers))
 		}
 		if len(b.Answers) == 1 && b.Answers[0].Code == 0 {
-			if wrong := b.resultError(); wrong != "" {
-				found(1, b, b.Answers[0].At, "%s is answered with what no engine made for it: %s", b.ID, wrong)
+			if difference := b.resultError(); difference != "" {
+				found(1, b, b.Answers[0].At, "%s has a result that no engine produced: %s", b.ID, difference)
 			}
 		}
 	}
@@ -134,7 +135,8 @@
 	return append(out, c.findings...)
 }
 
-// resultError holds a result against what the stand-ins make: rows in order, of one engine.
+// resultError compares a result with what the stand-in engines produce, which is all rows in order and from one engine.
+// It returns a description of the first difference, or an empty string.
 func (b *Batch) resultError() string {
 	lines := strings.Split(strings.TrimSuffix(b.Answers[0].Body, "\n"), "\n")
 	if len(lines) != max(b.Rows, 1) {
--- a/internal/torture/clients.go
+++ b/internal/torture/clients.go
@@ -161,7 +161,7 @@
 	if r.IntN(150) == 0 { // this client's machine stands still within a frame
 		l.Write(frame[:len(frame)/2]) //nolint:errcheck
 		l.mutex.Lock()
-		l.logf("half of the frame of %s written, %d open", b.ID, len(l.pending))
+		l.logf("half of the frame of %s written, %d pending", b.ID, len(l.pending))
 		l.mutex.Unlock()
 		time.Sleep(midFramePause)
 		frame = frame[len(frame)/2:]
@@ -175,7 +175,7 @@
 	b.WriteBegan = p.since()
 	b.Deadline = b.WriteBegan + g.limit
 	l.pending[stream], l.batches[stream] = b, b
-	l.logf("%s %s asked for", b.Group, b.ID)
+	l.logf("%s %s written", b.Group, b.ID)
 	l.mutex.Unlock()
 	if _, err := l.Write(frame); err != nil {
 		l.mutex.Lock()
@@ -195,7 +195,7 @@
 		if l.pending[stream] == b {
 			b.Cancelled = p.since()
 			delete(l.pending, stream)
-			l.logf("%s left", b.ID)
+			l.logf("%s cancelled", b.ID)
 		}
 		l.mutex.Unlock()
 		l.Write(standin.Frame(12, stream, nil, "")) //nolint:errcheck
@@ -211,7 +211,7 @@
 		switch {
 		case err != nil:
 			l.ended = true
-			l.logf("ended with %d open: %s", len(l.pending), err)
+			l.logf("ended with %d pending: %s", len(l.pending), err)
 			now := p.since()
 			crossed := l.racedClose(now) && !l.router.killed(l.incarnation) // after a kill nobody knows whether it ran
 			for _, b := range l.pending {
@@ -236,7 +236,7 @@
 			l.logf("%s answered with code %d", b.ID, a.Code)
 		case a.Type == 30:
 			l.goingAway = true
-			l.logf("told that it takes no more")
+			l.logf("going away received")
 		}
 		l.mutex.Unlock()
 	}
--- a/internal/torture/excuses.go
+++ b/internal/torture/excuses.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Excuse is why a request without an answer is not lost.
+// Excuse is a reason why a request without an answer does not count as lost.
 type Excuse uint8
 
-// The excuses.
+// The excuses. Their names are part of the printed counts.
 const (
 	NotExcused      Excuse = iota
-	ClientCancelled        // it has told that it waits no more
-	PendingAtKill          // by a process that was killed before its time was over
-	RefusedInFlood         // it was the first on a connection that came while idle clients filled the descriptors
-	RacedClose             // it was sent again, and that one counts
+	ClientCancelled        // its client cancelled it
+	PendingAtKill          // its router was killed before the request's time was over
+	RefusedInFlood         // it was the first on a connection that was opened while idle clients used up the router's descriptors
+	RacedClose             // it was sent again, and the second transmission is checked instead
 	excuseCount
 )
 
@@ -22,21 +22,23 @@
 
 func (e Excuse) String() string { return excuseNames[e] }
 
-// lossOrExcuse tells why a request counts as lost, or by what it is excused; neither: it has an answer. A process that was killed may have held
-// it for its time, and for as long as we had stopped it: two stops of five seconds in a row, and then a kill, left no moment for an
-// answer, and 431 findings. One that was killed after SIGTERM had the time that the platform gives, unless we stopped it meanwhile.
-func (b *Batch) lossOrExcuse(of Router) (string, Excuse) {
-	life := of.Incarnations[b.Incarnation]
-	killed := life.Killed > 0 && (life.Term == 0 || life.Term > life.Killed || of.pausedWithin(life.Term, life.Killed) > 0)
-	held := killed && life.Killed < b.Deadline+answerGrace+of.pausedWithin(min(b.WriteBegan, life.Killed), life.Killed) && (b.ConnectionEnded == 0 || b.ConnectionEnded >= life.Killed)
+// lossOrExcuse returns why a request counts as lost, or its excuse; it returns neither for an answered request. A
+// router that was killed may have had the request queued for the request's time and, beyond that, for as long as the
+// test had paused the router: two pauses of five seconds in a row and then a kill left no moment for an answer and gave
+// 431 false findings. A router that was killed after SIGTERM had the time that the platform grants, unless the test
+// paused it meanwhile.
+func (b *Batch) lossOrExcuse(router Router) (string, Excuse) {
+	incarnation := router.Incarnations[b.Incarnation]
+	killed := incarnation.Killed > 0 && (incarnation.Terminated == 0 || incarnation.Terminated > incarnation.Killed || router.pausedWithin(incarnation.Terminated, incarnation.Killed) > 0)
+	pending := killed && incarnation.Killed < b.Deadline+answerGrace+router.pausedWithin(min(b.WriteBegan, incarnation.Killed), incarnation.Killed) && (b.ConnectionEnded == 0 || b.ConnectionEnded >= incarnation.Killed)
 	switch {
 	case len(b.Answers) > 0:
 		return "", NotExcused
 	case b.Cancelled > 0:
 		return "", ClientCancelled
-	case held:
+	case pending:
 		return "", PendingAtKill
-	case b.FirstOnConnection && b.ConnectionEnded > 0 && of.descriptorsFull(b.WriteBegan):
+	case b.FirstOnConnection && b.ConnectionEnded > 0 && router.descriptorsFull(b.WriteBegan):
 		return "", RefusedInFlood
 	case b.Resent:
 		return "", RacedClose
@@ -46,7 +48,7 @@
 	return "never had an answer", NotExcused
 }
 
-// pausedWithin is how long the rig had a router stand still within a time.
+// pausedWithin sums the time within an interval in which the test had the router paused.
 func (r Router) pausedWithin(from, to time.Duration) (sum time.Duration) {
 	for _, s := range r.Pauses {
 		sum += s.overlap(from, to)
@@ -54,7 +56,7 @@
 	return sum
 }
 
-// descriptorsFull tells whether idle clients filled a router's descriptors at a time.
+// descriptorsFull reports whether idle clients used up the router's descriptors at a time.
 func (r Router) descriptorsFull(at time.Duration) bool {
 	for _, c := range r.IdleFloods {
 		if at > c.From && at < c.To {
--- a/internal/torture/fleet.go
+++ b/internal/torture/fleet.go
@@ -158,7 +158,7 @@
 	}
 	p.fleetMutex.Unlock()
 	if err != nil {
-		return fmt.Errorf("twin: %w", err)
+		return fmt.Errorf("duplicate process: %w", err)
 	}
 	r.processMutex.Lock()
 	defer r.processMutex.Unlock()
--- a/internal/torture/router.go
+++ b/internal/torture/router.go
@@ -227,7 +227,7 @@
 func (r *router) terminate() {
 	r.stopping.Store(true)
 	r.mutex.Lock()
-	r.incarnations[len(r.incarnations)-1].Term = r.since()
+	r.incarnations[len(r.incarnations)-1].Terminated = r.since()
 	r.mutex.Unlock()
 	r.signal(syscall.SIGTERM)
 }
--- a/internal/torture/runs.go
+++ b/internal/torture/runs.go
@@ -8,18 +8,19 @@
 	"pitchfield/internal/standin"
 )
 
-// dispatchChecker holds dispatches to the rules by what came to engines, in the order it came. A router that starts again knows
-// nothing of what the last one had sent, so keys and budgets of one router are held to within one start.
+// dispatchChecker compares the dispatches that engines received, in the order of their arrival, with the rules. A
+// restarted router knows nothing of what its predecessor sent, so order within keys and retry budgets of one router are
+// checked within one start.
 type dispatchChecker struct {
 	*Result
 	runs      []standin.Run
-	batchByID map[string]*Batch // by id
+	batchByID map[string]*Batch
 	findings  []Finding
 
-	firstDispatch map[string]time.Time // when a batch was first sent, by id
-	received      [][]time.Duration    // batches of each router
-	routerByStart map[string]int       // routers, by the name of a start
-	maxConcurrent int                  // reports that ran at once
+	firstDispatch map[string]time.Time // when each batch was first dispatched, by ID
+	received      [][]time.Duration    // when batches were written to each router, sorted
+	routerByStart map[string]int       // number of the router, by the name of one of its starts
+	maxConcurrent int                  // largest number of reports that ran at once
 }
 
 func newDispatchChecker(seen *Result) *dispatchChecker {
@@ -37,7 +38,8 @@
 
 func (c *dispatchChecker) at(r standin.Run) time.Duration { return r.Began.Sub(c.Began) }
 
-// router is the number of the one that sent it. What no client has written whole is the first one's.
+// router is the number of the router that sent a dispatch. A batch that its client did not write completely has no
+// record; it counts for router 0.
 func (c *dispatchChecker) router(r standin.Run) int {
 	if b := c.batchByID[r.ID]; b != nil {
 		return b.Router
@@ -45,7 +47,7 @@
 	return 0
 }
 
-// origin is the batch that a client first asked for.
+// origin is the ID of the batch that a retry stems from, or the ID itself.
 func (c *dispatchChecker) origin(id string) string {
 	if b := c.batchByID[id]; b != nil && b.RetryOf != "" {
 		return b.RetryOf
@@ -53,7 +55,7 @@
 	return id
 }
 
-// incarnation is the start of the router that was last at a time.
+// incarnation is the number of the latest start of a router at a time.
 func (c *dispatchChecker) incarnation(router int, at time.Duration) (n int) {
 	for i, l := range c.Routers[router].Incarnations {
 		if l.Began <= at {
@@ -63,7 +65,8 @@
 	return n
 }
 
-// senderIncarnation is the start of its router that sent a run: what one sends just before it is killed may come when the next runs already.
+// senderIncarnation is the start of the router that sent a dispatch. A dispatch that is sent just before a kill may
+// arrive when the next process runs already.
 func (c *dispatchChecker) senderIncarnation(r standin.Run) int {
 	if b := c.batchByID[r.ID]; b != nil {
 		return b.Incarnation
@@ -71,8 +74,8 @@
 	return c.incarnation(c.router(r), c.at(r))
 }
 
-// transitSlack is what may lie between a decision and its arrival: the ways on a busy machine, and what of the time the router
-// stood still or its link to the engine was not fair.
+// transitSlack is the time that may pass between a router's decision and its arrival: maxTransit, plus the parts of the
+// interval in which the router was paused or its link to the engine was faulty.
 func (c *dispatchChecker) transitSlack(r standin.Run, from, to time.Duration) time.Duration {
 	out, router := maxTransit, c.Routers[c.router(r)]
 	for _, s := range router.Pauses {
@@ -90,8 +93,9 @@
 	return max(min(to, s.To)-max(from, s.From), 0)
 }
 
-// linkFaulty: something lay over the link between its router and its engine within a time. A cut holds back what was sent, be it a
-// batch or the word that gives one up, so then the order and the pace in which things came say nothing of the router.
+// linkFaulty reports whether the link between a dispatch's router and engine was faulty within an interval, in either
+// direction. A cut delays what was sent, dispatches as well as cancellations, so the order and rate of arrivals then
+// prove nothing about the router.
 func (c *dispatchChecker) linkFaulty(r standin.Run, from, to time.Duration) bool {
 	router := c.Routers[c.router(r)].Name
 	return slices.ContainsFunc(c.LinkFaults, func(w LinkFault) bool {
@@ -99,13 +103,14 @@
 	})
 }
 
-// maybeDelayed: it may have been sent long before it came.
+// maybeDelayed reports whether a dispatch may have been sent long before it arrived.
 func (c *dispatchChecker) maybeDelayed(r standin.Run) bool {
 	return c.linkFaulty(r, c.at(r)-maxTransit, c.at(r))
 }
 
-// checkEffects: no more dispatches than a batch may have, and none that could have an effect twice; for once-only ones also when
-// their client, told that it was harmless, asked another router.
+// checkEffects verifies that a batch has at most maxDispatches dispatches and none that could take effect twice.
+// At-most-once batches are checked across retries as well: a client that was told that a retry is safe may have asked
+// another router.
 func (c *dispatchChecker) checkEffects() {
 	count, ran := map[string]int{}, map[string]standin.Run{}
 	for _, r := range c.runs {
@@ -123,30 +128,31 @@
 		case r.Group == "once":
 			c.found(2, r, "once-only %s ran twice, first as %s", r.ID, first.ID)
 		case r.Group == "upload" && r.Began.Sub(first.Began) > dedupWindow+c.transitSlack(r, c.at(first), c.at(r)):
-			c.found(2, r, "referenced %s came again after %.3f s, when engines had forgotten its mark", r.ID, r.Began.Sub(first.Began).Seconds())
+			c.found(2, r, "deduplicated %s was dispatched again after %.3f s, when engines no longer remembered its key", r.ID, r.Began.Sub(first.Began).Seconds())
 		}
 	}
 }
 
-// checkDraining: nothing new comes to an engine that drains, past the grace, from a router that was told.
+// checkDraining verifies that no dispatch reaches a draining engine after the grace period from a router that was told
+// of it.
 func (c *dispatchChecker) checkDraining() {
 	for _, r := range c.runs {
 		router := c.Routers[c.router(r)]
-		told := router.DrainReported[r.Engine]
-		late := drainGrace + c.transitSlack(r, told, c.at(r))
-		for _, w := range c.LinkFaults { // the answer that told it may have been lost, and so may those that followed
+		reported := router.DrainReported[r.Engine]
+		tolerance := drainGrace + c.transitSlack(r, reported, c.at(r))
+		for _, w := range c.LinkFaults { // the answer that reported it may have been lost, and so may the following ones
 			if w.Affects(nameServiceEndpoint, router.Name) {
-				late += w.overlap(told, c.at(r))
+				tolerance += w.overlap(reported, c.at(r))
 			}
 		}
-		if told > 0 && c.at(r) > told+late {
-			c.found(3, r, "%s came to %s %.3f s after %s was told that it drains", r.ID, r.Engine, (c.at(r) - told).Seconds(), router.Name)
+		if reported > 0 && c.at(r) > reported+tolerance {
+			c.found(3, r, "%s reached %s %.3f s after %s was told that the engine drains", r.ID, r.Engine, (c.at(r) - reported).Seconds(), router.Name)
 		}
 	}
 }
 
-// doubtful is what leaves in doubt whether a batch still runs: no whole answer came of it.
-func doubtful(r standin.Run) bool {
+// outcomeUnknown reports whether a router cannot know if a dispatch still runs, because it received no complete answer.
+func outcomeUnknown(r standin.Run) bool {
 	switch r.Act.Deed {
 	case standin.Drop, standin.Cut, standin.Hush, standin.Mute, standin.Half, standin.Garble, standin.Overlong, standin.Flood:
 		return true
@@ -154,39 +160,39 @@
 	return r.GivenUp
 }
 
-// checkKeyOrder run in order, one at a time for each router, and rest after doubt; for half the time at least, as a stand-in may see
-// late that a connection has ended.
+// checkKeyOrder verifies that each router runs the batches of a key in order and one at a time, and waits after an
+// unknown outcome. Only half of that wait is demanded, because a stand-in may notice late that a connection has ended.
 func (c *dispatchChecker) checkKeyOrder() {
-	type line struct {
+	type routerKey struct {
 		router int
 		key    string
 	}
-	last := map[line]standin.Run{}
+	last := map[routerKey]standin.Run{}
 	for _, r := range c.runs {
 		if r.Key == "" || r.Act.Deed == standin.TurnAway || r.Repeat {
 			continue
 		}
-		l := line{c.router(r), r.Key}
-		before, is := last[l]
+		l := routerKey{c.router(r), r.Key}
+		before, found := last[l]
 		last[l] = r
-		if !is || before.ID == r.ID || c.senderIncarnation(before) != c.senderIncarnation(r) || c.maybeDelayed(r) ||
+		if !found || before.ID == r.ID || c.senderIncarnation(before) != c.senderIncarnation(r) || c.maybeDelayed(r) ||
 			c.linkFaulty(before, c.at(before)-maxTransit, c.at(r)) {
 			continue
 		}
 		switch {
 		case before.Ended.IsZero() || r.Began.Before(before.Ended):
 			c.found(5, r, "key %s: %s began before %s had ended", r.Key, r.ID, before.ID)
-		case doubtful(before) && r.Began.Before(before.Ended.Add(keySettleTime/2)):
+		case outcomeUnknown(before) && r.Began.Before(before.Ended.Add(keySettleTime/2)):
 			c.found(5, r, "key %s: %s began %.3f s after %s, which may still run", r.Key, r.ID, r.Began.Sub(before.Ended).Seconds(), before.ID)
 		}
 	}
 }
 
-// checkPlacement: reports run in the first zone only.
+// checkPlacement verifies that reports run in the first zone only.
 func (c *dispatchChecker) checkPlacement() {
 	for _, r := range c.runs {
 		if zone := c.Engines[r.Engine].Zone; r.Group == "report" && zone != zones[0] {
-			c.found(6, r, "report %s came to %s, which is in zone %q", r.ID, r.Engine, zone)
+			c.found(6, r, "report %s reached %s, which is in zone %q", r.ID, r.Engine, zone)
 		}
 	}
 }
--- a/internal/torture/soak.go
+++ b/internal/torture/soak.go
@@ -136,7 +136,7 @@
 func (r *router) justStopped() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.Soak && len(r.incarnations) > 0 && r.since() < r.incarnations[len(r.incarnations)-1].Term+newConnectionsAfterTerm
+	return r.Soak && len(r.incarnations) > 0 && r.since() < r.incarnations[len(r.incarnations)-1].Terminated+newConnectionsAfterTerm
 }
 
 // reloadRepeatedly sends SIGHUP several times, with other contents of the file now and then.
--- a/internal/torture/talk.go
+++ b/internal/torture/talk.go
@@ -192,12 +192,12 @@
 			if one.State == "alive" || one.State == "suspect" {
 				there = append(there, one.Name)
 				if !running[one.Name] {
-					errs = append(errs, fmt.Errorf("%s holds %s for %s, which does not run", r.endpoint(), one.Name, one.State))
+					errs = append(errs, fmt.Errorf("%s lists %s as %s, which does not run", r.endpoint(), one.Name, one.State))
 				}
 			}
 		}
 		if len(there) != len(running) {
-			errs = append(errs, fmt.Errorf("%s has %d members, and %d run: %v", r.endpoint(), len(there), len(running), there))
+			errs = append(errs, fmt.Errorf("%s lists %d members, but %d run: %v", r.endpoint(), len(there), len(running), there))
 		}
 		if m.Certainty != "settled" && len(running) > 1 {
 			errs = append(errs, fmt.Errorf("%s is %s", r.endpoint(), m.Certainty))
@@ -205,7 +205,7 @@
 		if view == "" {
 			view = m.View
 		} else if m.View != view {
-			errs = append(errs, fmt.Errorf("%s has another view than r0", r.endpoint()))
+			errs = append(errs, fmt.Errorf("the view of %s differs from that of r0", r.endpoint()))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/torture/terms.go
+++ b/internal/torture/terms.go
@@ -9,14 +9,14 @@
 	"pitchfield/internal/standin"
 )
 
-// What the protocol's page lets a router do about times that a client and an engine can see.
+// Tolerances of the timing rules in the protocol specification, as clients and engines can observe them.
 const (
-	maxDispatchAfterEnd = 100 * time.Millisecond // an attempt may begin so long after its client has cancelled or closed
-	maxDeadlineExcess   = 150 * time.Millisecond // the deadline passed on may be so much more than what the client has left
+	maxDispatchAfterEnd = 100 * time.Millisecond // an attempt may begin this long after its client has cancelled it or closed its connection
+	maxDeadlineExcess   = 150 * time.Millisecond // the deadline passed to an engine may exceed the client's remaining time by this
 )
 
-// allowance is what a bound may be passed by: the time in which the router stood still or its link was not fair, and in which our own
-// machine gave the rig no turn.
+// allowance is the time by which a bound may be exceeded: the parts of the interval in which the router was paused, its
+// link was faulty or the machine gave the test process no processor time.
 func (c *dispatchChecker) allowance(r standin.Run, from, to time.Duration) time.Duration {
 	out := c.transitSlack(r, from, to) - maxTransit
 	for _, s := range c.RigStalls {
@@ -25,10 +25,10 @@
 	return out
 }
 
-// arrival is when an attempt came to its engine, which may read it later.
+// arrival is when an attempt reached its engine, which may read it later.
 func (c *dispatchChecker) arrival(r standin.Run) time.Duration { return c.at(r) - r.Late }
 
-// checkEndedClients: no attempt begins once its client has cancelled it or its connection has ended.
+// checkEndedClients verifies that no attempt begins after its client has cancelled it or its connection has ended.
 func (c *dispatchChecker) checkEndedClients() {
 	for _, r := range c.runs {
 		b := c.batchByID[r.ID]
@@ -40,12 +40,13 @@
 			end = b.ConnectionEnded
 		}
 		if end > 0 && c.arrival(r) > end+maxDispatchAfterEnd+c.allowance(r, end, c.arrival(r)) {
-			c.found(1, r, "%s came to %s %.3f s after its client had gone", r.ID, r.Engine, (c.arrival(r) - end).Seconds())
+			c.found(1, r, "%s reached %s %.3f s after its client had cancelled it or disconnected", r.ID, r.Engine, (c.arrival(r) - end).Seconds())
 		}
 	}
 }
 
-// checkDeadlines: an engine is told of no more time than the client has left, but for a little.
+// checkDeadlines verifies that the deadline passed to an engine exceeds the client's remaining time by no more than the
+// tolerance.
 func (c *dispatchChecker) checkDeadlines() {
 	for _, r := range c.runs {
 		b := c.batchByID[r.ID]
@@ -54,19 +55,20 @@
 		}
 		left := b.Deadline - c.arrival(r)
 		if r.Budget > left+maxDeadlineExcess+c.allowance(r, b.WriteBegan, c.arrival(r)) {
-			c.found(1, r, "%s came to %s with a deadline in %.3f s, and its client had %.3f s left", r.ID, r.Engine, r.Budget.Seconds(), left.Seconds())
+			c.found(1, r, "%s reached %s with a deadline in %.3f s while its client had %.3f s left", r.ID, r.Engine, r.Budget.Seconds(), left.Seconds())
 		}
 	}
 }
 
-// checkNoOverlap: second copies are forbidden here, so no attempt of a request begins beside one that is out. One is out until its engine
-// has written its end, has read that it is given up, or has seen the end of its connection.
+// checkNoOverlap verifies that a batch never has two attempts in progress, because hedging is forbidden in these
+// scenarios. An attempt is in progress until its engine has written the whole answer, has read its cancellation or has
+// seen its connection end.
 func (c *dispatchChecker) checkNoOverlap() {
 	before := map[string][]standin.Run{}
 	for _, r := range c.runs {
 		for _, other := range before[r.ID] {
 			if other.Act.Deed != standin.TurnAway && (other.Over.IsZero() || other.Over.After(r.Began)) {
-				c.found(2, r, "%s of %s came to %s beside an attempt that was out at %s since %.3f s", r.ID, c.Routers[c.router(r)].Name, r.Engine,
+				c.found(2, r, "%s of %s reached %s while another attempt was in progress at %s since %.3f s", r.ID, c.Routers[c.router(r)].Name, r.Engine,
 					other.Engine, c.at(other).Seconds())
 				break
 			}
@@ -76,14 +78,15 @@
 }
 
 const (
-	stallProbeInterval = 10 * time.Millisecond // the rig looks how long a byte takes that goes through it
-	minStall           = 20 * time.Millisecond // one that takes so long is noted
-	stallProbeEndpoint = "lag"                 // what links call both of its ends
+	stallProbeInterval = 10 * time.Millisecond // how often the test process measures a round trip through itself
+	minStall           = 20 * time.Millisecond // longer delays are recorded as stalls
+	stallProbeEndpoint = "lag"                 // name of both ends of the probe's link
 	stallProbeTimeout  = 10 * time.Second
 )
 
-// watchStalls notes when the machine gave the rig no turn, until stopped: a byte goes there and back on a new connection, by a link
-// like those between routers and engines where there are links. The list may be read once it returns.
+// watchStalls records the intervals in which the machine gave the test process no processor time, until stop is closed.
+// It sends a byte back and forth on a new connection, through a link like those between routers and engines if the
+// scenario has links. The returned list may be read once it returns.
 func (p *scenario) watchStalls(stop <-chan struct{}) ([]Interval, error) {
 	echo, err := net.Listen("tcp", p.host+":0")
 	if err != nil {
@@ -128,7 +131,7 @@
 	}
 }
 
-// roundTrip sends a byte to an address and waits until it comes back, or can't.
+// roundTrip sends one byte to an address and waits until it comes back or fails.
 func roundTrip(address string) {
 	c, err := net.DialTimeout("tcp", address, stallProbeTimeout)
 	if err != nil {
--- a/internal/torture/torture_test.go
+++ b/internal/torture/torture_test.go
@@ -125,7 +125,7 @@
 	second := time.Second
 	began := time.Now()
 	fleet := map[string]Engine{"": {Zone: zones[0]}, "drains": {Zone: zones[0]}, "cold": {Zone: zones[1], Started: began}}
-	lives := []Incarnation{{Began: 0, Term: 20 * second, Ended: 21 * second, Exit: "exit status 0"}}
+	lives := []Incarnation{{Began: 0, Terminated: 20 * second, Ended: 21 * second, Exit: "exit status 0"}}
 	good := func() *Batch {
 		return &Batch{ID: "a", Group: "lookup", Rows: 1, WriteBegan: second, Deadline: 5 * second,
 			Answers: []Answer{{At: 2 * second, Body: "e-1\tlookup\trow 0\n"}}}
@@ -161,9 +161,9 @@
 		"a row lost":           {rule: 1, edit: func(b *Batch) { b.Rows = 2 }},
 		"another's rows":       {rule: 1, edit: func(b *Batch) { b.Answers[0].Body = "e-1\treport\trow 0\n" }},
 		"it crashed":           {rule: 0, lives: []Incarnation{{Ended: 7 * second, Exit: "exit status 2"}}},
-		"it hangs in a stop":   {rule: 0, lives: []Incarnation{{Term: 6 * second, Killed: 18 * second, Ended: 18 * second}}},
+		"it hangs in a stop":   {rule: 0, lives: []Incarnation{{Terminated: 6 * second, Killed: 18 * second, Ended: 18 * second}}},
 		"closed, later killed": {rule: 1, edit: func(b *Batch) { b.Answers, b.ConnectionEnded = nil, 2*second }, lives: []Incarnation{{Killed: 3 * second, Ended: 3 * second}}},
-		"ended before a stop":  {rule: 0, lives: []Incarnation{{Ended: 7 * second, Term: 9 * second, Exit: "exit status 0"}}},
+		"ended before a stop":  {rule: 0, lives: []Incarnation{{Ended: 7 * second, Terminated: 9 * second, Exit: "exit status 0"}}},
 		"it ended by itself":   {rule: 0, lives: []Incarnation{{Ended: 7 * second, Exit: "exit status 0"}}},
 		"once-only ran twice":  {rule: 2, runs: []standin.Run{run("b", "once", "", 0, 1), run("b", "once", "", 2, 3)}},
 		"sent four times":      {rule: 2, runs: []standin.Run{run("b", "lookup", "", 0, 1), run("b", "lookup", "", 2, 3), run("b", "lookup", "", 4, 5), run("b", "lookup", "", 6, 7)}},
@@ -181,12 +181,12 @@
 		"too long a deadline":         {rule: 1, runs: []standin.Run{budget(4200*time.Millisecond, run("a", "lookup", "", 0, second))}, edit: func(b *Batch) { b.Deadline = 4 * second }},
 		"beside one that is out":      {rule: 2, runs: []standin.Run{run("b", "lookup", "", second, 3*second), run("b", "lookup", "", 2*second, 4*second)}},
 		"beside one never over":       {rule: 2, runs: []standin.Run{out(run("b", "lookup", "", second, 2*second)), run("b", "lookup", "", 3*second, 4*second)}},
-		"asked for long after a stop": {rule: 1, edit: func(b *Batch) { b.Answers = nil }, lives: []Incarnation{{Term: second / 2, Ended: 21 * second, Exit: "exit status 0"}}},
+		"asked for long after a stop": {rule: 1, edit: func(b *Batch) { b.Answers = nil }, lives: []Incarnation{{Terminated: second / 2, Ended: 21 * second, Exit: "exit status 0"}}},
 		"crossed, not sent again": {rule: 1, edit: func(b *Batch) {
 			b.Answers, b.ConnectionEnded, b.ConnectionError = nil, b.WriteBegan+20*time.Millisecond, "EOF"
 		}},
 		"past a crowd":            {rule: 1, edit: func(b *Batch) { b.Answers, b.ConnectionEnded, b.FirstOnConnection = nil, b.WriteBegan+second, true }},
-		"still there at its kill": {rule: 0, lives: []Incarnation{{Term: 6 * second, Killed: 9700 * time.Millisecond, Ended: 9700 * time.Millisecond}}},
+		"still there at its kill": {rule: 0, lives: []Incarnation{{Terminated: 6 * second, Killed: 9700 * time.Millisecond, Ended: 9700 * time.Millisecond}}},
 		"one of a key unending":   {rule: 5, runs: []standin.Run{{ID: "b", Group: "upload", Key: "k", Began: began}, run("c", "upload", "k", second, 3*second)}},
 	} {
 		b, l := good(), lives
