--- a/internal/torture/budgets.go
+++ b/internal/torture/budgets.go
@@ -16,8 +16,8 @@
 // arrived at the stand-in engines. Each budget is an entry of budgetKinds.
 type Budget struct {
 	Name   string
-	Unit   string
-	Rule   int
+	Unit   string // of the amounts, for findings
+	Rule   int    // that an excess violates
 	Window time.Duration
 	// Charge returns the amount that a dispatch uses, and of which instance of the budget; 0: nothing.
 	Charge func(c *dispatchChecker, r standin.Run) (of string, amount float64)
@@ -102,9 +102,9 @@
 
 // coldCapacity is the work in seconds that a cold engine can take within fallTime; below 0: the engine is not cold. How
 // an engine's speed grows between its start and its full speed is not specified; this fleet uses a straight line.
-// Several routers are held to the capacity at the start for the whole cold period, because that is the total which they
-// divide. Against the straight line, three successive starts that each forgot what the one before had sent reached 0.81
-// to 0.94 of the limit and went unnoticed in four defect searches.
+// Several routers must not exceed the capacity at the start for the whole cold period, because that is the total which
+// they divide. Against the straight line, three successive starts that each forgot what the one before had sent reached
+// 0.81 to 0.94 of the limit and went unnoticed in four defect searches.
 func (c *dispatchChecker) coldCapacity(engine string, at time.Duration) float64 {
 	e := c.Engines[engine]
 	age := at - e.Started.Sub(c.Began)
@@ -155,7 +155,8 @@
 		c.forEachCharge(b, func(r standin.Run, instance string, charges []charge, used, limit float64) {
 			if used > limit && !reported[instance] {
 				reported[instance] = true
-				c.found(b.Rule, r, "%s of %s: %.2f %s within %s exceed the limit of %.2f; used by %s", b.Name, instance, used, b.Unit, b.Window, limit, c.describeSpenders(charges))
+				c.found(b.Rule, r, "%s of %s: %.2f %s within %s exceed the limit of %.2f; used by %s", b.Name, instance,
+					used, b.Unit, b.Window, limit, c.describeSpenders(charges))
 			}
 		})
 	}
@@ -175,27 +176,29 @@
 	}
 	var events []event
 	for _, r := range c.runs {
-		if r.Group != "report" || r.Act.Deed == standin.TurnAway || r.GivenUp || r.Ended.IsZero() || c.linkFaulty(r, c.at(r)-maxTransit, r.Ended.Sub(c.Began)) {
+		if r.Group != "report" || r.Act.Deed == standin.TurnAway || r.GivenUp || r.Ended.IsZero() ||
+			c.linkFaulty(r, c.at(r)-maxTransit, r.Ended.Sub(c.Began)) {
 			continue
 		}
 		events = append(events, event{r.Began, true, r}, event{r.Ended, false, r})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return a.at.Compare(b.at) })
 	running, reported := map[string]charge{}, false
-	for _, m := range events {
-		id := m.run.Engine + " " + m.run.ID
-		if !m.begin {
+	for _, e := range events {
+		id := e.run.Engine + " " + e.run.ID
+		if !e.begin {
 			delete(running, id)
 			continue
 		}
-		running[id] = charge{c.at(m.run), 1, m.run}
+		running[id] = charge{c.at(e.run), 1, e.run}
 		if len(running) > c.maxConcurrent {
 			c.maxConcurrent = len(running)
 		}
 		if len(running) > maxConcurrentReports && !reported {
 			reported = true
 			charges := slices.SortedFunc(maps.Values(running), func(a, b charge) int { return cmp.Compare(a.at, b.at) })
-			c.found(7, m.run, "%d reports run at once, and %d may be out of all routers; of %s", len(running), maxConcurrentReports, c.describeSpenders(charges))
+			c.found(7, e.run, "%d reports run at once, and %d may be out of all routers; of %s", len(running),
+				maxConcurrentReports, c.describeSpenders(charges))
 		}
 	}
 }
@@ -258,6 +261,7 @@
 	Windows    int
 }
 
+// usageInterval is the time between the ends of two measured windows.
 const usageInterval = 100 * time.Millisecond
 
 // Usages measures each budget of budgetKinds in windows that end every usageInterval.
--- a/internal/torture/checker.go
+++ b/internal/torture/checker.go
@@ -110,7 +110,8 @@
 			seen.Excused[excuse]++
 		}
 		if lost != "" {
-			found(1, b, b.Deadline, "%s (%s, %s, connection %d, written at %.3f s, due %.3f s) %s", b.ID, b.Group, seen.Routers[b.Router].Name, b.Connection, b.WriteBegan.Seconds(),
+			found(1, b, b.Deadline, "%s (%s, %s, connection %d, written at %.3f s, due %.3f s) %s", b.ID, b.Group,
+				seen.Routers[b.Router].Name, b.Connection, b.WriteBegan.Seconds(),
 				b.Deadline.Seconds(), lost)
 		}
 		if len(b.Answers) > 1 {
--- a/internal/torture/clients.go
+++ b/internal/torture/clients.go
@@ -11,108 +11,110 @@
 	"pitchfield/internal/standin"
 )
 
-// midFramePause is longer than a router waits for the rest of a frame where nothing else is open.
+// midFramePause is longer than a router waits for the rest of a frame on a connection without pending requests.
 const midFramePause = 2500 * time.Millisecond
 
-// clientConnection is one connection of a client, with what it has open.
+// clientConnection is one connection of a client with its requests.
 type clientConnection struct {
 	*standin.Client
 	number      int
-	stream      uint32 // of the last batch; the client's own
+	stream      uint32 // of the last batch; used only by the client's goroutine
 	router      *router
 	incarnation int
-	retries     chan<- *Batch // of its client: what may be asked for once more
+	retries     chan<- *Batch // of its client: batches that it may retry
 	mutex       sync.Mutex
-	pending     map[uint32]*Batch // by stream; an answer, a leave or the end deletes
-	batches     map[uint32]*Batch // of this connection, for a second answer; goes with it
+	pending     map[uint32]*Batch // by stream; removed by an answer, a cancellation or the connection's end
+	batches     map[uint32]*Batch // all of the connection by stream, to detect second answers
 	goingAway   bool
 	ended       bool
 	done        chan struct{}
 
 	since   func() time.Duration
-	history []string // the last that happened on it, its beginning first
+	history []string // its first and its latest events
 }
 
-// logf keeps the beginning and the end of what happened on a connection. The mutex is held.
-func (l *clientConnection) logf(format string, args ...any) {
+// logf records an event of the connection. It keeps the first three events and the latest ones, 40 in all. The caller
+// holds the mutex.
+func (conn *clientConnection) logf(format string, args ...any) {
 	const first, most = 3, 40
-	if len(l.history) == most {
-		l.history = append(append(l.history[:first:first], "..."), l.history[first+2:]...)
+	if len(conn.history) == most {
+		conn.history = append(append(conn.history[:first:first], "..."), conn.history[first+2:]...)
 	}
-	l.history = append(l.history, fmt.Sprintf("%.3f s ", l.since().Seconds())+fmt.Sprintf(format, args...))
+	conn.history = append(conn.history, fmt.Sprintf("%.3f s ", conn.since().Seconds())+fmt.Sprintf(format, args...))
 }
 
-// client keeps a connection, or before a fleet two, and asks on them until the play's time is over; now and then it takes
-// others. Before a fleet it asks once more for what may be asked again, elsewhere if it can.
-func (p *scenario) client(r *rand.Rand) {
-	lines := make([]*clientConnection, min(p.Routers, 2))
-	again := make(chan *Batch, maxQueuedRetries)
-	for p.since() < p.Duration {
-		i, before := r.IntN(len(lines)), (*Batch)(nil)
+// client sends batches until the scenario's time is over, on one connection, or on two if there are several routers;
+// now and then it replaces a connection. It also retries batches for which that is safe, at another router if possible.
+func (sc *scenario) client(random *rand.Rand) {
+	connections := make([]*clientConnection, min(sc.Routers, 2))
+	retries := make(chan *Batch, maxQueuedRetries)
+	for sc.since() < sc.Duration {
+		i, original := random.IntN(len(connections)), (*Batch)(nil)
 		select {
-		case before = <-again:
-			if l := lines[i]; l != nil && l.router.number == before.Router {
-				i = len(lines) - 1 - i
+		case original = <-retries:
+			if conn := connections[i]; conn != nil && conn.router.number == original.Router {
+				i = len(connections) - 1 - i
 			}
 		default:
 		}
-		l := lines[i]
-		if l == nil || !l.usable() || r.IntN(60) == 0 {
-			if l != nil {
-				p.retire(l)
+		conn := connections[i]
+		if conn == nil || !conn.usable() || random.IntN(60) == 0 {
+			if conn != nil {
+				sc.retire(conn)
 			}
-			if l = p.connect(r, again); l == nil {
-				lines[i] = nil
+			if conn = sc.connect(random, retries); conn == nil {
+				connections[i] = nil
 				time.Sleep(20 * time.Millisecond)
 				continue
 			}
-			lines[i] = l
+			connections[i] = conn
 		}
-		if !l.router.stopping.Load() || p.Soak {
-			l.stream++
-			p.sendBatch(l, l.stream, r, before)
+		if !conn.router.stopping.Load() || sc.Soak {
+			conn.stream++
+			sc.sendBatch(conn, conn.stream, random, original)
 		}
-		time.Sleep(time.Duration(1+r.IntN(60)) * time.Millisecond)
+		time.Sleep(time.Duration(1+random.IntN(60)) * time.Millisecond)
 	}
 	var wait sync.WaitGroup
-	for _, l := range lines {
-		if l != nil {
+	for _, conn := range connections {
+		if conn != nil {
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				p.retire(l)
+				sc.retire(conn)
 			}()
 		}
 	}
 	wait.Wait()
 }
 
-const maxQueuedRetries = 64 // batches that a client means to ask for again; it forgets more
+const maxQueuedRetries = 64 // batches that a client queues for a retry; it drops more
 
-// offerRetry: another try can't do harm. After a pushback that is the router's promise; after the end of a connection nothing
-// is known, and only what may run twice is asked for.
-func (l *clientConnection) offerRetry(b *Batch, pushed bool) {
-	if b.RetryOf != "" || b.Group == "upload" || b.Group == "once" && !pushed {
+// queueRetry queues a batch for a retry if that can do no harm. A rejection is the router's promise that the batch has
+// not run; after the end of a connection nothing is known, so only idempotent batches are retried.
+func (conn *clientConnection) queueRetry(batch *Batch, rejected bool) {
+	if batch.RetryOf != "" || batch.Group == "upload" || batch.Group == "once" && !rejected {
 		return
 	}
 	select {
-	case l.retries <- b:
+	case conn.retries <- batch:
 	default:
 	}
 }
 
-func (l *clientConnection) usable() bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return (!l.goingAway || l.router.Soak) && !l.ended && len(l.pending) < 30
+// usable reports whether the client may write another batch on the connection.
+func (conn *clientConnection) usable() bool {
+	conn.mutex.Lock()
+	defer conn.mutex.Unlock()
+	return (!conn.goingAway || conn.router.Soak) && !conn.ended && len(conn.pending) < 30
 }
 
-// connect takes a connection to some router that is there.
-func (p *scenario) connect(chance *rand.Rand, again chan<- *Batch) *clientConnection {
-	p.fleetMutex.Lock()
-	all := p.allRouters()
-	p.fleetMutex.Unlock()
-	r := all[chance.IntN(len(all))]
+// connect opens a connection to a random router that accepts connections. It returns nil if that fails.
+func (sc *scenario) connect(random *rand.Rand, retries chan<- *Batch) *clientConnection {
+	sc.fleetMutex.Lock()
+	all := sc.allRouters()
+	sc.fleetMutex.Unlock()
+	r := all[random.IntN(len(all))]
 	if r.stopping.Load() && !r.justStopped() || r.down.Load() {
 		return nil
 	}
@@ -120,132 +122,136 @@
 	if err != nil {
 		return nil
 	}
-	life := r.startCount() - 1
-	l := &clientConnection{Client: c, number: int(p.connectionCounter.Add(1)), router: r, incarnation: life, retries: again, pending: map[uint32]*Batch{}, batches: map[uint32]*Batch{},
-		done: make(chan struct{}), since: p.since}
-	p.mutex.Lock()
-	p.connections = append(p.connections, l)
-	p.mutex.Unlock()
-	l.logf("opened, %s, start %d of %s", c.LocalAddr(), life, r.endpoint())
-	go p.readAnswers(l)
-	return l
+	incarnation := r.startCount() - 1
+	conn := &clientConnection{Client: c, number: int(sc.connectionCounter.Add(1)), router: r, incarnation: incarnation,
+		retries: retries, pending: map[uint32]*Batch{}, batches: map[uint32]*Batch{},
+		done: make(chan struct{}), since: sc.since}
+	sc.mutex.Lock()
+	sc.connections = append(sc.connections, conn)
+	sc.mutex.Unlock()
+	conn.logf("opened, %s, start %d of %s", c.LocalAddr(), incarnation, r.endpoint())
+	go sc.readAnswers(conn)
+	return conn
 }
 
-// sendBatch writes one batch; what could not be written whole was never taken.
-func (p *scenario) sendBatch(l *clientConnection, stream uint32, r *rand.Rand, before *Batch) {
+// sendBatch writes one batch, a new one or a retry. A batch that could not be written completely is not recorded,
+// because no router can have accepted it.
+func (sc *scenario) sendBatch(conn *clientConnection, stream uint32, random *rand.Rand, original *Batch) {
 	groups := []struct {
 		name  string
 		limit time.Duration
 	}{{"lookup", 4 * time.Second}, {"lookup", 4 * time.Second}, {"report", 8 * time.Second}, {"upload", 6 * time.Second}, {"once", 4 * time.Second}}
-	g := groups[r.IntN(len(groups))]
-	n := p.batchCounter.Add(1)
-	b := &Batch{ID: fmt.Sprintf("%08x%08x", uint32(p.Seed), n), Group: g.name, Rows: 1 + r.IntN(250), Connection: l.number, Router: l.router.number, Incarnation: l.incarnation, FirstOnConnection: stream == 1}
-	if before != nil {
-		b.RetryOf, b.Group, b.Rows, b.dataSet = before.ID, before.Group, before.Rows, before.dataSet
-		g.name, g.limit = b.Group, before.Deadline-before.WriteBegan
+	group := groups[random.IntN(len(groups))]
+	number := sc.batchCounter.Add(1)
+	batch := &Batch{ID: fmt.Sprintf("%08x%08x", uint32(sc.Seed), number), Group: group.name, Rows: 1 + random.IntN(250),
+		Connection: conn.number, Router: conn.router.number, Incarnation: conn.incarnation, FirstOnConnection: stream == 1}
+	if original != nil {
+		batch.RetryOf, batch.Group, batch.Rows, batch.dataSet = original.ID, original.Group, original.Rows, original.dataSet
+		group.name, group.limit = batch.Group, original.Deadline-original.WriteBegan
 	} else {
-		b.dataSet = r.IntN(20)
+		batch.dataSet = random.IntN(20)
 	}
-	fields := []string{"c", g.name, "i", b.ID, "d", strconv.Itoa(int(g.limit.Milliseconds()))}
-	text := fmt.Sprintf("SELECT %d FROM sales_%d.orders", b.Rows, b.dataSet)
-	if g.name == "upload" {
-		b.Key = fmt.Sprintf("%016x", 1+r.IntN(6))
-		fields = append(fields, "o", b.Key, "k", fmt.Sprintf("%032x", n))
-		text += " --key=" + b.Key
+	fields := []string{"c", group.name, "i", batch.ID, "d", strconv.Itoa(int(group.limit.Milliseconds()))}
+	text := fmt.Sprintf("SELECT %d FROM sales_%d.orders", batch.Rows, batch.dataSet)
+	if group.name == "upload" {
+		batch.Key = fmt.Sprintf("%016x", 1+random.IntN(6))
+		fields = append(fields, "o", batch.Key, "k", fmt.Sprintf("%032x", number))
+		text += " --key=" + batch.Key
 	}
-	// Clients tell the work, nearly right: a router that has just started can spend its part of a cold engine at once.
-	work := p.action(standin.Run{ID: b.ID, Text: text}, 0).After.Seconds() * 1e3 * (0.8 + 0.4*r.Float64())
+	// Clients declare the work approximately (within a fifth), so that a router that has just started can spend its
+	// quota of a cold engine at once.
+	work := sc.action(standin.Run{ID: batch.ID, Text: text}, 0).After.Seconds() * 1e3 * (0.8 + 0.4*random.Float64())
 	fields = append(fields, "h", strconv.FormatFloat(work, 'f', 1, 64))
-	b.fields, b.text = fields, text
+	batch.fields, batch.text = fields, text
 	frame := standin.Frame(10, stream, fields, text)
-	if r.IntN(150) == 0 { // this client's machine stands still within a frame
-		l.Write(frame[:len(frame)/2]) //nolint:errcheck
-		l.mutex.Lock()
-		l.logf("half of the frame of %s written, %d pending", b.ID, len(l.pending))
-		l.mutex.Unlock()
+	if random.IntN(150) == 0 { // a client machine pauses within a frame
+		conn.Write(frame[:len(frame)/2]) //nolint:errcheck
+		conn.mutex.Lock()
+		conn.logf("half of the frame of %s written, %d pending", batch.ID, len(conn.pending))
+		conn.mutex.Unlock()
 		time.Sleep(midFramePause)
 		frame = frame[len(frame)/2:]
 	}
-	// Known before it is written: its answer may come at once.
-	l.mutex.Lock()
-	if l.ended {
-		l.mutex.Unlock()
+	// Registered before it is written, since its answer may come at once.
+	conn.mutex.Lock()
+	if conn.ended {
+		conn.mutex.Unlock()
 		return
 	}
-	b.WriteBegan = p.since()
-	b.Deadline = b.WriteBegan + g.limit
-	l.pending[stream], l.batches[stream] = b, b
-	l.logf("%s %s written", b.Group, b.ID)
-	l.mutex.Unlock()
-	if _, err := l.Write(frame); err != nil {
-		l.mutex.Lock()
-		delete(l.pending, stream)
-		l.mutex.Unlock()
+	batch.WriteBegan = sc.since()
+	batch.Deadline = batch.WriteBegan + group.limit
+	conn.pending[stream], conn.batches[stream] = batch, batch
+	conn.logf("%s %s written", batch.Group, batch.ID)
+	conn.mutex.Unlock()
+	if _, err := conn.Write(frame); err != nil {
+		conn.mutex.Lock()
+		delete(conn.pending, stream)
+		conn.mutex.Unlock()
 		return
 	}
-	l.mutex.Lock()
-	b.WriteEnded = p.since()
-	l.mutex.Unlock()
-	p.mutex.Lock()
-	p.batches = append(p.batches, b)
-	p.mutex.Unlock()
-	if r.IntN(50) == 0 { // this client has lost patience; its leave may cross the answer
-		time.Sleep(time.Duration(r.IntN(40)) * time.Millisecond)
-		l.mutex.Lock()
-		if l.pending[stream] == b {
-			b.Cancelled = p.since()
-			delete(l.pending, stream)
-			l.logf("%s cancelled", b.ID)
+	conn.mutex.Lock()
+	batch.WriteEnded = sc.since()
+	conn.mutex.Unlock()
+	sc.mutex.Lock()
+	sc.batches = append(sc.batches, batch)
+	sc.mutex.Unlock()
+	if random.IntN(50) == 0 { // the client cancels; the cancellation and the answer may cross
+		time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
+		conn.mutex.Lock()
+		if conn.pending[stream] == batch {
+			batch.Cancelled = sc.since()
+			delete(conn.pending, stream)
+			conn.logf("%s cancelled", batch.ID)
 		}
-		l.mutex.Unlock()
-		l.Write(standin.Frame(12, stream, nil, "")) //nolint:errcheck
+		conn.mutex.Unlock()
+		conn.Write(standin.Frame(12, stream, nil, "")) //nolint:errcheck
 	}
 }
 
-// readAnswers takes answers in until the connection ends.
-func (p *scenario) readAnswers(l *clientConnection) {
-	defer close(l.done)
+// readAnswers records answers until the connection ends.
+func (sc *scenario) readAnswers(conn *clientConnection) {
+	defer close(conn.done)
 	for {
-		a, err := l.Next(time.Hour)
-		l.mutex.Lock()
+		answer, err := conn.Next(time.Hour)
+		conn.mutex.Lock()
 		switch {
 		case err != nil:
-			l.ended = true
-			l.logf("ended with %d pending: %s", len(l.pending), err)
-			now := p.since()
-			crossed := l.racedClose(now) && !l.router.killed(l.incarnation) // after a kill nobody knows whether it ran
-			for _, b := range l.pending {
-				b.ConnectionEnded, b.ConnectionError, b.Resent = now, err.Error(), crossed && !b.isResend
-				if b.Resent {
-					p.closing.Add(1)
-					go p.resend(b)
+			conn.ended = true
+			conn.logf("ended with %d pending: %s", len(conn.pending), err)
+			now := sc.since()
+			raced := conn.racedClose(now) && !conn.router.killed(conn.incarnation) // after a kill it is unknown whether the batch ran
+			for _, batch := range conn.pending {
+				batch.ConnectionEnded, batch.ConnectionError, batch.Resent = now, err.Error(), raced && !batch.isResend
+				if batch.Resent {
+					sc.closing.Add(1)
+					go sc.resend(batch)
 				} else {
-					l.offerRetry(b, false)
+					conn.queueRetry(batch, false)
 				}
 			}
-			l.mutex.Unlock()
-			l.Close()
+			conn.mutex.Unlock()
+			conn.Close()
 			return
-		case a.Type == 11 && l.batches[a.Stream] != nil:
-			b := l.batches[a.Stream]
-			b.Answers = append(b.Answers, Answer{p.since(), a.Code, a.Body})
-			delete(l.pending, a.Stream)
-			if a.Code == codeRejected {
-				l.offerRetry(b, true)
+		case answer.Type == 11 && conn.batches[answer.Stream] != nil:
+			batch := conn.batches[answer.Stream]
+			batch.Answers = append(batch.Answers, Answer{sc.since(), answer.Code, answer.Body})
+			delete(conn.pending, answer.Stream)
+			if answer.Code == codeRejected {
+				conn.queueRetry(batch, true)
 			}
-			l.logf("%s answered with code %d", b.ID, a.Code)
-		case a.Type == 30:
-			l.goingAway = true
-			l.logf("going away received")
+			conn.logf("%s answered with code %d", batch.ID, answer.Code)
+		case answer.Type == 30:
+			conn.goingAway = true
+			conn.logf("going away received")
 		}
-		l.mutex.Unlock()
+		conn.mutex.Unlock()
 	}
 }
 
-// racedClose tells whether all that is open had just been written when the connection ended: the router may have closed a connection on
-// which nothing was open. The mutex is held.
-func (l *clientConnection) racedClose(now time.Duration) bool {
-	for _, b := range l.pending {
+// racedClose reports whether all pending batches had just been written when the connection ended: the router may then
+// have closed a connection that was idle from its point of view. The caller holds the mutex.
+func (conn *clientConnection) racedClose(now time.Duration) bool {
+	for _, b := range conn.pending {
 		if now >= max(b.WriteBegan, b.WriteEnded)+closeRaceWindow {
 			return false
 		}
@@ -253,71 +259,72 @@
 	return true
 }
 
-// resend sends a request that crossed a close once more, on a new connection, under its id.
-func (p *scenario) resend(before *Batch) {
-	defer p.closing.Done()
-	chance := rand.New(rand.NewPCG(p.Seed, uint64(before.WriteBegan)))
-	var l *clientConnection
-	for l == nil {
-		if p.since() > before.Deadline { // no router can be reached in its time
+// resend sends a batch that raced the close of its connection again, on a new connection and under the same ID.
+func (sc *scenario) resend(original *Batch) {
+	defer sc.closing.Done()
+	random := rand.New(rand.NewPCG(sc.Seed, uint64(original.WriteBegan)))
+	var conn *clientConnection
+	for conn == nil {
+		if sc.since() > original.Deadline { // no router was reachable before the deadline
 			return
 		}
-		if l = p.connect(chance, make(chan *Batch, 1)); l == nil {
+		if conn = sc.connect(random, make(chan *Batch, 1)); conn == nil {
 			time.Sleep(reconnectInterval)
 		}
 	}
-	left := before.Deadline - p.since()
+	left := original.Deadline - sc.since()
 	if left <= 0 {
-		l.Close()
+		conn.Close()
 		return
 	}
-	b := &Batch{ID: before.ID, Group: before.Group, Key: before.Key, Rows: before.Rows, RetryOf: before.RetryOf, Connection: l.number,
-		Router: l.router.number, Incarnation: l.incarnation, FirstOnConnection: true, isResend: true, Deadline: before.Deadline}
-	fields := slices.Clone(before.fields)
+	batch := &Batch{ID: original.ID, Group: original.Group, Key: original.Key, Rows: original.Rows, RetryOf: original.RetryOf, Connection: conn.number,
+		Router: conn.router.number, Incarnation: conn.incarnation, FirstOnConnection: true, isResend: true, Deadline: original.Deadline}
+	fields := slices.Clone(original.fields)
 	fields[slices.Index(fields, "d")+1] = strconv.Itoa(int(left.Milliseconds()))
-	l.mutex.Lock()
-	b.WriteBegan = p.since()
-	l.pending[1], l.batches[1] = b, b
-	l.logf("%s %s sent again", b.Group, b.ID)
-	l.mutex.Unlock()
-	if _, err := l.Write(standin.Frame(10, 1, fields, before.text)); err == nil {
-		l.mutex.Lock()
-		b.WriteEnded = p.since()
-		l.mutex.Unlock()
-		p.mutex.Lock()
-		p.batches = append(p.batches, b)
-		p.mutex.Unlock()
+	conn.mutex.Lock()
+	batch.WriteBegan = sc.since()
+	conn.pending[1], conn.batches[1] = batch, batch
+	conn.logf("%s %s sent again", batch.Group, batch.ID)
+	conn.mutex.Unlock()
+	if _, err := conn.Write(standin.Frame(10, 1, fields, original.text)); err == nil {
+		conn.mutex.Lock()
+		batch.WriteEnded = sc.since()
+		conn.mutex.Unlock()
+		sc.mutex.Lock()
+		sc.batches = append(sc.batches, batch)
+		sc.mutex.Unlock()
 	}
-	l.drainAndClose()
+	conn.drainAndClose()
 }
 
-// reconnectInterval is how often a client tries for a new connection.
+// reconnectInterval is how often a client tries to open a new connection.
 const reconnectInterval = 20 * time.Millisecond
 
-// retire takes no more on a connection and closes it when all that is open there has its answer, or none can come.
-func (p *scenario) retire(l *clientConnection) {
-	if p.since() < p.Duration {
-		p.closing.Add(1)
+// retire sends no more on a connection and closes it when its pending batches are answered or cannot be answered any
+// more. It waits for that only once the scenario's time is over.
+func (sc *scenario) retire(conn *clientConnection) {
+	if sc.since() < sc.Duration {
+		sc.closing.Add(1)
 		go func() {
-			defer p.closing.Done()
-			l.drainAndClose()
+			defer sc.closing.Done()
+			conn.drainAndClose()
 		}()
 		return
 	}
-	l.drainAndClose()
+	conn.drainAndClose()
 }
 
-// drainAndClose waits until all that is open has its answer, or none can come, and closes the connection.
-func (l *clientConnection) drainAndClose() {
+// drainAndClose waits until all pending batches are answered or cannot be answered any more, and closes the connection.
+func (conn *clientConnection) drainAndClose() {
 	for end := time.Now().Add(8*time.Second + answerGrace + time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		l.mutex.Lock()
-		idle := len(l.pending) == 0 || l.ended
-		l.mutex.Unlock()
+		conn.mutex.Lock()
+		idle := len(conn.pending) == 0 || conn.ended
+		conn.mutex.Unlock()
 		if idle {
 			break
 		}
 	}
-	time.Sleep(30 * time.Millisecond) // for an answer that comes twice
-	l.Close()
-	<-l.done
+	time.Sleep(30 * time.Millisecond) // for a second answer, which would be a violation
+	conn.Close()
+	<-conn.done
 }
--- a/internal/torture/cmd/main.go
+++ b/internal/torture/cmd/main.go
@@ -1,5 +1,5 @@
-// Command cmd plays many seeds of the torture rig and prints what broke a rule, or looks for defects that are put into the
-// router on purpose:
+// Command cmd runs the torture scenarios of many seeds and prints violations of the rules, or verifies that the checker
+// finds defects that are put into the router on purpose:
 //
 //	go run ./internal/torture/cmd -seeds 20
 //	go run ./internal/torture/cmd -defects -seeds 20
@@ -22,41 +22,42 @@
 	"pitchfield/internal/torture"
 )
 
+// options are the command-line flags.
 type options struct {
-	first, seeds uint64
-	long         time.Duration
-	clients      int
-	beside       int
-	folder, root string
-	only         string
-	routers      int
-	older        string
-	talk, shares bool
-	limits       bool
-	firm         float64
-	soak, debug  bool
+	first, seeds               uint64
+	duration                   time.Duration
+	clients                    int
+	concurrency                int
+	folder, root               string
+	only                       string
+	routers                    int
+	olderCommit                string
+	peerMessaging, quotaShares bool
+	sharedLimits               bool
+	firmShare                  float64
+	soak, debug                bool
 }
 
 func main() {
 	var o options
 	flag.Uint64Var(&o.first, "first", 1, "first seed")
-	flag.Uint64Var(&o.seeds, "seeds", 10, "how many; of each defect, how many at the most")
-	flag.DurationVar(&o.long, "long", 10*time.Second, "of each play")
+	flag.Uint64Var(&o.seeds, "seeds", 10, "number of seeds; with -defects, the most seeds for each defect")
+	flag.DurationVar(&o.duration, "long", 10*time.Second, "duration of each scenario")
 	flag.IntVar(&o.clients, "clients", 0, "at once; 0: as many as the rig usually has")
-	flag.IntVar(&o.beside, "beside", 1, "plays beside each other")
-	flag.StringVar(&o.folder, "out", "", "folder for logs; empty: one that is removed, unless something was found")
-	flag.StringVar(&o.root, "root", ".", "of the repository")
-	flag.StringVar(&o.only, "only", "", "of the defects, those whose name has this in it")
-	flag.IntVar(&o.routers, "routers", 1, "before the same engines")
-	flag.StringVar(&o.older, "older", "", "a commit whose program some of several routers run for a while")
-	flag.BoolVar(&o.talk, "talk", false, "several routers talk to each other")
-	flag.BoolVar(&o.shares, "shares", false, "and divide what a cold engine bears by that")
-	flag.BoolVar(&o.limits, "limits", false, "and free further dispatches and what may be out, too")
-	flag.Float64Var(&o.firm, "firm", 0.1, "share of that which stays with each")
+	flag.IntVar(&o.concurrency, "beside", 1, "scenarios that run concurrently")
+	flag.StringVar(&o.folder, "out", "", "folder for logs; empty: a temporary one, which stays if there are findings")
+	flag.StringVar(&o.root, "root", ".", "root of the repository")
+	flag.StringVar(&o.only, "only", "", "with -defects: only defects whose name contains this text")
+	flag.IntVar(&o.routers, "routers", 1, "routers in front of the same engines")
+	flag.StringVar(&o.olderCommit, "older", "", "commit whose program some routers of a fleet run for a while")
+	flag.BoolVar(&o.peerMessaging, "talk", false, "routers exchange peer messages")
+	flag.BoolVar(&o.quotaShares, "shares", false, "routers divide the capacity of cold engines by quota; implies -talk")
+	flag.BoolVar(&o.sharedLimits, "limits", false, "routers also divide free retries and concurrent reports; implies -shares")
+	flag.Float64Var(&o.firmShare, "firm", 0.1, "fraction of a quota that every router keeps permanently")
 	flag.BoolVar(&o.soak, "soak", false, "system calls fail too, faults overlap, clients go on until a kill; for 10 to 40 routers")
 	flag.BoolVar(&o.debug, "debug", false, "routers log every request")
-	measure := flag.Bool("measure", false, "no script: service and use of budgets by 2 to 12 routers, with none and half of them killed")
-	defects := flag.Bool("defects", false, "look for the defects of defects.toml")
+	measure := flag.Bool("measure", false, "without random faults: measure results and use of budgets for 2 to 12 routers, with none and with half of them killed")
+	defects := flag.Bool("defects", false, "verify that the checker finds the defects of defects.toml")
 	flag.Parse()
 	if err := run(o, *defects, *measure); err != nil {
 		fmt.Fprintln(os.Stderr, "torture:", err)
@@ -64,9 +65,10 @@
 	}
 }
 
+// run runs the chosen mode in the log folder, and creates and removes a temporary folder if none is given.
 func run(o options, defects, measure bool) error {
-	made := o.folder == ""
-	if made {
+	temporary := o.folder == ""
+	if temporary {
 		var err error
 		if o.folder, err = os.MkdirTemp("", "torture"); err != nil {
 			return err
@@ -74,22 +76,22 @@
 	}
 	var err error
 	if defects {
-		err = o.hunt()
+		err = o.findDefects()
 	} else if measure {
 		err = o.measure()
 	} else {
-		err = o.sound()
+		err = o.runSeeds()
 	}
 	if err != nil {
 		return fmt.Errorf("%w; logs in %s", err, o.folder)
 	}
-	if made {
+	if temporary {
 		return os.RemoveAll(o.folder)
 	}
 	return nil
 }
 
-// build builds the program as it stands.
+// build builds the program from the working tree and returns its path.
 func (o options) build() (string, error) {
 	program := filepath.Join(o.folder, "pitchfield")
 	c := exec.Command("go", "build", "-o", program, "./cmd/pitchfield")
@@ -100,12 +102,15 @@
 	return program, nil
 }
 
-// buildOlder builds the program of a commit.
+// buildOlder builds the program of the commit in o.older and returns its path.
 func (o options) buildOlder() (string, error) {
 	tree, program := filepath.Join(o.folder, "older"), filepath.Join(o.folder, "pitchfield-older")
-	for _, words := range [][]string{{"git", "worktree", "add", "--detach", tree, o.older}, {"go", "build", "-C", tree, "-o", program, "./cmd/pitchfield"},
-		{"git", "worktree", "remove", "--force", tree}} {
-		c := exec.Command(words[0], words[1:]...)
+	for _, command := range [][]string{
+		{"git", "worktree", "add", "--detach", tree, o.olderCommit},
+		{"go", "build", "-C", tree, "-o", program, "./cmd/pitchfield"},
+		{"git", "worktree", "remove", "--force", tree},
+	} {
+		c := exec.Command(command[0], command[1:]...)
 		c.Dir = o.root
 		if out, err := c.CombinedOutput(); err != nil {
 			return "", fmt.Errorf("older: %w: %s", err, out)
@@ -114,7 +119,7 @@
 	return program, nil
 }
 
-// measure plays the same load before 2 to 12 routers while engines are replaced.
+// measure applies the same load to 2, 4, 8 and 12 routers while engines are replaced, and prints a table.
 func (o options) measure() error {
 	program, err := o.build()
 	if err != nil {
@@ -125,42 +130,48 @@
 		for _, killed := range []bool{false, true} {
 			var sum torture.Summary
 			for i := range o.seeds {
-				r, err := torture.Run(torture.Options{Program: program, Seed: o.first + i, Duration: o.long, Clients: o.clients, Folder: o.folder, Routers: routers, PeerMessaging: o.talk, QuotaShares: o.shares, SharedLimits: o.limits, FirmShare: o.firm,
-					Steps: torture.ReplacementScript(o.long, routers, killed)})
+				r, err := torture.Run(torture.Options{Program: program, Seed: o.first + i, Duration: o.duration,
+					Clients: o.clients, Folder: o.folder, Routers: routers, PeerMessaging: o.peerMessaging,
+					QuotaShares: o.quotaShares, SharedLimits: o.sharedLimits, FirmShare: o.firmShare,
+					Steps: torture.ReplacementScript(o.duration, routers, killed)})
 				if err != nil {
 					return err
 				}
 				if len(r.Findings) > 0 {
-					tell(r)
+					printFindings(r)
 				}
 				sum.Add(r.Summary())
 			}
 			f := sum.Mean()
-			fmt.Printf("%7d  %6t  %8.3f  %11.3f  %7.3f  %18.2f  %22.2f  %4.2f  %9.2f  %9.2f  %15.2f  %15.2f\n", routers, killed, f.Returned, f.Rejected,
-				f.Errored, f.Dispatches, f.ColdBudget.Mean, f.ColdBudget.Max, f.ColdBudget.AllRunning, f.ColdBudget.SomeDown, f.Probes.Mean, f.Probes.LongestGap.Seconds())
+			fmt.Printf("%7d  %6t  %8.3f  %11.3f  %7.3f  %18.2f  %22.2f  %4.2f  %9.2f  %9.2f  %15.2f  %15.2f\n", routers,
+				killed, f.Returned, f.Rejected,
+				f.Errored, f.Dispatches, f.ColdBudget.Mean, f.ColdBudget.Max, f.ColdBudget.AllRunning,
+				f.ColdBudget.SomeDown, f.Probes.Mean, f.Probes.LongestGap.Seconds())
 		}
 	}
 	return nil
 }
 
-// sound plays all seeds of the program as it stands.
-func (o options) sound() error {
+// runSeeds runs all seeds with the program of the working tree.
+func (o options) runSeeds() error {
 	program, err := o.build()
 	if err != nil {
 		return err
 	}
 	older := ""
-	if o.older != "" {
+	if o.olderCommit != "" {
 		if older, err = o.buildOlder(); err != nil {
 			return err
 		}
 	}
 	var mutex sync.Mutex
-	broken, batches, excused := 0, 0, 0
+	broken, batches, inconclusive := 0, 0, 0
 	var failure error
-	parallel.Each(o.beside, int(o.seeds), func(i int) {
-		r, err := torture.Run(torture.Options{Program: program, OlderProgram: older, Seed: o.first + uint64(i), Duration: o.long, Clients: o.clients, Folder: o.folder,
-			Routers: o.routers, PeerMessaging: o.talk, QuotaShares: o.shares, SharedLimits: o.limits, FirmShare: o.firm, Soak: o.soak, Debug: o.debug})
+	parallel.Each(o.concurrency, int(o.seeds), func(i int) {
+		r, err := torture.Run(torture.Options{Program: program, OlderProgram: older, Seed: o.first + uint64(i),
+			Duration: o.duration, Clients: o.clients, Folder: o.folder,
+			Routers: o.routers, PeerMessaging: o.peerMessaging, QuotaShares: o.quotaShares, SharedLimits: o.sharedLimits,
+			FirmShare: o.firmShare, Soak: o.soak, Debug: o.debug})
 		mutex.Lock()
 		defer mutex.Unlock()
 		if err != nil {
@@ -169,35 +180,36 @@
 		}
 		batches += len(r.Batches)
 		fmt.Printf("seed %d: %s, %d findings; cold budget used %.2f at the most", r.Seed, r.Counts(), len(r.Findings), r.Usages()[0].Max)
-		if o.limits {
+		if o.sharedLimits {
 			fmt.Printf(", free further dispatches %.2f, reports at once %d", r.Usages()[1].Max, r.MaxConcurrentReports())
 		}
 		fmt.Println()
 		if !r.Conclusive() {
-			excused++
+			inconclusive++
 		}
 		if len(r.Findings) > 0 {
 			broken++
-			tell(r)
+			printFindings(r)
 		}
 	})
-	fmt.Printf("%d seeds, %d batches, %d seeds broke a rule, %d count as not played: over a tenth of their batches is excused\n", o.seeds, batches, broken, excused)
+	fmt.Printf("%d seeds, %d batches, %d seeds broke a rule, %d count as not played: over a tenth of their batches is excused\n", o.seeds, batches, broken, inconclusive)
 	if failure == nil && broken > 0 {
 		failure = fmt.Errorf("%d of %d seeds broke a rule", broken, o.seeds)
 	}
 	return failure
 }
 
-// tell prints the script, the findings, what happened on the connections and what the router said of the batches.
-func tell(r *torture.Result) {
+// printFindings prints the script, the first ten findings, the events of their connections and the routers' log lines
+// about them.
+func printFindings(r *torture.Result) {
 	for _, s := range r.Steps {
 		fmt.Println("   ", s)
 	}
-	told := map[int]bool{}
+	printed := map[int]bool{}
 	for _, f := range r.Findings[:min(len(r.Findings), 10)] {
 		fmt.Println("  ", f)
-		if f.Connection > 0 && !told[f.Connection] {
-			told[f.Connection] = true
+		if f.Connection > 0 && !printed[f.Connection] {
+			printed[f.Connection] = true
 			for _, h := range r.History[f.Connection] {
 				fmt.Println("       ", h)
 			}
@@ -208,8 +220,8 @@
 	}
 }
 
-// hunt looks for each defect until a seed finds it. A finding under another rule counts as well: it is told which.
-func (o options) hunt() error {
+// findDefects runs seeds against each defect until one gives a finding under the defect's rule.
+func (o options) findDefects() error {
 	all, err := torture.Defects()
 	if err != nil {
 		return err
@@ -221,7 +233,7 @@
 		err     error
 	}
 	outcomes := make([]outcome, len(all))
-	parallel.Each(o.beside, len(all), func(i int) {
+	parallel.Each(o.concurrency, len(all), func(i int) {
 		d, out := all[i], &outcomes[i]
 		routers := 1
 		if d.Fleet {
@@ -233,8 +245,9 @@
 			out.err = d.Build(o.root, "./cmd/pitchfield", program)
 		}
 		for seed := o.first; seed < o.first+o.seeds && out.err == nil && out.finding == nil; seed++ {
-			r, err := torture.Run(torture.Options{Program: program, Seed: seed, Duration: o.long, Clients: o.clients, Folder: folder,
-				Routers: routers, PeerMessaging: o.talk || d.Talk, QuotaShares: o.shares || d.Shares, SharedLimits: o.limits || d.Limits, FirmShare: cmp.Or(d.Firm, o.firm), Soak: o.soak || d.Soak})
+			r, err := torture.Run(torture.Options{Program: program, Seed: seed, Duration: o.duration, Clients: o.clients, Folder: folder,
+				Routers: routers, PeerMessaging: o.peerMessaging || d.Talk, QuotaShares: o.quotaShares || d.Shares,
+				SharedLimits: o.sharedLimits || d.Limits, FirmShare: cmp.Or(d.Firm, o.firmShare), Soak: o.soak || d.Soak})
 			if out.err = err; err != nil {
 				break
 			}
--- a/internal/torture/defects.go
+++ b/internal/torture/defects.go
@@ -9,5 +9,5 @@
 //go:embed defects.toml
 var defectsText []byte
 
-// Defects are those that the checker has to find.
+// Defects returns the defects that the checker has to find.
 func Defects() ([]defects.Defect, error) { return defects.Read(defectsText) }
--- a/internal/torture/excuses.go
+++ b/internal/torture/excuses.go
@@ -29,8 +29,10 @@
 // paused it meanwhile.
 func (b *Batch) lossOrExcuse(router Router) (string, Excuse) {
 	incarnation := router.Incarnations[b.Incarnation]
-	killed := incarnation.Killed > 0 && (incarnation.Terminated == 0 || incarnation.Terminated > incarnation.Killed || router.pausedWithin(incarnation.Terminated, incarnation.Killed) > 0)
-	pending := killed && incarnation.Killed < b.Deadline+answerGrace+router.pausedWithin(min(b.WriteBegan, incarnation.Killed), incarnation.Killed) && (b.ConnectionEnded == 0 || b.ConnectionEnded >= incarnation.Killed)
+	killed := incarnation.Killed > 0 && (incarnation.Terminated == 0 || incarnation.Terminated > incarnation.Killed ||
+		router.pausedWithin(incarnation.Terminated, incarnation.Killed) > 0)
+	pending := killed && incarnation.Killed < b.Deadline+answerGrace+router.pausedWithin(min(b.WriteBegan,
+		incarnation.Killed), incarnation.Killed) && (b.ConnectionEnded == 0 || b.ConnectionEnded >= incarnation.Killed)
 	switch {
 	case len(b.Answers) > 0:
 		return "", NotExcused
--- a/internal/torture/fleet.go
+++ b/internal/torture/fleet.go
@@ -7,156 +7,159 @@
 	"pitchfield/internal/relay"
 )
 
-// nameServiceEndpoint is what links call the name service. Each router has its own view of it, so that lists differ as they do where
-// it is asked at different times.
+// nameServiceEndpoint is the name service's name among the ends of links. Each router has its own name service, so that
+// lists differ as they do when routers ask at different times.
 const nameServiceEndpoint = "names"
 
-const crashLoopStarts = 3 // in a loop of them
+const crashLoopStarts = 3 // starts in one CrashLoop
 
-// LinkFault is what lay over links for a while: what came over them then may have been decided long before.
+// LinkFault is a fault that affected links for a while. Data that arrived in that time may have been sent long before.
 type LinkFault struct {
 	Interval
 	Affects   func(from, to string) bool
 	Condition relay.Weather
 }
 
-// applyLinkFault lets a weather lie over links for some time.
-func (p *scenario) applyLinkFault(long time.Duration, over func(from, to string) bool, what relay.Weather) {
-	if p.fabric == nil {
+// applyLinkFault applies a condition to links for some time and records it.
+func (sc *scenario) applyLinkFault(duration time.Duration, affects func(from, to string) bool, condition relay.Weather) {
+	if sc.fabric == nil {
 		return
 	}
-	from := p.since()
-	number := p.fabric.Bring(relay.Front{Over: over, Weather: what})
-	time.Sleep(long)
-	p.fabric.Lift(number)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.linkFaults = append(p.linkFaults, LinkFault{Interval{from, p.since()}, over, what})
+	from := sc.since()
+	number := sc.fabric.Bring(relay.Front{Over: affects, Weather: condition})
+	time.Sleep(duration)
+	sc.fabric.Lift(number)
+	sc.mutex.Lock()
+	defer sc.mutex.Unlock()
+	sc.linkFaults = append(sc.linkFaults, LinkFault{Interval{from, sc.since()}, affects, condition})
 }
 
-// zoneSide tells which parties a cut along zones has on one side: a zone's engines, every second router, and nothing else.
-func (p *scenario) zoneSide() func(name string) bool {
-	p.fleetMutex.Lock()
-	defer p.fleetMutex.Unlock()
+// zoneSide returns a function that reports which endpoints a cut along zones has on one side: the second zone's engines
+// and every second router.
+func (sc *scenario) zoneSide() func(name string) bool {
+	sc.fleetMutex.Lock()
+	defer sc.fleetMutex.Unlock()
 	inside := map[string]bool{}
-	for _, e := range p.allEngines {
+	for _, e := range sc.allEngines {
 		inside[e.Engine.Name] = e.Zone == zones[1]
 	}
-	for _, r := range p.allRouters() {
+	for _, r := range sc.allRouters() {
 		inside[r.endpoint()] = r.number%2 == 1
 	}
 	return func(name string) bool { return inside[name] }
 }
 
-// injectLinkFault lets something go wrong with links.
-func (p *scenario) injectLinkFault(s Step, engine *engineServer) {
+// injectLinkFault makes links fail.
+func (sc *scenario) injectLinkFault(s Step, engine *engineServer) {
 	is := func(name string) func(string) bool { return func(other string) bool { return other == name } }
-	router, far := p.routerOf(s).endpoint(), engine.Engine.Name
-	there, back := relay.Between(is(router), is(far)), relay.Between(is(far), is(router))
+	routerName, engineName := sc.routerOf(s).endpoint(), engine.Engine.Name
+	toEngine, fromEngine := relay.Between(is(routerName), is(engineName)), relay.Between(is(engineName), is(routerName))
 	switch s.Fault {
 	case CutEngine:
-		p.applyLinkFault(s.Duration, func(a, b string) bool { return there(a, b) || back(a, b) }, relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, func(a, b string) bool { return toEngine(a, b) || fromEngine(a, b) }, relay.Weather{Cut: true})
 	case CutZone:
-		p.applyLinkFault(s.Duration, relay.Around(p.zoneSide()), relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, relay.Around(sc.zoneSide()), relay.Weather{Cut: true})
 	case CutOneWay:
 		if s.Selector%2 == 0 {
-			there = back
+			toEngine = fromEngine
 		}
-		p.applyLinkFault(s.Duration, there, relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, toEngine, relay.Weather{Cut: true})
 	case CutNameService:
-		p.applyLinkFault(s.Duration, relay.Between(is(nameServiceEndpoint), is(router)), relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, relay.Between(is(nameServiceEndpoint), is(routerName)), relay.Weather{Cut: true})
 	case SlowBytes:
-		p.applyLinkFault(s.Duration, relay.Between(is(far), func(string) bool { return true }), relay.Weather{Drip: 4000})
+		sc.applyLinkFault(s.Duration, relay.Between(is(engineName), func(string) bool { return true }), relay.Weather{Drip: 4000})
 	case PacketLoss:
-		p.applyLinkFault(s.Duration, func(string, string) bool { return true },
+		sc.applyLinkFault(s.Duration, func(string, string) bool { return true },
 			relay.Weather{Loss: 0.33, Double: 0.1, Reorder: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond})
 	}
 }
 
-// injectFleetFault lets something go wrong with several processes.
-func (p *scenario) injectFleetFault(s Step) {
-	again := func(r *router) { p.fail(r.start()) }
+// injectFleetFault disturbs several processes.
+func (sc *scenario) injectFleetFault(s Step) {
+	restart := func(r *router) { sc.fail(r.start()) }
 	switch s.Fault {
-	case KillMany: // a tenth, half, seven in ten, and all: at once. All are back at once too, as after a power cut
-		share, away := []float64{0.1, 0.5, 1, 0.7, 1, 1}[s.Selector%6], s.Duration
+	case KillMany: // a tenth, half, 0.7 or all of them at once. All are restarted at once as well, as after a power cut
+		share, downtime := []float64{0.1, 0.5, 1, 0.7, 1, 1}[s.Selector%6], s.Duration
 		if share == 1 {
-			away = 0
+			downtime = 0
 		}
-		forEachLocked(p.routersOf(s, share), func(r *router) {
+		forEachLocked(sc.routersOf(s, share), func(r *router) {
 			if !r.down.Load() {
 				r.kill()
-				time.Sleep(away)
-				again(r)
+				time.Sleep(downtime)
+				restart(r)
 			}
 		})
-	case CrashLoop: // what each start forgets is what the ones before had sent to an engine that is still cold
+	case CrashLoop: // each start forgets what the ones before had sent to an engine that is still cold
 		for range crashLoopStarts {
 			time.Sleep(fallTime / (crashLoopStarts + 1))
-			forEachLocked(p.routersOf(s, 1), func(r *router) {
+			forEachLocked(sc.routersOf(s, 1), func(r *router) {
 				if !r.down.Load() {
 					r.kill()
-					again(r)
+					restart(r)
 				}
 			})
 		}
 	case RestartAll:
-		for _, r := range p.routersOf(s, 1) {
+		for _, r := range sc.routersOf(s, 1) {
 			forEachLocked([]*router{r}, func(r *router) {
 				if !r.down.Load() {
 					r.terminate()
 					r.waitExit()
-					again(r)
+					restart(r)
 				}
 			})
 		}
 	case PauseMany:
-		long := s.Duration / 2 // what was sent before still counts when they go on; or not, when it is longer than all that lasts
+		// Most pauses are shorter than the budgets' windows, so that earlier dispatches still count afterwards. One in
+		// five is longer.
+		duration := s.Duration / 2
 		if s.Selector%5 == 0 {
-			long = s.Duration + fallTime
+			duration = s.Duration + fallTime
 		}
-		forEachLocked(p.routersOf(s, []float64{0.5, 1}[s.Selector%2]), func(r *router) {
+		forEachLocked(sc.routersOf(s, []float64{0.5, 1}[s.Selector%2]), func(r *router) {
 			if !r.down.Load() {
-				r.pause(long)
+				r.pause(duration)
 			}
 		})
 	case LateStart:
-		forEachLocked([]*router{p.routerOf(s)}, func(r *router) {
+		forEachLocked([]*router{sc.routerOf(s)}, func(r *router) {
 			if r.down.Load() {
-				again(r)
+				restart(r)
 			}
 		})
 	case DuplicateProcess:
-		p.fail(p.runDuplicate(s))
+		sc.fail(sc.runDuplicate(s))
 	case OlderBuild:
-		forEachLocked([]*router{p.routerOf(s)}, func(r *router) {
-			for _, program := range []string{p.OlderProgram, p.Program} {
+		forEachLocked([]*router{sc.routerOf(s)}, func(r *router) {
+			for _, program := range []string{sc.OlderProgram, sc.Program} {
 				if r.down.Load() {
 					return
 				}
 				r.terminate()
 				r.waitExit()
 				r.program = program
-				again(r)
+				restart(r)
 				time.Sleep(s.Duration)
 			}
 		})
 	}
 }
 
-// runDuplicate starts a second process under the name and number of one, and ends it in peace later.
-func (p *scenario) runDuplicate(s Step) error {
-	p.fleetMutex.Lock()
-	r, err := p.newRouter(p.routerOf(s).index, p.Program)
+// runDuplicate runs a second process under the name and number of a router for a while and then stops it gracefully.
+func (sc *scenario) runDuplicate(s Step) error {
+	sc.fleetMutex.Lock()
+	r, err := sc.newRouter(sc.routerOf(s).index, sc.Program)
 	if err == nil {
-		if p.PeerMessaging {
-			err = r.linkPeers(p.routers)
+		if sc.PeerMessaging {
+			err = r.linkPeers(sc.routers)
 		}
-		p.duplicates = append(p.duplicates, r)
+		sc.duplicates = append(sc.duplicates, r)
 	}
 	if err == nil {
-		err = p.publishEngines()
+		err = sc.publishEngines()
 	}
-	p.fleetMutex.Unlock()
+	sc.fleetMutex.Unlock()
 	if err != nil {
 		return fmt.Errorf("duplicate process: %w", err)
 	}
--- a/internal/torture/play.go
+++ b/internal/torture/play.go
@@ -18,189 +18,196 @@
 	"pitchfield/internal/syscallfault"
 )
 
-// Options say how a play goes.
+// Options configure a scenario.
 type Options struct {
-	Program       string        // the router's
-	Seed          uint64        // of script, clients and engines
-	Duration      time.Duration // clients ask for so long
-	Clients       int           // at once; 0: 24
-	MemoryMB      int           // of the router; 0: 32
-	Descriptors   int           // 0: 256
-	Folder        string        // for configuration and log
-	Routers       int           // before the same engines; 0: one, without links that could be cut
-	OlderProgram  string        // another build of the program, which some of them run for a while; empty: the same one
-	PeerMessaging bool          // routers talk to each other, through links of their own,
-	QuotaShares   bool          // and divide what a cold engine bears by that
-	FirmShare     float64       // share of it that stays with each
-	SharedLimits  bool          // they divide free further dispatches of look-ups and how many reports may be out, too
-	Steps         []Step        // in place of those drawn by the seed
+	Program       string        // path of the router's program
+	Seed          uint64        // of the script, the clients and the engines
+	Duration      time.Duration // how long clients send requests
+	Clients       int           // concurrent clients; 0: 24
+	MemoryMB      int           // memory limit of a router; 0: 32
+	Descriptors   int           // descriptor limit of a router; 0: 256
+	Folder        string        // for configuration and log files
+	Routers       int           // routers in front of the same engines; 0: one, without links that can fail
+	OlderProgram  string        // another build of the program, which OlderBuild runs for a while; empty: the same one
+	PeerMessaging bool          // routers exchange messages, over links of their own
+	QuotaShares   bool          // routers divide the capacity of cold engines by quota; implies PeerMessaging
+	FirmShare     float64       // fraction of the quota that every router keeps permanently
+	SharedLimits  bool          // routers also divide the free retries of look-ups and the number of concurrent reports; implies QuotaShares
+	Steps         []Step        // replaces the script drawn from the seed
 	Debug         bool          // routers log every request
-	Soak          bool          // system calls fail, and clients use open connections of a router that stops until its kill
+	// Soak injects the faults of a soak, failing system calls among them. Clients use open connections of a stopping
+	// router until its kill.
+	Soak bool
 }
 
 const (
-	minEngines    = 4
-	drainDuration = 4 * time.Second
-	stopTimeout   = 12 * time.Second // after SIGTERM; longer than any time limit of the groups
-	readyTimeout  = 20 * time.Second
+	minEngines    = 4                // there are more if there are many routers
+	drainDuration = 4 * time.Second  // from the report that an engine drains to its replacement
+	stopTimeout   = 12 * time.Second // after SIGTERM; longer than any time limit of the service groups
+	readyTimeout  = 20 * time.Second // after the start of a router
 )
 
-// scenario is one that goes on.
+// scenario is the state of one running scenario.
 type scenario struct {
 	Options
 	began        time.Time
-	host         string        // loopback address that the play has to itself
-	fabric       *relay.Fabric // of the links to engines and name services; nil: there are none
+	host         string        // loopback address that only this scenario uses
+	fabric       *relay.Fabric // links to engines, name services and peers; nil: direct connections
 	routers      []*router
 	ledger       *standin.Ledger
-	faultLibrary string // that fails system calls; empty: none do
+	faultLibrary string // preloaded library that makes system calls fail; empty: none fail
 
-	fleetMutex    sync.Mutex // of the next four, and of what names say
+	fleetMutex    sync.Mutex // guards the next four fields and the contents of the name services
 	duplicates    []*router
-	engines       []*engineServer // there now
-	allEngines    []*engineServer // ever
+	engines       []*engineServer // in the published list
+	allEngines    []*engineServer // also those that were replaced
 	engineCounter int
 
-	stalls []Interval // when the machine gave the rig no turn
+	stalls []Interval // when the machine gave the test process no processor time
 
-	mutex             sync.Mutex // of the next four
+	mutex             sync.Mutex // guards the next four fields
 	failure           error
 	linkFaults        []LinkFault
 	batches           []*Batch
 	connections       []*clientConnection
 	batchCounter      atomic.Uint64
-	connectionCounter atomic.Int64   // of connections
+	connectionCounter atomic.Int64   // numbers the connections
 	closing           sync.WaitGroup // connections that wait for their last answers
-	activeFaults      sync.WaitGroup // that go on
+	activeFaults      sync.WaitGroup // injections in progress
 }
 
+// scenarioCount numbers the scenarios of the process, for distinct loopback addresses.
 var scenarioCount atomic.Uint32
 
-func (p *scenario) since() time.Duration { return time.Since(p.began) }
+// since is the time since the start of the scenario.
+func (sc *scenario) since() time.Duration { return time.Since(sc.began) }
 
-// fail notes that the rig itself could not do what it wants.
-func (p *scenario) fail(err error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if err != nil && p.failure == nil {
-		p.failure = err
+// fail records the first error of the test harness itself.
+func (sc *scenario) fail(err error) {
+	sc.mutex.Lock()
+	defer sc.mutex.Unlock()
+	if err != nil && sc.failure == nil {
+		sc.failure = err
 	}
 }
 
-// Run plays one seed.
-func Run(o Options) (*Result, error) {
-	o.Clients, o.MemoryMB, o.Descriptors = cmp.Or(o.Clients, 24), cmp.Or(o.MemoryMB, 32), cmp.Or(o.Descriptors, 256)
-	o.Routers, o.OlderProgram = max(o.Routers, 1), cmp.Or(o.OlderProgram, o.Program)
-	o.QuotaShares = o.QuotaShares || o.SharedLimits
-	o.PeerMessaging = o.PeerMessaging || o.QuotaShares
-	p := &scenario{Options: o, began: time.Now(), ledger: &standin.Ledger{Memory: dedupWindow, GivesUp: true, TellsMemory: true, Late: readDelays(o.Seed)}}
-	p.ledger.Script = p.action
-	n := scenarioCount.Add(1)
-	p.host = fmt.Sprintf("127.%d.%d.%d", 60+os.Getpid()%100, n/250%250, 1+n%250)
-	steps := o.Steps
+// Run runs the scenario of one seed and checks it. The error reports a failure of the harness; violations of rules are
+// in Result.Findings.
+func Run(options Options) (*Result, error) {
+	options.Clients, options.MemoryMB, options.Descriptors = cmp.Or(options.Clients, 24), cmp.Or(options.MemoryMB, 32),
+		cmp.Or(options.Descriptors, 256)
+	options.Routers, options.OlderProgram = max(options.Routers, 1), cmp.Or(options.OlderProgram, options.Program)
+	options.QuotaShares = options.QuotaShares || options.SharedLimits
+	options.PeerMessaging = options.PeerMessaging || options.QuotaShares
+	sc := &scenario{Options: options, began: time.Now(), ledger: &standin.Ledger{Memory: dedupWindow, GivesUp: true,
+		TellsMemory: true, Late: readDelays(options.Seed)}}
+	sc.ledger.Script = sc.action
+	number := scenarioCount.Add(1)
+	sc.host = fmt.Sprintf("127.%d.%d.%d", 60+os.Getpid()%100, number/250%250, 1+number%250)
+	steps := options.Steps
 	if steps == nil {
-		steps = Script(o.Seed, o.Duration, o.Routers)
-		if o.Soak {
-			steps = SoakScript(o.Seed, o.Duration, o.Routers)
+		steps = Script(options.Seed, options.Duration, options.Routers)
+		if options.Soak {
+			steps = SoakScript(options.Seed, options.Duration, options.Routers)
 		}
 	}
-	if o.Soak {
+	if options.Soak {
 		var err error
-		if p.faultLibrary, err = syscallfault.Build(o.Folder); err != nil {
+		if sc.faultLibrary, err = syscallfault.Build(options.Folder); err != nil {
 			return nil, err
 		}
 	}
-	if o.Routers > 1 {
-		p.fabric = relay.New(o.Seed)
-		defer p.fabric.Close()
+	if options.Routers > 1 {
+		sc.fabric = relay.New(options.Seed)
+		defer sc.fabric.Close()
 	}
-	if err := p.startFleet(steps); err != nil {
+	if err := sc.startFleet(steps); err != nil {
 		return nil, err
 	}
-	stopLag, lagged := make(chan struct{}), make(chan struct{})
+	stopWatching, stallsWatched := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(lagged)
-		lags, err := p.watchStalls(stopLag)
-		p.stalls = lags
-		p.fail(err)
+		defer close(stallsWatched)
+		stalls, err := sc.watchStalls(stopWatching)
+		sc.stalls = stalls
+		sc.fail(err)
 	}()
 	var clients sync.WaitGroup
-	for i := range o.Clients {
+	for i := range options.Clients {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			p.client(rand.New(rand.NewPCG(o.Seed, uint64(100+i))))
+			sc.client(rand.New(rand.NewPCG(options.Seed, uint64(100+i))))
 		}()
 	}
 	for _, s := range steps {
-		time.Sleep(time.Until(p.began.Add(s.At)))
-		if o.Routers == 1 { // in turn: there is one process for all of them
-			p.inject(s)
+		time.Sleep(time.Until(sc.began.Add(s.At)))
+		if options.Routers == 1 { // one after the other: all steps act on the same process
+			sc.inject(s)
 			continue
 		}
-		p.activeFaults.Add(1)
+		sc.activeFaults.Add(1)
 		go func() {
-			defer p.activeFaults.Done()
-			p.inject(s)
+			defer sc.activeFaults.Done()
+			sc.inject(s)
 		}()
 	}
-	p.activeFaults.Wait()
+	sc.activeFaults.Wait()
 	clients.Wait()
-	p.closing.Wait()
-	if p.fabric != nil {
-		p.fabric.Heal()
+	sc.closing.Wait()
+	if sc.fabric != nil {
+		sc.fabric.Heal()
 	}
-	close(stopLag)
-	<-lagged
-	disagreed := p.checkAgreement()
-	r := p.stopFleet(steps)
-	r.Findings = append(r.Findings, disagreed...)
-	return r, p.failure
+	close(stopWatching)
+	<-stallsWatched
+	disagreements := sc.checkAgreement()
+	r := sc.stopFleet(steps)
+	r.Findings = append(r.Findings, disagreements...)
+	return r, sc.failure
 }
 
-// startFleet puts up engines and routers; those that a step brings later wait for it.
-func (p *scenario) startFleet(steps []Step) error {
-	p.fleetMutex.Lock()
-	defer p.fleetMutex.Unlock()
-	for i := range max(minEngines, p.Routers/routersPerEngine) {
-		if err := p.addEngine(zones[i%len(zones)], false); err != nil {
+// startFleet starts engines and routers, except for routers that a LateStart step starts later.
+func (sc *scenario) startFleet(steps []Step) error {
+	sc.fleetMutex.Lock()
+	defer sc.fleetMutex.Unlock()
+	for i := range max(minEngines, sc.Routers/routersPerEngine) {
+		if err := sc.addEngine(zones[i%len(zones)], false); err != nil {
 			return err
 		}
 	}
-	for i := range p.Routers {
-		r, err := p.newRouter(i, p.Program)
+	for i := range sc.Routers {
+		r, err := sc.newRouter(i, sc.Program)
 		if err != nil {
 			return err
 		}
-		if p.PeerMessaging {
-			if err := r.linkPeers(p.routers); err != nil {
+		if sc.PeerMessaging {
+			if err := r.linkPeers(sc.routers); err != nil {
 				return err
 			}
 		}
-		p.routers = append(p.routers, r)
+		sc.routers = append(sc.routers, r)
 	}
-	if err := p.publishEngines(); err != nil {
+	if err := sc.publishEngines(); err != nil {
 		return err
 	}
 	var wait sync.WaitGroup
-	for _, r := range p.routers {
-		if slices.ContainsFunc(steps, func(s Step) bool { return s.Fault == LateStart && p.routerOf(s) == r }) {
+	for _, r := range sc.routers {
+		if slices.ContainsFunc(steps, func(s Step) bool { return s.Fault == LateStart && sc.routerOf(s) == r }) {
 			continue
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			p.fail(r.start())
+			sc.fail(r.start())
 		}()
 	}
 	wait.Wait()
-	return p.failure
+	return sc.failure
 }
 
-// stopFleet ends all in peace and looks at what has been.
-func (p *scenario) stopFleet(steps []Step) *Result {
+// stopFleet stops the routers gracefully, collects the records and checks them.
+func (sc *scenario) stopFleet(steps []Step) *Result {
 	var wait sync.WaitGroup
-	for _, r := range p.allRouters() {
+	for _, r := range sc.allRouters() {
 		if r.down.Load() {
 			continue
 		}
@@ -212,66 +219,70 @@
 		}()
 	}
 	wait.Wait()
-	for _, e := range p.engines {
+	for _, e := range sc.engines {
 		e.Stop()
 	}
-	r := &Result{Seed: p.Seed, Steps: steps, Batches: p.batches, Runs: p.ledger.Runs(), Probes: p.ledger.Probes(), Engines: p.engineRecords(),
-		LinkFaults: p.linkFaults, History: map[int][]string{}, Began: p.began, Duration: p.Duration, SharedLimits: p.SharedLimits, Soak: p.Soak, FailedCalls: p.failedCalls(), RigStalls: p.stalls}
-	for _, one := range p.allRouters() {
-		one.names.Close()
-		one.log.Close()
-		r.Routers, r.Logs = append(r.Routers, one.record()), append(r.Logs, one.logFile())
+	r := &Result{Seed: sc.Seed, Steps: steps, Batches: sc.batches, Runs: sc.ledger.Runs(), Probes: sc.ledger.Probes(), Engines: sc.engineRecords(),
+		LinkFaults: sc.linkFaults, History: map[int][]string{}, Began: sc.began, Duration: sc.Duration,
+		SharedLimits: sc.SharedLimits, Soak: sc.Soak, FailedCalls: sc.failedCalls(), RigStalls: sc.stalls}
+	for _, router := range sc.allRouters() {
+		router.names.Close()
+		router.log.Close()
+		r.Routers, r.Logs = append(r.Routers, router.record()), append(r.Logs, router.logFile())
 	}
-	for _, l := range p.connections {
-		r.History[l.number] = l.history
+	for _, conn := range sc.connections {
+		r.History[conn.number] = conn.history
 	}
 	r.Findings = append(Check(r), r.invariantViolations()...)
 	return r
 }
 
-// action is what an engine does with a batch. What it takes goes by the batch alone, so that its client can tell it, and what else
-// happens by how often its text has come too. A seed always does the same. The work once went by the text and its count: what
-// clients told was then true of one in hundreds, the smallest tellings went first, and engines got a third more than was booked.
-func (p *scenario) action(r standin.Run, count int) standin.Act {
+// action decides what an engine does with a batch. The work depends on the batch alone, so that its client can declare
+// it; the failure also depends on how often the batch's text has arrived. A seed always gives the same actions. When
+// the work depended on the text and its count, declarations were right for one batch in hundreds, batches with the
+// smallest declared work went first, and engines received a third more work than was booked.
+func (sc *scenario) action(r standin.Run, count int) standin.Act {
 	h := fnv.New64a()
 	h.Write([]byte(cmp.Or(r.ID, r.Text))) //nolint:errcheck
-	work := rand.New(rand.NewPCG(p.Seed^h.Sum64(), 0))
-	a := standin.Act{After: time.Duration(5+work.IntN(120)) * time.Millisecond, Rows: rowsOf(r.Text)}
+	work := rand.New(rand.NewPCG(sc.Seed^h.Sum64(), 0))
+	act := standin.Act{After: time.Duration(5+work.IntN(120)) * time.Millisecond, Rows: rowsOf(r.Text)}
 	if work.IntN(40) == 0 {
-		a.After = time.Duration(300+work.IntN(300)) * time.Millisecond
+		act.After = time.Duration(300+work.IntN(300)) * time.Millisecond
 	}
-	chance := rand.New(rand.NewPCG(p.Seed^h.Sum64(), uint64(1+count)))
-	if chance.IntN(25) == 0 {
-		a.Deed = []standin.Deed{standin.TurnAway, standin.Fail, standin.Drop, standin.Cut, standin.Hush, standin.Half,
-			standin.Garble, standin.Overlong}[chance.IntN(8)]
+	random := rand.New(rand.NewPCG(sc.Seed^h.Sum64(), uint64(1+count)))
+	if random.IntN(25) == 0 {
+		act.Deed = []standin.Deed{standin.TurnAway, standin.Fail, standin.Drop, standin.Cut, standin.Hush, standin.Half,
+			standin.Garble, standin.Overlong}[random.IntN(8)]
 	}
-	return a
+	return act
 }
 
+// rowsOf is the number of rows that a batch's text asks for.
 func rowsOf(text string) (n int) {
 	fmt.Sscanf(text, "SELECT %d", &n) //nolint:errcheck
 	return n
 }
 
-// allRouters is all routers and twins. The fleet is locked, or nothing changes any more.
-func (p *scenario) allRouters() []*router { return append(slices.Clone(p.routers), p.duplicates...) }
+// allRouters lists routers and duplicates. The caller holds fleetMutex, or the fleet no longer changes.
+func (sc *scenario) allRouters() []*router { return append(slices.Clone(sc.routers), sc.duplicates...) }
 
-// routerOf is the router that a step means.
-func (p *scenario) routerOf(s Step) *router { return p.routers[s.Selector%p.Routers] }
+// routerOf is the router that a step selects.
+func (sc *scenario) routerOf(s Step) *router { return sc.routers[s.Selector%sc.Routers] }
 
-// routersOf are those that a step means where it means a share of them: at least one, and not all unless it says so.
-func (p *scenario) routersOf(s Step, share float64) (out []*router) {
-	n := min(max(int(share*float64(p.Routers)+0.5), 1), max(p.Routers-1, 1))
+// routersOf are the routers that a step selects by a share of the fleet: at least one, and all of them only if the
+// share is 1.
+func (sc *scenario) routersOf(s Step, share float64) (out []*router) {
+	n := min(max(int(share*float64(sc.Routers)+0.5), 1), max(sc.Routers-1, 1))
 	if share >= 1 {
-		n = p.Routers
+		n = sc.Routers
 	}
 	for i := range n {
-		out = append(out, p.routers[(s.Selector+i)%p.Routers])
+		out = append(out, sc.routers[(s.Selector+i)%sc.Routers])
 	}
 	return out
 }
 
-// forEachLocked does the same with several at once, having each to itself, and waits.
+// forEachLocked calls do for several routers concurrently, holding each one's processMutex, and waits for all.
 func forEachLocked(all []*router, do func(r *router)) {
 	var wait sync.WaitGroup
 	for _, r := range all {
@@ -286,82 +297,84 @@
 	wait.Wait()
 }
 
-// inject lets one thing go wrong.
-func (p *scenario) inject(s Step) {
-	p.fleetMutex.Lock()
-	p.fail(p.replaceDrained())
-	engine := p.engines[s.Selector%len(p.engines)]
-	p.fleetMutex.Unlock()
-	chance := rand.New(rand.NewPCG(p.Seed, uint64(s.At)))
+// inject carries out one step of the script and returns when the fault has ended, except for MisbehavingClients.
+func (sc *scenario) inject(s Step) {
+	sc.fleetMutex.Lock()
+	sc.fail(sc.replaceDrained())
+	engine := sc.engines[s.Selector%len(sc.engines)]
+	sc.fleetMutex.Unlock()
+	random := rand.New(rand.NewPCG(sc.Seed, uint64(s.At)))
 	switch s.Fault {
 	case NameServiceDown, EngineSilent, EngineReplaced, Drain:
-		p.injectEngineFault(s, engine)
+		sc.injectEngineFault(s, engine)
 	case CutEngine, CutZone, CutOneWay, CutNameService, SlowBytes, PacketLoss:
-		p.injectLinkFault(s, engine)
+		sc.injectLinkFault(s, engine)
 	case CrashLoop:
-		p.injectEngineFault(Step{Fault: EngineReplaced, Selector: s.Selector}, engine)
-		p.injectFleetFault(s)
+		sc.injectEngineFault(Step{Fault: EngineReplaced, Selector: s.Selector}, engine)
+		sc.injectFleetFault(s)
 	case KillMany, RestartAll, PauseMany, LateStart, DuplicateProcess, OlderBuild:
-		p.injectFleetFault(s)
+		sc.injectFleetFault(s)
 	case MisbehavingClients:
-		go p.routerOf(s).misbehave(s)
+		go sc.routerOf(s).misbehave(s)
 	case SystemCalls, StopAndKill, Signals, IdleFlood:
-		p.injectSoakFault(s)
+		sc.injectSoakFault(s)
 	default:
-		r := p.routerOf(s)
+		r := sc.routerOf(s)
 		r.processMutex.Lock()
 		defer r.processMutex.Unlock()
 		if !r.down.Load() {
-			r.injectProcessFault(s, chance)
+			r.injectProcessFault(s, random)
 		}
 	}
 }
 
-// injectEngineFault lets something go wrong with engines or the list of them.
-func (p *scenario) injectEngineFault(s Step, engine *engineServer) {
-	p.fleetMutex.Lock()
-	defer p.fleetMutex.Unlock()
+// injectEngineFault makes an engine or a name service fail.
+func (sc *scenario) injectEngineFault(s Step, engine *engineServer) {
+	sc.fleetMutex.Lock()
+	defer sc.fleetMutex.Unlock()
 	switch s.Fault {
 	case NameServiceDown:
-		r := p.routerOf(s)
+		r := sc.routerOf(s)
 		r.names.Close()
-		p.fleetMutex.Unlock()
+		sc.fleetMutex.Unlock()
 		time.Sleep(s.Duration)
-		r.processMutex.Lock() // before the fleet's, as everywhere: a start reads where the names are, and writes the same file
+		// Lock order: processMutex before fleetMutex, because a start reads the name service's address and writes the
+		// same file.
+		r.processMutex.Lock()
 		defer r.processMutex.Unlock()
-		p.fleetMutex.Lock()
-		p.fail(r.moveNameService())
+		sc.fleetMutex.Lock()
+		sc.fail(r.moveNameService())
 	case EngineSilent:
 		engine.Silence(s.Duration)
 	case EngineReplaced:
-		p.fail(p.replaceEngine(engine))
+		sc.fail(sc.replaceEngine(engine))
 	case Drain:
-		p.fail(p.drain(engine))
+		sc.fail(sc.drain(engine))
 	}
 }
 
-// injectProcessFault lets something go wrong with one process.
-func (r *router) injectProcessFault(s Step, chance *rand.Rand) {
-	names := func() {
+// injectProcessFault disturbs one router process. The caller holds its processMutex.
+func (r *router) injectProcessFault(s Step, random *rand.Rand) {
+	moveNames := func() {
 		r.fleetMutex.Lock()
 		defer r.fleetMutex.Unlock()
 		r.fail(r.moveNameService())
 	}
 	switch s.Fault {
 	case MoveNameService:
-		names()
+		moveNames()
 	case Reload:
-		r.limits = [2]int{r.MemoryMB + chance.IntN(33), r.Descriptors - chance.IntN(65)}
+		r.limits = [2]int{r.MemoryMB + random.IntN(33), r.Descriptors - random.IntN(65)}
 		r.fail(r.configure())
-		r.hangup()
+		r.reload()
 	case Burst:
 		for range 2 + s.Selector {
-			if chance.IntN(2) == 0 {
-				names()
+			if random.IntN(2) == 0 {
+				moveNames()
 			} else {
-				r.hangup()
+				r.reload()
 			}
-			time.Sleep(time.Duration(chance.IntN(15)) * time.Millisecond)
+			time.Sleep(time.Duration(random.IntN(15)) * time.Millisecond)
 		}
 	case Pause:
 		r.pause(s.Duration)
@@ -369,8 +382,8 @@
 		r.terminate()
 		if s.Fault == ReloadStop {
 			for range s.Selector {
-				r.hangup()
-				time.Sleep(time.Duration(chance.IntN(10)) * time.Millisecond)
+				r.reload()
+				time.Sleep(time.Duration(random.IntN(10)) * time.Millisecond)
 			}
 		}
 		r.waitExit()
@@ -378,7 +391,7 @@
 	case Kill:
 		r.kill()
 		r.fail(r.start())
-		r.drainAfterStart(chance)
+		r.drainAfterStart(random)
 	case ConnectionChurn:
 		for range 4 * s.count() {
 			if c, err := net.DialTimeout("tcp", r.address, time.Second); err == nil {
@@ -390,16 +403,18 @@
 	}
 }
 
-// drainAfterStart has an engine drain just after a start: what the router has been told by then decides whether it sees it.
-func (r *router) drainAfterStart(chance *rand.Rand) {
+// drainAfterStart marks an engine as draining just after a router's start; whether the router notices depends on what
+// the name service has reported to it by then.
+func (r *router) drainAfterStart(random *rand.Rand) {
 	r.fleetMutex.Lock()
 	defer r.fleetMutex.Unlock()
 	if n := len(r.engines); n > 0 {
-		r.fail(r.drain(r.engines[chance.IntN(n)]))
+		r.fail(r.drain(r.engines[random.IntN(n)]))
 	}
 }
 
-// misbehave connects, says nothing or what is no frame, and waits.
+// misbehave opens connections that send nothing, an incomplete frame or invalid bytes, keeps them for the step's
+// duration, and closes them.
 func (r *router) misbehave(s Step) {
 	var conns []net.Conn
 	for i := range 10 * s.count() {
--- a/internal/torture/router.go
+++ b/internal/torture/router.go
@@ -18,109 +18,111 @@
 )
 
 const (
-	staleListProbability = 0.1     // of the name service's, with a list of before, be it of before the router's start
-	staleListStream      = 1 << 20 // of the seed's chances, one for each router
+	staleListProbability = 0.1     // of a name service's answers that hold an earlier list, possibly from before the router's start
+	staleListStream      = 1 << 20 // offset of the random streams for stale lists, one for each router
 )
 
-// router is one of a play: the processes that run under its name, one after the other, and its ways to all others.
+// router is one router of a scenario: the processes that run under its name one after the other, and its links.
 type router struct {
 	*scenario
-	number  int // place among the routers of the play
-	index   int // that it is told; a twin has the one of whom it doubles
+	number  int // unique within the scenario
+	index   int // number in its settings; a duplicate has the one of the router that it duplicates
 	name    string
 	address string
 	program string
 	config  string
 	log     *os.File
 
-	names              *standin.Names           // its own view of the list; the fleet's lock covers it
-	nameServiceAddress string                   // where it finds them
-	peerAddresses      map[string]string        // by which address it reaches another router that talks, by the one which that tells
-	engineLinks        map[string]*relay.Stream // to engines, by name, where there is a fabric; the play's end closes them
+	names              *standin.Names           // its own name service; guarded by fleetMutex
+	nameServiceAddress string                   // by which the router reaches it
+	peerAddresses      map[string]string        // by the advertised address of the peer: the address of the link to it
+	engineLinks        map[string]*relay.Stream // by engine name; empty without a fabric. The fabric closes them
 
-	processMutex sync.Mutex // whoever lets something go wrong with the process has it to himself
-	limits       [2]int     // memory and descriptors, as last told
+	processMutex sync.Mutex // held by whoever disturbs the process
+	limits       [2]int     // memory in MB and descriptors, as last configured
 	process      *exec.Cmd
 	exited       chan struct{}
 	stopping     atomic.Bool
-	down         atomic.Bool // no process runs, and none is about to
+	down         atomic.Bool // no process runs, and none is being started
 
-	mutex        sync.Mutex // of the next two
+	mutex        sync.Mutex // guards the next three fields
 	incarnations []Incarnation
 	pauses       []Interval
 	idleFloods   []Interval
 
-	callFaults *syscallfault.Table // of its system calls; nil: none fail
+	callFaults *syscallfault.Table // system calls that fail; nil: none do
 }
 
-// Router is what the checker is told of one.
+// Router is the checker's record of one router.
 type Router struct {
 	Name          string
 	Incarnations  []Incarnation
 	Pauses        []Interval
-	IdleFloods    []Interval               // idle clients filled its descriptors
-	DrainReported map[string]time.Duration // when it was first told that an engine drains, by name
+	IdleFloods    []Interval               // when idle clients used up its descriptors
+	DrainReported map[string]time.Duration // when its name service first reported that an engine drains, by engine name
 }
 
-func (p *scenario) newRouter(index int, program string) (*router, error) {
-	r := &router{scenario: p, number: len(p.routers) + len(p.duplicates), index: index, name: fmt.Sprintf("n%d", index+1), program: program,
-		engineLinks: map[string]*relay.Stream{}, peerAddresses: map[string]string{}, limits: [2]int{p.MemoryMB, p.Descriptors}}
-	// A loopback address of the play's own keeps a port free between two starts of a router.
-	r.address = fmt.Sprintf("%s:%d", p.host, 7400+r.number)
-	r.config = filepath.Join(p.Folder, fmt.Sprintf("config-%d-%d.json", p.Seed, r.number))
+// newRouter prepares a router with its log, fault table and name service, but starts no process.
+func (sc *scenario) newRouter(index int, program string) (*router, error) {
+	r := &router{scenario: sc, number: len(sc.routers) + len(sc.duplicates), index: index, name: fmt.Sprintf("n%d", index+1), program: program,
+		engineLinks: map[string]*relay.Stream{}, peerAddresses: map[string]string{}, limits: [2]int{sc.MemoryMB, sc.Descriptors}}
+	// A loopback address that only this scenario uses keeps the port free between two starts of a router.
+	r.address = fmt.Sprintf("%s:%d", sc.host, 7400+r.number)
+	r.config = filepath.Join(sc.Folder, fmt.Sprintf("config-%d-%d.json", sc.Seed, r.number))
 	r.down.Store(true)
 	var err error
 	if r.log, err = os.Create(r.logFile()); err != nil {
 		return nil, fmt.Errorf("torture: %w", err)
 	}
-	if p.faultLibrary != "" {
-		if r.callFaults, err = syscallfault.NewTable(p.Folder, p.Seed<<8|uint64(r.number)+1); err != nil {
+	if sc.faultLibrary != "" {
+		if r.callFaults, err = syscallfault.NewTable(sc.Folder, sc.Seed<<8|uint64(r.number)+1); err != nil {
 			return nil, err
 		}
 	}
-	if r.names, err = standin.NewNames(p.host + ":0"); err != nil {
+	if r.names, err = standin.NewNames(sc.host + ":0"); err != nil {
 		return nil, err
 	}
 	r.names.Old(staleListProbability, rand.New(rand.NewPCG(r.Seed, staleListStream+uint64(r.number))).Float64)
 	return r, r.linkNameService()
 }
 
-// endpoint is what links call it.
+// endpoint is the router's name among the ends of links.
 func (r *router) endpoint() string { return fmt.Sprintf("r%d", r.number) }
 
-// linkNameService makes the way to the name service.
+// linkNameService creates the link to the name service.
 func (r *router) linkNameService() error {
 	r.nameServiceAddress = r.names.LocalAddr().String()
 	if r.fabric == nil {
 		return nil
 	}
-	way, err := r.fabric.Datagrams(r.host, r.endpoint(), nameServiceEndpoint, nil, r.names.LocalAddr())
+	link, err := r.fabric.Datagrams(r.host, r.endpoint(), nameServiceEndpoint, nil, r.names.LocalAddr())
 	if err != nil {
 		return err
 	}
-	r.nameServiceAddress = way.A.LocalAddr().String()
+	r.nameServiceAddress = link.A.LocalAddr().String()
 	return nil
 }
 
-// engineAddress gives the address by which this router reaches an engine.
+// engineAddress is the address by which this router reaches an engine. It creates the link on first use.
 func (r *router) engineAddress(e *engineServer, address string) (string, error) {
 	if r.fabric == nil {
 		return address, nil
 	}
 	if r.engineLinks[e.Engine.Name] == nil {
-		way, err := r.fabric.Stream(r.host, r.endpoint(), e.Engine.Name, address)
+		link, err := r.fabric.Stream(r.host, r.endpoint(), e.Engine.Name, address)
 		if err != nil {
 			return "", err
 		}
-		r.engineLinks[e.Engine.Name] = way
+		r.engineLinks[e.Engine.Name] = link
 	}
 	return r.engineLinks[e.Engine.Name].Addr().String(), nil
 }
 
-// configure writes what the router is told; the change of the file is whole or not at all, as an operator's would be.
+// configure writes the router's configuration file. It replaces the file atomically, as an operator would.
 func (r *router) configure() error {
-	told := fmt.Sprintf(settings, r.Routers, r.index)
-	text, err := rig.Configuration(told, r.name, r.address, fmt.Sprintf("%08x%08x", uint32(r.Seed), r.number+16*r.startCount()), r.limits[0], r.limits[1], r.nameServiceAddress, r.names.Known())
+	platform := fmt.Sprintf(settings, r.Routers, r.index)
+	text, err := rig.Configuration(platform, r.name, r.address, fmt.Sprintf("%08x%08x", uint32(r.Seed),
+		r.number+16*r.startCount()), r.limits[0], r.limits[1], r.nameServiceAddress, r.names.Known())
 	if err == nil {
 		if err = os.WriteFile(r.config+".new", text, 0o600); err == nil {
 			err = os.Rename(r.config+".new", r.config)
@@ -132,19 +134,21 @@
 	return nil
 }
 
+// startCount is the number of starts so far.
 func (r *router) startCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.incarnations)
 }
 
-// moveNameService puts its name service at another address and tells it by SIGHUP. The old one falls silent. The fleet is locked.
+// moveNameService replaces the router's name service by one at another address and reloads the configuration with
+// SIGHUP. The old one stops answering. The caller holds fleetMutex.
 func (r *router) moveNameService() error {
 	names, err := standin.NewNames(r.host + ":0")
 	if err != nil {
 		return err
 	}
-	r.names.Close() // before its numbers go over: what it says later is not known here
+	r.names.Close() // before its state is copied: what it reported later would not be recorded
 	names.From(r.names)
 	r.names = names
 	if err := r.linkNameService(); err != nil {
@@ -153,7 +157,7 @@
 	if err := r.configure(); err != nil {
 		return err
 	}
-	r.hangup()
+	r.reload()
 	return nil
 }
 
@@ -161,7 +165,8 @@
 	return filepath.Join(r.Folder, fmt.Sprintf("log-%d-%d.json", r.Seed, r.number))
 }
 
-// start starts the process and waits until it is ready. The numbers of its lists begin anew, as on the platform.
+// start starts the process and waits until it answers that it is ready. The name service numbers its lists from 1
+// again, as the platform does.
 func (r *router) start() error {
 	if r.startCount() > 0 {
 		r.names.Renumber()
@@ -169,18 +174,18 @@
 	if err := r.configure(); err != nil {
 		return err
 	}
-	words := []string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, r.Descriptors), r.program}
+	args := []string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, r.Descriptors), r.program}
 	if r.Debug {
-		words = append(words, "--log-level", "debug")
+		args = append(args, "--log-level", "debug")
 	}
 	if r.PeerMessaging {
 		path, err := r.writeSettings()
 		if err != nil {
 			return err
 		}
-		words = append(words, "--settings", path)
+		args = append(args, "--settings", path)
 	}
-	c := exec.Command("/bin/sh", words...)
+	c := exec.Command("/bin/sh", args...)
 	c.Env, c.Stderr = append(os.Environ(), "RELAY_CONFIG="+r.config), r.log
 	if r.callFaults != nil {
 		c.Env = append(c.Env, r.callFaults.Environment(r.faultLibrary, r.program)...)
@@ -191,21 +196,21 @@
 	r.process, r.exited = c, make(chan struct{})
 	r.mutex.Lock()
 	r.incarnations = append(r.incarnations, Incarnation{Began: r.since()})
-	life, exited := len(r.incarnations)-1, r.exited
+	incarnation, exited := len(r.incarnations)-1, r.exited
 	r.mutex.Unlock()
 	go func() {
 		c.Wait() //nolint:errcheck
 		r.mutex.Lock()
-		r.incarnations[life].Ended, r.incarnations[life].Exit = r.since(), c.ProcessState.String()
+		r.incarnations[incarnation].Ended, r.incarnations[incarnation].Exit = r.since(), c.ProcessState.String()
 		r.mutex.Unlock()
 		close(exited)
 	}()
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if k, err := standin.Dial(r.address); err == nil {
-			_, err := k.Write(standin.Frame(20, 1, []string{}, ""))
-			a, err2 := k.Next(time.Second)
-			k.Close()
-			if err == nil && err2 == nil && a.Type == 21 && a.Code == 0 {
+		if client, err := standin.Dial(r.address); err == nil {
+			_, err := client.Write(standin.Frame(20, 1, []string{}, ""))
+			answer, readErr := client.Next(time.Second)
+			client.Close()
+			if err == nil && readErr == nil && answer.Type == 21 && answer.Code == 0 {
 				r.stopping.Store(false)
 				r.down.Store(false)
 				return nil
@@ -215,15 +220,17 @@
 	return fmt.Errorf("torture: seed %d: router %s was not ready within %s", r.Seed, r.name, readyTimeout)
 }
 
-func (r *router) hangup() { r.signal(syscall.SIGHUP) }
+// reload makes the router read its configuration again.
+func (r *router) reload() { r.signal(syscall.SIGHUP) }
 
+// signal sends a signal to the process if one was ever started.
 func (r *router) signal(s syscall.Signal) {
 	if r.process != nil {
 		r.process.Process.Signal(s) //nolint:errcheck // it may have ended
 	}
 }
 
-// terminate asks the process to end in peace.
+// terminate sends SIGTERM.
 func (r *router) terminate() {
 	r.stopping.Store(true)
 	r.mutex.Lock()
@@ -232,7 +239,8 @@
 	r.signal(syscall.SIGTERM)
 }
 
-// waitExit waits until it has; a process that does not is killed, which is a finding.
+// waitExit waits for the process to exit. A process that does not exit within stopTimeout is killed, which the checker
+// reports.
 func (r *router) waitExit() {
 	select {
 	case <-r.exited:
@@ -242,6 +250,7 @@
 	r.down.Store(true)
 }
 
+// kill ends the process with SIGKILL and waits for its exit.
 func (r *router) kill() {
 	r.down.Store(true)
 	r.mutex.Lock()
@@ -251,46 +260,48 @@
 	<-r.exited
 }
 
-// killed tells whether a start was ended by SIGKILL, or is about to be.
-func (r *router) killed(life int) bool {
+// killed reports whether a start was ended by SIGKILL, or is about to be.
+func (r *router) killed(incarnation int) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.incarnations[life].Killed > 0
+	return r.incarnations[incarnation].Killed > 0
 }
 
-// pause stops the process for a while.
-func (r *router) pause(long time.Duration) {
+// pause stops the process with SIGSTOP for a while.
+func (r *router) pause(duration time.Duration) {
 	from := r.since()
 	r.signal(syscall.SIGSTOP)
-	time.Sleep(long)
+	time.Sleep(duration)
 	r.signal(syscall.SIGCONT)
 	r.mutex.Lock()
 	r.pauses = append(r.pauses, Interval{from, r.since()})
 	r.mutex.Unlock()
 }
 
-// throttle gives it a quarter of each tenth of a second, beside other faults. It ends with the process running, or gone.
-func (r *router) throttle(long time.Duration) {
+// throttle lets the process run for a quarter of each 100 ms, concurrently with other faults. It leaves the process
+// running or exited.
+func (r *router) throttle(duration time.Duration) {
 	r.mutex.Lock()
-	r.pauses = append(r.pauses, Interval{r.since(), r.since() + long})
+	r.pauses = append(r.pauses, Interval{r.since(), r.since() + duration})
 	r.mutex.Unlock()
-	of := r.process.Process
+	process := r.process.Process
 	go func() {
-		for end := time.Now().Add(long); time.Now().Before(end); time.Sleep(25 * time.Millisecond) {
-			if of.Signal(syscall.SIGSTOP) != nil {
+		for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(25 * time.Millisecond) {
+			if process.Signal(syscall.SIGSTOP) != nil {
 				return
 			}
 			time.Sleep(75 * time.Millisecond)
-			of.Signal(syscall.SIGCONT) //nolint:errcheck
+			process.Signal(syscall.SIGCONT) //nolint:errcheck
 		}
 	}()
 }
 
-// record is what the checker is told.
+// record is the checker's record of the router.
 func (r *router) record() Router {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	out := Router{Name: r.endpoint(), Incarnations: r.incarnations, Pauses: r.pauses, IdleFloods: r.idleFloods, DrainReported: map[string]time.Duration{}}
+	out := Router{Name: r.endpoint(), Incarnations: r.incarnations, Pauses: r.pauses, IdleFloods: r.idleFloods,
+		DrainReported: map[string]time.Duration{}}
 	for name, at := range r.names.Drains() {
 		out.DrainReported[name] = at.Sub(r.began)
 	}
--- a/internal/torture/runs.go
+++ b/internal/torture/runs.go
@@ -32,10 +32,12 @@
 	return c
 }
 
+// found records a violation by a dispatch.
 func (c *dispatchChecker) found(rule int, r standin.Run, format string, args ...any) {
 	c.findings = append(c.findings, Finding{Rule: rule, Batch: r.ID, At: c.at(r), Text: fmt.Sprintf(format, args...)})
 }
 
+// at is when a dispatch began at its engine, counted from the start of the scenario.
 func (c *dispatchChecker) at(r standin.Run) time.Duration { return r.Began.Sub(c.Began) }
 
 // router is the number of the router that sent a dispatch. A batch that its client did not write completely has no
@@ -89,6 +91,7 @@
 	return out
 }
 
+// overlap is the part of the interval that lies between two times.
 func (s Interval) overlap(from, to time.Duration) time.Duration {
 	return max(min(to, s.To)-max(from, s.From), 0)
 }
@@ -109,7 +112,7 @@
 }
 
 // checkEffects verifies that a batch has at most maxDispatches dispatches and none that could take effect twice.
-// At-most-once batches are checked across retries as well: a client that was told that a retry is safe may have asked
+// At-most-once batches are checked across retries as well: a client that received "safe to retry" may have asked
 // another router.
 func (c *dispatchChecker) checkEffects() {
 	count, ran := map[string]int{}, map[string]standin.Run{}
@@ -128,13 +131,14 @@
 		case r.Group == "once":
 			c.found(2, r, "once-only %s ran twice, first as %s", r.ID, first.ID)
 		case r.Group == "upload" && r.Began.Sub(first.Began) > dedupWindow+c.transitSlack(r, c.at(first), c.at(r)):
-			c.found(2, r, "deduplicated %s was dispatched again after %.3f s, when engines no longer remembered its key", r.ID, r.Began.Sub(first.Began).Seconds())
+			c.found(2, r, "deduplicated %s was dispatched again after %.3f s, when engines no longer remembered its key",
+				r.ID, r.Began.Sub(first.Began).Seconds())
 		}
 	}
 }
 
-// checkDraining verifies that no dispatch reaches a draining engine after the grace period from a router that was told
-// of it.
+// checkDraining verifies that no dispatch reaches a draining engine after the grace period from a router that was
+// informed of the draining.
 func (c *dispatchChecker) checkDraining() {
 	for _, r := range c.runs {
 		router := c.Routers[c.router(r)]
@@ -146,7 +150,8 @@
 			}
 		}
 		if reported > 0 && c.at(r) > reported+tolerance {
-			c.found(3, r, "%s reached %s %.3f s after %s was told that the engine drains", r.ID, r.Engine, (c.at(r) - reported).Seconds(), router.Name)
+			c.found(3, r, "%s reached %s %.3f s after %s was told that the engine drains", r.ID, r.Engine,
+				(c.at(r) - reported).Seconds(), router.Name)
 		}
 	}
 }
--- a/internal/torture/script.go
+++ b/internal/torture/script.go
@@ -1,6 +1,7 @@
-// Package torture puts the real program between stand-ins of ours and lets things go wrong at random, by a seed: reloads
-// that move the name service, restarts, kills, standstills, engines that break, clients that misbehave. A checker on both
-// sides of the program says what became of each batch; it reads nothing of the router's own books.
+// Package torture runs the real program between stand-in clients, engines and name services and injects random faults,
+// drawn from a seed: configuration reloads that move the name service, restarts, kills, process pauses, failing
+// engines, misbehaving clients. A checker compares what clients and engines saw of each batch with the rules; it does
+// not rely on the router's own accounting.
 package torture
 
 import (
@@ -10,40 +11,40 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is a kind of fault that a script injects.
 type Fault uint8
 
-// The faults of a script.
+// The faults of a script. Their names are printed with the script.
 const (
-	MoveNameService    Fault = iota // SIGHUP with the name service at another address; the old one falls silent
+	MoveNameService    Fault = iota // SIGHUP with the name service at another address; the old one stops answering
 	Reload                          // SIGHUP with other limits
 	Burst                           // several of both, milliseconds apart
 	Pause                           // SIGSTOP of the router for a while
-	Restart                         // SIGTERM, and a start under the same address once it has ended
-	Kill                            // SIGKILL, and a start, after which an engine drains
-	ReloadStop                      // SIGHUP amid SIGTERM
+	Restart                         // SIGTERM, and a start under the same address after the exit
+	Kill                            // SIGKILL and a start, after which an engine drains
+	ReloadStop                      // SIGHUP during a stop by SIGTERM
 	NameServiceDown                 // no answer from the name service for a while
-	EngineSilent                    // an engine says nothing for a while
-	EngineReplaced                  // an engine ends, another takes its place at another address
-	Drain                           // the list says that an engine drains; seconds later another takes its place
-	ConnectionChurn                 // all clients of a while come on new connections
-	Throttle                        // the router gets a quarter of each tenth of a second, as under a limit on its processor
-	MisbehavingClients              // connections that say nothing, half frames, rubbish
+	EngineSilent                    // an engine sends nothing for a while
+	EngineReplaced                  // an engine stops, and another one starts at another address
+	Drain                           // the name service reports that an engine drains; seconds later it is replaced
+	ConnectionChurn                 // clients open and close connections
+	Throttle                        // the router runs for a quarter of each 100 ms, as under a CPU quota
+	MisbehavingClients              // connections that send nothing, incomplete frames or invalid bytes
 
-	// Those of a fleet: several routers before the same engines, with links between all of them.
-	KillMany         // SIGKILL of several at once, and a start of each some time later, with nothing remembered
-	RestartAll       // SIGTERM and a start, one after the other
-	PauseMany        // SIGSTOP of several, or of all
-	LateStart        // one starts late
-	DuplicateProcess // a second process under the name and number of one, for a while
-	OlderBuild       // one is restarted with the other build of the program, and later with its own
-	CrashLoop        // an engine is replaced, and all are killed and started again three times within a fall time
+	// Faults of a fleet: several routers in front of the same engines, with links between all of them.
+	KillMany         // SIGKILL of several at once, and a start of each some time later, without any state
+	RestartAll       // SIGTERM and a start of each, one after the other
+	PauseMany        // SIGSTOP of several or all
+	LateStart        // a router starts late
+	DuplicateProcess // a second process under the name and number of a router, for a while
+	OlderBuild       // a router is restarted with the older build of the program, and later with its own
+	CrashLoop        // an engine is replaced, and all routers are killed and started three times within fallTime
 	CutEngine        // nothing passes between a router and an engine
-	CutZone          // nor between the half of the routers and a zone, and the others
-	CutOneWay        // nothing comes back from an engine, or nothing goes there
-	CutNameService   // one hears nothing of the name service
-	SlowBytes        // an engine's bytes come to some routers in drops
-	PacketLoss       // datagrams are lost, doubled and late; streams are late
+	CutZone          // nothing passes between half of the routers with one zone and all others
+	CutOneWay        // nothing passes from an engine to a router, or in the other direction only
+	CutNameService   // a router receives nothing from the name service
+	SlowBytes        // an engine's bytes reach the routers slowly
+	PacketLoss       // datagrams are lost, duplicated, reordered and late; streams are late
 	scriptFaultCount
 )
 
@@ -58,31 +59,33 @@
 	return faultNames[f]
 }
 
-// Step is a fault at a time of the play.
+// Step is a fault at a time of the scenario.
 type Step struct {
 	At       time.Duration
 	Fault    Fault
-	Duration time.Duration // of those that last
-	Selector int           // engine, or how many
+	Duration time.Duration // of faults that last
+	Selector int           // selects a router or an engine, or says how many
 }
 
-// count is a number from 1 to 6.
+// count is a number from 1 to 6 that follows from the selector.
 func (s Step) count() int { return 1 + (s.Selector+5)%6 }
 
 func (s Step) String() string {
 	return fmt.Sprintf("%.2f s: %s, %.2f s, %d", s.At.Seconds(), s.Fault, s.Duration.Seconds(), s.Selector)
 }
 
-const replacementInterval = 1700 * time.Millisecond // of a fleet's engines: about three of four are cold
+const replacementInterval = 1700 * time.Millisecond // of engines in front of a fleet: about three of four are cold
 
-// Script draws what goes wrong in a play of some length. The same seed gives the same script. Every third seed of one router
-// has reloads as its only trouble, with many of them: that is what a reload day of the users' bench lost batches on. Scripts
-// of a fleet have engines replaced all the time, since that is when what routers do together can push one over.
-func Script(seed uint64, long time.Duration, routers int) []Step {
-	r := rand.New(rand.NewPCG(seed, 1))
+// Script draws the faults of a scenario of a given length. The same seed gives the same script. For one router, every
+// third seed reloads the configuration often and injects none of the heavier faults, because batches were lost on a day
+// of reloads in the users' benchmark. In front of a fleet, engines are replaced all the time, because routers can
+// overload an engine together only while it is cold.
+func Script(seed uint64, duration time.Duration, routers int) []Step {
+	random := rand.New(rand.NewPCG(seed, 1))
 	kinds := make([]Fault, 0, scriptFaultCount)
 	for f := range KillMany {
-		if seed%3 != 0 || routers > 1 || f == MoveNameService || f == Reload || f == Burst || f == MisbehavingClients || f == ConnectionChurn || f == Throttle {
+		if seed%3 != 0 || routers > 1 || f == MoveNameService || f == Reload || f == Burst || f == MisbehavingClients ||
+			f == ConnectionChurn || f == Throttle {
 			kinds = append(kinds, f)
 		}
 	}
@@ -93,12 +96,12 @@
 		kinds = append(kinds, KillMany, KillMany, PauseMany, PauseMany, PauseMany, CrashLoop)
 	}
 	var steps []Step
-	for at := replacementInterval / 2; routers > 1 && at < long; at += replacementInterval {
-		steps = append(steps, Step{At: at, Fault: EngineReplaced, Selector: r.IntN(6)})
+	for at := replacementInterval / 2; routers > 1 && at < duration; at += replacementInterval {
+		steps = append(steps, Step{At: at, Fault: EngineReplaced, Selector: random.IntN(6)})
 	}
-	for range 4 + r.IntN(int(long.Seconds())) + min(routers-1, 4) {
-		s := Step{At: time.Duration(float64(long) * (0.1 + 0.8*r.Float64())), Fault: kinds[r.IntN(len(kinds))],
-			Duration: time.Duration((0.1 + 1.2*r.Float64()) * float64(time.Second)), Selector: 1 + r.IntN(6)}
+	for range 4 + random.IntN(int(duration.Seconds())) + min(routers-1, 4) {
+		s := Step{At: time.Duration(float64(duration) * (0.1 + 0.8*random.Float64())), Fault: kinds[random.IntN(len(kinds))],
+			Duration: time.Duration((0.1 + 1.2*random.Float64()) * float64(time.Second)), Selector: 1 + random.IntN(6)}
 		if s.Fault >= KillMany {
 			s.Duration *= 2
 		}
--- a/internal/torture/talk.go
+++ b/internal/torture/talk.go
@@ -17,57 +17,61 @@
 	"pitchfield/internal/talk"
 )
 
-// Bounds of what a fleet may take to agree, once nothing goes wrong any more. Routers probe each other ten times a second
-// here; on a busy machine they do so late.
+// Time within which the members of a fleet have to agree after the last fault, and settings of their messaging. Routers
+// probe each other ten times a second here, less often on a busy machine.
 const (
-	agreementTimeout      = 25 * time.Second
-	peerProbeInterval     = "100ms"
-	acceptLossAfter       = "6s"
-	agreementPollInterval = 100 * time.Millisecond
+	agreementTimeout      = 25 * time.Second       // after the last fault
+	peerProbeInterval     = "100ms"                // setting fleet.every
+	acceptLossAfter       = "6s"                   // setting fleet.accept-loss-after
+	agreementPollInterval = 100 * time.Millisecond // between two looks at the members' views
 )
 
-func (r *router) peerAddress() string   { return fmt.Sprintf("%s:%d", r.host, 7500+r.number) }
+// peerAddress is where the router receives peer messages.
+func (r *router) peerAddress() string { return fmt.Sprintf("%s:%d", r.host, 7500+r.number) }
+
+// statusAddress is where the router serves its status.
 func (r *router) statusAddress() string { return fmt.Sprintf("%s:%d", r.host, 7600+r.number) }
 
-// linkPeers makes the links to other routers, each pair on its own, each direction with its own weather. The fleet is locked.
+// linkPeers creates links to the other routers: one for each pair, with separate faults for each direction. The caller
+// holds fleetMutex.
 func (r *router) linkPeers(others []*router) error {
-	for _, o := range others {
-		if o == r {
+	for _, other := range others {
+		if other == r {
 			continue
 		}
-		to := func(of *router) relay.Address { return relay.Address(of.peerAddress()) }
-		way, err := r.fabric.Datagrams(r.host, r.endpoint(), o.endpoint(), to(r), to(o))
+		peerAddress := func(router *router) relay.Address { return relay.Address(router.peerAddress()) }
+		link, err := r.fabric.Datagrams(r.host, r.endpoint(), other.endpoint(), peerAddress(r), peerAddress(other))
 		if err != nil {
 			return err
 		}
-		r.setPeerAddress(o, way.A.LocalAddr())
-		o.setPeerAddress(r, way.B.LocalAddr())
+		r.setPeerAddress(other, link.A.LocalAddr())
+		other.setPeerAddress(r, link.B.LocalAddr())
 	}
 	return nil
 }
 
-// setPeerAddress notes by which address another router is reached, from the next start on.
-func (r *router) setPeerAddress(o *router, by net.Addr) {
+// setPeerAddress sets the address by which another router is reached, from the next start on.
+func (r *router) setPeerAddress(other *router, by net.Addr) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.peerAddresses[o.peerAddress()] = by.String()
+	r.peerAddresses[other.peerAddress()] = by.String()
 }
 
-// writeSettings writes settings of our own for a router that talks; it gives their path.
+// writeSettings writes the settings file of a router that exchanges peer messages and returns its path.
 func (r *router) writeSettings() (string, error) {
 	var seeds []string
-	for _, o := range r.routers[:min(len(r.routers), 2)] {
-		seeds = append(seeds, fmt.Sprintf("%q", o.peerAddress()))
+	for _, peer := range r.routers[:min(len(r.routers), 2)] {
+		seeds = append(seeds, fmt.Sprintf("%q", peer.peerAddress()))
 	}
-	var via []string
+	var links []string
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for to, by := range r.peerAddresses {
-		via = append(via, fmt.Sprintf("{to = %q, by = %q}", to, by))
+		links = append(links, fmt.Sprintf("{to = %q, by = %q}", to, by))
 	}
 	text := fmt.Sprintf("[status]\nlisten = %q\n\n[fleet]\nname = \"torture\"\nlisten = %q\nseeds = [%s]\nnetworks = [\"127.0.0.0/8\"]\nevery = %q\naccept-loss-after = %q\nvia = [%s]\n",
-		r.statusAddress(), r.peerAddress(), strings.Join(seeds, ", "), peerProbeInterval, acceptLossAfter, strings.Join(via, ", "))
-	if r.program == r.Program { // an older build may not know it
+		r.statusAddress(), r.peerAddress(), strings.Join(seeds, ", "), peerProbeInterval, acceptLossAfter, strings.Join(links, ", "))
+	if r.program == r.Program { // an older build may not know this setting
 		text += "load = \"100ms\"\n"
 	}
 	if r.QuotaShares {
@@ -80,28 +84,30 @@
 	return path, nil
 }
 
-// quotaSettings are the settings of what the routers divide by talk: three keepers, and of two routers one. Leases are as long as the
-// engines' fall time is half, so that a standstill of seconds outlasts them.
+// quotaSettings are the settings of the quotas that routers divide: three replicas, or one if there are only two
+// routers. Leases last a quarter of the engines' fall time, so that a pause of seconds outlasts them.
 func (r *router) quotaSettings() string {
 	n := 3
 	if len(r.routers) < n {
 		n = 1
 	}
-	var keepers []string
-	for _, o := range r.routers[:n] {
-		keepers = append(keepers, fmt.Sprintf("%q", o.peerAddress()))
+	var replicas []string
+	for _, peer := range r.routers[:n] {
+		replicas = append(replicas, fmt.Sprintf("%q", peer.peerAddress()))
 	}
-	return fmt.Sprintf("\n[shares]\nkeepers = [%s]\nfirm = %g\nlease = \"500ms\"\nterm = \"1s\"\n", strings.Join(keepers, ", "), r.FirmShare) + r.sharedLimitSettings()
+	return fmt.Sprintf("\n[shares]\nkeepers = [%s]\nfirm = %g\nlease = \"500ms\"\nterm = \"1s\"\n", strings.Join(replicas, ", "),
+		r.FirmShare) + r.sharedLimitSettings()
 }
 
-// What all routers divide beside the work of cold engines: tight enough to be wanted all the time.
+// Limits that all routers divide besides the capacity of cold engines: so tight that they are used up all the time.
 const (
-	fleetFreeRetries     = 4
+	fleetFreeRetries     = 4 // per fleetFreeRetryWindow
 	fleetFreeRetryWindow = time.Second
-	maxConcurrentReports = 6
+	maxConcurrentReports = 6 // of all routers together
 )
 
-// sharedLimitSettings are the settings of that. Reports are pushed back at their bound: a play is too short for them to wait.
+// sharedLimitSettings are the settings of those limits. Reports are rejected at their limit, because a scenario is too
+// short for them to wait.
 func (r *router) sharedLimitSettings() string {
 	if !r.SharedLimits {
 		return ""
@@ -130,50 +136,53 @@
 `, fleetFreeRetries, fleetFreeRetryWindow.String(), maxConcurrentReports)
 }
 
-// sendMalformedPackets sends what is no packet of the fleet, and what is one of another: bytes by chance, too much, cut, of a router that
-// nobody knows under another fleet's name.
+// sendMalformedPackets sends invalid packets to the router's peer address: random bytes of several sizes, and whole and
+// truncated messages of an unknown router of another fleet.
 func (r *router) sendMalformedPackets(s Step) {
-	c, err := net.Dial("udp", r.peerAddress())
+	conn, err := net.Dial("udp", r.peerAddress())
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	chance := rand.New(rand.NewPCG(r.Seed, uint64(s.At)))
-	ghost := membership.Member{ID: membership.ID{Name: "ghost", Start: 1}, Address: "127.0.0.1:9"}
-	other, err := talk.Encode("another", &talk.Message{Message: membership.Message{Kind: membership.Ping, From: ghost, Number: 1}})
+	defer conn.Close()
+	random := rand.New(rand.NewPCG(r.Seed, uint64(s.At)))
+	unknown := membership.Member{ID: membership.ID{Name: "ghost", Start: 1}, Address: "127.0.0.1:9"}
+	foreign, err := talk.Encode("another", &talk.Message{Message: membership.Message{Kind: membership.Ping, From: unknown, Number: 1}})
 	if err != nil {
 		return
 	}
 	for i := range 20 * s.Selector {
 		data := make([]byte, []int{0, 1, 40, 1400, 9000}[i%5])
 		for k := range data {
-			data[k] = byte(chance.Uint32())
+			data[k] = byte(random.Uint32())
 		}
 		switch i % 3 {
 		case 1:
-			data = other
+			data = foreign
 		case 2:
-			data = other[:chance.IntN(len(other))]
+			data = foreign[:random.IntN(len(foreign))]
 		}
-		c.Write(data) //nolint:errcheck // it is rubbish
+		conn.Write(data) //nolint:errcheck // it is rubbish
 	}
 }
 
-// waitForAgreement waits until all routers that run have settled on the same view, which has all of them and nobody else.
-func (p *scenario) waitForAgreement(within time.Duration) error {
+// waitForAgreement waits until all running routers have settled on the same view, which contains exactly the running
+// routers.
+func (sc *scenario) waitForAgreement(within time.Duration) error {
 	var err error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(agreementPollInterval) {
-		if err = p.compareViews(); err == nil {
+		if err = sc.compareViews(); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func (p *scenario) compareViews() error {
+// compareViews returns an error for each running router whose view is unsettled, differs from the running routers or from
+// the first router's view.
+func (sc *scenario) compareViews() error {
 	running := map[string]bool{}
 	var all []*router
-	for _, r := range p.allRouters() {
+	for _, r := range sc.allRouters() {
 		if !r.down.Load() {
 			running[r.name], all = true, append(all, r)
 		}
@@ -182,53 +191,56 @@
 	view := ""
 	for _, r := range all {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		m, err := serve.AskMembers(ctx, r.statusAddress())
+		members, err := serve.AskMembers(ctx, r.statusAddress())
 		cancel()
 		if err != nil {
 			return err
 		}
-		var there []string
-		for _, one := range m.Members {
-			if one.State == "alive" || one.State == "suspect" {
-				there = append(there, one.Name)
-				if !running[one.Name] {
-					errs = append(errs, fmt.Errorf("%s lists %s as %s, which does not run", r.endpoint(), one.Name, one.State))
+		var present []string
+		for _, member := range members.Members {
+			if member.State == "alive" || member.State == "suspect" {
+				present = append(present, member.Name)
+				if !running[member.Name] {
+					errs = append(errs, fmt.Errorf("%s lists %s as %s, which does not run", r.endpoint(), member.Name, member.State))
 				}
 			}
 		}
-		if len(there) != len(running) {
-			errs = append(errs, fmt.Errorf("%s lists %d members, but %d run: %v", r.endpoint(), len(there), len(running), there))
+		if len(present) != len(running) {
+			errs = append(errs, fmt.Errorf("%s lists %d members, but %d run: %v", r.endpoint(), len(present), len(running), present))
 		}
-		if m.Certainty != "settled" && len(running) > 1 {
-			errs = append(errs, fmt.Errorf("%s is %s", r.endpoint(), m.Certainty))
+		if members.Certainty != "settled" && len(running) > 1 {
+			errs = append(errs, fmt.Errorf("%s is %s", r.endpoint(), members.Certainty))
 		}
 		if view == "" {
-			view = m.View
-		} else if m.View != view {
+			view = members.View
+		} else if members.View != view {
 			errs = append(errs, fmt.Errorf("the view of %s differs from that of r0", r.endpoint()))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// checkAgreement looks whether the fleet comes to agree once nothing goes wrong any more, and again after one has died for good.
-func (p *scenario) checkAgreement() (out []Finding) {
-	if !p.PeerMessaging {
+// checkAgreement verifies that the fleet agrees on its members after the last fault, and again after one router has
+// been killed for good.
+func (sc *scenario) checkAgreement() (out []Finding) {
+	if !sc.PeerMessaging {
 		return nil
 	}
-	look := func(when string) {
-		if err := p.waitForAgreement(agreementTimeout); err != nil {
-			out = append(out, Finding{Rule: viewsRule, At: p.since(), Text: fmt.Sprintf("%s the routers do not agree within %s: %s", when, agreementTimeout,
-				strings.ReplaceAll(err.Error(), "\n", "; "))})
+	check := func(when string) {
+		if err := sc.waitForAgreement(agreementTimeout); err != nil {
+			out = append(out, Finding{Rule: viewsRule, At: sc.since(),
+				Text: fmt.Sprintf("%s the routers do not agree within %s: %s", when, agreementTimeout,
+					strings.ReplaceAll(err.Error(), "\n", "; "))})
 		}
 	}
-	look("after the last fault")
-	if last := p.routers[len(p.routers)-1]; len(p.routers) > 2 && !last.down.Load() {
-		last.kill()
-		look("after a death")
+	check("after the last fault")
+	if victim := sc.routers[len(sc.routers)-1]; len(sc.routers) > 2 && !victim.down.Load() {
+		victim.kill()
+		check("after a death")
 	}
 	return out
 }
 
-// viewsRule stands beside the users' seven: routers that talk come to agree on who is there.
+// viewsRule is the rule that routers which exchange messages agree on their members; it comes after the users' rules 1
+// to 7.
 const viewsRule = 8
--- a/internal/torture/terms.go
+++ b/internal/torture/terms.go
@@ -55,7 +55,8 @@
 		}
 		left := b.Deadline - c.arrival(r)
 		if r.Budget > left+maxDeadlineExcess+c.allowance(r, b.WriteBegan, c.arrival(r)) {
-			c.found(1, r, "%s reached %s with a deadline in %.3f s while its client had %.3f s left", r.ID, r.Engine, r.Budget.Seconds(), left.Seconds())
+			c.found(1, r, "%s reached %s with a deadline in %.3f s while its client had %.3f s left", r.ID, r.Engine,
+				r.Budget.Seconds(), left.Seconds())
 		}
 	}
 }
@@ -68,7 +69,8 @@
 	for _, r := range c.runs {
 		for _, other := range before[r.ID] {
 			if other.Act.Deed != standin.TurnAway && (other.Over.IsZero() || other.Over.After(r.Began)) {
-				c.found(2, r, "%s of %s reached %s while another attempt was in progress at %s since %.3f s", r.ID, c.Routers[c.router(r)].Name, r.Engine,
+				c.found(2, r, "%s of %s reached %s while another attempt was in progress at %s since %.3f s", r.ID,
+					c.Routers[c.router(r)].Name, r.Engine,
 					other.Engine, c.at(other).Seconds())
 				break
 			}
@@ -81,14 +83,14 @@
 	stallProbeInterval = 10 * time.Millisecond // how often the test process measures a round trip through itself
 	minStall           = 20 * time.Millisecond // longer delays are recorded as stalls
 	stallProbeEndpoint = "lag"                 // name of both ends of the probe's link
-	stallProbeTimeout  = 10 * time.Second
+	stallProbeTimeout  = 10 * time.Second      // of a connection attempt, and of a round trip
 )
 
 // watchStalls records the intervals in which the machine gave the test process no processor time, until stop is closed.
 // It sends a byte back and forth on a new connection, through a link like those between routers and engines if the
 // scenario has links. The returned list may be read once it returns.
-func (p *scenario) watchStalls(stop <-chan struct{}) ([]Interval, error) {
-	echo, err := net.Listen("tcp", p.host+":0")
+func (sc *scenario) watchStalls(stop <-chan struct{}) ([]Interval, error) {
+	echo, err := net.Listen("tcp", sc.host+":0")
 	if err != nil {
 		return nil, fmt.Errorf("torture: %w", err)
 	}
@@ -106,8 +108,8 @@
 		}
 	}()
 	address := echo.Addr().String()
-	if p.fabric != nil {
-		link, err := p.fabric.Stream(p.host, stallProbeEndpoint, stallProbeEndpoint, address)
+	if sc.fabric != nil {
+		link, err := sc.fabric.Stream(sc.host, stallProbeEndpoint, stallProbeEndpoint, address)
 		if err != nil {
 			return nil, fmt.Errorf("torture: %w", err)
 		}
@@ -115,18 +117,18 @@
 	}
 	var lags []Interval
 	for {
-		began := p.since()
+		began := sc.since()
 		roundTrip(address)
-		if p.since() > began+minStall {
-			lags = append(lags, Interval{began, p.since()})
+		if sc.since() > began+minStall {
+			lags = append(lags, Interval{began, sc.since()})
 		}
 		select {
 		case <-stop:
 			return lags, nil
 		case <-time.After(stallProbeInterval):
 		}
-		if due := began + stallProbeInterval + minStall; p.since() > due+minStall {
-			lags = append(lags, Interval{due, p.since()})
+		if due := began + stallProbeInterval + minStall; sc.since() > due+minStall {
+			lags = append(lags, Interval{due, sc.since()})
 		}
 	}
 }
--- a/internal/torture/world.go
+++ b/internal/torture/world.go
@@ -11,25 +11,27 @@
 	"pitchfield/internal/standin"
 )
 
-// What the platform tells the router in a play: two zones, of which reports run in the first only; a budget of further
-// dispatches; marks that engines remember for a short time; keys that rest for long; small engines that are cold for
-// seconds. Each bound is tight enough that a router which does not keep it goes past it within seconds.
+// Settings of the platform in a scenario: two zones, of which reports run in the first only; a retry budget; a short
+// deduplication window; a long wait of keys after an unknown outcome; small engines that are cold for seconds. Each
+// bound is so tight that a router which ignores it exceeds it within seconds.
 const (
-	cores         = 3.0
-	coldFraction  = 0.35
-	fallMultiple  = 2.0
-	fallTime      = 2 * time.Second
-	coldTime      = 6 * time.Second
-	freeRetries   = 4.0
-	retryRatio    = 0.04
-	retryWindow   = 4 * time.Second
-	dedupWindow   = time.Second // in which a mark is remembered
-	keySettleTime = time.Second // that a key rests after doubt
-	drainGrace    = 250 * time.Millisecond
+	cores         = 3.0                    // of an engine
+	coldFraction  = 0.35                   // speed of an engine that has just started, relative to its full speed
+	fallMultiple  = 2.0                    // a cold engine takes so many times the work within fallTime that it completes in fallTime
+	fallTime      = 2 * time.Second        // window of the limit for cold engines
+	coldTime      = 6 * time.Second        // after its start
+	freeRetries   = 4.0                    // per retryWindow, besides the ratio
+	retryRatio    = 0.04                   // retries per batch within retryWindow
+	retryWindow   = 4 * time.Second        // of the retry budget
+	dedupWindow   = time.Second            // for which an engine remembers a deduplication key
+	keySettleTime = time.Second            // that a key waits after an attempt with unknown outcome
+	drainGrace    = 250 * time.Millisecond // for dispatches to an engine after the report that it drains
 )
 
+// zones are the zones of engines; reports run in the first only.
 var zones = []string{"hall", "yard"}
 
+// settings are the platform's settings, with verbs for the number of routers and the router's index.
 var settings = fmt.Sprintf(`{"grades":[
 {"name":"lookup","on-time-ms":2000,"deadline-ms":4000,"idempotency":"idempotent","worth":1},
 {"name":"report","on-time-ms":4000,"deadline-ms":8000,"idempotency":"idempotent","worth":1,"runs-in":[0]},
@@ -45,80 +47,81 @@
 	dedupWindow.Milliseconds(), cores, maxDispatches, keySettleTime.Milliseconds(), drainGrace.Milliseconds(), coldFraction, coldTime.Milliseconds(),
 	fallMultiple, fallTime.Milliseconds(), freeRetries, retryRatio, retryWindow.Milliseconds())
 
-// Engines read some of their connections late, in every second play.
+// In every second scenario engines read some of their connections late.
 const (
-	lateReadOneIn   = 6
+	lateReadOneIn   = 6 // one connection in so many
 	minReadDelay    = 50 * time.Millisecond
 	maxReadDelay    = 400 * time.Millisecond
-	readDelayStream = 1 << 22 // of the seed's chances
+	readDelayStream = 1 << 22 // random stream of the delays
 )
 
-// readDelays draws by how much each connection is read late; nil: none is.
+// readDelays returns a function that draws by how much a connection is read late; nil: none is.
 func readDelays(seed uint64) func() time.Duration {
 	if seed%2 != 0 {
 		return nil
 	}
 	var mutex sync.Mutex
-	chance := rand.New(rand.NewPCG(seed, readDelayStream))
+	random := rand.New(rand.NewPCG(seed, readDelayStream))
 	return func() time.Duration {
 		mutex.Lock()
 		defer mutex.Unlock()
-		if chance.IntN(lateReadOneIn) > 0 {
+		if random.IntN(lateReadOneIn) > 0 {
 			return 0
 		}
-		return minReadDelay + time.Duration(chance.Int64N(int64(maxReadDelay-minReadDelay)))
+		return minReadDelay + time.Duration(random.Int64N(int64(maxReadDelay-minReadDelay)))
 	}
 }
 
-// engineServer is an engine with what the list says of it.
+// engineServer is a stand-in engine with what the name service reports of it.
 type engineServer struct {
 	*standin.Server
 	Engine
-	drainUntil  time.Duration // until it ends; 0: it does not drain
-	clockOffset time.Duration // how far the wall clock that tells its start is ahead of the routers'
+	drainUntil  time.Duration // when its draining ends and it is replaced; 0: it does not drain
+	clockOffset time.Duration // by how much the wall clock of its start time is ahead of the routers'
 }
 
-// Wall clocks are stepped by so much, either way, and a third of them not at all.
+// Range of the offsets of engines' wall clocks. A third of the clocks is ahead, a third behind and a third exact.
 const (
 	minClockStep = time.Second
 	maxClockStep = time.Hour
-	clockStream  = 1 << 21 // of the seed's chances, one for each engine
+	clockStream  = 1 << 21 // offset of the random streams for clocks, one for each engine
 )
 
-// steppedClock draws how far a wall clock is ahead of another, each order of magnitude as likely as the next.
-func steppedClock(chance *rand.Rand) time.Duration {
-	step := time.Duration(float64(minClockStep) * math.Pow(float64(maxClockStep)/float64(minClockStep), chance.Float64()))
-	return time.Duration(chance.IntN(3)-1) * step
+// steppedClock draws by how much a wall clock is ahead of another; its logarithm is uniformly distributed.
+func steppedClock(random *rand.Rand) time.Duration {
+	step := time.Duration(float64(minClockStep) * math.Pow(float64(maxClockStep)/float64(minClockStep), random.Float64()))
+	return time.Duration(random.IntN(3)-1) * step
 }
 
-// Engine is what the list says of one that has been there.
+// Engine is what the name service reported of an engine.
 type Engine struct {
 	Name, Zone string
-	Started    time.Time // zero: long before the play
+	Started    time.Time // zero: long before the scenario
 }
 
-// addEngine starts one; late: within the play, so that it is cold. The fleet is locked.
-func (p *scenario) addEngine(zone string, late bool) error {
-	p.engineCounter++
-	e := &engineServer{Engine: Engine{Name: fmt.Sprintf("e-%d", p.engineCounter), Zone: zone}}
+// addEngine starts an engine. If late, the engine reports a start within the scenario, which makes it cold. The caller
+// holds fleetMutex.
+func (sc *scenario) addEngine(zone string, late bool) error {
+	sc.engineCounter++
+	e := &engineServer{Engine: Engine{Name: fmt.Sprintf("e-%d", sc.engineCounter), Zone: zone}}
 	var err error
-	if e.Server, err = standin.NewRESP(e.Engine.Name, p.host+":0", p.ledger); err != nil {
+	if e.Server, err = standin.NewRESP(e.Engine.Name, sc.host+":0", sc.ledger); err != nil {
 		return err
 	}
 	if late {
 		e.Started = time.Now()
-		e.clockOffset = steppedClock(rand.New(rand.NewPCG(p.Seed, clockStream+uint64(p.engineCounter))))
+		e.clockOffset = steppedClock(rand.New(rand.NewPCG(sc.Seed, clockStream+uint64(sc.engineCounter))))
 	}
-	p.engines = append(p.engines, e)
-	p.allEngines = append(p.allEngines, e)
+	sc.engines = append(sc.engines, e)
+	sc.allEngines = append(sc.allEngines, e)
 	return nil
 }
 
-// publishEngines tells each router's name service of all engines. The fleet is locked.
-func (p *scenario) publishEngines() error {
-	for _, r := range p.allRouters() {
+// publishEngines gives each router's name service the current list of engines. The caller holds fleetMutex.
+func (sc *scenario) publishEngines() error {
+	for _, r := range sc.allRouters() {
 		var hosts []standin.Host
-		for _, e := range p.engines {
+		for _, e := range sc.engines {
 			h := e.Host()
 			h.Zone, h.Draining = e.Zone, e.drainUntil > 0
 			if !e.Started.IsZero() {
@@ -135,38 +138,38 @@
 	return nil
 }
 
-// replaceEngine ends an engine and puts another in its place, at another address. The fleet is locked.
-func (p *scenario) replaceEngine(old *engineServer) error {
-	i := slices.Index(p.engines, old)
+// replaceEngine stops an engine and starts another one of its zone, at another address. The caller holds fleetMutex.
+func (sc *scenario) replaceEngine(old *engineServer) error {
+	i := slices.Index(sc.engines, old)
 	if i < 0 {
 		return nil
 	}
-	p.engines = slices.Delete(p.engines, i, i+1)
-	err := p.addEngine(old.Zone, true)
+	sc.engines = slices.Delete(sc.engines, i, i+1)
+	err := sc.addEngine(old.Zone, true)
 	if err == nil {
-		err = p.publishEngines()
+		err = sc.publishEngines()
 	}
 	old.Stop()
 	return err
 }
 
-// drain has one engine drain, while another of its zone stays. It ends later, and a new one takes its place. The fleet is
-// locked.
-func (p *scenario) drain(e *engineServer) error {
-	for _, other := range p.engines {
+// drain marks an engine as draining, provided that another engine of its zone stays. replaceDrained replaces it later.
+// The caller holds fleetMutex.
+func (sc *scenario) drain(e *engineServer) error {
+	for _, other := range sc.engines {
 		if other != e && other.Zone == e.Zone && other.drainUntil == 0 && e.drainUntil == 0 {
-			e.drainUntil = p.since() + drainDuration
-			return p.publishEngines()
+			e.drainUntil = sc.since() + drainDuration
+			return sc.publishEngines()
 		}
 	}
 	return nil
 }
 
-// replaceDrained replaces what has drained for long enough. The fleet is locked.
-func (p *scenario) replaceDrained() error {
-	for _, e := range slices.Clone(p.engines) {
-		if e.drainUntil > 0 && p.since() > e.drainUntil {
-			if err := p.replaceEngine(e); err != nil {
+// replaceDrained replaces engines that have drained for drainDuration. The caller holds fleetMutex.
+func (sc *scenario) replaceDrained() error {
+	for _, e := range slices.Clone(sc.engines) {
+		if e.drainUntil > 0 && sc.since() > e.drainUntil {
+			if err := sc.replaceEngine(e); err != nil {
 				return err
 			}
 		}
@@ -174,10 +177,10 @@
 	return nil
 }
 
-// engineRecords is what the checker is told of all engines that were there.
-func (p *scenario) engineRecords() map[string]Engine {
+// engineRecords are the checker's records of all engines, by name.
+func (sc *scenario) engineRecords() map[string]Engine {
 	out := map[string]Engine{}
-	for _, e := range p.allEngines {
+	for _, e := range sc.allEngines {
 		out[e.Engine.Name] = e.Engine
 	}
 	return out
