--- a/internal/torture/soak.go
+++ b/internal/torture/soak.go
@@ -80,7 +80,7 @@
 		syscall.EIO, syscall.EAGAIN,
 		syscallfault.ShortTransfer),
 	rulesFor(syscallfault.Rule{Call: syscallfault.Openat, PerMille: 400}, syscall.EMFILE, syscall.EIO, syscall.EINTR),
-	rulesFor(syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NoSocket, PerMille: 300}, syscall.EINTR),
+	rulesFor(syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NonSocket, PerMille: 300}, syscall.EINTR),
 	slices.Concat(rulesFor(syscallfault.Rule{Call: syscallfault.Recvfrom, Target: syscallfault.Datagram, PerMille: 200},
 		syscall.ENOMEM, syscall.EINTR),
 		rulesFor(syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.Datagram, PerMille: 300}, syscall.ENOBUFS, syscall.EPERM)),
@@ -99,7 +99,7 @@
 }
 
 // rulesPerGroup reserves slots of the fault table for each group, so that groups may overlap.
-const rulesPerGroup = syscallfault.Rules / 10
+const rulesPerGroup = syscallfault.MaxRules / 10
 
 // failCalls makes a group of system calls of a router fail for the step's duration. The faults outlast a restart of the
 // router.
@@ -221,7 +221,7 @@
 func (sc *scenario) failedCalls() (n int) {
 	for _, r := range sc.allRouters() {
 		if r.callFaults != nil {
-			n += r.callFaults.Total()
+			n += r.callFaults.FailedCalls()
 		}
 	}
 	return n
