--- a/internal/torture/talk.go
+++ b/internal/torture/talk.go
@@ -191,7 +191,7 @@
 	view := ""
 	for _, r := range all {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		members, err := serve.AskMembers(ctx, r.statusAddress())
+		members, err := serve.FetchMembers(ctx, r.statusAddress())
 		cancel()
 		if err != nil {
 			return err
