--- a/brain/brain.go
+++ b/brain/brain.go
@@ -1,11 +1,12 @@
-// Package brain is the scheduler of a router: it decides which batch is dispatched when and to which engine, and
-// when a batch is retried, hedged, rejected or failed. types.go holds its data types and seen.go the rest of its interface.
+// Package brain is the scheduler of a router: it decides which batch is dispatched when and to which engine,
+// and when a batch is retried, hedged, rejected or failed. types.go holds its data types and seen.go the rest
+// of its interface.
 //
-// A host creates a Router with New. In each round it calls SetTime, then one method for each event (UpdateEngines,
-// AddBatch, DispatchEnded, RemoveBatch, DispatchUpdated, ProbeEnded, TimerFired), which only record what is known,
-// and then Next until it returns NoDecision, carrying out each decision. The package is deterministic: it reads no
-// clock, uses no random numbers but those of its seed, and communicates only through these calls. A Router is not
-// safe for concurrent use. All times are in seconds.
+// A host creates a Router with New. In each round it calls SetTime, then one method for each event
+// (UpdateEngines, AddBatch, DispatchEnded, RemoveBatch, DispatchUpdated, ProbeEnded, TimerFired), which only
+// record what is known, and then Next until it returns NoDecision, carrying out each decision. The package is
+// deterministic: it reads no clock, uses no random numbers but those of its seed, and communicates only
+// through these calls. A Router is not safe for concurrent use. All times are in seconds.
 package brain
 
 import (
@@ -19,8 +20,8 @@
 	"pitchfield/internal/shares"
 )
 
-// The admission threshold is the load of an engine, in threads per core, below which a batch is started there at once.
-// It follows the measured stretch of answers (the time taken over the time alone on an idle engine).
+// The admission threshold is the load of an engine, in threads per core, below which a batch is started there
+// at once. It follows the measured stretch of answers (the time taken over the time alone on an idle engine).
 const (
 	initialThreshold = 1.5  // threads per core
 	minThreshold     = 0.4  // threads per core
@@ -31,8 +32,8 @@
 
 // Scoring of engines for a batch.
 const (
-	// Where all routers know the same loads, a few randomly drawn engines are preferred: otherwise all routers would
-	// choose the same least loaded engine.
+	// Where all routers know the same loads, a few randomly drawn engines are preferred: otherwise all routers
+	// would choose the same least loaded engine.
 	sampledEngines    = 3.0 // engines drawn
 	unsampledPenalty  = 1.0 // threads per core by which another engine must be less loaded
 	warmDataBonus     = 0.4 // threads per core that a data set that is probably cached is worth
@@ -58,7 +59,7 @@
 const (
 	reportDelay            = 0.4 // seconds; the age of a report when it arrives
 	reportLifetime         = 1.4 // seconds for which a report is believed after its arrival
-	unreportedThreadFactor = 2.0 // an engine without a report counts as this many times as loaded as the average,
+	unreportedThreadFactor = 2.0 // an engine without a report counts as this many times as loaded as average,
 	unreportedMemoryFactor = 8.0 // and as this many times as full
 	averageLoadWindow      = 4.0 // seconds for which a report counts towards the average
 	ownLoadWindow          = 5.0 // seconds over which own dispatches are averaged where there are no reports
@@ -96,8 +97,8 @@
 	minPause               = 0.2  // seconds by which a late timer shows that this process was paused
 )
 
-// Part of the time that a client waits is reserved for the way of the answer and for pauses, as clients leave exactly at
-// their deadline. The reserve costs the answers that would have come in the last moment.
+// Part of the time that a client waits is reserved for the way of the answer and for pauses, as clients leave
+// exactly at their deadline. The reserve costs the answers that would have come in the last moment.
 const (
 	transitShare   = 0.05 // of the time that the client waits
 	minTransitTime = 0.04 // seconds
@@ -114,7 +115,7 @@
 	restartGain           = 2.0 // a dispatch is restarted if the rest takes this many times a fresh start
 )
 
-// New returns a Router with these settings. The seed determines all its random choices; now is the time of its start.
+// New returns a Router with these settings. The seed determines all random choices; now is the start time.
 func New(settings Settings, seed uint64, now float64) *Router {
 	r := &Router{
 		groups:             settings.Groups,
@@ -165,7 +166,8 @@
 	r.quota, r.quotaSharers = shares.NewFixedDivision(r.fixedQuota), min(r.routerCount, coldBudgetRouters)
 	for _, g := range settings.Groups {
 		g.Threads = max(g.Threads, 1)
-		r.typicalBatch.batches, r.typicalBatch.threads = r.typicalBatch.batches+1e-3, r.typicalBatch.threads+1e-3*g.Threads
+		r.typicalBatch.batches, r.typicalBatch.threads =
+			r.typicalBatch.batches+1e-3, r.typicalBatch.threads+1e-3*g.Threads
 	}
 	return r
 }
@@ -173,23 +175,24 @@
 // SetTime sets the current time; an earlier one than before is ignored.
 func (r *Router) SetTime(now float64) {
 	r.now = max(r.now, now)
-	// A timer that fires far too late shows that this process was paused: the silence of engines during that time tells
-	// nothing of them, and messages that are read now are old.
+	// A timer that fires far too late shows that this process was paused: the silence of engines during that
+	// time tells nothing of them, and messages that are read now are old.
 	if late := r.now - r.wakeAt; late > minPause && r.lastPauseAt < r.now {
 		r.lastPause, r.lastPauseAt, r.totalPause = late, r.now, r.totalPause+late
 		r.log("stood still for %.1f s, %d held", late, len(r.queue))
 	}
 }
 
-// UpdateEngines takes a list of engines. If whole is set, engines that are not in the list are gone; otherwise the list
-// holds only what changed.
+// UpdateEngines takes a list of engines. If whole is set, engines that are not in the list are gone;
+// otherwise the list holds only what changed.
 func (r *Router) UpdateEngines(list []*Engine, whole bool) {
 	for _, engine := range list {
 		if engine.cores = 1; engine.Kind < len(r.engineKinds) {
 			engine.cores, engine.memory = max(r.engineKinds[engine.Kind].Cores, 1), r.engineKinds[engine.Kind].Memory
 		}
 		r.largestMemory = max(r.largestMemory, engine.memory)
-		if engine.groupHealth == nil || engine.knownStart != engine.StartedAt { // a new process: what is known of the old one is void
+		// A new process: what is known of the old one is void.
+		if engine.groupHealth == nil || engine.knownStart != engine.StartedAt {
 			engine.knownStart, engine.startReceivedAt, engine.health, engine.reportAt, engine.reported =
 				engine.StartedAt, r.now, health{}, 0, resources{}
 			engine.groupHealth = map[*ServiceGroup]*health{}
@@ -198,8 +201,8 @@
 			}
 		}
 		if !slices.Contains(r.engines, engine) {
-			// Each router keeps the engines in its own random order: otherwise all routers would break ties in favour of
-			// the first engine of the list.
+			// Each router keeps the engines in its own random order: otherwise all routers would break ties in favour
+			// of the first engine of the list.
 			r.engines = slices.Insert(r.engines, int(r.randomFloat()*float64(len(r.engines)+1)), engine)
 		}
 	}
@@ -214,8 +217,8 @@
 // EngineListFailed records that the list of engines could not be had; Next asks for it again.
 func (r *Router) EngineListFailed() { r.mustSubscribe = true }
 
-// AddBatch takes a batch. From now on it gets exactly one final answer: the outcome of a dispatch, a Reject or a Fail,
-// unless the host calls RemoveBatch.
+// AddBatch takes a batch. From now on it gets exactly one final answer: the outcome of a dispatch, a Reject
+// or a Fail, unless the host calls RemoveBatch.
 func (r *Router) AddBatch(batch *Batch) {
 	group := batch.Group
 	batch.receivedAt, batch.deadline = r.now, r.now+
@@ -233,12 +236,14 @@
 	} else if batch.memoryNeed == 0 && group.answerCount > 0 {
 		batch.memoryNeed = group.memorySum / group.answerCount
 	}
-	batch.timeAlone, batch.likelyWork, batch.usefulUntil = batch.demand/group.Threads, r.estimateLikelyWork(batch), batch.deadline
+	batch.timeAlone, batch.likelyWork, batch.usefulUntil =
+		batch.demand/group.Threads, r.estimateLikelyWork(batch), batch.deadline
 	if group.LateShare <= 0 { // an answer past the goal earns nothing
 		batch.usefulUntil = min(batch.deadline, r.now+group.Goal+group.GoalStretch*batch.timeAlone)
 	}
-	// A batch is weighted by its time alone, as it occupies an engine in proportion to that: so the first batch already
-	// gives an estimate of what runs on the engines. A batch that can't end in time or fits on no engine is left out.
+	// A batch is weighted by its time alone, as it occupies an engine in proportion to that: so the first batch
+	// already gives an estimate of what runs on the engines. A batch that can't end in time or fits on no engine
+	// is left out.
 	if batch.timeAlone <= group.Limit && (r.largestMemory == 0 || batch.memoryNeed <= r.largestMemory) {
 		r.meanDemand += (batch.demand - r.meanDemand) / 64
 		r.typicalBatch = r.typicalBatch.add(r.typicalBatch, -1.0/64).
@@ -248,10 +253,11 @@
 		batch.keyQueue = cmp.Or(r.keyQueues[batch.Key], batch.keyQueue)
 		r.keyQueues[batch.Key] = batch.keyQueue
 	}
-	// Only the first batch of its key is answered at once: another one's answer could overtake that of the one before.
+	// Only the first batch of its key is answered at once: another one's answer could overtake an earlier one.
 	first := len(batch.keyQueue.batches) == 0 && batch.keyQueue.inFlight == 0
 	limitAction := batch.Route.ActionOnArrival(r.now)
-	if batch.Shed = first && limitAction == limits.QueueBatch && r.shouldShed(batch); batch.Shed || first && limitAction != limits.QueueBatch {
+	if batch.Shed = first && limitAction == limits.QueueBatch && r.shouldShed(batch); batch.Shed ||
+		first && limitAction != limits.QueueBatch {
 		decision := r.giveUp(batch)
 		if limitAction == limits.FailBatch {
 			decision = Decision{Kind: Fail, Batch: batch}
@@ -303,18 +309,20 @@
 	b.Route.CountUsage(r.now, 0, len(r.queue)-n)
 }
 
-// RemoveBatch ends a batch: its client has left or it was answered. Dispatches in flight still end by DispatchEnded.
+// RemoveBatch ends a batch: its client has left or it was answered. Dispatches in flight still end by
+// DispatchEnded.
 func (r *Router) RemoveBatch(b *Batch) {
 	b.Done = true
 	r.dequeue(b)
 	b.keyQueue.batches = without(b.keyQueue.batches, b)
 }
 
-// DispatchEnded records the outcome of dispatch number of a batch. last says that the batch ends with it; took is its time
-// in seconds; work, in seconds, and memory, in MB, are what it needed (0: not known; work below 0: the protocol of the
-// engine doesn't report it); report is the engine's load, or nil. Unknown and repeated outcomes are ignored.
-func (r *Router) DispatchEnded(batch *Batch, number int, outcome Outcome, last bool, took, work, memory float64,
-	report *Report) {
+// DispatchEnded records the outcome of dispatch number of a batch. last says that the batch ends with it;
+// took is its time in seconds; work, in seconds, and memory, in MB, are what it needed (0: not known; work
+// below 0: the protocol of the engine doesn't report it); report is the engine's load, or nil. Unknown and
+// repeated outcomes are ignored.
+func (r *Router) DispatchEnded(batch *Batch, number int, outcome Outcome, last bool,
+	took, work, memory float64, report *Report) {
 	if number >= len(batch.dispatches) || batch.dispatches[number].ended {
 		return
 	}
@@ -326,7 +334,8 @@
 		engine.ConcurrencyLimit.Observe(attempt.sample(r.now, took, work))
 	}
 	r.recordReport(engine, report)
-	mayStillRun := outcome == TimedOut || outcome == ConnectionLost || outcome == Canceled || outcome == Unconfirmed
+	mayStillRun := outcome == TimedOut || outcome == ConnectionLost || outcome == Canceled ||
+		outcome == Unconfirmed
 	batch.unconfirmed = batch.unconfirmed || outcome == Unconfirmed
 	if mayStillRun {
 		batch.keyQueue.restUntil, batch.keyQueue.restExempt = r.now+r.settleTime, batch
@@ -336,8 +345,8 @@
 	}
 	r.gateOpensAt = r.now
 	for _, other := range batch.dispatches {
-		// A batch that fails on every engine is itself the cause: an error counts against an engine only once another
-		// dispatch of the batch has succeeded.
+		// A batch that fails on every engine is itself the cause: an error counts against an engine only once
+		// another dispatch of the batch has succeeded.
 		atMostOnce := batch.Group.Idempotency == AtMostOnce
 		if other == attempt && (outcome != Errored || atMostOnce) ||
 			outcome == Completed && other.ended && other.outcome == Errored {
@@ -366,9 +375,9 @@
 	}
 }
 
-// learnFromDuration learns from an answer that doesn't report its work, as with engines of some protocols, or once in a
-// while. Without it, time-outs would never adapt to the usual times, and a silent engine would keep its batches until
-// their time limits. Drawback: under load, a batch that took long counts as large.
+// learnFromDuration learns from an answer that doesn't report its work, as with engines of some protocols, or
+// once in a while. Without it, time-outs would never adapt to the usual times, and a silent engine would keep
+// its batches until their time limits. Drawback: under load, a batch that took long counts as large.
 func (r *Router) learnFromDuration(batch *Batch, took float64) {
 	group := batch.Group
 	group.memorySum += group.memorySum / max(group.answerCount, 1)
@@ -379,8 +388,8 @@
 	group.decay()
 }
 
-// learnFromAnswer updates the group's statistics and the admission threshold by the work (seconds) and memory (MB) that an
-// answer reports.
+// learnFromAnswer updates the group's statistics and the admission threshold by the work (seconds) and memory
+// (MB) that an answer reports.
 func (r *Router) learnFromAnswer(batch *Batch, took, work, memory float64) {
 	group := batch.Group
 	if batch.EstimatedWork > 0 && batch.EstimatedWork < 1e5 {
@@ -392,10 +401,11 @@
 		group.memoryEstimateSum, group.memoryActualSum =
 			group.memoryEstimateSum+batch.EstimatedMemory, group.memoryActualSum+memory
 	}
-	group.workSum, group.memorySum, group.answerCount = group.workSum+work, group.memorySum+memory, group.answerCount+1
-	// The admission threshold is the load at which answers take about targetStretch times their time alone. It thereby
-	// covers what reports leave out: other routers' threads, spilling, busy disks and slow cores. It rises only while
-	// batches are queued.
+	group.workSum, group.memorySum, group.answerCount =
+		group.workSum+work, group.memorySum+memory, group.answerCount+1
+	// The admission threshold is the load at which answers take about targetStretch times their time alone. It
+	// thereby covers what reports leave out: other routers' threads, spilling, busy disks and slow cores. It
+	// rises only while batches are queued.
 	if r.lastPauseAt == r.now { // after a pause of this process the time taken is not known
 		return
 	}
@@ -417,12 +427,12 @@
 	}
 }
 
-// estimateLikelyWork returns the work in seconds that a batch most likely needs. It is charged to the quotas of cold
-// engines; the queue is ordered by demand instead. Where estimates are inaccurate, batches that look small enough for a
-// quota are mostly underestimated (they took 1.6 times what was charged) and large ones are overestimated. With fewer
-// than coldBudgetRouters routers nothing evens that out, and two large batches overloaded an engine: there no batch is
-// charged less than its demand nor, while few answers justify less, less than its estimate. Drawback: batches whose
-// estimates are far too large get too little of the quota.
+// estimateLikelyWork returns the work in seconds that a batch most likely needs. It is charged to the quotas
+// of cold engines; the queue is ordered by demand instead. Where estimates are inaccurate, batches that look
+// small enough for a quota are mostly underestimated (they took 1.6 times what was charged) and large ones
+// are overestimated. With fewer than coldBudgetRouters routers nothing evens that out, and two large batches
+// overloaded an engine: there no batch is charged less than its demand nor, while few answers justify less,
+// less than its estimate. Drawback: batches whose estimates are far too large get too little of the quota.
 func (r *Router) estimateLikelyWork(batch *Batch) float64 {
 	group := batch.Group
 	if batch.EstimatedWork <= 0 || batch.EstimatedWork >= 1e5 {
@@ -431,7 +441,8 @@
 	if group.pairCount < 4 { // too few answers: at least what a batch without an estimate is charged
 		return max(batch.demand, group.Goal*group.Threads/4)
 	}
-	likely := math.Exp(r.slope()*(math.Log(batch.EstimatedWork)-group.meanLogEstimate)) * group.recentActual / group.recentPredicted
+	likely := math.Exp(r.slope()*(math.Log(batch.EstimatedWork)-group.meanLogEstimate)) *
+		group.recentActual / group.recentPredicted
 	if r.quotaSharers < coldBudgetRouters {
 		return max(likely, min(batch.demand*(1+uncertaintyDeviations/math.Sqrt(group.estimateCount+1)),
 			max(batch.EstimatedWork, batch.demand)))
@@ -439,7 +450,7 @@
 	return likely + max(batch.demand-likely, 0)/math.Sqrt(coldBudgetRouters)
 }
 
-// slope returns the regression slope of the logarithm of actual work on that of estimated work; 1 for exact estimates.
+// slope returns the regression slope of log actual work on log estimated work; 1 for exact estimates.
 func (r *Router) slope() float64 {
 	return min(max((r.estimateCovariance+slopePrior)/(r.estimateVariance+slopePrior), 0), 1)
 }
@@ -447,9 +458,11 @@
 // recordEstimate adds a pair of estimated work (its logarithm) and actual work to the regression.
 func (r *Router) recordEstimate(group *ServiceGroup, logEstimate, work float64) {
 	group.pairCount = min(group.pairCount+1, 64)
-	estimateDeviation, actualDeviation := logEstimate-group.meanLogEstimate, math.Log(max(work, 1e-6))-group.meanLogActual
+	estimateDeviation, actualDeviation :=
+		logEstimate-group.meanLogEstimate, math.Log(max(work, 1e-6))-group.meanLogActual
 	if group.pairCount > 1 {
-		r.estimateVariance, r.estimateCovariance = r.estimateVariance*(1-1.0/256)+estimateDeviation*estimateDeviation,
+		r.estimateVariance, r.estimateCovariance =
+			r.estimateVariance*(1-1.0/256)+estimateDeviation*estimateDeviation,
 			r.estimateCovariance*(1-1.0/256)+estimateDeviation*actualDeviation
 	}
 	group.meanLogEstimate, group.meanLogActual =
@@ -458,9 +471,10 @@
 	group.recentPredicted -= group.recentPredicted/64 - math.Exp(r.slope()*(logEstimate-group.meanLogEstimate))
 }
 
-// recordHealth counts the outcome of a dispatch for its engine as a whole and for its group on that engine, and ejects
-// the engine where too many fail. Groups count separately, as an engine may reject one group for long and then looks
-// idle to it; that covers any failure that concerns one group. Drawback: random failures eject engines, too.
+// recordHealth counts the outcome of a dispatch for its engine as a whole and for its group on that engine,
+// and ejects the engine where too many fail. Groups count separately, as an engine may reject one group for
+// long and then looks idle to it; that covers any failure that concerns one group. Drawback: random failures
+// eject engines, too.
 func (r *Router) recordHealth(attempt *dispatch) {
 	for _, h := range []*health{&attempt.engine.health, attempt.engine.groupHealth[attempt.batch.Group]} {
 		switch attempt.outcome {
@@ -488,7 +502,7 @@
 	}
 }
 
-// eject excludes an engine, or one group on it, for a random time around the backoff, which doubles with each ejection.
+// eject excludes an engine, or one group on it, for a random time around the backoff, doubled each time.
 func (r *Router) eject(engine *Engine, h *health, reason string) {
 	h.ejectedAt, h.backoff = r.now, min(max(minEjectionTime, 2*h.backoff), maxEjectionTime)
 	h.ejectedUntil = r.now + h.backoff*(0.75+0.5*r.randomFloat())
@@ -505,16 +519,18 @@
 
 // recordReport takes an engine's report of its load and updates the average load of the fleet.
 func (r *Router) recordReport(engine *Engine, report *Report) {
-	if report == nil || sanitize(*report) == engine.report { // equal values are the same report, or one that is frozen
+	if report == nil || sanitize(*report) == engine.report { // equal values: the same report, or a frozen one
 		return
 	}
 	engine.report, engine.reportAt = sanitize(*report), r.now
 	if r.lastPauseAt == r.now {
 		engine.reportAt -= r.lastPause / 2
 	}
-	// A report without the number of batches: it is estimated by the memory in use and a typical batch. Memory is not
-	// estimated the other way round: far more batches were rejected then than would have waited at the engine.
-	inFlight, memory, typical := engine.report.InFlight, max(engine.report.Memory, 0)*engine.memory/r.grantFactor, r.typicalBatch
+	// A report without the number of batches: it is estimated by the memory in use and a typical batch. Memory
+	// is not estimated the other way round: far more batches were rejected then than would have waited at the
+	// engine.
+	inFlight, memory, typical :=
+		engine.report.InFlight, max(engine.report.Memory, 0)*engine.memory/r.grantFactor, r.typicalBatch
 	if inFlight < 0 && engine.report.Memory >= 0 && typical.memory > 0 {
 		inFlight = memory * typical.batches / typical.memory
 	}
@@ -522,9 +538,9 @@
 		return
 	}
 	engine.reported = resources{1, inFlight * typical.threads / typical.batches, memory}.perEngine(engine)
-	// A cold engine is kept nearly empty by its quota, so its report tells nothing of the others: when six in ten engines
-	// were cold and counted in the average, overloaded ones looked idle, and 30 heavy batches met on each. Drawback:
-	// while all engines are cold, the average follows no report.
+	// A cold engine is kept nearly empty by its quota, so its report tells nothing of the others: when six in
+	// ten engines were cold and counted in the average, overloaded ones looked idle, and 30 heavy batches met on
+	// each. Drawback: while all engines are cold, the average follows no report.
 	if r.inSlowStart(engine) {
 		return
 	}
@@ -535,7 +551,7 @@
 	r.averageLoadAt = r.now
 }
 
-// DispatchUpdated records an update of a dispatch in flight. For Progress, level is the share done, from 0 to 1.
+// DispatchUpdated records an update of a dispatch in flight. For Progress, level is the share done (0 to 1).
 func (r *Router) DispatchUpdated(b *Batch, number int, kind Update, level float64) {
 	if number >= len(b.dispatches) || b.dispatches[number].ended {
 		return
@@ -575,7 +591,8 @@
 	if len(r.queue) > 0 && r.gateOpensAt > r.now {
 		at = min(at, r.gateOpensAt)
 	}
-	busy := len(r.queue) > 0 || slices.ContainsFunc(r.engines, func(e *Engine) bool { return len(e.inFlight) > 0 })
+	busy := len(r.queue) > 0 ||
+		slices.ContainsFunc(r.engines, func(e *Engine) bool { return len(e.inFlight) > 0 })
 	if !busy || at >= r.wakeAt && r.wakeAt > r.now {
 		return Decision{}
 	}
@@ -583,7 +600,8 @@
 	return Decision{Kind: WakeAt, At: at}
 }
 
-// giveUp ends a batch at once with a final answer. A rejection promises that the batch did not run or is safe to retry.
+// giveUp ends a batch at once with a final answer. A rejection promises that the batch did not run or is safe
+// to retry.
 func (r *Router) giveUp(b *Batch) Decision {
 	r.RemoveBatch(b)
 	canMove := b.mayHaveRunOn == nil || b.Group.Idempotency == Idempotent || b.Group.DedupScope == WithinAll
@@ -593,9 +611,9 @@
 	return Decision{Kind: Fail, Batch: b}
 }
 
-// FinalDecision returns the final answer of a batch while its router shuts down. A batch in flight may have run and
-// fails unless it is idempotent. One that was not dispatched or is safe to retry is rejected rather than failed, as
-// another router may still have the time for it.
+// FinalDecision returns the final answer of a batch while its router shuts down. A batch in flight may have
+// run and fails unless it is idempotent. One that was not dispatched or is safe to retry is rejected rather
+// than failed, as another router may still have the time for it.
 func (r *Router) FinalDecision(b *Batch) Decision {
 	if b.InFlight > 0 && b.Group.Idempotency != Idempotent {
 		r.RemoveBatch(b)
@@ -604,14 +622,14 @@
 	return r.giveUp(b)
 }
 
-// PrepareShutdown announces that the process is about to end. From now on nothing is sent to cold engines: the next
-// process under the same name may already run, and it uses the same quota.
+// PrepareShutdown announces that the process is about to end. From now on nothing is sent to cold engines:
+// the next process under the same name may already run, and it uses the same quota.
 func (r *Router) PrepareShutdown() { r.stopping = true }
 
 // mayDispatch reports whether the rules allow another dispatch of a batch.
 func (r *Router) mayDispatch(b *Batch) bool {
-	// An exhausted retry budget of its route ends the batch at once: others would wait behind it, and its retry would
-	// meet the same failure. Drawback: the failure may end the next moment.
+	// An exhausted retry budget of its route ends the batch at once: others would wait behind it, and its retry
+	// would meet the same failure. Drawback: the failure may end the next moment.
 	return !b.unconfirmed && len(b.dispatches) < r.maxTries(b) && r.safeToRetry(b, r.tick) &&
 		(b.InFlight == 0 || r.load < maxHedgeLoad) &&
 		(len(b.dispatches) == 0 || b.Route.MayRetrySoon(r.now) && r.retryBudget.MayRetrySoon(r.now))
@@ -631,15 +649,16 @@
 	return max(r.reduced.GiveUpFactor, 1)*(1+r.load*fullLoadSlowdown)*b.timeAlone + 3*sweepInterval
 }
 
-// retriesExhausted reports whether the router's retry budget is used up; it also drops entries older than the window.
+// retriesExhausted reports whether the router's retry budget is used up; it also drops entries older than
+// the window.
 func (r *Router) retriesExhausted() bool {
 	old := func(at float64) bool { return at <= r.now-r.retryWindow }
 	r.arrivals, r.retries = slices.DeleteFunc(r.arrivals, old), slices.DeleteFunc(r.retries, old)
 	return float64(len(r.retries)+1) > r.freeRetries+r.retryRatio*float64(len(r.arrivals))
 }
 
-// sweep checks all queued batches, dispatches in flight and engines for what has changed by the passing of time: batches
-// to give up, dispatches to cancel or hedge, silent engines, and the load estimates.
+// sweep checks all queued batches, dispatches in flight and engines for what has changed by the passing of
+// time: batches to give up, dispatches to cancel or hedge, silent engines, and the load estimates.
 func (r *Router) sweep() {
 	maps.DeleteFunc(r.keyQueues, func(_ uint64, l *keyQueue) bool {
 		return len(l.batches) == 0 && l.inFlight == 0 && r.now >= l.restUntil
@@ -712,7 +731,8 @@
 	r.ownLoad = r.ownLoad.add(ownLoad.add(r.ownLoad, -1), elapsed/ownLoadWindow)
 	if cores > 0 {
 		seen := r.averageLoad.threads
-		if r.now > r.averageLoadAt+ownLoadWindow { // no reports: the other routers are assumed to send as much as this one
+		// Without reports, the other routers are assumed to send as much as this one.
+		if r.now > r.averageLoadAt+ownLoadWindow {
 			fleet := &Engine{engineState: engineState{cores: cores, memory: memory}}
 			r.averageLoad = resources{}.add(r.ownLoad, r.routerCount-1).perEngine(fleet)
 			seen = r.averageLoad.threads + r.ownLoad.threads/cores
@@ -724,33 +744,38 @@
 	}
 }
 
-// shouldRestart reports whether a dispatch is to be canceled for another one: a fresh start would be far quicker (a bad
-// query plan, a slow engine), its updates have stopped (the answer was lost), or its engine is ejected. Drawback: work
-// is lost when all engines slow down at once.
+// shouldRestart reports whether a dispatch is to be canceled for another one: a fresh start would be far
+// quicker (a bad query plan, a slow engine), its updates have stopped (the answer was lost), or its engine is
+// ejected. Drawback: work is lost when all engines slow down at once.
 func (r *Router) shouldRestart(attempt *dispatch) bool {
 	usual := attempt.batch.timeAlone * attempt.batch.Group.stretch.quantile(0.75, 4)
-	remaining := (attempt.progressAt-attempt.sentAt)*(1-attempt.progress)/attempt.progress - (r.now - attempt.progressAt)
-	lost := r.updateInterval > 0 && r.now-max(attempt.sentAt, attempt.lastUpdateAt)-(r.totalPause-attempt.pausedBefore) >
-		missedUpdates*r.updateInterval
-	slow := attempt.progress > 0 && remaining > restartGain*usual && attempt.batch.Group.Idempotency == Idempotent
+	remaining := (attempt.progressAt-attempt.sentAt)*(1-attempt.progress)/attempt.progress -
+		(r.now - attempt.progressAt)
+	lost := r.updateInterval > 0 &&
+		r.now-max(attempt.sentAt, attempt.lastUpdateAt)-(r.totalPause-attempt.pausedBefore) >
+			missedUpdates*r.updateInterval
+	slow := attempt.progress > 0 && remaining > restartGain*usual &&
+		attempt.batch.Group.Idempotency == Idempotent
 	silent := attempt.engine.ejectedUntil > r.now && attempt.engine.lastSeenAt < attempt.sentAt
 	return r.now+usual < attempt.batch.deadline && (lost || slow || silent)
 }
 
-// shouldHedge reports whether a second copy of a batch is to be sent: the first has taken longer than the quantile that
-// its route names, so another engine may well answer sooner. No copies are sent while the fleet is full or at a level of
-// reduced service, as they add work. Drawback: all are copied where all engines are slow at once; the route's share of
-// copies bounds that.
+// shouldHedge reports whether a second copy of a batch is to be sent: the first has taken longer than the
+// quantile that its route names, so another engine may well answer sooner. No copies are sent while the fleet
+// is full or at a level of reduced service, as they add work. Drawback: all are copied where all engines are
+// slow at once; the route's share of copies bounds that.
 func (r *Router) shouldHedge(attempt *dispatch) bool {
 	b := attempt.batch
-	return b.Route.MayHedge(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 && !b.Streaming &&
-		!attempt.cancelRequested && r.reduced.isZero() && r.load < maxHedgeLoad && !slices.Contains(r.queue, b) &&
-		r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore) > b.timeAlone*b.Group.stretch.quantile(b.Route.Hedging.AfterQuantile, 8)
+	return b.Route.MayHedge(r.now) && r.mayHedge && b.Group.Idempotency == Idempotent && b.InFlight == 1 &&
+		!b.Streaming && !attempt.cancelRequested && r.reduced.isZero() && r.load < maxHedgeLoad &&
+		!slices.Contains(r.queue, b) &&
+		r.now-attempt.sentAt-(r.totalPause-attempt.pausedBefore) >
+			b.timeAlone*b.Group.stretch.quantile(b.Route.Hedging.AfterQuantile, 8)
 }
 
-// nextDispatch returns the batch to dispatch next and its engine, or nil while the gate is closed or nothing fits. A batch
-// passes the gate if the score of its engine is below the admission threshold, and otherwise with a chance of threshold
-// over score.
+// nextDispatch returns the batch to dispatch next and its engine, or nil while the gate is closed or nothing
+// fits. A batch passes the gate if the score of its engine is below the admission threshold, and otherwise
+// with a chance of threshold over score.
 func (r *Router) nextDispatch() (*Batch, *Engine) {
 	for tries := 0; r.now >= r.gateOpensAt && tries < maxPlacementTries; tries++ {
 		b := r.pickBatch()
@@ -772,16 +797,16 @@
 		if score < r.admissionThreshold || r.randomFloat() < r.admissionThreshold/score {
 			return b, e
 		}
-		// The whole router waits, not just this batch: if each batch drew by itself, many of a long queue would pass.
+		// The whole router waits, not just this batch: if each batch drew alone, many of a long queue would pass.
 		r.gateOpensAt = r.now + minGateDelay + (maxGateDelay-minGateDelay)*r.randomFloat()
 	}
 	return nil, nil
 }
 
-// pickBatch returns the queued batch to dispatch next. Slowdown is the time since arrival plus the time alone, over the
-// time alone; its threshold is 1/(1-load). First comes the batch of smallest demand whose slowdown is above twice the
-// threshold. Otherwise, if more than maxSlowBatches are above the threshold, it is the most slowed of them; otherwise
-// the batch of smallest demand.
+// pickBatch returns the queued batch to dispatch next. Slowdown is the time since arrival plus the time
+// alone, over the time alone; its threshold is 1/(1-load). First comes the batch of smallest demand whose
+// slowdown is above twice the threshold. Otherwise, if more than maxSlowBatches are above the threshold, it
+// is the most slowed of them; otherwise the batch of smallest demand.
 func (r *Router) pickBatch() *Batch {
 	threshold := 1 / (1 - r.load)
 	var first, worst *Batch
@@ -809,20 +834,20 @@
 	return first
 }
 
-// isNextOfKey reports whether all earlier batches of the key are done, none of their dispatches is in flight, and the
-// rest time after an uncertain outcome is over.
+// isNextOfKey reports whether all earlier batches of the key are done, none of their dispatches is in flight,
+// and the rest time after an uncertain outcome is over.
 func (r *Router) isNextOfKey(b *Batch) bool {
 	l := b.keyQueue
 	return l.batches[0] == b && l.inFlight == b.InFlight && (r.now >= l.restUntil || l.restExempt == b)
 }
 
-// placeBatch returns the engine with the lowest score (threads per core, with bonuses and penalties) of those that may
-// take the batch. It sets quotaLackingEngine to the best engine that only lacks quota, or nil.
+// placeBatch returns the engine with the lowest score (threads per core, with bonuses and penalties) of those
+// that may take the batch. It sets quotaLackingEngine to the best engine that only lacks quota, or nil.
 func (r *Router) placeBatch(batch *Batch) (best *Engine, bestScore float64) {
 	r.quotaLackingEngine = nil
 	preferOthers := len(batch.dispatches) > 0 && slices.ContainsFunc(r.engines, func(engine *Engine) bool {
-		return engine.ejectedUntil == 0 && engine.groupHealth[batch.Group].ejectedUntil == 0 && !batch.refusedBy(engine) &&
-			r.allowed(batch, engine) && r.hasQuota(batch, engine)
+		return engine.ejectedUntil == 0 && engine.groupHealth[batch.Group].ejectedUntil == 0 &&
+			!batch.refusedBy(engine) && r.allowed(batch, engine) && r.hasQuota(batch, engine)
 	})
 	for _, engine := range r.engines {
 		hasQuota := r.hasQuota(batch, engine)
@@ -840,7 +865,8 @@
 				score += lockedDataPenalty
 			}
 		} else if (r.routerCount <= 1 || r.hasFreshReport(engine) || r.now < engine.othersValidUntil) &&
-			shares.HashFraction(math.Float64bits(batch.DataSet)>>24+1, uint64(engine.ID))*float64(len(r.engines)) < warmDataEngines {
+			shares.HashFraction(math.Float64bits(batch.DataSet)>>24+1, uint64(engine.ID))*
+				float64(len(r.engines)) < warmDataEngines {
 			score -= warmDataBonus
 		} else if r.now < engine.othersValidUntil && r.randomFloat()*float64(len(r.engines)) >= sampledEngines {
 			score += unsampledPenalty
@@ -856,10 +882,11 @@
 	return best, bestScore
 }
 
-// refusedBy reports whether a dispatch of the batch was rejected or failed with an error at the engine. On an engine that
-// takes one batch at a time per connection a time-out counts as well: no check can tell there whether the engine or the
-// batch is silent, and three dispatches went to one silent engine. Elsewhere counting time-outs was no gain
-// (brno-klima-later 0.873 to 0.870). Drawback: the engine is avoided also where only that one batch was slow.
+// refusedBy reports whether a dispatch of the batch was rejected or failed with an error at the engine. On an
+// engine that takes one batch at a time per connection a time-out counts as well: no check can tell there
+// whether the engine or the batch is silent, and three dispatches went to one silent engine. Elsewhere
+// counting time-outs was no gain (brno-klima-later 0.873 to 0.870). Drawback: the engine is avoided also
+// where only that one batch was slow.
 func (b *Batch) refusedBy(e *Engine) bool {
 	return slices.ContainsFunc(b.dispatches, func(d *dispatch) bool {
 		return d.engine == e && d.ended &&
@@ -867,39 +894,40 @@
 	})
 }
 
-// allowed reports whether the placement rules let a batch go to an engine: its phase, the route and the group's zones and
-// kinds, and for a batch that may have run the scope of its deduplication.
+// allowed reports whether the placement rules let a batch go to an engine: its phase, the route and the
+// group's zones and kinds, and for a batch that may have run the scope of its deduplication.
 func (r *Router) allowed(b *Batch, e *Engine) bool {
 	g, at := b.Group, b.mayHaveRunOn
-	return e.Phase == Ready && b.Route.AllowsEngineKind(e.Kind) && (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
+	return e.Phase == Ready && b.Route.AllowsEngineKind(e.Kind) &&
+		(g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
 		(g.Kinds == nil || slices.Contains(g.Kinds, e.Kind)) &&
 		(at == nil || g.Idempotency != Deduplicated || (g.DedupScope != WithinZone || e.Zone == at.Zone) &&
 			(g.DedupScope != WithinCell || e.Cell == at.Cell))
 }
 
-// hasQuota reports whether this router may send the batch to the engine. The work that a cold engine can take is divided
-// among all routers, either by a fixed division or by a quota coordinator.
+// hasQuota reports whether this router may send the batch to the engine. The work that a cold engine can take
+// is divided among all routers, either by a fixed division or by a quota coordinator.
 func (r *Router) hasQuota(b *Batch, e *Engine) bool {
 	return !r.inSlowStart(e) || !r.stopping && r.quota.CanSpend(r.now, e.startID(), b.likelyWork)
 }
 
-// inSlowStart reports whether an engine is cold, that is, may still be slow after its start. The start time comes from
-// another machine's clock, which may be off by hours, so it only distinguishes one start from another: slow start is
-// measured by this router's clock, from when the start was first reported.
+// inSlowStart reports whether an engine is cold, that is, may still be slow after its start. The start time
+// comes from another machine's clock, which may be off by hours, so it only distinguishes one start from
+// another: slow start is measured by this router's clock, from when the start was first reported.
 func (r *Router) inSlowStart(e *Engine) bool {
 	return e.StartedAt != 0 && r.now < e.startReceivedAt+r.slowStartTime
 }
 
-// canAccept reports whether concurrency limits, retry budget, health and memory of an engine let it take a batch. An
-// ejected engine is tried with one batch at a time once its ejection time is over, or at once while most engines are
-// ejected: if nearly all fail, the cause is more likely the network or this router.
+// canAccept reports whether concurrency limits, retry budget, health and memory of an engine let it take a
+// batch. An ejected engine is tried with one batch at a time once its ejection time is over, or at once while
+// most engines are ejected: if nearly all fail, the cause is more likely the network or this router.
 func (r *Router) canAccept(batch *Batch, engine *Engine) bool {
 	conflicts := func(d *dispatch) bool { // a copy must not go to the engine, or the zone, of the first dispatch
 		return !d.ended && (d.engine == engine || batch.Route.HedgesToOtherZone() && d.engine.Zone == engine.Zone)
 	}
 	if batch.InFlight > 0 && slices.ContainsFunc(batch.dispatches, conflicts) ||
 		!batch.Route.HasEngineCapacity(engine.countSharing(batch)) ||
-		len(batch.dispatches) > 0 && !engine.RetryBudget.MayRetrySoon(r.now) || // retries must not all go to one engine
+		len(batch.dispatches) > 0 && !engine.RetryBudget.MayRetrySoon(r.now) || // spreads retries over engines
 		engine.ConcurrencyLimit != nil && float64(len(engine.inFlight)) >= engine.ConcurrencyLimit.Limit() {
 		return false
 	}
@@ -908,12 +936,14 @@
 		isTrial := func(d *dispatch) bool {
 			return d.sentAt >= h.ejectedAt && (wholeEngine || d.batch.Group == batch.Group)
 		}
-		if h.ejectedUntil > 0 && (r.now < h.ejectedUntil && !r.mostEjected || slices.ContainsFunc(engine.inFlight, isTrial)) {
+		if h.ejectedUntil > 0 && (r.now < h.ejectedUntil && !r.mostEjected ||
+			slices.ContainsFunc(engine.inFlight, isTrial)) {
 			return false
 		}
 	}
-	// There must be room for some batches of the same need, as each router that acts on the same report may send one, but
-	// for no more than the share of memory beyond the limit. So a small batch may go where a heavy one may not.
+	// There must be capacity for some batches of the same need, as each router that acts on the same report may
+	// send one, but for no more than the share of memory beyond the limit. So a small batch may go where a heavy
+	// one may not.
 	need := min(batch.memoryNeed*memoryMargin, r.maxGrantShare*engine.memory)
 	usable := unreportedMemoryLimit + (memoryLimit-unreportedMemoryLimit)*r.reportedShare
 	room := min(max(minSimilarRoom, extraSimilarRoom+r.similarRouters)*need, need+(1-usable)*engine.memory)
@@ -925,11 +955,12 @@
 	return e.reported.batches > 0 && r.now < e.reportAt+reportLifetime
 }
 
-// estimateLoad returns an engine's threads per core and share of memory in use, by all routers. One router of hundreds
-// sees nearly nothing of the others' batches, so reports are averaged over the fleet and over time: an engine's estimate
-// moves towards the average as its report ages, and an engine without a report counts as fuller. What this router sent
-// since a report counts once for each router that probably acts on a similar report; otherwise all would choose the same
-// engine. Drawback: an engine that fills much faster than the fleet is underestimated.
+// estimateLoad returns an engine's threads per core and share of memory in use, by all routers. One router of
+// hundreds sees nearly nothing of the others' batches, so reports are averaged over the fleet and over time:
+// an engine's estimate moves towards the average as its report ages, and an engine without a report counts as
+// fuller. What this router sent since a report counts once for each router that probably acts on a similar
+// report; otherwise all would choose the same engine. Drawback: an engine that fills much faster than the
+// fleet is underestimated.
 func (r *Router) estimateLoad(engine *Engine) resources {
 	var ownLoad, sinceReport resources
 	for _, d := range engine.inFlight {
@@ -949,7 +980,8 @@
 	case r.hasFreshReport(engine) && engine.report.InFlight < 0: // a report that lacks both is never fresh
 		ownLoad.threads = fleetLike.threads
 	case r.hasFreshReport(engine):
-	case r.inSlowStart(engine): // only the routers that share its quota send there, each about as much as this one
+	case r.inSlowStart(engine):
+		// Only the routers that share its quota send there, each about as much as this one.
 		return resources{}.add(ownLoad, r.quotaSharers)
 	case r.reportedShare == 0:
 		return fleetLike.add(r.averageLoad, othersShare)
@@ -962,8 +994,8 @@
 	return resources{0, max(ownLoad.threads, sum.threads), max(ownLoad.memory, sum.memory)}
 }
 
-// send records a dispatch of the batch to the engine and returns the decision for it. If the engine takes grants or
-// priorities, a Terms decision comes first and the Dispatch follows.
+// send records a dispatch of the batch to the engine and returns the decision for it. If the engine takes
+// grants or priorities, a Terms decision comes first and the Dispatch follows.
 func (r *Router) send(batch *Batch, engine *Engine) Decision {
 	r.dequeue(batch)
 	if len(batch.dispatches) > 0 {
@@ -984,7 +1016,8 @@
 		number:       len(batch.dispatches),
 		sentAt:       r.now,
 		pausedBefore: r.totalPause,
-		resources:    resources{1, batch.Group.Threads, min(batch.memoryNeed*memoryMargin, r.maxGrantShare*engine.memory)},
+		resources: resources{1, batch.Group.Threads,
+			min(batch.memoryNeed*memoryMargin, r.maxGrantShare*engine.memory)},
 	}
 	batch.dispatches = append(batch.dispatches, attempt)
 	engine.inFlight = append(engine.inFlight, attempt)
@@ -1002,15 +1035,17 @@
 			batch.timeAlone*group.stretch.quantile(0.9, 8) {
 			timeout = min(timeout, latestUseful) // otherwise a lost answer leaves no time for a retry
 		}
-		// On an engine that takes one batch at a time per connection nothing else can be asked there meanwhile, so only a
-		// time-out shows that the answer to a deduplicated batch was lost. Drawback: where such a batch was only slow, its
-		// retry costs a dispatch and is answered once the first has ended.
-		inTime := group.Idempotency == Idempotent || timeout+1 < group.DedupWindow && r.safeToRetry(batch, timeout+1)
+		// On an engine that takes one batch at a time per connection nothing else can be asked there meanwhile, so
+		// only a time-out shows that the answer to a deduplicated batch was lost. Drawback: where such a batch was
+		// only slow, its retry costs a dispatch and is answered once the first has ended.
+		inTime := group.Idempotency == Idempotent || timeout+1 < group.DedupWindow &&
+			r.safeToRetry(batch, timeout+1)
 		if r.now+timeout+2*batch.timeAlone < batch.deadline && inTime {
 			wait = timeout
 		}
 	}
-	if batch.Group.Idempotency != AtMostOnce { // such a batch can't be retried, so a time-out would only lose its answer
+	// A batch that may run only once can't be retried, so a time-out would only lose its answer.
+	if batch.Group.Idempotency != AtMostOnce {
 		wait = batch.Route.CapTimeout(wait)
 	}
 	decision := Decision{Kind: Dispatch, Batch: batch, Engine: engine, Number: attempt.number, Wait: wait}
@@ -1026,14 +1061,16 @@
 		terms.Memory = min(attempt.resources.memory*r.grantFactor, r.maxGrantShare*engine.memory)
 	}
 	if r.priorities {
-		doublings := math.Log2(max(2*batch.demand/max(r.meanDemand, 1e-6), 0.25)) // gives priority 3 below half the mean demand
+		// The bound of 0.25 gives priority 3 below half the mean demand.
+		doublings := math.Log2(max(2*batch.demand/max(r.meanDemand, 1e-6), 0.25))
 		terms.Priority = min(max(3-int(math.Ceil(doublings/2)), 0), 3)
 	}
 	r.pending = append(r.pending, decision)
 	return terms
 }
 
-// nextProbe returns the engine to probe for its load next, or nil while the credit for probes is too small or none is due.
+// nextProbe returns the engine to probe for its load next, or nil while the credit for probes is too small or
+// none is due.
 func (r *Router) nextProbe() *Engine {
 	if !r.mayProbe || r.probeCredit < r.probeCost() {
 		return nil
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -532,7 +532,7 @@
 		h.reportLoad(e, 12)
 	}
 	for list[2].StartedAt = 98; !h.quota.CanSpend(h.now, list[2].startID(), 0.1); list[2].StartedAt += 0.01 {
-		h.now += 0.02 // look for a start at which this router is one of the few that share the engine's budget
+		h.now += 0.02 // look for a start at which this router is one of the few that share the engine's quota
 		h.SetTime(h.now)
 	}
 	h.UpdateEngines(list, true)
@@ -679,7 +679,7 @@
 	assert.NotEmpty(t, asked(), "if all engines are cold, they are probed")
 }
 
-// Batches that looked small enough for a share of a cold engine's budget were mostly underestimated.
+// Batches that looked small enough for a share of a cold engine's quota were mostly underestimated.
 func TestColdQuotaIsChargedLikelyWorkWhereEstimatesAreInaccurate(t *testing.T) {
 	h, _ := newHost(t, testSettings(lookupGroup()), 4)
 	chance := rand.New(rand.NewPCG(1, 2))
--- a/brain/routes_test.go
+++ b/brain/routes_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// fixedLimit is an adaptive limit that never changes; it records what it is told.
+// fixedLimit is an adaptive limit that never changes; it records the samples that it observes.
 type fixedLimit struct {
 	limit   float64
 	samples []limits.Sample
--- a/brain/seen.go
+++ b/brain/seen.go
@@ -7,7 +7,7 @@
 	"pitchfield/internal/shares"
 )
 
-// Stats is a snapshot of what the router holds, for monitoring.
+// Stats is a snapshot of the state of a router, for monitoring.
 type Stats struct {
 	Queued             int     // batches in the queue
 	InFlight           int     // dispatches in flight
--- a/brain/types.go
+++ b/brain/types.go
@@ -10,11 +10,11 @@
 
 const (
 	AtMostOnce   Idempotency = iota // must not run again once it may have run
-	Deduplicated                    // engines recognize a repeat by its mark and drop it, within a scope and for a time
+	Deduplicated                    // engines drop a duplicate, recognized by its mark, within a scope and for a time
 	Idempotent                      // may run any number of times
 )
 
-// DedupScope says which engines drop the repeats of a deduplicated batch; the zero value is the strictest.
+// DedupScope says which engines drop duplicates of a deduplicated batch; the zero value is the strictest.
 type DedupScope uint8
 
 const (
@@ -38,7 +38,7 @@
 	Name         string
 	Idempotency  Idempotency
 	DedupScope   DedupScope
-	DedupWindow  float64 // seconds in which engines drop repeats of a deduplicated batch
+	DedupWindow  float64 // seconds in which engines drop duplicates of a deduplicated batch
 	Goal         float64 // response time goal, seconds
 	GoalStretch  float64 // the goal grows by this times the batch's work over its threads
 	Limit        float64 // time limit, seconds
