--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -35,20 +35,20 @@
 // awaitFree keeps a connection in use until its engine reports that it is free.
 func (r *Router) awaitFree(conn *engineConn) {
 	wait := &freeWait{conn}
-	conn.Open(freeWaitID, wait)
+	conn.AddPending(freeWaitID, wait)
 	r.timers.add(r.now+freeTimeout, wait)
 }
 
 // freeOverdue closes a connection whose engine has not reported in time that it is free.
 func (r *Router) freeOverdue(wait *freeWait) {
-	if conn := wait.conn; r.connections[conn.Number] == conn && conn.Get(freeWaitID) == any(wait) {
+	if conn := wait.conn; r.connections[conn.Number] == conn && conn.Pending(freeWaitID) == any(wait) {
 		r.closeConnection(conn, CancelTimedOut)
 	}
 }
 
 // connectionFree handles the engine's report that a connection is free.
 func (r *Router) connectionFree(conn *engineConn) {
-	conn.Close(freeWaitID, false, r.now)
+	conn.RemovePending(freeWaitID, false, r.now)
 	r.confirmCancellations(conn)
 	r.closeIfUnneeded(conn)
 }
@@ -66,7 +66,7 @@
 func (r *Router) pickConnection(e *engine, id string) (*engineConn, CloseReason) {
 	existing := e.pool.Pick(id, r.multiplexLimit(e))
 	canDial := len(r.connections)+r.dialing+2 <= r.maxConnections
-	if existing != nil && (existing.Opened() == 0 && !existing.Unread || !canDial || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
+	if existing != nil && (existing.PendingCount() == 0 && !existing.PeerNotReading || !canDial || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
 		return r.connections[existing.Number], 0
 	}
 	if e.address == "" {
@@ -99,14 +99,14 @@
 	r.log(Debug, "connected", "engine", conn.engine.name, "connection", number, "waiting", len(conn.queue))
 	r.dialing--
 	r.timers.stop(conn.timer)
-	conn.Up, conn.Heard = true, r.now
+	conn.Up, conn.LastReceivedAt = true, r.now
 	r.writable = append(r.writable, conn)
 }
 
 // engineWritable handles an engine that has read what was written; the connection's queue is sent at the end of the turn.
 func (r *Router) engineWritable(number uint64) {
 	if conn := r.connections[number]; conn != nil {
-		conn.Unread = false
+		conn.PeerNotReading = false
 		r.writable = append(r.writable, conn)
 	}
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	conn.healthCheck = &probe{engine: conn.engine, conn: conn, tag: probeTag(r.nextNumber())}
-	conn.Open(conn.healthCheck.tag, conn.healthCheck)
+	conn.AddPending(conn.healthCheck.tag, conn.healthCheck)
 	r.timers.add(r.now+r.config.Settings.DialTime, conn.healthCheck)
 	r.send(conn, conn.healthCheck)
 }
@@ -158,7 +158,7 @@
 		return
 	}
 	readingPaused := false
-	for _, open := range conn.Opens() {
+	for _, open := range conn.AllPending() {
 		if d, isDispatch := open.(*dispatch); isDispatch && d.readingPaused {
 			readingPaused = true
 		}
@@ -178,7 +178,7 @@
 		return
 	}
 	switch {
-	case conn.Left:
+	case conn.StaleAddress:
 		r.closeConnection(conn, StaleAddress)
 		return
 	case conn.Suspect:
@@ -202,7 +202,7 @@
 	if !conn.Idle() {
 		return
 	}
-	if at := conn.IdleAt + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
+	if at := conn.IdleSince + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
 		conn.timer = r.timers.add(at, conn)
 		return
 	}
@@ -224,7 +224,7 @@
 		r.dialing--
 	}
 	conn.engine.pool.Remove(conn.Connection)
-	open := conn.Opens()
+	open := conn.AllPending()
 	r.log(Debug, "connection ended", "engine", conn.engine.name, "connection", conn.Number, "end", end.String(), "open", len(open))
 	var dispatches []*dispatch
 	for _, item := range open {
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -76,14 +76,14 @@
 		return
 	}
 	d.conn = conn
-	conn.Open(b.id, d)
+	conn.AddPending(b.id, d)
 	r.send(conn, d)
 }
 
 // send sends a dispatch or a probe on a connection, or queues it until the connection is up and, for a dispatch, its engine
 // reads. A queued dispatch has not run and can still be withdrawn.
 func (r *Router) send(conn *engineConn, item any) {
-	if _, request := item.(*dispatch); !conn.Up || request && conn.Unread {
+	if _, request := item.(*dispatch); !conn.Up || request && conn.PeerNotReading {
 		conn.queue = append(conn.queue, item)
 		return
 	}
@@ -119,7 +119,7 @@
 	if conn == nil {
 		return
 	}
-	d, isDispatch := conn.Get(e.ID).(*dispatch)
+	d, isDispatch := conn.Pending(e.ID).(*dispatch)
 	if !isDispatch || d.ended {
 		return
 	}
@@ -130,7 +130,7 @@
 	case e.Why == OrderInvalid:
 		r.failInvalid(d)
 	case e.Why == OrderUnread:
-		conn.Unread = true
+		conn.PeerNotReading = true
 		conn.queue = append(conn.queue, d)
 	default:
 		r.returnUnwritten(d)
@@ -155,7 +155,7 @@
 	d.written = false
 	id, conn := d.batch.id, d.conn
 	r.endDispatch(d, outcomesByReason[RouterStopped].unwritten, nil)
-	conn.Close(id, false, r.now)
+	conn.RemovePending(id, false, r.now)
 	r.closeIfUnneeded(conn)
 }
 
@@ -235,12 +235,12 @@
 		if d.written {
 			r.awaitFree(conn) // before Close, so that the connection never counts as free
 		}
-		conn.Close(id, false, r.now)
+		conn.RemovePending(id, false, r.now)
 		r.closeIfUnneeded(conn)
 		return
 	}
-	conn.Close(id, d.written, r.now)
-	if d.written && conn.Heard <= d.writtenAt {
+	conn.RemovePending(id, d.written, r.now)
+	if d.written && conn.LastReceivedAt <= d.writtenAt {
 		// Nothing was received since the dispatch was written. If the engine's machine is cut off, later dispatches on
 		// this connection would be lost for long too. They go on a new connection, which shows at once whether the
 		// engine can be reached. If the engine was only slow and had no progress to report, this costs a handshake.
@@ -260,12 +260,12 @@
 		reply.Rows.Release()
 		return
 	}
-	conn.Heard, conn.Suspect, conn.partialSince = r.now, false, 0
+	conn.LastReceivedAt, conn.Suspect, conn.partialSince = r.now, false, 0
 	if reply.Word == traffic.Free {
 		r.connectionFree(conn)
 		return
 	}
-	switch open := conn.Get(reply.ID).(type) {
+	switch open := conn.Pending(reply.ID).(type) {
 	case *dispatch:
 		r.handleReply(open, reply)
 	case *probe:
@@ -282,7 +282,7 @@
 	r.endDispatch(d, ending, d.report)
 	// The reply may arrive twice. Closing the id as one that may still get a reply keeps other dispatches of the batch off
 	// this connection, where the duplicate would end them.
-	conn.Close(d.batch.id, ending != brain.Completed && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
+	conn.RemovePending(d.batch.id, ending != brain.Completed && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
 	r.closeIfUnneeded(conn)
 }
 
@@ -404,7 +404,7 @@
 	if d.ended || d.missingPages == 0 {
 		return
 	}
-	if d.conn.Heard <= d.pagesRequestedAt {
+	if d.conn.LastReceivedAt <= d.pagesRequestedAt {
 		r.suspectConnection(d.conn)
 	}
 	d.pageRetryDelay *= 2
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -526,7 +526,7 @@
 func (r *Router) leaveAddress(e *engine) {
 	r.withdrawUnsent(e)
 	for _, c := range slices.Clone(e.pool.Connections) {
-		c.Left = true
+		c.StaleAddress = true
 		r.closeIfUnneeded(r.connections[c.Number])
 	}
 }
@@ -544,7 +544,7 @@
 		for _, item := range slices.Clone(conn.queue) {
 			if d, is := item.(*dispatch); is {
 				r.endDispatch(d, outcomesByReason[StaleAddress].unwritten, nil)
-				conn.Close(d.batch.id, false, r.now)
+				conn.RemovePending(d.batch.id, false, r.now)
 			}
 		}
 		r.closeIfUnneeded(conn)
