--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -58,7 +58,7 @@
 	if e.protocol.Alone {
 		return 1
 	}
-	return r.config.Settings.Multiplex
+	return r.config.Settings.MaxStreamsPerConnection
 }
 
 // pickConnection returns a connection to an engine for a dispatch or probe with this id, or dials a new one. If there is
@@ -78,7 +78,7 @@
 	r.dialing++
 	conn := &engineConn{Connection: e.pool.Add(r.nextNumber(), r.now), engine: e}
 	r.connections[conn.Number] = conn
-	timeout := r.config.Settings.DialTime
+	timeout := r.config.Settings.DialTimeout
 	conn.timer = r.timers.add(r.now+timeout, conn)
 	r.log(Debug, "dial", "engine", e.name, "address", e.address, "connection", conn.Number)
 	r.emit(Dial{conn.Number, e.address, timeout, e.protocol})
@@ -147,7 +147,7 @@
 	}
 	conn.healthCheck = &probe{engine: conn.engine, conn: conn, tag: probeTag(r.nextNumber())}
 	conn.AddPending(conn.healthCheck.tag, conn.healthCheck)
-	r.timers.add(r.now+r.config.Settings.DialTime, conn.healthCheck)
+	r.timers.add(r.now+r.config.Settings.DialTimeout, conn.healthCheck)
 	r.send(conn, conn.healthCheck)
 }
 
@@ -185,7 +185,7 @@
 		r.closeConnection(conn, ClosedSuspect)
 		return
 	}
-	if idle := r.config.Settings.IdleTime; idle > 0 && (conn.timer == nil || conn.timer.index < 0) {
+	if idle := r.config.Settings.IdleTimeout; idle > 0 && (conn.timer == nil || conn.timer.index < 0) {
 		conn.timer = r.timers.add(r.now+idle*idleCloseFraction, conn)
 	}
 }
@@ -202,7 +202,7 @@
 	if !conn.Idle() {
 		return
 	}
-	if at := conn.IdleSince + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
+	if at := conn.IdleSince + r.config.Settings.IdleTimeout*idleCloseFraction; r.now < at {
 		conn.timer = r.timers.add(at, conn)
 		return
 	}
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -98,7 +98,7 @@
 			"connection", conn.Number, "waited", r.now-item.sentAt, "serial", r.follower.Serial())
 		r.emit(SendToEngine{conn.Number, item.request(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayHedge)})
 	case *probe:
-		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, Load: r.config.Settings.Loads}, math.Inf(1), Origin{}})
+		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, Load: r.config.Settings.EnginesReportLoad}, math.Inf(1), Origin{}})
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -129,7 +129,7 @@
 	r := &Router{brain: brain.New(c.Settings.Settings, c.Seed, now), config: c, protocolOf: protocolOf, pool: pool, now: now,
 		groups: map[string]*brain.ServiceGroup{}, unmarkedGroups: map[string]*brain.ServiceGroup{}, engines: map[string]*engine{},
 		byBrainEngine: map[*brain.Engine]*engine{}, connections: map[uint64]*engineConn{}, clients: map[uint64]*client{},
-		batches: map[*brain.Batch]*batch{}, openByID: map[string]*batch{}, timerAt: math.Inf(1), wakeAt: math.Inf(1), follower: directory.NewFollower(c.Known, c.Seed, now),
+		batches: map[*brain.Batch]*batch{}, openByID: map[string]*batch{}, timerAt: math.Inf(1), wakeAt: math.Inf(1), follower: directory.NewFollower(c.KnownEngines, c.Seed, now),
 		idSource: rand.New(rand.NewPCG(c.Seed, 64))}
 	for _, group := range c.Settings.Groups {
 		if r.groups[group.Name] != nil {
@@ -139,9 +139,9 @@
 		}
 	}
 	settings := &r.config.Settings
-	settings.Multiplex = max(settings.Multiplex, 1)
-	if settings.DialTime <= 0 {
-		settings.DialTime = 0.25
+	settings.MaxStreamsPerConnection = max(settings.MaxStreamsPerConnection, 1)
+	if settings.DialTimeout <= 0 {
+		settings.DialTimeout = 0.25
 	}
 	r.connectionsPerEngine = defaultConnectionsPerEngine
 	r.setDescriptorLimits()
@@ -178,12 +178,12 @@
 		r.setDescriptorLimits()
 		r.emit(SetLimits{c.MemoryMB, c.Descriptors})
 	}
-	if r.follower.Configured(c.Known, r.now) {
+	if r.follower.HandleConfigured(c.KnownEngines, r.now) {
 		r.applyEngineList(r.follower.List())
 	}
 	if c.Resolver != old.Resolver {
 		old.Resolver = c.Resolver
-		r.follower.Moved(r.now) // the old address may still answer with an outdated list
+		r.follower.HandleServerChange(r.now) // the old address may still answer with an outdated list
 		r.emit(SetResolver{c.Resolver})
 	}
 	r.queryList()
@@ -403,8 +403,8 @@
 // queryList queries the name service for the engine list.
 func (r *Router) queryList() {
 	counts := r.follower.Counts(r.now)
-	query := r.follower.Ask(r.now)
-	if query.Elsewhere {
+	query := r.follower.NextQuery(r.now)
+	if query.NewPort {
 		if !r.nameServiceSilent {
 			r.nameServiceSilent = true
 			r.log(Warn, "name service is silent, asked from another port", r.followFields(counts)...)
@@ -418,13 +418,13 @@
 // scheduleQuery sets the timer for the next query and invalidates earlier ones.
 func (r *Router) scheduleQuery() {
 	r.currentQuery++
-	r.timers.add(r.follower.Due(), r.currentQuery)
+	r.timers.add(r.follower.NextQueryAt(), r.currentQuery)
 }
 
 // listAnswered handles an answer of the name service. Answers that are lost, failed or truncated never get here.
 func (r *Router) listAnswered(queryID uint16, list directory.List) {
 	counts := r.follower.Counts(r.now)
-	verdict, changed := r.follower.Answer(queryID, list, r.now)
+	verdict, changed := r.follower.HandleAnswer(queryID, list, r.now)
 	fields := append(r.followFields(counts), "told", list.Serial, "engines", len(list.Engines))
 	switch verdict {
 	case directory.Same:
@@ -454,7 +454,7 @@
 
 // listUnusable handles an answer of the name service that can't be decoded.
 func (r *Router) listUnusable(queryID uint16) {
-	r.follower.Unusable(queryID, r.now)
+	r.follower.HandleUnusable(queryID, r.now)
 	r.scheduleQuery()
 }
 
