--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -123,7 +123,7 @@
 		return
 	}
 	maxBatches, maxTextBytes := r.config.Settings.MaxQueued, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
-	if maxBatches > 0 && len(r.batches) >= maxBatches || maxTextBytes > 0 && float64(r.pool.Used()*buffers.Size) > maxTextBytes {
+	if maxBatches > 0 && len(r.batches) >= maxBatches || maxTextBytes > 0 && float64(r.pool.InUse()*buffers.Size) > maxTextBytes {
 		// The router has no capacity for the batch. Nothing of it has run, so it can be rejected as safe to retry.
 		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.MaxRetryDelay})
 		request.Text.Release()
