--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -37,17 +37,17 @@
 )
 
 // handleClientMessage handles a message that was read from the client connection with this number.
-func (r *Router) handleClientMessage(number uint64, message traffic.Said) {
+func (r *Router) handleClientMessage(number uint64, message traffic.ClientMessage) {
 	c := r.clients[number]
 	if c == nil {
-		if ask, is := message.(*traffic.Ask); is {
+		if ask, is := message.(*traffic.BatchRequest); is {
 			ask.Batch.Text.Release()
 		}
 		return
 	}
 	c.partialSince, c.activeAt, c.hasSentMessage = 0, r.now, true
 	switch message := message.(type) {
-	case *traffic.Ask:
+	case *traffic.BatchRequest:
 		r.acceptBatch(c, message)
 	case traffic.Cancel:
 		if b := c.open[message.Stream]; b != nil {
@@ -57,14 +57,14 @@
 			}
 			r.clientLeft(b)
 		}
-	case traffic.AskReady:
+	case traffic.ReadinessQuery:
 		r.emit(SendToClient{number, traffic.Ready{Stream: message.Stream, Yes: r.ready()}})
 	case traffic.Hello:
-		r.log(Debug, "client", "client", number, "speaks", c.protocol.Name, "who", message.Who)
+		r.log(Debug, "client", "client", number, "speaks", c.protocol.Name, "who", message.Name)
 		if r.stopAt > 0 {
-			r.emit(SendToClient{number, traffic.NoMore{}})
+			r.emit(SendToClient{number, traffic.GoAway{}})
 		}
-	case traffic.Unusable:
+	case traffic.InvalidMessage:
 		r.rejectBadInput(c, message.Stream)
 	}
 }
@@ -91,31 +91,31 @@
 
 // acceptBatch validates a batch that a client asks for and hands it to the decision module. An unusable batch is answered
 // with an error; a batch beyond the router's capacity is rejected.
-func (r *Router) acceptBatch(c *client, ask *traffic.Ask) {
+func (r *Router) acceptBatch(c *client, ask *traffic.BatchRequest) {
 	request := &ask.Batch
 	// Stream numbers only increase, so none is used twice. A client that breaks this rule or opens more batches than its
 	// protocol allows is disconnected.
-	if ask.Stream <= c.lastStream || len(c.open) >= c.protocol.Open {
+	if ask.Stream <= c.lastStream || len(c.open) >= c.protocol.MaxOpenBatches {
 		request.Text.Release()
 		r.rejectBadInput(c, ask.Stream)
 		return
 	}
 	c.lastStream = ask.Stream
 	group := r.groups[request.Group]
-	if request.NoMark && r.unmarkedGroups[request.Group] != nil {
+	if request.NoIdempotencyKey && r.unmarkedGroups[request.Group] != nil {
 		group = r.unmarkedGroups[request.Group]
 	}
-	if request.Left == 0 && group != nil {
-		request.Left = group.Limit
+	if request.TimeLeft == 0 && group != nil {
+		request.TimeLeft = group.Limit
 	}
-	b := &batch{client: c, stream: ask.Stream, id: request.ID, mark: request.Mark, statement: &request.Statement}
-	err := ask.Bad
+	b := &batch{client: c, stream: ask.Stream, id: request.ID, mark: request.IdempotencyKey, statement: &request.Statement}
+	err := ask.Err
 	if err == nil {
 		err = r.validate(request, group)
 	}
 	if err != nil {
 		r.log(Warn, "batch can't be used", "client", c.number, "stream", ask.Stream, "group", request.Group, "why", err.Error())
-		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: err.Error()})
 		request.Text.Release()
 		if c.faults++; c.faults >= maxFaults && !c.protocol.Stream {
 			r.rejectClient(c, BadInput)
@@ -125,11 +125,11 @@
 	maxBatches, maxTextBytes := r.config.Settings.MaxQueued, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
 	if maxBatches > 0 && len(r.batches) >= maxBatches || maxTextBytes > 0 && float64(r.pool.InUse()*buffers.Size) > maxTextBytes {
 		// The router has no capacity for the batch. Nothing of it has run, so it can be rejected as safe to retry.
-		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.MaxRetryDelay})
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Rejected, RetryAfter: r.config.Settings.MaxRetryDelay})
 		request.Text.Release()
 		return
 	}
-	timeLeft := request.Left
+	timeLeft := request.TimeLeft
 	if r.stopAt > 0 {
 		timeLeft = min(timeLeft, r.answerDeadline-r.now) // no batch is answered after that
 	}
@@ -138,12 +138,12 @@
 		b.id = r.newBatchID()
 	}
 	b.Batch = &brain.Batch{ID: r.lastBatchID, Group: group, Client: slices.Index(r.config.Settings.Clients, request.Client),
-		Key: request.Key, TimeLeft: max(timeLeft, 0.001), EstimatedWork: request.Cost, EstimatedMemory: request.Memory,
+		Key: request.OrderKey, TimeLeft: max(timeLeft, 0.001), EstimatedWork: request.Cost, EstimatedMemory: request.Memory,
 		DataSet: float64(statement.DataSet(b.statement.Text.Reader()))}
 	if r.routes != nil {
 		b.Route = r.findRoute(c, request, b.DataSet)
 	}
-	b.clientDeadline = r.now + request.Left
+	b.clientDeadline = r.now + request.TimeLeft
 	r.batches[b.Batch] = b
 	c.open[ask.Stream], r.openByID[b.id] = b, b
 	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", lazyText{b.statement.Text})
@@ -180,9 +180,9 @@
 		return fmt.Errorf("no such service group: %.40q", request.Group)
 	case r.openByID[request.ID] != nil:
 		return errors.New("another open batch has the same id")
-	case group.Idempotency == brain.Deduplicated && request.Mark == "":
+	case group.Idempotency == brain.Deduplicated && request.IdempotencyKey == "":
 		return errors.New("a referenced batch needs a mark")
-	case request.Left > maxWaitFactor*group.Limit:
+	case request.TimeLeft > maxWaitFactor*group.Limit:
 		return errors.New("the requested wait is far above the time limit of the service group")
 	}
 	return nil
@@ -217,10 +217,10 @@
 	}
 	r.log(Debug, "answer", "id", b.id, "code", code.String(), "dispatches", len(b.dispatches))
 	why := b.lastError
-	if code == traffic.PushedBack {
+	if code == traffic.Rejected {
 		why = ""
 	}
-	r.sendAnswer(b, &traffic.Answer{Code: code, Wait: wait, Why: why})
+	r.sendAnswer(b, &traffic.Answer{Code: code, RetryAfter: wait, Reason: why})
 	r.releaseBatch(b)
 }
 
@@ -247,7 +247,7 @@
 		case !d.written: // it waits for its connection; nothing is sent for a client that has gone, and its budgets are freed
 			r.abortDispatch(d, brain.Canceled)
 		case d.missingPages > 0: // it has run, and the rest of its pages is not needed
-			r.sendOrder(d.conn, traffic.Enough{ID: b.id})
+			r.sendOrder(d.conn, traffic.CloseResult{ID: b.id})
 			r.finishDispatch(d, brain.Completed)
 		}
 	}
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -55,7 +55,7 @@
 
 // multiplexLimit returns how many batches may share a connection to an engine.
 func (r *Router) multiplexLimit(e *engine) int {
-	if e.protocol.Alone {
+	if e.protocol.OneAtATime {
 		return 1
 	}
 	return r.config.Settings.MaxStreamsPerConnection
@@ -142,7 +142,7 @@
 // time the connection is closed.
 func (r *Router) suspectConnection(conn *engineConn) {
 	conn.Suspect = true
-	if conn.Idle() || conn.healthCheck != nil || !r.config.Settings.MayProbe || conn.engine.protocol.Alone {
+	if conn.Idle() || conn.healthCheck != nil || !r.config.Settings.MayProbe || conn.engine.protocol.OneAtATime {
 		return
 	}
 	conn.healthCheck = &probe{engine: conn.engine, conn: conn, tag: probeTag(r.nextNumber())}
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -98,7 +98,7 @@
 			"connection", conn.Number, "waited", r.now-item.sentAt, "serial", r.follower.Serial())
 		r.emit(SendToEngine{conn.Number, item.request(r.now), min(item.writeBy, r.now+r.decisionTime()), item.batch.origin(!r.config.Settings.MayHedge)})
 	case *probe:
-		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, Load: r.config.Settings.EnginesReportLoad}, math.Inf(1), Origin{}})
+		r.emit(SendToEngine{conn.Number, traffic.Probe{Tag: item.tag, WantLoad: r.config.Settings.EnginesReportLoad}, math.Inf(1), Origin{}})
 	}
 }
 
@@ -145,7 +145,7 @@
 	if b.client != nil {
 		r.brain.RemoveBatch(b.Batch)
 		b.lastError = "internal error: sending the request would violate an invariant"
-		r.answerBatch(b, traffic.Errored, 0)
+		r.answerBatch(b, traffic.Failed, 0)
 	}
 }
 
@@ -165,7 +165,7 @@
 }
 
 // sendOrder sends an order that is not a dispatch, if the connection is up.
-func (r *Router) sendOrder(conn *engineConn, order traffic.Order) {
+func (r *Router) sendOrder(conn *engineConn, order traffic.EngineCommand) {
 	if conn.Up {
 		r.emit(SendToEngine{conn.Number, order, math.Inf(1), Origin{}})
 	}
@@ -192,7 +192,7 @@
 	b := d.batch
 	if d.streaming && b.client != nil && ending != brain.Completed {
 		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(ending), "sent", d.resultSize)
-		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: "the result is cut: " + b.lastError})
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: "the result is cut: " + b.lastError})
 	}
 	r.log(Debug, "ended", "id", b.id, "no", d.number, "engine", d.engine.name, "how", int(ending), "took", r.now-d.sentAt,
 		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missingPages, "connection", d.connectionNumber())
@@ -222,7 +222,7 @@
 		return
 	}
 	if d.written {
-		r.sendOrder(conn, traffic.GiveUp{ID: d.batch.id})
+		r.sendOrder(conn, traffic.CancelDispatch{ID: d.batch.id})
 	} else {
 		ending = unsentEnding[ending]
 	}
@@ -231,7 +231,7 @@
 	if conn == nil {
 		return
 	}
-	if conn.engine.protocol.Alone {
+	if conn.engine.protocol.OneAtATime {
 		if d.written {
 			r.awaitFree(conn) // before Close, so that the connection never counts as free
 		}
@@ -254,14 +254,14 @@
 var unsentEnding = map[brain.Outcome]brain.Outcome{brain.TimedOut: brain.ConnectFailed, brain.Canceled: brain.NotSent}
 
 // engineReplied handles a reply that was read from the engine connection with this number.
-func (r *Router) engineReplied(number uint64, reply *traffic.Reply) {
+func (r *Router) engineReplied(number uint64, reply *traffic.EngineReply) {
 	conn := r.connections[number]
 	if conn == nil {
 		reply.Rows.Release()
 		return
 	}
 	conn.LastReceivedAt, conn.Suspect, conn.partialSince = r.now, false, 0
-	if reply.Word == traffic.Free {
+	if reply.Kind == traffic.ReplyReleased {
 		r.connectionFree(conn)
 		return
 	}
@@ -270,7 +270,7 @@
 		r.handleReply(open, reply)
 	case *probe:
 		reply.Rows.Release()
-		r.finishProbe(open, reply.Word == traffic.Fit, reply.Load, false)
+		r.finishProbe(open, reply.Kind == traffic.ReplyHealthy, reply.Load, false)
 	default: // a late reply to a dispatch that has ended
 		reply.Rows.Release()
 	}
@@ -282,24 +282,24 @@
 	r.endDispatch(d, ending, d.report)
 	// The reply may arrive twice. Closing the id as one that may still get a reply keeps other dispatches of the batch off
 	// this connection, where the duplicate would end them.
-	conn.RemovePending(d.batch.id, ending != brain.Completed && d.batch.client != nil && !conn.engine.protocol.Alone, r.now)
+	conn.RemovePending(d.batch.id, ending != brain.Completed && d.batch.client != nil && !conn.engine.protocol.OneAtATime, r.now)
 	r.closeIfUnneeded(conn)
 }
 
 // handleReply handles a reply to a dispatch that has not ended.
-func (r *Router) handleReply(d *dispatch, reply *traffic.Reply) {
+func (r *Router) handleReply(d *dispatch, reply *traffic.EngineReply) {
 	if d.report == nil {
 		d.report = reply.Load
 	}
 	body := reply.Rows
-	if reply.Why != "" {
-		d.batch.lastError = reply.Why
+	if reply.Reason != "" {
+		d.batch.lastError = reply.Reason
 	}
 	if d.cancelled && r.handleReplyAfterCancel(d, reply) {
 		return
 	}
-	switch reply.Word {
-	case traffic.Done:
+	switch reply.Kind {
+	case traffic.ReplyFirstPage:
 		if d.pages != nil {
 			body.Release()
 			return
@@ -310,7 +310,7 @@
 		d.work, d.memory = reply.Work, reply.Memory
 		if d.batch.client == nil { // the client has stopped waiting, so the pages are not needed
 			if reply.Pages > 1 {
-				r.sendOrder(d.conn, traffic.Enough{ID: d.batch.id})
+				r.sendOrder(d.conn, traffic.CloseResult{ID: d.batch.id})
 			}
 			body.Release()
 			r.finishDispatch(d, brain.Completed)
@@ -322,7 +322,7 @@
 			r.requestPages(d)
 		}
 		r.storePage(d, 0, body)
-	case traffic.More:
+	case traffic.ReplyPage:
 		switch number := reply.Page; {
 		case number < 1 || number >= len(d.pages):
 			r.rejectReply(d, reply)
@@ -331,27 +331,27 @@
 		case r.checkRows(d, reply):
 			r.storePage(d, number, body)
 		}
-	case traffic.Some:
+	case traffic.ReplyRows:
 		if r.checkRows(d, reply) {
 			r.storePart(d, body)
 		}
-	case traffic.Whole:
+	case traffic.ReplyComplete:
 		if !r.checkRows(d, reply) {
 			return
 		}
 		d.work, d.memory = reply.Work, reply.Memory
 		r.completeResult(d)
-	case traffic.Full, traffic.Late:
+	case traffic.ReplyOverloaded, traffic.ReplyTooLate:
 		body.Release()
 		if d.pages != nil {
 			r.finishDispatch(d, brain.Errored)
 		} else {
 			r.finishDispatch(d, brain.Rejected)
 		}
-	case traffic.Broke:
+	case traffic.ReplyFailed:
 		body.Release()
 		r.finishDispatch(d, brain.Errored)
-	case traffic.News:
+	case traffic.ReplyProgress:
 		body.Release()
 		if reply.Note != 0 {
 			r.brain.DispatchUpdated(d.batch.Batch, d.number, reply.Note, reply.Level)
@@ -363,13 +363,13 @@
 
 // checkRows reports whether the rows of a reply can be used: the protocol found no fault in them, and the result is within
 // the limits of its route and its protocol. Otherwise it ends the batch or the connection.
-func (r *Router) checkRows(d *dispatch, reply *traffic.Reply) bool {
-	if d.resultSize += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.AllowsResult(d.resultSize) && d.batch.client != nil {
+func (r *Router) checkRows(d *dispatch, reply *traffic.EngineReply) bool {
+	if d.resultSize += reply.Rows.Len(); reply.Invalid == "" && !d.batch.Route.AllowsResult(d.resultSize) && d.batch.client != nil {
 		reply.Rows.Release()
 		r.failTooLarge(d, errRouteLimit)
 		return false
 	}
-	if reply.Bad == "" && (d.resultSize <= maxResultBytes || !d.engine.protocol.Bounded) {
+	if reply.Invalid == "" && (d.resultSize <= maxResultBytes || !d.engine.protocol.BoundedResult) {
 		return true
 	}
 	r.rejectReply(d, reply)
@@ -378,11 +378,11 @@
 
 // rejectReply handles a reply that can't be passed on. What follows it on the connection can't be trusted either, so the
 // connection is closed; dispatches that are open on it end as the outcomes table says.
-func (r *Router) rejectReply(d *dispatch, reply *traffic.Reply) {
-	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Word), "why", reply.Bad,
+func (r *Router) rejectReply(d *dispatch, reply *traffic.EngineReply) {
+	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Kind), "why", reply.Invalid,
 		"bytes", reply.Rows.Len())
 	reply.Rows.Release()
-	d.endedByEngine = reply.Word != traffic.Unknown
+	d.endedByEngine = reply.Kind != traffic.ReplyUnknown
 	r.closeConnection(d.conn, BadInput)
 }
 
@@ -390,7 +390,7 @@
 func (r *Router) requestPages(d *dispatch) {
 	for number := 1; number < len(d.pages); number++ {
 		if d.receivedPages&(1<<number) == 0 {
-			r.sendOrder(d.conn, traffic.AskPage{ID: d.batch.id, Page: number})
+			r.sendOrder(d.conn, traffic.FetchPage{ID: d.batch.id, Page: number})
 		}
 	}
 	d.pagesRequestedAt = r.now
@@ -433,7 +433,7 @@
 		d.pages = nil
 		var err error
 		if !d.streaming {
-			if parts, err = b.client.protocol.Express(parts); err == nil && b.client.protocol.Most > 0 && totalSize(parts) > b.client.protocol.Most {
+			if parts, err = b.client.protocol.ConvertResult(parts); err == nil && b.client.protocol.MaxResultBytes > 0 && totalSize(parts) > b.client.protocol.MaxResultBytes {
 				rows.Release(parts)
 				err = errProtocolLimit
 			}
@@ -441,10 +441,10 @@
 		if err != nil {
 			r.log(Warn, "result can't be expressed", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name,
 				"why", err.Error())
-			r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+			r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: err.Error()})
 		} else {
-			r.log(Debug, "answer", "id", b.id, "code", traffic.Returned.String(), "pages", len(parts))
-			r.sendAnswer(b, &traffic.Answer{Code: traffic.Returned, Rows: parts})
+			r.log(Debug, "answer", "id", b.id, "code", traffic.Succeeded.String(), "pages", len(parts))
+			r.sendAnswer(b, &traffic.Answer{Code: traffic.Succeeded, Rows: parts})
 		}
 	}
 	if d.readingPaused {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -25,7 +25,7 @@
 	// ClientMessage reports a complete message of a client.
 	ClientMessage struct {
 		Client  uint64
-		Message traffic.Said
+		Message traffic.ClientMessage
 	}
 	// ClientMessageStarted reports that a part of a client's message has arrived, after complete ones if there were any.
 	ClientMessageStarted struct{ Client uint64 }
@@ -46,7 +46,7 @@
 	// EngineReplied reports a complete reply of an engine.
 	EngineReplied struct {
 		Connection uint64
-		Reply      *traffic.Reply
+		Reply      *traffic.EngineReply
 	}
 	// EngineWritable reports that everything written to an engine connection has left, after an order was refused with
 	// OrderUnread.
@@ -156,7 +156,7 @@
 	// SendToClient sends a message to a client.
 	SendToClient struct {
 		Client  uint64
-		Message traffic.Tell
+		Message traffic.ClientReply
 	}
 	// CloseClient closes a client connection.
 	CloseClient struct {
@@ -173,7 +173,7 @@
 	// SendToEngine writes an order to an engine connection.
 	SendToEngine struct {
 		Connection uint64
-		Order      traffic.Order
+		Order      traffic.EngineCommand
 		WriteBy    float64 // from this time on a dispatch is not written but reported with OrderRefused
 		Origin     Origin  // of a dispatch: the request that it belongs to
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -379,9 +379,9 @@
 				r.startDispatch(b, r.byBrainEngine[decision.Engine], decision)
 			}
 		case brain.Reject:
-			r.answerBatch(r.batches[decision.Batch], traffic.PushedBack, decision.Wait)
+			r.answerBatch(r.batches[decision.Batch], traffic.Rejected, decision.Wait)
 		case brain.Fail:
-			r.answerBatch(r.batches[decision.Batch], traffic.Errored, 0)
+			r.answerBatch(r.batches[decision.Batch], traffic.Failed, 0)
 		case brain.Cancel:
 			if b := r.batches[decision.Batch]; b != nil && decision.Number < len(b.dispatches) {
 				r.abortDispatch(b.dispatches[decision.Number], brain.Canceled)
@@ -472,7 +472,7 @@
 		known := r.engines[e.ID]
 		if known == nil {
 			known = &engine{name: e.ID, protocol: r.protocolOf(e), Engine: brain.Engine{ID: engineNumber(e.ID)}}
-			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.protocol.Alone
+			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.protocol.OneAtATime
 			r.engines[e.ID] = known
 			r.byBrainEngine[&known.Engine] = known
 		}
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -42,7 +42,7 @@
 func (r *Router) failTooLarge(d *dispatch, err error) {
 	b := d.batch
 	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.resultSize, "why", err.Error())
-	r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+	r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: err.Error()})
 	r.abortDispatch(d, brain.Canceled)
 }
 
@@ -95,7 +95,7 @@
 
 // setReadingPaused pauses or resumes reading from the connection of a dispatch, if the engine's protocol allows that.
 func (r *Router) setReadingPaused(d *dispatch, paused bool) {
-	if d.readingPaused != paused && d.engine.protocol.Held {
+	if d.readingPaused != paused && d.engine.protocol.Pausable {
 		d.readingPaused = paused
 		r.emit(PauseReading{d.conn.Number, paused})
 	}
