--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -73,7 +73,7 @@
 	}
 	message, err := talk.Decode(t.Fleet, data)
 	switch {
-	case errors.Is(err, talk.ErrFleet):
+	case errors.Is(err, talk.ErrOtherFleet):
 		t.talked.OtherFleets++
 		l.dropped("another fleet's", from, err)
 	case err != nil:
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -59,18 +59,18 @@
 
 func newMembers(m router.FleetStatus, t loop.Talked, before *Members) *Members {
 	v := m.View
-	out := &Members{Router: m.Name, At: at(m.Now), Certainty: v.State.String(), CertainAt: at(v.StateAt), Count: len(v.Members),
-		View: fmt.Sprintf("%016x", v.Hash), Changes: v.Number, Same: m.Now - v.Since, Agree: v.Agree, Differ: v.Differ,
+	out := &Members{Router: m.Name, At: at(m.Now), Certainty: v.Certainty.String(), CertainAt: at(v.CertaintySince), Count: len(v.Members),
+		View: fmt.Sprintf("%016x", v.Hash), Changes: v.Changes, Same: m.Now - v.Since, Agree: v.AgreeCount, Differ: v.DifferCount,
 		Talked: Traffic{In: t.In, Out: t.Out, BytesIn: t.BytesIn, BytesOut: t.BytesOut, Strangers: t.Strangers, OtherFleets: t.OtherFleets,
 			Unreadable: t.Unreadable, Unsent: t.Unsent}}
-	self := v.Members[v.Index]
+	self := v.Members[v.SelfIndex]
 	out.Members = append(out.Members, Member{Name: self.Name, Start: self.Start, Address: self.Address, State: self.State.String(),
 		Incarnation: self.Incarnation, Agrees: true, Self: true})
 	for _, k := range m.Known {
 		one := Member{Name: k.Name, Start: k.Start, Address: k.Address, State: k.State.String(), Incarnation: k.Incarnation, For: m.Now - k.Since,
-			Accusers: k.Accusers, Heard: -1, Agrees: k.Agrees}
-		if k.Heard > 0 {
-			one.Heard = m.Now - k.Heard
+			Accusers: k.Accusers, Heard: -1, Agrees: k.SameView}
+		if k.LastReceived > 0 {
+			one.Heard = m.Now - k.LastReceived
 		}
 		if k.State > membership.Suspect {
 			one.Agrees = false
