--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reader draws what a fuzzer wants from its bytes.
+// reader derives choices from the fuzzer's bytes.
 type reader struct{ data []byte }
 
 func (r *reader) next(below int) int {
@@ -25,8 +25,8 @@
 		State: State(r.next(4)), Accuser: fmt.Sprint("n", r.next(5))}
 }
 
-// Whatever is heard, in whatever order and at whatever time, what the machine tells of itself agrees with itself, it sends no
-// more than is bounded, and nobody can make it hold itself for gone.
+// FuzzMachine checks that, for any messages in any order and at any time, the view is consistent with its count, index and hash,
+// the number of messages sent is bounded, and no message makes the machine consider itself suspected or gone.
 func FuzzMachine(f *testing.F) {
 	f.Add([]byte("a start, some words, and a long silence"))
 	f.Add([]byte{2, 1, 1, 1, 1, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 200, 100, 50})
@@ -51,18 +51,18 @@
 				}
 				m.Receive(now, message)
 			}
-			// All that goes on for others may end at once, beside a probe, those that help with it, a word to its target and a call.
+			// Upper bound: the Nacks of all relayed probes, the requests to helpers, and a probe, a notice to its target and a digest.
 			require.LessOrEqual(t, len(m.TakeOutgoing()), maxRelayedProbes+s.IndirectProbes+3)
 			v := m.View()
 			require.Len(t, v.Members, m.Count())
 			require.GreaterOrEqual(t, v.SelfIndex, 0)
 			hash := uint64(0)
-			for _, one := range v.Members {
-				hash ^= one.ID.hash()
+			for _, member := range v.Members {
+				hash ^= member.ID.hash()
 			}
 			require.Equal(t, hash, v.Hash)
 			require.Equal(t, Alive, v.Members[v.SelfIndex].State)
-			require.GreaterOrEqual(t, m.SelfID().Start, uint64(2), "an own start never falls")
+			require.GreaterOrEqual(t, m.SelfID().Start, uint64(2), "this router's own start never decreases")
 			require.Greater(t, m.NextWake(), now)
 		}
 	})
