--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -1,9 +1,10 @@
-// Package news is what routers tell each other of what they see: so far the load that each has out at each engine. It is pure:
-// times, messages and own figures come in, messages go out; it reads no clock, opens no socket and draws no chance.
+// Package news aggregates the load reports of the routers of a fleet: the load that each router has outstanding at each engine.
+// It is a pure state machine: its input is times, messages and this router's own load; its output is messages to send. It reads
+// no clock, opens no socket and uses no randomness.
 //
-// What is out is summed up a tree over the members by name and told down again, so that a router sends and hears as much in a
-// fleet of a thousand as in one of twenty. Sums flow to a smaller name only, whatever view whoever has, so that nothing goes
-// round. docs/news.md weighs the ways.
+// Loads are summed up a tree over the members ordered by name, and the total is sent down again, so that the traffic of a router
+// does not depend on whether the fleet has twenty members or a thousand. Sums flow only towards smaller names, whatever the views
+// of the members are, so that no load is counted in a loop. docs/news.md compares the alternatives.
 package news
 
 import (
@@ -13,95 +14,104 @@
 	"slices"
 )
 
-// Settings say how a machine goes about it. Times are seconds.
+// Settings configure a Machine. Times are seconds.
 type Settings struct {
-	Interval      float64 // between two tellings
-	FanOut        int     // members that tell one other
-	StaleAfter    float64 // what is older counts no longer
-	MinCoverage   float64 // share of the members that have to be in a sum for it to be believed
-	MaxSkew       float64 // no part of the fleet counts for more than so many times what the others of its size tell,
-	SkewAllowance float64 // and this many threads for each router; where fewer than Few others are in a sum nobody can tell who is right
-	MinOthers     int
+	Interval      float64 // time between two reports
+	FanOut        int     // children of each member in the tree
+	StaleAfter    float64 // older sums are ignored
+	MinCoverage   float64 // fraction of the members that a total has to include to be used
+	MaxSkew       float64 // a child's sum is capped at this many times what the others report for as many routers, plus SkewAllowance
+	SkewAllowance float64 // threads for each router of the child's sum
+	MinOthers     int     // the cap applies only with at least this many other routers in the sum: with fewer, an outlier can't be told from a correct report
 }
 
-// Defaults fit routers in one hall.
+// Defaults returns settings for routers in one data centre.
 func Defaults() Settings {
-	return Settings{Interval: 0.1, FanOut: 16, StaleAfter: 0.5, MinCoverage: 0.9, MaxSkew: 8, SkewAllowance: 4, MinOthers: 8}
+	return Settings{
+		Interval:      0.1,
+		FanOut:        16,
+		StaleAfter:    0.5,
+		MinCoverage:   0.9,
+		MaxSkew:       8,
+		SkewAllowance: 4,
+		MinOthers:     8,
+	}
 }
 
-// EngineStart names a start of an engine: one that is replaced has nothing of the one before.
+// EngineStart identifies one start of an engine. A replaced engine inherits no load from its predecessor.
 type EngineStart struct {
 	Engine uint32
-	Start  uint64 // bits of the time of its start, by the list
+	Start  uint64 // bits of its start time (float64), as the engine list reports it
 }
 
-// Load is what is out at one.
+// Load is the load that is outstanding at one start of an engine.
 type Load struct {
 	EngineStart
 	Threads float64
 	Memory  float64 // MB
 }
 
-// Kind is what a message is for.
+// Kind is the direction of a message in the tree.
 type Kind uint8
 
-// The kinds.
+// The kinds of messages.
 const (
-	Up   Kind = iota + 1 // what is out of the sender, and of those who tell him
-	Down                 // what is out of all
+	Up   Kind = iota + 1 // to the parent: the sum of the sender and of its descendants
+	Down                 // to the children: the total of all routers
 )
 
-// Message is one datagram.
+// Message is the content of one datagram.
 type Message struct {
 	Kind    Kind
-	Routers int     // that are in it
-	Age     float64 // of the oldest of it, seconds
-	Loads   []Load  // by engine; what is not in it is 0
+	Routers int     // number of routers in the sum
+	Age     float64 // age of the oldest report in the sum, in seconds
+	Loads   []Load  // ordered by engine; engines that are not listed have no load
 }
 
-// OutgoingMessage is a message that is to go to an address.
+// OutgoingMessage is a message to be sent to an address.
 type OutgoingMessage struct {
 	To string
 	Message
 }
 
-// Member is one of the view.
+// Member is a member of the membership view.
 type Member struct{ Name, Address string }
 
-// MaxLoads is how many starts of engines one message tells of; of more the fullest are told.
+// MaxLoads is the number of engine starts in one message. If there are more, those with the most threads are sent.
 const MaxLoads = 40
 
-const maxOwnHistory = 16 // tellings of one's own that are remembered, to be taken out of what comes back
+const maxOwnHistory = 16 // own reports that are kept, to be subtracted from the totals that include them
 
-// loadSum is what one has told.
+// loadSum is a sum of the reports of one or several routers.
 type loadSum struct {
-	oldestAt float64 // as old as it is
+	oldestAt float64 // time of the oldest report in the sum, in seconds
 	routers  int
 	loads    map[EngineStart]Load
 }
 
-// Machine is one router's part. Its methods are called with times that do not fall; none may be called beside another.
+// Machine is the load report state machine of one router. The times that are passed to its methods must not decrease. It is not
+// safe for concurrent use. All times are seconds.
 type Machine struct {
 	Settings
 	name           string
 	now            float64
 	nextReportAt   float64
-	members        []Member       // by name, with oneself
-	indexByAddress map[string]int // place of a member, by address
-	selfIndex      int            // own place; below 0: not in it
+	members        []Member       // ordered by name, including this router
+	indexByAddress map[string]int // index in members, by address
+	selfIndex      int            // index of this router in members; negative: not a member
 
-	children   map[string]*loadSum // by address of those who tell us; stale ones leave with the next telling
-	ownHistory []loadSum           // the last few, the newest last
-	total      loadSum             // of all, as last told
+	children   map[string]*loadSum // last sums of the members that report to this one, by address; aggregate deletes stale ones
+	ownHistory []loadSum           // this router's last reports, the newest last
+	total      loadSum             // total of the fleet, as last received or computed
 	outgoing   []OutgoingMessage
 }
 
-// New makes one.
+// New returns a machine for the router of that name, starting at the time now in seconds.
 func New(s Settings, name string, now float64) *Machine {
 	return &Machine{Settings: s, name: name, now: now, nextReportAt: now, selfIndex: -1, indexByAddress: map[string]int{}, children: map[string]*loadSum{}}
 }
 
-// SetMembers brings who is there, in any order.
+// SetMembers sets the members of the view, in any order.
 func (m *Machine) SetMembers(members []Member) {
 	m.members = slices.Clone(members)
 	slices.SortFunc(m.members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -114,20 +124,21 @@
 	}
 }
 
-// NextReport is when Tell is wanted next.
+// NextReport returns the time at which Report has to be called next, in seconds.
 func (m *Machine) NextReport() float64 { return m.nextReportAt }
 
-// TakeOutgoing gives what is to be sent, once.
+// TakeOutgoing returns the messages to send and clears them.
 func (m *Machine) TakeOutgoing() []OutgoingMessage {
 	out := m.outgoing
 	m.outgoing = nil
 	return out
 }
 
-// Report brings what is out of this router now, and tells it on.
+// Report sets the load that this router has outstanding now, and sends the sum of this router and its descendants to its parent.
+// The root of the tree sends the total to its children.
 func (m *Machine) Report(now float64, loads []Load) {
 	m.now = max(m.now, now)
-	if m.nextReportAt += m.Interval; m.nextReportAt <= m.now { // a turn that came late is not made up for
+	if m.nextReportAt += m.Interval; m.nextReportAt <= m.now { // a report that was missed is not made up for
 		m.nextReportAt = m.now + m.Interval
 	}
 	own := loadSum{oldestAt: m.now, routers: 1, loads: map[EngineStart]Load{}}
@@ -150,39 +161,39 @@
 	m.sendTotal()
 }
 
-// aggregate adds what those below have told. Whoever tells far more than the others do for as many routers is cut to a multiple of it:
-// one that lies, or counts wrongly, makes no engine look full to all.
+// aggregate adds the sums of the children to this router's own. A child that reports far more than the others do for as many
+// routers is capped at a multiple of that, so that one faulty router can't make an engine look full to the whole fleet.
 func (m *Machine) aggregate(own loadSum) loadSum {
 	all := loadSum{oldestAt: own.oldestAt, routers: own.routers, loads: maps.Clone(own.loads)}
 	maps.DeleteFunc(m.children, func(_ string, s *loadSum) bool { return s.oldestAt <= m.now-m.StaleAfter })
-	parts := []*loadSum{&own}
-	for _, address := range slices.Sorted(maps.Keys(m.children)) { // in one order: sums of floats are told alike
-		parts = append(parts, m.children[address])
+	sums := []*loadSum{&own}
+	for _, address := range slices.Sorted(maps.Keys(m.children)) { // fixed order: floating-point sums depend on it
+		sums = append(sums, m.children[address])
 	}
 	threads, routers := map[EngineStart]float64{}, 0
-	for _, s := range parts {
+	for _, s := range sums {
 		routers += s.routers
-		for of, l := range s.loads {
-			threads[of] += l.Threads
+		for engine, l := range s.loads {
+			threads[engine] += l.Threads
 		}
 	}
-	for _, s := range parts[1:] {
+	for _, s := range sums[1:] {
 		all.oldestAt, all.routers = min(all.oldestAt, s.oldestAt), all.routers+s.routers
-		for of, l := range s.loads {
+		for engine, l := range s.loads {
 			others := routers - s.routers
-			each := max(threads[of]-l.Threads, 0) / float64(max(others, 1))
-			if most := float64(s.routers) * (m.MaxSkew*each + m.SkewAllowance); others >= m.MinOthers && l.Threads > most {
-				l.Memory *= most / l.Threads
-				l.Threads = most
+			perRouter := max(threads[engine]-l.Threads, 0) / float64(max(others, 1))
+			if limit := float64(s.routers) * (m.MaxSkew*perRouter + m.SkewAllowance); others >= m.MinOthers && l.Threads > limit {
+				l.Memory *= limit / l.Threads
+				l.Threads = limit
 			}
-			sofar := all.loads[of]
-			all.loads[of] = Load{of, sofar.Threads + l.Threads, sofar.Memory + l.Memory}
+			previous := all.loads[engine]
+			all.loads[engine] = Load{engine, previous.Threads + l.Threads, previous.Memory + l.Memory}
 		}
 	}
 	return all
 }
 
-// newMessage makes a message of a sum.
+// newMessage returns a message that holds a sum.
 func (m *Machine) newMessage(kind Kind, s loadSum) Message {
 	out := Message{Kind: kind, Routers: s.routers, Age: max(m.now-s.oldestAt, 0)}
 	for _, l := range s.loads {
@@ -198,7 +209,7 @@
 	return out
 }
 
-// sendTotal tells the total to those who tell us.
+// sendTotal sends the total to the children.
 func (m *Machine) sendTotal() {
 	message := m.newMessage(Down, m.total)
 	for i := m.selfIndex*m.FanOut + 1; i <= m.selfIndex*m.FanOut+m.FanOut && i < len(m.members); i++ {
@@ -206,8 +217,8 @@
 	}
 }
 
-// Receive takes in a message of a member at an address. It gives true if what is known of all is new. A message whose figures
-// can't be is of no use; whoever is no member, or stands where no such message comes from, is not listened to.
+// Receive processes a message from a member's address and reports whether it changed the total. It ignores messages with invalid
+// figures, from addresses that are no member's, and from members that are not in the matching direction of the tree.
 func (m *Machine) Receive(now float64, from string, message *Message) bool {
 	m.now = max(m.now, now)
 	i, member := m.indexByAddress[from]
@@ -229,7 +240,7 @@
 	return false
 }
 
-// isPlausible: figures that can be.
+// isPlausible reports whether the figures of the message are within their bounds, in a fleet of that many members.
 func (m *Message) isPlausible(members int) bool {
 	if m.Routers < 1 || m.Routers > members || !(m.Age >= 0) || len(m.Loads) > MaxLoads {
 		return false
@@ -239,8 +250,8 @@
 	})
 }
 
-// OthersLoad is what is out of all others, and how old that is. It is not known (false) where too few of the members are in it or
-// it is too old. What was out of oneself then is taken out of it.
+// OthersLoad returns the load of all other routers and its age in seconds. It is not known if the total includes too few of the
+// members or is too old. This router's own load at the time of the total is subtracted.
 func (m *Machine) OthersLoad(now float64) (loads map[EngineStart]Load, age float64, known bool) {
 	m.now = max(m.now, now)
 	t := &m.total
@@ -248,14 +259,14 @@
 		return nil, age, false
 	}
 	var own map[EngineStart]Load
-	for _, s := range m.ownHistory { // the newest that the sum can hold
+	for _, s := range m.ownHistory { // the newest own report that the total can include
 		if s.oldestAt <= t.oldestAt+m.Interval/2 || own == nil {
 			own = s.loads
 		}
 	}
 	loads = make(map[EngineStart]Load, len(t.loads))
-	for of, l := range t.loads {
-		loads[of] = Load{of, math.Max(l.Threads-own[of].Threads, 0), math.Max(l.Memory-own[of].Memory, 0)}
+	for engine, l := range t.loads {
+		loads[engine] = Load{engine, math.Max(l.Threads-own[engine].Threads, 0), math.Max(l.Memory-own[engine].Memory, 0)}
 	}
 	return loads, age, true
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -11,16 +11,16 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is routers that tell each other, on a network without a way's time.
+// fleet simulates routers that exchange load reports over a network without delay.
 type fleet struct {
 	now            float64
 	machines       []*Machine
-	threads        []float64 // threads of each at engine 1
+	threads        []float64 // threads that each router has outstanding at engine 1
 	random         *rand.Rand
 	loss           float64
-	delivers       func(from, to int) bool // nil: all
+	delivers       func(from, to int) bool // reports whether a message is delivered; nil: all are
 	sent           int
-	indexByAddress map[string]int // routers by address
+	indexByAddress map[string]int // router index by address
 }
 
 var engine = EngineStart{1, 7}
@@ -53,7 +53,7 @@
 	}
 }
 
-// run lets time go by.
+// run advances the simulated time in steps of 10 ms.
 func (f *fleet) run(seconds float64) {
 	for end := f.now + seconds; f.now < end; f.now += 0.01 {
 		for i, m := range f.machines {
@@ -103,7 +103,7 @@
 			assert.InDelta(t, 100*(f.total()-f.threads[i]), loads[engine].Memory, 1e-6)
 			assert.Less(t, age, 0.45)
 		}
-		assert.LessOrEqual(t, float64(f.sent-sent)/float64(n), 21.0, "two tellings each")
+		assert.LessOrEqual(t, float64(f.sent-sent)/float64(n), 21.0, "two messages per router and interval")
 	}
 }
 
@@ -121,7 +121,8 @@
 	}
 }
 
-// One that dies, the root too, is out of it within half a second; until the view says so nobody below it is heard.
+// When a member dies, even the root, totals without enough members become unknown within half a second, until the view drops it.
+// The same holds while the fleet is partitioned and the views do not show it yet.
 func TestIncompleteTotalIsNotUsed(t *testing.T) {
 	f := newFleet(300)
 	f.run(1)
@@ -129,7 +130,7 @@
 	f.run(0.6)
 	for _, m := range f.machines[1:] {
 		_, _, known := m.OthersLoad(f.now)
-		assert.False(t, known, "nobody adds it all up")
+		assert.False(t, known, "no root computes the total")
 	}
 	rest := f.members()[1:]
 	f.setViews(func(int) []Member { return rest })
@@ -139,7 +140,7 @@
 		require.True(t, known)
 		assert.InDelta(t, f.total()-f.threads[i+1], loads[engine].Threads, 1e-9)
 	}
-	f.delivers = func(from, to int) bool { return from < 150 == (to < 150) } // cut into halves, and nobody knows yet
+	f.delivers = func(from, to int) bool { return from < 150 == (to < 150) } // partitioned into halves, not yet detected
 	f.run(1)
 	for _, m := range f.machines[1:] {
 		_, _, known := m.OthersLoad(f.now)
@@ -166,7 +167,7 @@
 	assert.Greater(t, near, known*9/10)
 }
 
-// One that tells a thousand times too much at every engine raises it by a bounded part, wherever but at the root.
+// A router that is not the root and reports 1e6 threads raises the total by a bounded amount only.
 func TestExcessiveReportIsCapped(t *testing.T) {
 	f := newFleet(300)
 	f.threads[299] = 1e6
@@ -176,7 +177,7 @@
 	assert.Less(t, loads[engine].Threads, 1.1*600)
 }
 
-// Views that differ in any way make no sum go round and grow: it flows to smaller names only.
+// Sums flow towards smaller names only, so that no load is counted in a loop, however the views differ.
 func TestTotalsDoNotLoopWithDifferingViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "routers")
@@ -193,7 +194,7 @@
 			f.run(0.3)
 			for _, m := range f.machines {
 				if loads, _, known := m.OthersLoad(f.now); known {
-					require.LessOrEqual(t, loads[engine].Threads, 3*float64(n)*3, "each counts at most for as many as could hear it")
+					require.LessOrEqual(t, loads[engine].Threads, 3*float64(n)*3, "each router counts at most once for each router that could receive its report")
 				}
 			}
 		}
@@ -209,7 +210,7 @@
 		assert.False(t, f.machines[1].Receive(f.now, address(0), &m))
 	}
 	good := Message{Kind: Down, Routers: 3}
-	assert.False(t, f.machines[1].Receive(f.now, address(2), &good), "not from below")
-	assert.False(t, f.machines[1].Receive(f.now, "10.9.9.9:1", &good), "nor from a stranger")
+	assert.False(t, f.machines[1].Receive(f.now, address(2), &good), "not from a child")
+	assert.False(t, f.machines[1].Receive(f.now, "10.9.9.9:1", &good), "not from an address that is no member's")
 	assert.True(t, f.machines[1].Receive(f.now, address(0), &good))
 }
