--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is the section [fleet] of an operator's settings: whether routers talk to each other, where, and with whom.
-// It declares its keys, decodes and proves them; what gathers settings knows none of them.
+// Package fleet declares, decodes and validates the section [fleet] of the settings file: whether routers exchange peer messages,
+// on which address, and with which other routers. The package that assembles the settings knows none of its keys.
 package fleet
 
 import (
@@ -14,20 +14,20 @@
 	"pitchfield/internal/news"
 )
 
-// Sections are [fleet] of an operator's settings.
+// Sections holds the section [fleet] of the settings file; nil if the file has none.
 type Sections struct {
 	Fleet *Section `toml:"fleet"`
 }
 
-// Validate gives what came of it; nil: there is no talk.
-func (s *Sections) Validate(c findings.To) *Settings {
+// Validate reports errors of the section to report and returns its settings; nil if peer messaging is off.
+func (s *Sections) Validate(report findings.To) *Settings {
 	if s.Fleet == nil {
 		return nil
 	}
-	return s.Fleet.validate(c)
+	return s.Fleet.validate(report)
 }
 
-// Section is what the file says.
+// Section is the section [fleet] as the settings file has it.
 type Section struct {
 	Name     string   `toml:"name"`
 	Listen   string   `toml:"listen"`
@@ -42,29 +42,32 @@
 	} `toml:"via"`
 }
 
-// Settings are what came of it.
+// Settings are the validated settings of the section.
 type Settings struct {
 	Name     string
-	Members  membership.Settings // but for who this router is
+	Members  membership.Settings // without Self, the name and start of this router
 	Networks []netip.Prefix
-	Via      map[netip.AddrPort]netip.AddrPort
-	News     *news.Settings // of what is out, as routers tell it; nil: they don't
+	Via      map[netip.AddrPort]netip.AddrPort // for a router's address, the address to send its messages to instead
+	News     *news.Settings                    // of load reports; nil: none are sent
 }
 
 const (
-	minLoadSeconds, maxLoadSeconds     = 0.05, 0.25
-	minEverySeconds, maxEverySeconds   = 0.05, 10
-	minAcceptSeconds, maxAcceptSeconds = 5, 24 * 3600
-	maxSeeds                           = 64
-	maxNameLength                      = 64
+	minLoadSeconds   = 0.05
+	maxLoadSeconds   = 0.25
+	minEverySeconds  = 0.05
+	maxEverySeconds  = 10
+	minAcceptSeconds = 5
+	maxAcceptSeconds = 24 * 3600 // one day
+	maxSeeds         = 64
+	maxNameLength    = 64 // bytes
 )
 
-// validate proves the section.
+// validate reports errors of the section to f and returns its settings.
 func (s *Section) validate(f findings.To) *Settings {
 	out := &Settings{Name: s.Name, Members: membership.Defaults(), Via: map[netip.AddrPort]netip.AddrPort{}}
 	m := &out.Members
 	if s.Name == "" || len(s.Name) > maxNameLength || strings.ContainsFunc(s.Name, func(c rune) bool { return c <= ' ' }) {
-		f.Found("fleet.name", "%q: a name without blanks, of %d bytes at most, is wanted: packets of another fleet are dropped by it", s.Name, maxNameLength)
+		f.Found("fleet.name", "%q: must be a name without blanks of at most %d bytes; packets of a fleet with another name are dropped", s.Name, maxNameLength)
 	}
 	if len(s.Networks) == 0 {
 		f.Found("fleet", "without networks anybody could talk; name those of your routers, as [\"10.1.0.0/24\"]")
@@ -83,12 +86,12 @@
 	listen, ok := s.parseAddress(f, "fleet.listen", s.Listen)
 	m.Listen = s.Listen
 	if ok && listen.Addr().IsUnspecified() {
-		f.Found("fleet.listen", "%q: others reach this router by what stands here, so it has to be one address of its own", s.Listen)
+		f.Found("fleet.listen", "%q: must be a specific address, because other routers reach this router there", s.Listen)
 	} else if ok && len(out.Networks) > 0 && !slices.ContainsFunc(out.Networks, func(p netip.Prefix) bool { return p.Contains(listen.Addr().Unmap()) }) {
 		f.Found("fleet.listen", "%q is in none of the networks, so no other router of the same settings would hear this one", s.Listen)
 	}
 	if len(s.Seeds) == 0 || len(s.Seeds) > maxSeeds {
-		f.Found("fleet.seeds", "from 1 to %d addresses are wanted; they may be of routers that are down, and this one's own may be among them", maxSeeds)
+		f.Found("fleet.seeds", "from 1 to %d addresses are required; they may include routers that are down and this router itself", maxSeeds)
 	}
 	for i, text := range s.Seeds {
 		key := fmt.Sprintf("fleet.seeds[%d]", i)
@@ -99,21 +102,21 @@
 	m.Seeds = s.Seeds
 	if every := f.Seconds("fleet.every", s.Every, maxEverySeconds); every > 0 {
 		if every < minEverySeconds {
-			f.Found("fleet.every", "%q is below %g s: packets would be all that routers do", s.Every, float64(minEverySeconds))
+			f.Found("fleet.every", "%q is below %g s: routers would spend all their time on packets", s.Every, float64(minEverySeconds))
 		}
-		scale := every / m.ProbeInterval // the rest goes with it
+		scale := every / m.ProbeInterval // the other intervals scale with it
 		m.ProbeInterval, m.ProbeTimeout = every, m.ProbeTimeout*scale
 		m.SettleDelay, m.RecentWindow, m.SyncInterval = m.SettleDelay*scale, m.RecentWindow*scale, m.SyncInterval*scale
 	}
 	if accept := f.Seconds("fleet.accept-loss-after", s.Accept, maxAcceptSeconds); accept > 0 {
 		if accept < max(minAcceptSeconds, math.Ceil(4*m.MaxSuspicionFactor*m.SuspicionMultiplier*m.ProbeInterval)) {
-			f.Found("fleet.accept-loss-after", "%q: a cut would be taken for a loss before it is known as one", s.Accept)
+			f.Found("fleet.accept-loss-after", "%q: too short: a partition would count as a loss before it is detected", s.Accept)
 		}
 		m.AcceptLossAfter = accept
 	}
 	if load := f.Seconds("fleet.load", s.Load, 3600); load > 0 {
 		if load < minLoadSeconds || load > maxLoadSeconds {
-			f.Found("fleet.load", "%q is not from %gs to %gs: later all routers would meet on the engine that was idle then, earlier packets would be all that they do", s.Load, float64(minLoadSeconds), float64(maxLoadSeconds))
+			f.Found("fleet.load", "%q is not between %gs and %gs: with a longer interval all routers would choose the same idle engine, with a shorter one they would spend all their time on packets", s.Load, float64(minLoadSeconds), float64(maxLoadSeconds))
 		}
 		n := news.Defaults()
 		n.Interval, n.StaleAfter = load, n.StaleAfter*load/n.Interval
@@ -131,6 +134,7 @@
 	return out
 }
 
+// parseAddress parses an address with a port, and reports an error for the key if it is invalid.
 func (s *Section) parseAddress(f findings.To, key, text string) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || a.Port() == 0 {
