--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is the section [fleet] of an operator's settings: whether routers talk to each other, where, and with whom.
-// It declares its keys, decodes and proves them; what gathers settings knows none of them.
+// Package fleet declares, decodes and validates the section [fleet] of the settings file: whether routers exchange peer messages,
+// on which address, and with which other routers. The package that assembles the settings knows none of its keys.
 package fleet
 
 import (
@@ -14,20 +14,20 @@
 	"pitchfield/internal/news"
 )
 
-// Sections are [fleet] of an operator's settings.
+// Sections holds the section [fleet] of the settings file; nil if the file has none.
 type Sections struct {
 	Fleet *Section `toml:"fleet"`
 }
 
-// Prove gives what came of it; nil: there is no talk.
-func (s *Sections) Prove(c findings.Reporter) *Settings {
+// Validate reports errors of the section to report and returns its settings; nil if peer messaging is off.
+func (s *Sections) Validate(report findings.Reporter) *Settings {
 	if s.Fleet == nil {
 		return nil
 	}
-	return s.Fleet.settings(c)
+	return s.Fleet.validate(report)
 }
 
-// Section is what the file says.
+// Section is the section [fleet] as the settings file has it.
 type Section struct {
 	Name     string   `toml:"name"`
 	Listen   string   `toml:"listen"`
@@ -42,29 +42,32 @@
 	} `toml:"via"`
 }
 
-// Settings are what came of it.
+// Settings are the validated settings of the section.
 type Settings struct {
 	Name     string
-	Members  membership.Settings // but for who this router is
+	Members  membership.Settings // without Self, the name and start of this router
 	Networks []netip.Prefix
-	Via      map[netip.AddrPort]netip.AddrPort
-	News     *news.Settings // of what is out, as routers tell it; nil: they don't
+	Via      map[netip.AddrPort]netip.AddrPort // for a router's address, the address to send its messages to instead
+	News     *news.Settings                    // of load reports; nil: none are sent
 }
 
 const (
-	leastLoad, mostLoad     = 0.05, 0.25
-	leastEvery, mostEvery   = 0.05, 10
-	leastAccept, mostAccept = 5, 24 * 3600
-	mostSeeds               = 64
-	longestName             = 64
+	minLoadSeconds   = 0.05
+	maxLoadSeconds   = 0.25
+	minEverySeconds  = 0.05
+	maxEverySeconds  = 10
+	minAcceptSeconds = 5
+	maxAcceptSeconds = 24 * 3600 // one day
+	maxSeeds         = 64
+	maxNameLength    = 64 // bytes
 )
 
-// settings proves the section.
-func (s *Section) settings(f findings.Reporter) *Settings {
+// validate reports errors of the section to f and returns its settings.
+func (s *Section) validate(f findings.Reporter) *Settings {
 	out := &Settings{Name: s.Name, Members: membership.Defaults(), Via: map[netip.AddrPort]netip.AddrPort{}}
 	m := &out.Members
-	if s.Name == "" || len(s.Name) > longestName || strings.ContainsFunc(s.Name, func(c rune) bool { return c <= ' ' }) {
-		f.Errorf("fleet.name", "%q: a name without blanks, of %d bytes at most, is wanted: packets of another fleet are dropped by it", s.Name, longestName)
+	if s.Name == "" || len(s.Name) > maxNameLength || strings.ContainsFunc(s.Name, func(c rune) bool { return c <= ' ' }) {
+		f.Errorf("fleet.name", "%q: must be a name without blanks of at most %d bytes; packets of a fleet with another name are dropped", s.Name, maxNameLength)
 	}
 	if len(s.Networks) == 0 {
 		f.Errorf("fleet", "without networks anybody could talk; name those of your routers, as [\"10.1.0.0/24\"]")
@@ -80,49 +83,49 @@
 		}
 		out.Networks = append(out.Networks, p.Masked())
 	}
-	listen, ok := s.address(f, "fleet.listen", s.Listen)
+	listen, ok := s.parseAddress(f, "fleet.listen", s.Listen)
 	m.Listen = s.Listen
 	if ok && listen.Addr().IsUnspecified() {
-		f.Errorf("fleet.listen", "%q: others reach this router by what stands here, so it has to be one address of its own", s.Listen)
+		f.Errorf("fleet.listen", "%q: must be a specific address, because other routers reach this router there", s.Listen)
 	} else if ok && len(out.Networks) > 0 && !slices.ContainsFunc(out.Networks, func(p netip.Prefix) bool { return p.Contains(listen.Addr().Unmap()) }) {
 		f.Errorf("fleet.listen", "%q is in none of the networks, so no other router of the same settings would hear this one", s.Listen)
 	}
-	if len(s.Seeds) == 0 || len(s.Seeds) > mostSeeds {
-		f.Errorf("fleet.seeds", "from 1 to %d addresses are wanted; they may be of routers that are down, and this one's own may be among them", mostSeeds)
+	if len(s.Seeds) == 0 || len(s.Seeds) > maxSeeds {
+		f.Errorf("fleet.seeds", "from 1 to %d addresses are required; they may include routers that are down and this router itself", maxSeeds)
 	}
 	for i, text := range s.Seeds {
 		key := fmt.Sprintf("fleet.seeds[%d]", i)
-		if _, ok := s.address(f, key, text); ok && slices.Index(s.Seeds, text) < i {
+		if _, ok := s.parseAddress(f, key, text); ok && slices.Index(s.Seeds, text) < i {
 			f.Errorf(key, "%q is there twice", text)
 		}
 	}
 	m.Seeds = s.Seeds
-	if every := f.Seconds("fleet.every", s.Every, mostEvery); every > 0 {
-		if every < leastEvery {
-			f.Errorf("fleet.every", "%q is below %g s: packets would be all that routers do", s.Every, float64(leastEvery))
+	if every := f.Seconds("fleet.every", s.Every, maxEverySeconds); every > 0 {
+		if every < minEverySeconds {
+			f.Errorf("fleet.every", "%q is below %g s: routers would spend all their time on packets", s.Every, float64(minEverySeconds))
 		}
-		scale := every / m.Every // the rest goes with it
-		m.Every, m.Ask = every, m.Ask*scale
-		m.Settle, m.Lately, m.Compare = m.Settle*scale, m.Lately*scale, m.Compare*scale
+		scale := every / m.ProbeInterval // the other intervals scale with it
+		m.ProbeInterval, m.ProbeTimeout = every, m.ProbeTimeout*scale
+		m.SettleDelay, m.RecentWindow, m.SyncInterval = m.SettleDelay*scale, m.RecentWindow*scale, m.SyncInterval*scale
 	}
-	if accept := f.Seconds("fleet.accept-loss-after", s.Accept, mostAccept); accept > 0 {
-		if accept < max(leastAccept, math.Ceil(4*m.Longest*m.Doubt*m.Every)) {
-			f.Errorf("fleet.accept-loss-after", "%q: a cut would be taken for a loss before it is known as one", s.Accept)
+	if accept := f.Seconds("fleet.accept-loss-after", s.Accept, maxAcceptSeconds); accept > 0 {
+		if accept < max(minAcceptSeconds, math.Ceil(4*m.MaxSuspicionFactor*m.SuspicionMultiplier*m.ProbeInterval)) {
+			f.Errorf("fleet.accept-loss-after", "%q: too short: a partition would count as a loss before it is detected", s.Accept)
 		}
-		m.Accept = accept
+		m.AcceptLossAfter = accept
 	}
 	if load := f.Seconds("fleet.load", s.Load, 3600); load > 0 {
-		if load < leastLoad || load > mostLoad {
-			f.Errorf("fleet.load", "%q is not from %gs to %gs: later all routers would meet on the engine that was idle then, earlier packets would be all that they do", s.Load, float64(leastLoad), float64(mostLoad))
+		if load < minLoadSeconds || load > maxLoadSeconds {
+			f.Errorf("fleet.load", "%q is not between %gs and %gs: with a longer interval all routers would choose the same idle engine, with a shorter one they would spend all their time on packets", s.Load, float64(minLoadSeconds), float64(maxLoadSeconds))
 		}
 		n := news.Defaults()
-		n.Every, n.Stale = load, n.Stale*load/n.Every
+		n.Interval, n.StaleAfter = load, n.StaleAfter*load/n.Interval
 		out.News = &n
 	}
 	for i, v := range s.Via {
 		key := fmt.Sprintf("fleet.via[%d]", i)
-		to, ok := s.address(f, key+".to", v.To)
-		by, ok2 := s.address(f, key+".by", v.By)
+		to, ok := s.parseAddress(f, key+".to", v.To)
+		by, ok2 := s.parseAddress(f, key+".by", v.By)
 		if _, twice := out.Via[to]; ok && ok2 && twice {
 			f.Errorf(key+".to", "%q is there twice", v.To)
 		}
@@ -131,7 +134,8 @@
 	return out
 }
 
-func (s *Section) address(f findings.Reporter, key, text string) (netip.AddrPort, bool) {
+// parseAddress parses an address with a port, and reports an error for the key if it is invalid.
+func (s *Section) parseAddress(f findings.Reporter, key, text string) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || a.Port() == 0 {
 		f.Errorf(key, "%q is not an address and a port, as 10.1.0.4:7500", text)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -2,89 +2,91 @@
 
 import "slices"
 
-// look finds out how sure we may be of the view.
-func (m *Machine) look() {
-	to, why := m.certain()
-	if to == m.state {
+// updateCertainty evaluates the certainty of the view and logs a change. When the view becomes settled, its members are added to
+// settledNames.
+func (m *Machine) updateCertainty() {
+	to, why := m.evaluateCertainty()
+	if to == m.certainty {
 		return
 	}
-	m.note(true, "certainty", "was", m.state.String(), "is", to.String(), "why", why, "members", m.there, "after", m.now-m.stateAt)
-	m.state, m.stateAt = to, m.now
-	if to == CutOff || to == Alone { // a call at a seed may have been planned for half a minute later
-		m.joinAt = min(m.joinAt, m.now+m.settings.Join)
+	m.addNote(true, "certainty", "was", m.certainty.String(), "is", to.String(), "why", why, "members", m.memberCount, "after", m.now-m.certaintySince)
+	m.certainty, m.certaintySince = to, m.now
+	if to == CutOff || to == Alone { // the next contact of a seed may be scheduled half a minute ahead
+		m.nextJoinAt = min(m.nextJoinAt, m.now+m.settings.JoinInterval)
 	}
 	if to == Settled {
 		for name, r := range m.records {
-			if r.there() {
-				m.basis[name] = true
+			if r.isPresent() {
+				m.settledNames[name] = true
 			}
 		}
-		m.basis[m.self.Name] = true
+		m.settledNames[m.self.Name] = true
 	}
 }
 
-func (m *Machine) certain() (Certainty, string) {
-	if m.double {
-		return Alone, "another has this name"
+// evaluateCertainty returns the level of certainty of the view now, and the reason for the log.
+func (m *Machine) evaluateCertainty() (Certainty, string) {
+	if m.nameConflict {
+		return Alone, "another router has this name"
 	}
-	if m.moved || m.now >= m.missAt { // it goes through all of them
-		m.moved, m.missAt, m.lacks = false, m.now+missEvery, m.missing()
+	if m.statesChanged || m.now >= m.nextMajorityCheckAt { // cached, because isMajorityLost visits all members
+		m.statesChanged, m.nextMajorityCheckAt, m.majorityLost = false, m.now+majorityCheckInterval, m.isMajorityLost()
 	}
-	if m.lacks {
-		return CutOff, "less than half of those with whom it settled are there"
+	if m.majorityLost {
+		return CutOff, "fewer than half of the members of the settled view are present"
 	}
-	agree, differ := m.heardLately()
+	agree, differ := m.countRecentViews()
 	switch {
-	case m.there == 1 && len(m.basis) <= 1:
-		return Alone, "nobody is known"
-	case m.there == 1 && m.now > m.since+m.settings.Settle && m.now >= m.stoodAt:
-		return Settled, "all others have gone"
+	case m.memberCount == 1 && len(m.settledNames) <= 1:
+		return Alone, "no other router is known"
+	case m.memberCount == 1 && m.now > m.viewSince+m.settings.SettleDelay && m.now >= m.pauseSettleAt:
+		return Settled, "all other routers have gone"
 	case len(m.suspects) > 0:
-		return Changing, "somebody is suspected"
-	case m.now < m.since+m.settings.Settle:
+		return Changing, "a member is suspected"
+	case m.now < m.viewSince+m.settings.SettleDelay:
 		return Changing, "the view has changed"
-	case m.now < m.stoodAt:
+	case m.now < m.pauseSettleAt:
 		return Changing, "it stood still"
 	case differ > 0:
-		return Changing, "some have another view"
+		return Changing, "some members have another view"
 	case agree == 0:
-		return Changing, "nobody was heard lately"
+		return Changing, "no message from a member recently"
 	}
-	return Settled, "all heard lately have the same view"
+	return Settled, "all recent senders have the same view"
 }
 
-// missing: less than half of those with whom it last settled are there and not suspected; of two equal halves the one with
-// the first name has the half. Who has died counts as missing for a time: one by one a fleet that falls apart would
-// settle anew with each. Who left by its own word is not missing.
-func (m *Machine) missing() bool {
-	here, first, firstHere := 0, "", false
-	for name := range m.basis {
+// isMajorityLost reports whether fewer than half of settledNames are present and not suspected. Of two equal halves, the one with
+// the first name counts as the majority. A dead member counts as missing until AcceptLossAfter: otherwise a fleet that loses its
+// members one by one would settle again after each loss. A member that announced its leaving does not count as missing.
+func (m *Machine) isMajorityLost() bool {
+	presentCount, first, firstPresent := 0, "", false
+	for name := range m.settledNames {
 		present := name == m.self.Name
 		if r := m.records[name]; !present {
-			if r == nil || r.State == Left || r.State == Dead && m.now > r.since+m.settings.Accept {
-				delete(m.basis, name)
+			if r == nil || r.State == Left || r.State == Dead && m.now > r.stateSince+m.settings.AcceptLossAfter {
+				delete(m.settledNames, name)
 				continue
 			}
 			present = r.State == Alive
 		}
 		if present {
-			here++
+			presentCount++
 		}
 		if first == "" || name < first {
-			first, firstHere = name, present
+			first, firstPresent = name, present
 		}
 	}
-	twice := 2 * here
-	return len(m.basis) > 1 && (twice < len(m.basis) || twice == len(m.basis) && !firstHere)
+	twice := 2 * presentCount
+	return len(m.settledNames) > 1 && (twice < len(m.settledNames) || twice == len(m.settledNames) && !firstPresent)
 }
 
-// heardLately counts those who have our view, and those who have not.
-func (m *Machine) heardLately() (agree, differ int) {
-	m.recent = slices.DeleteFunc(m.recent, func(r *record) bool { return r.heard < m.now-m.settings.Lately || m.records[r.Name] != r })
-	for _, r := range m.recent {
+// countRecentViews returns the numbers of recent senders whose view has the same hash as this router's, and of those whose has not.
+func (m *Machine) countRecentViews() (agree, differ int) {
+	m.recentSenders = slices.DeleteFunc(m.recentSenders, func(r *record) bool { return r.lastReceived < m.now-m.settings.RecentWindow || m.records[r.Name] != r })
+	for _, r := range m.recentSenders {
 		switch {
-		case !r.there():
-		case r.view == m.hash:
+		case !r.isPresent():
+		case r.viewHash == m.viewHash:
 			agree++
 		default:
 			differ++
@@ -93,55 +95,55 @@
 	return agree, differ
 }
 
-// View is who is there, and how sure that is.
+// View returns a snapshot of the view and its certainty.
 func (m *Machine) View() View {
-	v := View{Number: m.number, Hash: m.hash, Since: m.since, State: m.state, StateAt: m.stateAt, Members: []Member{m.self}}
+	v := View{Changes: m.viewChanges, Hash: m.viewHash, Since: m.viewSince, Certainty: m.certainty, CertaintySince: m.certaintySince, Members: []Member{m.self}}
 	for _, r := range m.records {
-		if r.there() {
+		if r.isPresent() {
 			v.Members = append(v.Members, r.Member)
 		}
 	}
-	slices.SortFunc(v.Members, byName)
-	v.Index = slices.IndexFunc(v.Members, func(o Member) bool { return o.Name == m.self.Name })
-	v.Agree, v.Differ = m.heardLately()
+	slices.SortFunc(v.Members, compareByName)
+	v.SelfIndex = slices.IndexFunc(v.Members, func(o Member) bool { return o.Name == m.self.Name })
+	v.AgreeCount, v.DifferCount = m.countRecentViews()
 	return v
 }
 
-// Certainty is the view's alone.
-func (m *Machine) Certainty() Certainty { return m.state }
+// Certainty returns only the certainty of the view.
+func (m *Machine) Certainty() Certainty { return m.certainty }
 
-// Count is how many are in the view, with oneself.
-func (m *Machine) Count() int { return m.there }
+// Count returns the number of members in the view, including this router.
+func (m *Machine) Count() int { return m.memberCount }
 
-// Known is what is known of one, for who asks.
-type Known struct {
+// KnownMember is what this router knows about another member, for the status page. Times are seconds.
+type KnownMember struct {
 	Member
-	Since    float64
-	Accusers []string
-	Heard    float64 // 0: never
-	Agrees   bool
+	Since        float64 // time at which State took its value
+	Accusers     []string
+	LastReceived float64 // time of the last message from the member itself; 0: never
+	SameView     bool    // its last message had the hash of this router's view
 }
 
-// Known gives all that is known, those that are gone too, by name.
-func (m *Machine) Known() (out []Known) {
+// KnownMembers returns all known members ordered by name, including those that left or died.
+func (m *Machine) KnownMembers() (out []KnownMember) {
 	for _, r := range m.records {
-		out = append(out, Known{r.Member, r.since, slices.Clone(r.accusers), r.heard, r.view == m.hash})
+		out = append(out, KnownMember{r.Member, r.stateSince, slices.Clone(r.accusers), r.lastReceived, r.viewHash == m.viewHash})
 	}
-	slices.SortFunc(out, func(a, b Known) int { return byName(a.Member, b.Member) })
+	slices.SortFunc(out, func(a, b KnownMember) int { return compareByName(a.Member, b.Member) })
 	return out
 }
 
-// Hash is the view's alone.
-func (m *Machine) Hash() uint64 { return m.hash }
+// Hash returns only the hash of the view.
+func (m *Machine) Hash() uint64 { return m.viewHash }
 
-// Me is what this router tells of itself.
-func (m *Machine) Me() Member { return m.self }
+// SelfMember returns what this router reports about itself.
+func (m *Machine) SelfMember() Member { return m.self }
 
-// Self is the start under which this router is known.
-func (m *Machine) Self() ID { return m.self.ID }
+// SelfID returns the name and start of this router.
+func (m *Machine) SelfID() ID { return m.self.ID }
 
-// Holds tells whether somebody of this name is in the view.
-func (m *Machine) Holds(name string) bool {
+// Contains reports whether a member of this name is in the view.
+func (m *Machine) Contains(name string) bool {
 	r := m.records[name]
-	return name == m.self.Name || r != nil && r.there()
+	return name == m.self.Name || r != nil && r.isPresent()
 }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -37,7 +37,7 @@
 func (h *host) sendHeavyBatch() (uint32, string) {
 	h.lastID++
 	id := strconv.Itoa(1000000000000000 + h.lastID)
-	h.deliver(h.clientFrame(1, standin.Frame(clients.FrameBatch, uint32(h.lastID), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.FrameBatch, uint32(h.lastID), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
 	return uint32(h.lastID), id
 }
 
@@ -64,7 +64,7 @@
 		}
 	}
 	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: coordinatorAddress}
-	h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: from}, Quotas: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
+	h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Gossip, From: from}, Quotas: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
 		ToStart: 1, From: shares.ID{Name: "other", Start: 1}, FromAddress: coordinatorAddress, Coordinator: coordinatorAddress, Items: []shares.Item{{Number: request.Number, Attempt: request.Attempt, Key: request.Key, Amount: request.Amount, Lease: lease}}}})
 }
 
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -61,18 +61,18 @@
 // newMembers builds the page from the router's state. before is the previous page, for the byte rates; it may be nil.
 func newMembers(state router.FleetStatus, counts loop.DatagramCounts, before *Members) *Members {
 	view := state.View
-	out := &Members{Router: state.Name, At: unixTime(state.Now), Certainty: view.State.String(), CertainSince: unixTime(view.StateAt), Count: len(view.Members),
-		View: fmt.Sprintf("%016x", view.Hash), Changes: view.Number, SameFor: state.Now - view.Since, Agree: view.Agree, Differ: view.Differ,
+	out := &Members{Router: state.Name, At: unixTime(state.Now), Certainty: view.Certainty.String(), CertainSince: unixTime(view.CertaintySince), Count: len(view.Members),
+		View: fmt.Sprintf("%016x", view.Hash), Changes: view.Changes, SameFor: state.Now - view.Since, Agree: view.AgreeCount, Differ: view.DifferCount,
 		Traffic: DatagramTraffic{In: counts.In, Out: counts.Out, BytesIn: counts.BytesIn, BytesOut: counts.BytesOut, UnknownNetworks: counts.UnknownNetworks, OtherFleets: counts.OtherFleets,
 			Malformed: counts.Malformed, Unsent: counts.Unsent}}
-	self := view.Members[view.Index]
+	self := view.Members[view.SelfIndex]
 	out.Members = append(out.Members, Member{Name: self.Name, Start: self.Start, Address: self.Address, State: self.State.String(),
 		Incarnation: self.Incarnation, Agrees: true, Self: true})
 	for _, known := range state.Known {
 		member := Member{Name: known.Name, Start: known.Start, Address: known.Address, State: known.State.String(), Incarnation: known.Incarnation, StateFor: state.Now - known.Since,
-			Accusers: known.Accusers, ReceivedAgo: -1, Agrees: known.Agrees}
-		if known.Heard > 0 {
-			member.ReceivedAgo = state.Now - known.Heard
+			Accusers: known.Accusers, ReceivedAgo: -1, Agrees: known.SameView}
+		if known.LastReceived > 0 {
+			member.ReceivedAgo = state.Now - known.LastReceived
 		}
 		if known.State > membership.Suspect {
 			member.Agrees = false
--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -241,7 +241,7 @@
 	if e.columnsUnsent {
 		part.Columns, e.columnsUnsent = e.resultColumns, false
 	}
-	part.Form, e.rowsSent = rows.Values, true
+	part.Encoding, e.rowsSent = rows.Values, true
 	return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: part}
 }
 
@@ -282,7 +282,7 @@
 		if e.phase == running && !e.isProbe && done.status&doneCount != 0 && e.columns == nil && done.count > 0 && done.count <= math.MaxInt32 {
 			e.rowsSent = true
 			return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1,
-				Rows: rows.Part{Form: rows.Values, Count: int(done.count)}}, nil
+				Rows: rows.Part{Encoding: rows.Values, Count: int(done.count)}}, nil
 		}
 		if done.status&doneError != 0 && e.firstError == nil {
 			e.firstError = &Message{Text: "the engine reported an error without an ERROR token"}
@@ -364,7 +364,7 @@
 			data.Truncate(lengthBefore)
 			return nil
 		}
-		rows.Append(data, v)
+		rows.AppendValue(data, v)
 	}
 	e.unsent.Data = data
 	e.unsent.Count++
--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -68,7 +68,7 @@
 		info := c.typeInfo()
 		var scratch []byte
 		v := c.value(&info, &scratch)
-		if c.err != nil || v != nil && info.Valid(v) != nil {
+		if c.err != nil || v != nil && info.Validate(v) != nil {
 			return
 		}
 		want := append([]byte(nil), v...)
--- a/internal/tds/server_values.go
+++ b/internal/tds/server_values.go
@@ -17,7 +17,7 @@
 
 // serverValues returns the values of a SELECT of nothing but server values, with their column names, and false for any other
 // statement.
-func (s *Session) serverValues(words []statement.Word) ([]rows.Parameter, bool) {
+func (s *Session) serverValues(words []statement.Token) ([]rows.Parameter, bool) {
 	for len(words) > 0 && words[len(words)-1].Text == ";" {
 		words = words[:len(words)-1]
 	}
@@ -44,7 +44,7 @@
 }
 
 // serverValue evaluates one item of such a SELECT, which may end in AS and a column name.
-func (s *Session) serverValue(words []statement.Word) (v rows.Parameter, ok bool) {
+func (s *Session) serverValue(words []statement.Token) (v rows.Parameter, ok bool) {
 	if n := len(words); n >= 3 && words[n-2].Upper == "AS" {
 		v.Name, words = words[n-1].Text, words[:n-2]
 	}
--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -338,7 +338,7 @@
 // handleBatch processes a SQL batch request. Texts of only SET and USE statements and queries of server values are
 // answered here; everything else becomes a batch for an engine.
 func (s *Session) handleBatch(text string, out *buffers.Chain) traffic.ClientMessage {
-	words := statement.Words(text)
+	words := statement.Tokenize(text)
 	if feature := unsupportedFeature(words); feature != "" {
 		return s.sendError(out, unsupportedError(feature))
 	}
@@ -405,7 +405,7 @@
 }
 
 // submit turns a statement into a batch for an engine and applies the assignment rules to it.
-func (s *Session) submit(text string, words []statement.Word, prefix string, parameters []rows.Parameter, out *buffers.Chain) traffic.ClientMessage {
+func (s *Session) submit(text string, words []statement.Token, prefix string, parameters []rows.Parameter, out *buffers.Chain) traffic.ClientMessage {
 	ask := &traffic.BatchRequest{Stream: s.stream + 1}
 	b := &ask.Batch
 	b.Client, b.SessionSetup, b.Parameters = s.client, prefix, parameters
@@ -413,9 +413,9 @@
 	if s.database == "" {
 		b.Database = s.login.database
 	}
-	about := assign.About{Login: s.login.user, Application: s.login.appName, Database: s.currentDatabase()}
+	about := assign.StatementInfo{Login: s.login.user, Application: s.login.appName, Database: s.currentDatabase()}
 	if len(words) > 0 {
-		about.Form = strings.ToLower(words[0].Text)
+		about.Command = strings.ToLower(words[0].Text)
 	}
 	if err := s.server.Rules().Assign(about, text, b); err != nil {
 		return s.sendError(out, Message{50404, 1, 16, "pitchfield: " + err.Error() + "."})
@@ -442,7 +442,7 @@
 		if err != nil {
 			return nil, err
 		}
-		words := statement.Words(p.text)
+		words := statement.Tokenize(p.text)
 		if feature := unsupportedFeature(words); feature != "" {
 			return nil, requestError{unsupportedError(feature)}
 		}
@@ -542,7 +542,7 @@
 		}
 		text += " " + literal
 	}
-	return s.submit(text, statement.Words(text), s.settingsPrefix(), nil, out), nil
+	return s.submit(text, statement.Tokenize(text), s.settingsPrefix(), nil, out), nil
 }
 
 // isNameRune reports whether a procedure or parameter name may contain r without brackets.
--- a/internal/tds/statements.go
+++ b/internal/tds/statements.go
@@ -14,7 +14,7 @@
 }
 
 // leadingSettings returns the SET and USE statements at the start of a text and whether the text has no other statements.
-func leadingSettings(words []statement.Word, text string) (settings []sessionSetting, only bool) {
+func leadingSettings(words []statement.Token, text string) (settings []sessionSetting, only bool) {
 	i := 0
 	for i < len(words) {
 		w := words[i]
@@ -35,7 +35,7 @@
 		if end == i+1 {
 			return settings, false
 		}
-		s := sessionSetting{text: strings.TrimSpace(text[w.From:words[end-1].To])}
+		s := sessionSetting{text: strings.TrimSpace(text[w.Start:words[end-1].End])}
 		switch name := words[i+1]; {
 		case w.Upper == "USE":
 			s.key, s.database = "USE", name.Text
@@ -63,7 +63,7 @@
 
 // unsupportedFeature names the feature of a statement that needs a session of its own on an engine; empty: none. The
 // router supports no such feature because batches of one client session run on different engines.
-func unsupportedFeature(words []statement.Word) string {
+func unsupportedFeature(words []statement.Token) string {
 	for i, w := range words {
 		next := ""
 		if i+1 < len(words) && !words[i+1].Quoted {
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -48,7 +48,7 @@
 func newPair(t require.TestingT) *connectedPair {
 	pool := &buffers.Pool{}
 	server := &Server{Pool: pool, Name: "here", Databases: []string{"sales", "stock"},
-		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "report"}} },
+		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.BatchProperties{Group: "report"}} },
 		Authenticate: func(user, password string) (string, error) {
 			if password != "pässword" {
 				return "", errors.New("no")
@@ -159,9 +159,9 @@
 }
 
 func textRows(pool *buffers.Pool, lines ...string) rows.Part {
-	p := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "a", Type: rows.Type{Kind: rows.Text}}}, Data: pool.Chain()}
+	p := rows.Part{Encoding: rows.Values, Columns: []rows.Column{{Name: "a", Type: rows.Type{Kind: rows.Text}}}, Data: pool.Chain()}
 	for _, l := range lines {
-		rows.Append(p.Data, []byte(l))
+		rows.AppendValue(p.Data, []byte(l))
 	}
 	return p
 }
@@ -188,7 +188,7 @@
 	}
 	little := func(n int, v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v)[:n] }
 	clock := func() []byte {
-		return little(rows.TimeBytes(ty.Scale), rapid.Uint64Range(0, uint64(86400*math.Pow10(int(ty.Scale)))-1).Draw(t, "time"))
+		return little(rows.TimeSize(ty.Scale), rapid.Uint64Range(0, uint64(86400*math.Pow10(int(ty.Scale)))-1).Draw(t, "time"))
 	}
 	date := func() []byte { return little(3, rapid.Uint64Range(0, 3652058).Draw(t, "day")) }
 	switch ty.Kind {
@@ -213,7 +213,7 @@
 	case rows.Float64:
 		return little(8, math.Float64bits(rapid.Float64Range(-1e9, 1e9).Draw(t, "float")))
 	}
-	return rapid.SliceOfN(rapid.Byte(), ty.Bytes(), ty.Bytes()).Draw(t, "raw")
+	return rapid.SliceOfN(rapid.Byte(), ty.FixedSize(), ty.FixedSize()).Draw(t, "raw")
 }
 
 // Results of all types must arrive unchanged, wherever the byte stream is split and however many values are NULL.
@@ -230,11 +230,11 @@
 		for i := range columns {
 			columns[i] = rows.Column{Name: fmt.Sprintf("č%d", i), Type: genType(t)}
 		}
-		part := rows.Part{Form: rows.Values, Columns: columns, Data: pair.pool.Chain()}
+		part := rows.Part{Encoding: rows.Values, Columns: columns, Data: pair.pool.Chain()}
 		for range rapid.IntRange(0, 8).Draw(t, "rows") {
 			for _, c := range columns {
 				want = append(want, genValue(t, c.Type))
-				rows.Append(part.Data, want[len(want)-1])
+				rows.AppendValue(part.Data, want[len(want)-1])
 			}
 		}
 		pair.tellSession(&traffic.Rows{Stream: 1, Part: part})
@@ -503,10 +503,10 @@
 	pair := newPair(t).login()
 	pair.engine.Encode(pair.toSession, traffic.Probe{Tag: "p1", WantLoad: true})
 	pair.run()
-	part := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
+	part := rows.Part{Encoding: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
 		{Name: "x0", Type: rows.Type{Kind: rows.Float64}}}, Data: pair.pool.Chain()}
-	rows.Append(part.Data, appendU32(nil, 3))
-	rows.Append(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
+	rows.AppendValue(part.Data, appendU32(nil, 3))
+	rows.AppendValue(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
 	a := pair.events[len(pair.events)-1].(*traffic.BatchRequest)
 	pair.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 	require.NoError(t, pair.engineErr)
--- a/internal/torture/clients.go
+++ b/internal/torture/clients.go
@@ -163,7 +163,7 @@
 	work := sc.action(standin.Run{ID: batch.ID, Text: text}, 0).After.Seconds() * 1e3 * (0.8 + 0.4*random.Float64())
 	fields = append(fields, "h", strconv.FormatFloat(work, 'f', 1, 64))
 	batch.fields, batch.text = fields, text
-	frame := standin.Frame(10, stream, fields, text)
+	frame := standin.EncodeFrame(10, stream, fields, text)
 	if random.IntN(150) == 0 { // a client machine pauses within a frame
 		conn.Write(frame[:len(frame)/2]) //nolint:errcheck
 		conn.mutex.Lock()
@@ -204,7 +204,7 @@
 			conn.logf("%s cancelled", batch.ID)
 		}
 		conn.mutex.Unlock()
-		conn.Write(standin.Frame(12, stream, nil, "")) //nolint:errcheck
+		conn.Write(standin.EncodeFrame(12, stream, nil, "")) //nolint:errcheck
 	}
 }
 
@@ -212,7 +212,7 @@
 func (sc *scenario) readAnswers(conn *clientConnection) {
 	defer close(conn.done)
 	for {
-		answer, err := conn.Next(time.Hour)
+		answer, err := conn.ReadFrame(time.Hour)
 		conn.mutex.Lock()
 		switch {
 		case err != nil:
@@ -286,7 +286,7 @@
 	conn.pending[1], conn.batches[1] = batch, batch
 	conn.logf("%s %s sent again", batch.Group, batch.ID)
 	conn.mutex.Unlock()
-	if _, err := conn.Write(standin.Frame(10, 1, fields, original.text)); err == nil {
+	if _, err := conn.Write(standin.EncodeFrame(10, 1, fields, original.text)); err == nil {
 		conn.mutex.Lock()
 		batch.WriteEnded = sc.since()
 		conn.mutex.Unlock()
--- a/internal/torture/play.go
+++ b/internal/torture/play.go
@@ -54,7 +54,7 @@
 	host         string        // loopback address that only this scenario uses
 	fabric       *relay.Fabric // links to engines, name services and peers; nil: direct connections
 	routers      []*router
-	ledger       *standin.Ledger
+	ledger       *standin.Fleet
 	faultLibrary string // preloaded library that makes system calls fail; empty: none fail
 
 	fleetMutex    sync.Mutex // guards the next four fields and the contents of the name services
@@ -99,8 +99,8 @@
 	options.Routers, options.OlderProgram = max(options.Routers, 1), cmp.Or(options.OlderProgram, options.Program)
 	options.QuotaShares = options.QuotaShares || options.SharedLimits
 	options.PeerMessaging = options.PeerMessaging || options.QuotaShares
-	sc := &scenario{Options: options, began: time.Now(), ledger: &standin.Ledger{Memory: dedupWindow, GivesUp: true,
-		TellsMemory: true, Late: readDelays(options.Seed)}}
+	sc := &scenario{Options: options, began: time.Now(), ledger: &standin.Fleet{MarkMemory: dedupWindow, CancelsOnClose: true,
+		ReportsMemory: true, ReadDelay: readDelays(options.Seed)}}
 	sc.ledger.Script = sc.action
 	number := scenarioCount.Add(1)
 	sc.host = fmt.Sprintf("127.%d.%d.%d", 60+os.Getpid()%100, number/250%250, 1+number%250)
@@ -241,18 +241,18 @@
 // it; the failure also depends on how often the batch's text has arrived. A seed always gives the same actions. When
 // the work depended on the text and its count, declarations were right for one batch in hundreds, batches with the
 // smallest declared work went first, and engines received a third more work than was booked.
-func (sc *scenario) action(r standin.Run, count int) standin.Act {
+func (sc *scenario) action(r standin.Run, count int) standin.Step {
 	h := fnv.New64a()
 	h.Write([]byte(cmp.Or(r.ID, r.Text))) //nolint:errcheck
 	work := rand.New(rand.NewPCG(sc.Seed^h.Sum64(), 0))
-	act := standin.Act{After: time.Duration(5+work.IntN(120)) * time.Millisecond, Rows: rowsOf(r.Text)}
+	act := standin.Step{After: time.Duration(5+work.IntN(120)) * time.Millisecond, Rows: rowsOf(r.Text)}
 	if work.IntN(40) == 0 {
 		act.After = time.Duration(300+work.IntN(300)) * time.Millisecond
 	}
 	random := rand.New(rand.NewPCG(sc.Seed^h.Sum64(), uint64(1+count)))
 	if random.IntN(25) == 0 {
-		act.Deed = []standin.Deed{standin.TurnAway, standin.Fail, standin.Drop, standin.Cut, standin.Hush, standin.Half,
-			standin.Garble, standin.Overlong}[random.IntN(8)]
+		act.Action = []standin.Action{standin.Reject, standin.Fail, standin.CloseUnanswered, standin.CloseMidAnswer, standin.SilenceConnection, standin.HalfAnswer,
+			standin.SendGarbage, standin.InvalidLength}[random.IntN(8)]
 	}
 	return act
 }
@@ -423,7 +423,7 @@
 			continue
 		}
 		conns = append(conns, c)
-		c.Write([][]byte{nil, {200, 1, 0, 0, 10}, bytes.Repeat([]byte{255}, 40), standin.Frame(10, 1, []string{"c", "nobody"}, "x")}[i%4]) //nolint:errcheck
+		c.Write([][]byte{nil, {200, 1, 0, 0, 10}, bytes.Repeat([]byte{255}, 40), standin.EncodeFrame(10, 1, []string{"c", "nobody"}, "x")}[i%4]) //nolint:errcheck
 	}
 	if r.PeerMessaging {
 		r.sendMalformedPackets(s)
--- a/internal/torture/router.go
+++ b/internal/torture/router.go
@@ -33,7 +33,7 @@
 	config  string
 	log     *os.File
 
-	names              *standin.Names           // its own name service; guarded by fleetMutex
+	names              *standin.NameService     // its own name service; guarded by fleetMutex
 	nameServiceAddress string                   // by which the router reaches it
 	peerAddresses      map[string]string        // by the advertised address of the peer: the address of the link to it
 	engineLinks        map[string]*relay.Stream // by engine name; empty without a fabric. The fabric closes them
@@ -79,10 +79,10 @@
 			return nil, err
 		}
 	}
-	if r.names, err = standin.NewNames(sc.host + ":0"); err != nil {
+	if r.names, err = standin.NewNameService(sc.host + ":0"); err != nil {
 		return nil, err
 	}
-	r.names.Old(staleListProbability, rand.New(rand.NewPCG(r.Seed, staleListStream+uint64(r.number))).Float64)
+	r.names.SetStaleAnswers(staleListProbability, rand.New(rand.NewPCG(r.Seed, staleListStream+uint64(r.number))).Float64)
 	return r, r.linkNameService()
 }
 
@@ -122,7 +122,7 @@
 func (r *router) configure() error {
 	platform := fmt.Sprintf(settings, r.Routers, r.index)
 	text, err := rig.Configuration(platform, r.name, r.address, fmt.Sprintf("%08x%08x", uint32(r.Seed),
-		r.number+16*r.startCount()), r.limits[0], r.limits[1], r.nameServiceAddress, r.names.Known())
+		r.number+16*r.startCount()), r.limits[0], r.limits[1], r.nameServiceAddress, r.names.StartupEvents())
 	if err == nil {
 		if err = os.WriteFile(r.config+".new", text, 0o600); err == nil {
 			err = os.Rename(r.config+".new", r.config)
@@ -144,12 +144,12 @@
 // moveNameService replaces the router's name service by one at another address and reloads the configuration with
 // SIGHUP. The old one stops answering. The caller holds fleetMutex.
 func (r *router) moveNameService() error {
-	names, err := standin.NewNames(r.host + ":0")
+	names, err := standin.NewNameService(r.host + ":0")
 	if err != nil {
 		return err
 	}
 	r.names.Close() // before its state is copied: what it reported later would not be recorded
-	names.From(r.names)
+	names.CopyFrom(r.names)
 	r.names = names
 	if err := r.linkNameService(); err != nil {
 		return err
@@ -169,7 +169,7 @@
 // again, as the platform does.
 func (r *router) start() error {
 	if r.startCount() > 0 {
-		r.names.Renumber()
+		r.names.ResetSerial()
 	}
 	if err := r.configure(); err != nil {
 		return err
@@ -207,8 +207,8 @@
 	}()
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if client, err := standin.Dial(r.address); err == nil {
-			_, err := client.Write(standin.Frame(20, 1, []string{}, ""))
-			answer, readErr := client.Next(time.Second)
+			_, err := client.Write(standin.EncodeFrame(20, 1, []string{}, ""))
+			answer, readErr := client.ReadFrame(time.Second)
 			client.Close()
 			if err == nil && readErr == nil && answer.Type == 21 && answer.Code == 0 {
 				r.stopping.Store(false)
@@ -302,7 +302,7 @@
 	defer r.mutex.Unlock()
 	out := Router{Name: r.endpoint(), Incarnations: r.incarnations, Pauses: r.pauses, IdleFloods: r.idleFloods,
 		DrainReported: map[string]time.Duration{}}
-	for name, at := range r.names.Drains() {
+	for name, at := range r.names.FirstDrained() {
 		out.DrainReported[name] = at.Sub(r.began)
 	}
 	return out
--- a/internal/torture/runs.go
+++ b/internal/torture/runs.go
@@ -120,7 +120,7 @@
 		if count[r.ID]++; count[r.ID] == maxDispatches+1 {
 			c.found(2, r, "%s was sent more than %d times", r.ID, maxDispatches)
 		}
-		if r.Act.Deed == standin.TurnAway {
+		if r.Step.Action == standin.Reject {
 			continue
 		}
 		origin := c.origin(r.ID)
@@ -158,11 +158,11 @@
 
 // outcomeUnknown reports whether a router cannot know if a dispatch still runs, because it received no complete answer.
 func outcomeUnknown(r standin.Run) bool {
-	switch r.Act.Deed {
-	case standin.Drop, standin.Cut, standin.Hush, standin.Mute, standin.Half, standin.Garble, standin.Overlong, standin.Flood:
+	switch r.Step.Action {
+	case standin.CloseUnanswered, standin.CloseMidAnswer, standin.SilenceConnection, standin.SilenceEngine, standin.HalfAnswer, standin.SendGarbage, standin.InvalidLength, standin.EndlessAnswer:
 		return true
 	}
-	return r.GivenUp
+	return r.Canceled
 }
 
 // checkKeyOrder verifies that each router runs the batches of a key in order and one at a time, and waits after an
@@ -174,7 +174,7 @@
 	}
 	last := map[routerKey]standin.Run{}
 	for _, r := range c.runs {
-		if r.Key == "" || r.Act.Deed == standin.TurnAway || r.Repeat {
+		if r.Key == "" || r.Step.Action == standin.Reject || r.Duplicate {
 			continue
 		}
 		l := routerKey{c.router(r), r.Key}
