--- a/cmd/pitchfield/main.go
+++ b/cmd/pitchfield/main.go
@@ -1,5 +1,7 @@
-// Command pitchfield is one router: it takes batches from clients and has them run by analytic engines. Without a word
-// it runs as the platform starts it; its other words help to set it up.
+// Command pitchfield runs one router, which accepts batches from clients and dispatches them to analytic engines.
+//
+// Without a subcommand it runs the router, which is how the platform starts it. The other subcommands check settings,
+// inspect a running router and run experiments.
 package main
 
 import (
@@ -23,40 +25,43 @@
 	"pitchfield/internal/transient"
 )
 
-// softMemory is the part of the memory limit at which the collector works harder; the rest is not Go's heap.
-// With one core each collection holds the loop up, so it comes seldom while there is room.
 const (
+	// memoryLimitFraction is the fraction of the configured memory that becomes Go's soft memory limit, above which the
+	// garbage collector runs more often. The rest is left for memory outside the Go heap.
 	memoryLimitFraction = 0.7
-	gcPercent           = 400
+	// gcPercent is the value for debug.SetGCPercent. The process runs on one core, so each collection delays the event
+	// loop; a high value makes collections rare while memory is free.
+	gcPercent = 400
 
-	maxLinesPerSecond = 50 // of one text
+	maxLinesPerSecond = 50 // log lines with the same message
 )
 
-// How long is waited for what fails for a moment.
+// Timeouts and intervals for operations that may fail for a short time.
 const (
-	loadTimeout         = 3 * time.Second // for the files at a start
-	reloadTimeout       = 10 * time.Second
+	loadTimeout         = 3 * time.Second  // for reading the configuration files at startup
+	reloadTimeout       = 10 * time.Second // for reading them again after SIGHUP
 	reloadRetryInterval = 50 * time.Millisecond
-	logFlushTimeout     = 100 * time.Millisecond // for the last lines to be written
+	logFlushTimeout     = 100 * time.Millisecond // for writing the last log lines at exit
 )
 
-// What the program exits with.
+// Exit codes of the program.
 const (
 	exitFailed = 1
-	exitUsage  = 2 // wrong words, or settings that can't be used
+	exitUsage  = 2 // invalid arguments or settings
 )
 
-// usageError is an error that exits with exitUsage.
+// usageError wraps an error for which the program exits with exitUsage.
 type usageError struct{ error }
 
 func main() {
 	os.Exit(execute(os.Args[1:]))
 }
 
+// execute runs the subcommand that the arguments name and returns the exit code.
 func execute(args []string) int {
-	for i, a := range args { // as it was written before there were words
-		if strings.HasPrefix(a, "-log-level") {
-			args[i] = "-" + a
+	for i, arg := range args { // the single-dash form dates from before there were subcommands
+		if strings.HasPrefix(arg, "-log-level") {
+			args[i] = "-" + arg
 		}
 	}
 	root := rootCommand()
@@ -66,36 +71,38 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "pitchfield:", err)
-	if _, is := err.(usageError); is { //nolint:errorlint // it is never wrapped
+	if _, ok := err.(usageError); ok { //nolint:errorlint // it is never wrapped
 		return exitUsage
 	}
 	return exitFailed
 }
 
+// rootCommand builds the command tree. The root command itself runs the router.
 func rootCommand() *cobra.Command {
-	var level, path string
-	start := func(*cobra.Command, []string) error {
-		l, err := zapcore.ParseLevel(level)
+	var levelName, settingsPath string
+	runRouter := func(*cobra.Command, []string) error {
+		level, err := zapcore.ParseLevel(levelName)
 		if err != nil {
 			return usageError{fmt.Errorf("log-level: %w", err)}
 		}
-		return run(l, path)
+		return run(level, settingsPath)
 	}
 	root := &cobra.Command{Use: "pitchfield", Short: "A workload manager before analytic engines",
 		Long: "A workload manager before analytic engines. Without a word it runs a router; RELAY_CONFIG names its configuration.",
-		Args: noArguments, RunE: start, SilenceErrors: true, SilenceUsage: true}
+		Args: noArguments, RunE: runRouter, SilenceErrors: true, SilenceUsage: true}
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	runs := &cobra.Command{Use: "run", Short: "Run a router (as without a word)", Args: noArguments, RunE: start}
-	for _, c := range []*cobra.Command{root, runs} {
-		c.Flags().StringVar(&level, "log-level", "info", "least level that is logged; debug has lines for every batch")
-		c.Flags().StringVar(&path, "settings", "", "file with settings of our own (TOML); none: all of them are off")
+	runCommand := &cobra.Command{Use: "run", Short: "Run a router (as without a word)", Args: noArguments, RunE: runRouter}
+	for _, c := range []*cobra.Command{root, runCommand} {
+		c.Flags().StringVar(&levelName, "log-level", "info", "least level that is logged; debug has lines for every batch")
+		c.Flags().StringVar(&settingsPath, "settings", "", "file with settings of our own (TOML); none: all of them are off")
 	}
-	root.AddCommand(runs, checkCommand(), tryCommand(), hashCommand(), statusCommand(), membersCommand(), sharesCommand(), experimentCommand(),
+	root.AddCommand(runCommand, checkCommand(), tryCommand(), hashCommand(), statusCommand(), membersCommand(), sharesCommand(), experimentCommand(),
 		versionCommand())
 	return root
 }
 
+// noArguments is a cobra.PositionalArgs that rejects any argument with a usageError.
 func noArguments(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%q is no word of %s; there is %s --help", args[0], c.CommandPath(), c.CommandPath())}
@@ -103,25 +110,26 @@
 	return nil
 }
 
-func run(level zapcore.Level, path string) error {
-	again := make(chan os.Signal, 1) // caught before all else: its default ends the process
-	signal.Notify(again, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // it ends a process that logs to a pipe which nobody reads any more
-	var t serve.Told
+// run loads the configuration and runs a router until SIGTERM or an interrupt.
+func run(level zapcore.Level, settingsPath string) error {
+	hangups := make(chan os.Signal, 1) // caught first, because by default SIGHUP ends the process
+	signal.Notify(hangups, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // by default it ends a process whose log pipe has no reader any more
+	var loaded serve.Told
 	err := transient.Retry(loadTimeout, func() (err error) {
-		t, err = serve.Load(os.Getenv, path)
+		loaded, err = serve.Load(os.Getenv, settingsPath)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	c := t.Config
+	c := loaded.Config
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	limitMemory(c)
 	logging := zap.NewProductionConfig()
 	logging.Level, logging.Sampling = zap.NewAtomicLevelAt(level), nil
-	if level >= zap.InfoLevel { // whoever sends rubbish must not fill the log; debug is for all there is
+	if level >= zap.InfoLevel { // clients that send invalid requests must not fill the log; the debug level logs every line
 		logging.Sampling = &zap.SamplingConfig{Initial: maxLinesPerSecond}
 	}
 	logging.DisableStacktrace, logging.DisableCaller = true, true
@@ -133,58 +141,60 @@
 	log.Info("starting", zap.String("listen", c.Listen), zap.Int("memory_mb", c.MemoryMB),
 		zap.Int("descriptors", c.Descriptors), zap.Int("engines", len(c.Known.Engines)))
 	if len(c.Settings.Unknown) > 0 {
-		log.Warn("settings that are not known are passed over", zap.Strings("keys", c.Settings.Unknown))
+		log.Warn("ignoring unknown settings", zap.Strings("keys", c.Settings.Unknown))
 	}
-	if err := serve.Run(ctx, t, watchReloads(ctx, again, path, log), log); err != nil {
+	if err := serve.Run(ctx, loaded, watchReloads(ctx, hangups, settingsPath, log), log); err != nil {
 		return err
 	}
 	log.Info("ended")
 	return nil
 }
 
+// limitMemory sets Go's soft memory limit from the configured memory in MB; zero means no limit.
 func limitMemory(c config.Config) {
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(c.MemoryMB) * (1 << 20)))
 	}
 }
 
-// newLogger logs as a configuration says, to a writer.
-func newLogger(c zap.Config, to zapcore.WriteSyncer) *zap.Logger {
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(c.EncoderConfig), to, c.Level)
+// newLogger returns a logger that writes JSON lines to out, with the configuration's level and sampling.
+func newLogger(c zap.Config, out zapcore.WriteSyncer) *zap.Logger {
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(c.EncoderConfig), out, c.Level)
 	if c.Sampling != nil {
 		core = zapcore.NewSamplerWithOptions(core, time.Second, c.Sampling.Initial, c.Sampling.Thereafter)
 	}
 	return zap.New(core)
 }
 
-// watchReloads reads all that a router is told again at each signal. If any of it can't be used, that is logged, and all of
-// the old is kept; it is read again for a while, since a file may be half written or the system short of something just then,
-// and no second signal may come.
-func watchReloads(ctx context.Context, again <-chan os.Signal, path string, log *zap.Logger) <-chan serve.Told {
+// watchReloads loads the configuration and settings again at each signal from hangups and sends the result on the returned
+// channel until ctx ends. If they can't be used, it logs the error, sends it once as Refused, and the router keeps the old
+// configuration. It then retries for reloadTimeout, because a file may be half written or the system short of a
+// resource for a moment, and no second signal may come.
+func watchReloads(ctx context.Context, hangups <-chan os.Signal, settingsPath string, log *zap.Logger) <-chan serve.Told {
 	out := make(chan serve.Told)
 	go func() {
-		var retry <-chan time.Time // to read once more; nil: not
-		var failing time.Time      // since when it could not be used; zero: it could
+		var retry <-chan time.Time // fires when the next retry is due; nil if none is
+		var failingSince time.Time // time of the first failed load since the signal; zero if the last load succeeded
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-again:
-				failing = time.Time{}
+			case <-hangups:
+				failingSince = time.Time{}
 			case <-retry:
 			}
 			retry = nil
-			t, err := serve.Load(os.Getenv, path)
+			loaded, err := serve.Load(os.Getenv, settingsPath)
 			switch {
 			case err == nil:
-				failing = time.Time{}
-				limitMemory(t.Config)
-			case failing.IsZero():
+				failingSince = time.Time{}
+				limitMemory(loaded.Config)
+			case failingSince.IsZero():
 				log.Error("configuration can't be used, the old one is kept", zap.Duration("read again for", reloadTimeout), zap.Error(err))
-				failing = time.Now()
-				t = serve.Told{Refused: err, At: time.Now()}
+				failingSince = time.Now()
+				loaded = serve.Told{Refused: err, At: time.Now()}
 				retry = time.After(reloadRetryInterval)
-			case time.Since(failing) < reloadTimeout:
+			case time.Since(failingSince) < reloadTimeout:
 				retry = time.After(reloadRetryInterval)
 				continue
 			default:
@@ -192,7 +202,7 @@
 				continue
 			}
 			select {
-			case out <- t:
+			case out <- loaded:
 			case <-ctx.Done():
 				return
 			}
