--- a/cmd/pitchfield/attempts_test.go
+++ b/cmd/pitchfield/attempts_test.go
@@ -13,19 +13,19 @@
 	"pitchfield/internal/standin"
 )
 
-// readDelay is by how much the engines of these tests read one connection late.
+// readDelay is how late the engine of this test reads the connection of the first attempt.
 const readDelay = 300 * time.Millisecond
 
-// attemptTracker are those that an engine has read and not ended, as the protocol's page counts them: an attempt is out until its end is
-// written or its engine has read that it is given up.
+// attemptTracker tracks the attempts that an engine has read and not ended, as the protocol specification counts them: an attempt is
+// in flight until the engine has written its end or has read its cancellation.
 type attemptTracker struct {
 	mutex       sync.Mutex
-	open        map[string]bool
-	count       map[string]int
-	overlapping []string // requests of which a further attempt came beside one that was out
+	open        map[string]bool // by request id
+	count       map[string]int  // attempts by request id
+	overlapping []string        // requests of which another attempt arrived while one was in flight
 }
 
-// answer is for standin.NewEngine: the first attempt of each request has no answer, further ones have a result.
+// answer is an answer function for standin.NewEngine: the first attempt of each request gets no answer, later ones get a result.
 func (a *attemptTracker) answer(r standin.Request) [][]string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -46,14 +46,14 @@
 	return standin.Toy(r)
 }
 
-// Issue 53: where second copies are forbidden, no further attempt leaves before the engine has read that the first is given up. It
-// reads the connection of the first attempt late.
+// Issue 53: where hedges are forbidden, a retry must not be sent before the engine has read the cancellation of the first
+// attempt. The engine reads the connection of the first attempt late.
 func TestNoFurtherAttemptBesideOneThatIsStillOut(t *testing.T) {
-	seen := &attemptTracker{open: map[string]bool{}, count: map[string]int{}}
+	tracker := &attemptTracker{open: map[string]bool{}, count: map[string]int{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	e := &standin.Engine{Listener: listener, Answer: seen.answer, Late: func(connection int) time.Duration {
+	e := &standin.Engine{Listener: listener, Answer: tracker.answer, Late: func(connection int) time.Duration {
 		if connection == 0 {
 			return readDelay
 		}
@@ -70,8 +70,8 @@
 	require.NoError(t, err)
 	a := p.answers(c, 1)[1]
 	assert.Equal(t, uint8(0), a.Code, "the second attempt has a result")
-	seen.mutex.Lock()
-	defer seen.mutex.Unlock()
-	assert.Empty(t, seen.overlapping)
-	assert.Equal(t, 2, seen.count["00000000000000f1"])
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	assert.Empty(t, tracker.overlapping)
+	assert.Equal(t, 2, tracker.count["00000000000000f1"])
 }
--- a/cmd/pitchfield/commands_test.go
+++ b/cmd/pitchfield/commands_test.go
@@ -16,9 +16,9 @@
 	"pitchfield/internal/standin"
 )
 
-// runProgram runs the program with words and gives what it prints and exits with.
-func runProgram(t *testing.T, input string, words ...string) (string, int) {
-	cmd := exec.Command(os.Args[0], words...)
+// runProgram runs the program with arguments and returns its combined output and exit code.
+func runProgram(t *testing.T, input string, arguments ...string) (string, int) {
+	cmd := exec.Command(os.Args[0], arguments...)
 	cmd.Env = append(os.Environ(), asProgramVariable+"=1")
 	cmd.Stdin = strings.NewReader(input)
 	out, err := cmd.CombinedOutput()
@@ -29,16 +29,16 @@
 }
 
 func TestCommandsExitWithDocumentedCodes(t *testing.T) {
-	for words, want := range map[string]struct {
+	for arguments, want := range map[string]struct {
 		text string
 		code int
 	}{"--help": {"Available Commands", 0}, "version": {"pitchfield", 0}, "hash": {"no password", 2}, "nonsense": {"no word", 2},
 		"check nowhere.toml": {"nowhere.toml", 2}, "run --colour": {"colour", 2}, "run --log-level loud": {"loud", 2},
 		"check ../../deploy/pitchfield.toml": {"PITCHFIELD_ENGINE_PASSWORD", 2}, "experiment nowhere.toml": {"nowhere.toml", 2},
 		"status 127.0.0.1:1": {"refused", 1}, "try --batches 1": {"at least", 2}} {
-		out, code := runProgram(t, "", strings.Fields(words)...)
-		assert.Equal(t, want.code, code, "%s: %s", words, out)
-		assert.Contains(t, out, want.text, words)
+		out, code := runProgram(t, "", strings.Fields(arguments)...)
+		assert.Equal(t, want.code, code, "%s: %s", arguments, out)
+		assert.Contains(t, out, want.text, arguments)
 	}
 	out, code := runProgram(t, "secret\n", "hash")
 	assert.Zero(t, code)
@@ -53,7 +53,8 @@
 	}
 }
 
-// restartWithSettings starts the program with settings of our own beside the platform's.
+// restartWithSettings restarts the program with a settings file that holds text, beside the platform's configuration, and returns
+// the path of the file.
 func (p *program) restartWithSettings(text string) string {
 	path := filepath.Join(p.t.TempDir(), "own.toml")
 	require.NoError(p.t, os.WriteFile(path, []byte(text), 0o600))
@@ -64,6 +65,7 @@
 	return path
 }
 
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	e := newEngine(t, nil)
 	address := e.Addr().String()
@@ -85,7 +87,7 @@
 	c := p.client()
 	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", requestTimeout, "SELECT 1"))
 	a := p.answers(c, 1)[1]
-	assert.Equal(t, []any{uint8(11), "500"}, []any{a.Code, a.Fields["w"]}, "shed at once, with the time to come back")
+	assert.Equal(t, []any{uint8(11), "500"}, []any{a.Code, a.Fields["w"]}, "shed at once, with a retry delay")
 }
 
 func TestABadFileOfOurOwnStopsTheStartAndChangesNothingLater(t *testing.T) {
@@ -97,12 +99,12 @@
 	assert.ErrorContains(t, err, "Login failed")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, "lookup", "lockup", 1)), 0o600))
 	out, code := runProgram(t, "", "run", "--settings", path)
-	assert.Equal(t, 1, code, "RELAY_CONFIG is not there either: %s", out)
+	assert.Equal(t, 1, code, "RELAY_CONFIG is not set either: %s", out)
 	cmd := exec.Command(os.Args[0], "run", "--settings", path)
 	cmd.Env = append(os.Environ(), asProgramVariable+"=1", "RELAY_CONFIG="+p.path)
-	told, err := cmd.CombinedOutput()
+	output, err := cmd.CombinedOutput()
 	assert.Error(t, err)
-	assert.Contains(t, string(told), `no service group "lockup"`)
+	assert.Contains(t, string(output), `no service group "lockup"`)
 }
 
 func TestTheStatusPageTellsWhichFileCountsAndWhyALaterOneDoesNot(t *testing.T) {
@@ -110,30 +112,30 @@
 	listen := freeAddress(t)
 	good := "[status]\nlisten = \"" + listen + "\"\n"
 	path := p.restartWithSettings(good)
-	eventually := func(says, never string) {
+	waitForStatus := func(contains, never string) {
 		require.Eventually(t, func() bool {
 			out, code := runProgram(t, "", "status", listen)
-			return code == 0 && strings.Contains(out, says) && !strings.Contains(out, never)
-		}, waitTimeout, 50*time.Millisecond, says)
+			return code == 0 && strings.Contains(out, contains) && !strings.Contains(out, never)
+		}, waitTimeout, 50*time.Millisecond, contains)
 	}
-	eventually(path+", read ", "refused")
-	for _, next := range []struct{ text, says, never string }{
+	waitForStatus(path+", read ", "refused")
+	for _, next := range []struct{ text, contains, never string }{
 		{good + "[[route]]\nname = \"r\"\ndispatches = 4\n", "refused at ", "never"},
 		{good + "[[route]]\nname = \"r\"\ndispatches = 4\n", path + `:3: route "r": rule 2: 4 dispatches`, "never"},
 		{good, path + ", read ", "refused"},
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(next.text), 0o600))
 		require.NoError(t, p.Process.Signal(syscall.SIGHUP))
-		eventually(next.says, next.never)
+		waitForStatus(next.contains, next.never)
 	}
 }
 
-// What needs no platform is found without one, and the last line says what could not be.
+// Without --platform, check still finds every error that needs no platform configuration; its last line says what was not checked.
 func TestCheckSaysWhatItCouldNotCheck(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "own.toml")
 	for text, want := range map[string]struct {
-		says string
-		code int
+		contains string
+		code     int
 	}{
 		"[[route]]\nname = \"r\"\ndispatches = 4\n":             {"rule 2: 4 dispatches", 2},
 		"[[route]]\ndispatches = 2\n":                           {"needs a name", 2},
@@ -145,6 +147,6 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		out, code := runProgram(t, "", "check", path)
 		assert.Equal(t, want.code, code, text)
-		assert.Contains(t, out, want.says, text)
+		assert.Contains(t, out, want.contains, text)
 	}
 }
--- a/cmd/pitchfield/drain_test.go
+++ b/cmd/pitchfield/drain_test.go
@@ -15,15 +15,16 @@
 	"pitchfield/internal/standin"
 )
 
-// Rule 3 on real processes: nothing new reaches an engine once the grace is over that begins when the name service has
-// sent an answer with its drain. Each test puts something between that answer and the first byte of a request. Times are
-// those of the stand-ins; grace is of the settings in main_test.go, slack what the protocol's page adds on sockets.
+// These tests check rule 3 on real processes: an engine gets no new request once the grace period is over, which begins when
+// the name service sends an answer that lists the engine as draining. Each test puts a fault between that answer and the
+// first byte of a request. Times are measured by the stand-ins. grace is the value in the settings of main_test.go; slack is
+// what the protocol specification adds for real sockets.
 const (
 	grace = 250 * time.Millisecond
 	slack = 50 * time.Millisecond
 )
 
-// arrivalLog notes when requests reach an engine.
+// arrivalLog records when requests reach an engine.
 type arrivalLog struct {
 	mutex   sync.Mutex
 	entries []arrival
@@ -34,7 +35,7 @@
 	at time.Time
 }
 
-// answer is for standin.NewEngine: a result at once, of one page.
+// answer is an answer function for standin.NewEngine that returns a result of one page at once.
 func (a *arrivalLog) answer(r standin.Request) [][]string {
 	if r[0] != "fetch" {
 		return standin.Toy(r)
@@ -45,48 +46,51 @@
 	return [][]string{{r[1], "DONE", "sheets=1,toil=1,room=8", "one\ttwo\tthree\n"}}
 }
 
-// after gives what came after a time.
+// after returns the requests that arrived after a time.
 func (a *arrivalLog) after(limit time.Time) (late []arrival) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for _, one := range a.entries {
-		if one.at.After(limit) {
-			late = append(late, one)
+	for _, entry := range a.entries {
+		if entry.at.After(limit) {
+			late = append(late, entry)
 		}
 	}
 	return late
 }
 
+// has reports whether a request with this id arrived.
 func (a *arrivalLog) has(id string) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for _, one := range a.entries {
-		if one.id == id {
+	for _, entry := range a.entries {
+		if entry.id == id {
 			return true
 		}
 	}
 	return false
 }
 
+// readyHost is the name service entry of an engine that accepts requests.
 func readyHost(id string, e *standin.Engine) standin.Host {
 	return standin.Host{ID: id, Zone: "hall", Kind: "std", Address: e.Addr().String()}
 }
 
+// drainingHost is the name service entry of an engine that is draining.
 func drainingHost(id string, e *standin.Engine) standin.Host {
 	h := readyHost(id, e)
 	h.Draining = true
 	return h
 }
 
-// waitForDrainAnswer waits until the name service has sent an answer with a drain, and gives when that was.
+// waitForDrainAnswer waits until the name service has sent an answer that lists the engine as draining, and returns when it did.
 func (p *program) waitForDrainAnswer(id string) time.Time {
 	p.t.Helper()
 	require.Eventually(p.t, func() bool { return !p.names.Drains()[id].IsZero() }, waitTimeout, time.Millisecond)
 	return p.names.Drains()[id]
 }
 
-// A name service with a backlog answers each question late, but what it sends counts. All of its answers came to questions
-// that the router had forgotten, or to sockets that it had closed.
+// A name service with a backlog answers each query late, but its answers still count. The fault: every answer arrived for a query
+// that the router had already dropped, or at a socket that it had already closed.
 func TestADrainIsReceivedFromASlowNameService(t *testing.T) {
 	var old, fresh arrivalLog
 	e0, e1 := newEngine(t, old.answer), newEngine(t, fresh.answer)
@@ -101,9 +105,8 @@
 	assert.NotEmpty(t, fresh.after(limit))
 }
 
-// The numbers of lists begin with 1 at each start of a router. An answer that was made for the process before has a higher
-// one; a router that took it for newer held all lists for old until its own numbers had come so far. This is the cause of
-// incident 1.
+// List numbers restart at 1 with each router process. A late answer for the previous process has a higher number; a router that
+// accepted it as newer treated all later lists as outdated until its own numbers had caught up. This caused incident 1.
 func TestAnAnswerMadeBeforeTheRestartDoesNotHideADrain(t *testing.T) {
 	var old, fresh arrivalLog
 	e0, e1 := newEngine(t, old.answer), newEngine(t, fresh.answer)
@@ -129,7 +132,7 @@
 	assert.NotEmpty(t, fresh.after(limit))
 }
 
-// sendRequestsUntilPast sends requests one after the other, a hundred of them after a time.
+// sendRequestsUntilPast sends requests one after the other until a hundred have been sent after limit.
 func (p *program) sendRequestsUntilPast(limit time.Time) {
 	p.t.Helper()
 	const requests = 100
@@ -143,14 +146,14 @@
 	}
 }
 
-// A request that is put behind bytes that its engine does not read leaves when the engine reads again, whatever was told
-// meanwhile.
+// A request that is queued on a connection behind bytes that its engine does not read would be sent when the engine reads again,
+// even if the engine was reported as draining in the meantime.
 func TestWhatAnEngineHasNotReadDoesNotReachItAfterItsDrain(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	narrow, err := listener.(*net.TCPListener).SyscallConn()
+	rawListener, err := listener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
-	require.NoError(t, narrow.Control(func(fd uintptr) {
+	require.NoError(t, rawListener.Control(func(fd uintptr) {
 		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) //nolint:errcheck
 	}))
 	gate := make(chan struct{})
@@ -171,12 +174,12 @@
 	require.Eventually(t, func() bool { return time.Now().After(limit) }, waitTimeout, time.Millisecond)
 	close(gate)
 	p.answers(c, requests)
-	// What had begun to leave before may arrive whole now: one request on each connection, and nothing behind it.
-	assert.LessOrEqual(t, len(old.after(limit)), e0.Connections(), "requests that waited behind unread bytes")
-	assert.NotEmpty(t, fresh.after(time.Time{}), "the others go elsewhere")
+	// A request that was partly sent before may now arrive completely: one on each connection, and nothing behind it.
+	assert.LessOrEqual(t, len(old.after(limit)), e0.Connections(), "requests that were queued behind unread bytes")
+	assert.NotEmpty(t, fresh.after(time.Time{}), "the others go to the other engine")
 }
 
-// gatedListener hands out connections that are not read before the gate opens.
+// gatedListener accepts connections whose reads block until the gate channel is closed.
 type gatedListener struct {
 	net.Listener
 	gate <-chan struct{}
@@ -190,6 +193,7 @@
 	return &gatedConn{c, l.gate}, nil
 }
 
+// gatedConn is a connection whose reads block until the gate channel is closed.
 type gatedConn struct {
 	net.Conn
 	gate <-chan struct{}
--- a/cmd/pitchfield/main_test.go
+++ b/cmd/pitchfield/main_test.go
@@ -20,7 +20,8 @@
 	"pitchfield/internal/standin"
 )
 
-// The test program is the router too: started with this variable it is main.
+// asProgramVariable is an environment variable. With it set, the test binary runs main, so that tests can start the router as a
+// separate process.
 const asProgramVariable = "PITCHFIELD_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -32,8 +33,8 @@
 }
 
 const (
-	waitTimeout      = 20 * time.Second // no time is asserted: only that it comes at all
-	requestTimeout   = 8 * time.Second
+	waitTimeout      = 20 * time.Second // tests only assert that an event occurs, not when
+	requestTimeout   = 8 * time.Second  // time that a request leaves for its answer
 	platformSettings = `{"grades":[{"name":"lookup","on-time-ms":8000,"deadline-ms":8000,"idempotency":"idempotent","worth":1},
 {"name":"once","on-time-ms":8000,"deadline-ms":8000,"idempotency":"at_most_once","worth":1}],
 "specifics":{"cores-by-kind":[8],"memory-by-kind-mb":[16000],"dop":[1,1]},"dcs":["hall"],"flavors":["std"],
@@ -41,22 +42,23 @@
 "max-retry-after-ms":500},"rules":{"stop-sending-within-ms":250},"feedback":{"how":"none"},"balancers":1,"index":0,"tick-ms":5}`
 )
 
+// program is a router that runs as a child process, with its own name service.
 type program struct {
 	*exec.Cmd
 	t         *testing.T
 	address   string
 	names     *standin.Names
 	log       logBuffer
-	stderr    io.Writer // in place of the log, unless nil
-	path      string
+	stderr    io.Writer // replaces log unless nil
+	path      string    // of the configuration file
 	arguments []string
-	// settings are those that the configuration holds
+	// settings is the JSON of the settings in the configuration file.
 	settings string
 
-	environment []string // further variables
+	environment []string // additional variables, as KEY=value
 }
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer collects log output and may be read while it is written.
 type logBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
@@ -74,9 +76,10 @@
 	return l.text.String()
 }
 
+// logged reports whether the log contains text.
 func (p *program) logged(text string) bool { return strings.Contains(p.log.String(), text) }
 
-// startNewProgram starts the program with the engines that the name service lists, and waits until it is ready.
+// startNewProgram starts a program whose name service lists the engines, and waits until it is ready.
 func startNewProgram(t *testing.T, engines ...*standin.Engine) *program {
 	p := newProgram(t, engines...)
 	p.configure(p.names)
@@ -84,7 +87,7 @@
 	return p
 }
 
-// newProgram makes a name service that lists the engines, and a program that is not started.
+// newProgram creates a name service that lists the engines, and a program that is not started yet.
 func newProgram(t *testing.T, engines ...*standin.Engine) *program {
 	names, err := standin.NewNames("127.0.0.1:0")
 	require.NoError(t, err)
@@ -98,12 +101,12 @@
 	return p
 }
 
-// configure writes the file that names this name service.
+// configure writes a configuration file that refers to this name service, with no initially known engines.
 func (p *program) configure(names *standin.Names) {
 	p.configureWithEngines(names, map[string]any{"pos": 0, "entries": []any{}})
 }
 
-// configureWithEngines does so with a list of engines that the program knows from its start.
+// configureWithEngines writes the same file with a list of engines that the program knows from its start.
 func (p *program) configureWithEngines(names *standin.Names, known any) {
 	config, err := json.Marshal(map[string]any{"name": "n1", "listen": p.address, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
@@ -112,6 +115,7 @@
 	require.NoError(p.t, os.WriteFile(p.path, config, 0o600))
 }
 
+// start starts the process with a limit of 256 descriptors, and waits until it answers a health probe with code 0.
 func (p *program) start() {
 	p.Cmd = exec.Command("/bin/sh", "-c", `ulimit -n 256 && exec "$0" "$@"`, os.Args[0])
 	p.Args = append(p.Args, p.arguments...)
@@ -134,6 +138,7 @@
 	}, waitTimeout, 20*time.Millisecond)
 }
 
+// listEngines makes the name service list exactly these engines.
 func (p *program) listEngines(engines ...*standin.Engine) {
 	var hosts []standin.Host
 	for i, e := range engines {
@@ -142,6 +147,7 @@
 	p.names.Set(hosts...)
 }
 
+// client connects to the program; the test closes the connection at its end.
 func (p *program) client() *standin.Client {
 	c, err := standin.Dial(p.address)
 	require.NoError(p.t, err)
@@ -149,6 +155,7 @@
 	return c
 }
 
+// answers reads n answers and returns them by stream. It fails if a stream gets two.
 func (p *program) answers(c *standin.Client, n int) map[uint32]standin.Answer {
 	out := map[uint32]standin.Answer{}
 	for len(out) < n {
@@ -162,6 +169,7 @@
 	return out
 }
 
+// newEngine starts an engine stand-in; answer may be nil for its default replies.
 func newEngine(t *testing.T, answer func(standin.Request) [][]string) *standin.Engine {
 	e, err := standin.NewEngine("127.0.0.1:0", answer)
 	require.NoError(t, err)
@@ -262,7 +270,7 @@
 			last = c
 		}
 	}
-	for i := range uint32(20) { // who comes later is let in, and stays while it is in use
+	for i := range uint32(20) { // later clients are accepted, and their connections stay open while they are in use
 		c := p.client()
 		for n := range uint32(3) {
 			require.NoError(t, c.Ask(n+1, "lookup", fmt.Sprintf("%016x", i*3+n+1), requestTimeout, "SELECT 1"))
@@ -270,7 +278,7 @@
 		}
 	}
 	_, err := last.Next(waitTimeout)
-	require.ErrorIs(t, err, io.EOF, "it says nothing")
+	require.ErrorIs(t, err, io.EOF, "closed without an answer")
 }
 
 func TestAStopAnswersWhatWasTakenAndEndsWell(t *testing.T) {
@@ -283,19 +291,19 @@
 	c := p.client()
 	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", requestTimeout, "SELECT 1"))
 	a, err := c.Next(50 * time.Millisecond)
-	require.Error(t, err, "still out: %v", a)
+	require.Error(t, err, "should still be running: %v", a)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	a, err = c.Next(waitTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, uint8(30), a.Type, "no new batch here")
 	late := p.client()
 	require.NoError(t, late.Ask(1, "lookup", "00000000000000f2", requestTimeout, "SELECT 1"))
-	assert.Equal(t, uint8(0), p.answers(late, 1)[1].Code, "taken all the same")
+	assert.Equal(t, uint8(0), p.answers(late, 1)[1].Code, "accepted during the drain")
 	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code)
 	assert.NoError(t, p.Wait(), p.log.String())
 }
 
-// A second signal, and one to read the settings again, come between the stop and the last answer.
+// A second SIGTERM and a SIGHUP arrive between the first SIGTERM and the last answer.
 func TestASecondStopChangesNothing(t *testing.T) {
 	hold := make(chan struct{})
 	e := newEngine(t, func(r standin.Request) [][]string {
@@ -316,7 +324,7 @@
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	late := p.client()
 	require.NoError(t, late.Ask(1, "lookup", "00000000000000f2", requestTimeout, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Seen("fetch")) == 2 }, waitTimeout, 10*time.Millisecond, "it still takes what comes")
+	require.Eventually(t, func() bool { return len(e.Seen("fetch")) == 2 }, waitTimeout, 10*time.Millisecond, "it still accepts requests")
 	close(hold)
 	assert.Equal(t, uint8(0), p.answers(late, 1)[1].Code)
 	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code)
@@ -327,6 +335,8 @@
 
 func TestAnEngineThatDrainsGetsNothingNew(t *testing.T) { testNoNewRequests(t, true) }
 
+// testNoNewRequests checks that an engine gets no new requests after the name service removed it or, with drains, listed it as
+// draining.
 func testNoNewRequests(t *testing.T, drains bool) {
 	old, fresh := newEngine(t, nil), newEngine(t, nil)
 	p := startNewProgram(t, old)
@@ -366,7 +376,7 @@
 	other, err := standin.NewNames("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { other.Close() })
-	for range 2 { // the numbers go on
+	for range 2 { // so that its list numbers are higher than those of the old name service
 		other.Set(standin.Host{ID: "s-new", Zone: "hall", Kind: "std", Address: fresh.Addr().String()})
 	}
 	require.NoError(t, os.WriteFile(p.path, []byte(`{"listen":`), 0o600))
@@ -374,7 +384,7 @@
 	time.Sleep(50 * time.Millisecond)
 	p.configure(other)
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
-	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code, "taken before it")
+	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code, "accepted before the reload")
 	i := uint32(1)
 	require.Eventually(t, func() bool {
 		i++
@@ -384,47 +394,47 @@
 	}, waitTimeout, 20*time.Millisecond)
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, p.Wait(), "a stop amid a reload")
+	require.NoError(t, p.Wait(), "a stop during a reload")
 	assert.Contains(t, p.log.String(), "the old one is kept")
 }
 
-// As deployed a router neither talks nor shares: beside its listener and its question to the name service no socket is open, and
-// none takes datagrams from whoever sends them.
+// As deployed, a router has peer messaging and quota sharing off: apart from its listener and its name service socket no socket is
+// open, and none accepts datagrams from arbitrary senders.
 func TestWithoutSettingsOfOurOwnNothingListensBesideTheClients(t *testing.T) {
 	p := startNewProgram(t, newEngine(t, nil))
 	pid := p.Process.Pid
 	sockets := func(protocol string) (local, remote []string) {
-		held := map[string]bool{}
+		ownInodes := map[string]bool{}
 		links, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 		require.NoError(t, err)
 		for _, l := range links {
 			if to, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", pid, l.Name())); err == nil {
-				held[strings.TrimSuffix(strings.TrimPrefix(to, "socket:["), "]")] = true
+				ownInodes[strings.TrimSuffix(strings.TrimPrefix(to, "socket:["), "]")] = true
 			}
 		}
 		table, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", pid, protocol))
 		require.NoError(t, err)
 		for _, line := range strings.Split(string(table), "\n")[1:] {
-			if f := strings.Fields(line); len(f) > 9 && held[f[9]] {
+			if f := strings.Fields(line); len(f) > 9 && ownInodes[f[9]] {
 				local, remote = append(local, f[1]), append(remote, f[2]+" "+f[3])
 			}
 		}
 		return local, remote
 	}
-	const nobody = "00000000:0000"
-	var asked []string
-	require.Eventually(t, func() bool { // it is joined beside the listener, on its own
-		_, asked = sockets("udp")
-		return len(asked) > 0
+	const noRemote = "00000000:0000"
+	var nameServiceRemotes []string
+	require.Eventually(t, func() bool { // it connects to the name service independently of the listener
+		_, nameServiceRemotes = sockets("udp")
+		return len(nameServiceRemotes) > 0
 	}, waitTimeout, 20*time.Millisecond)
-	assert.Len(t, asked, 1, "the name service's")
-	assert.NotContains(t, asked[0], nobody, "it is connected: it hears nobody else")
+	assert.Len(t, nameServiceRemotes, 1, "only the name service socket")
+	assert.NotContains(t, nameServiceRemotes[0], noRemote, "it is connected, so it receives from no other sender")
 	listening := 0
 	_, remote := sockets("tcp")
 	for _, r := range remote {
-		if strings.HasPrefix(r, nobody+" 0A") {
+		if strings.HasPrefix(r, noRemote+" 0A") {
 			listening++
 		}
 	}
-	assert.Equal(t, 1, listening, "clients'")
+	assert.Equal(t, 1, listening, "only the client listener")
 }
--- a/cmd/pitchfield/syscalls_test.go
+++ b/cmd/pitchfield/syscalls_test.go
@@ -18,10 +18,10 @@
 	"pitchfield/internal/syscallfault"
 )
 
-// Rule 1 on real processes whose system calls fail for a moment, with the errors that their manual pages document: each
-// request gets one whole answer, and the process goes on. This is incident 2.
+// These tests check rule 1 on real processes whose system calls fail for a short time, with the errors that their manual pages
+// document: each request gets exactly one complete answer, and the process keeps running. Such failures caused incident 2.
 
-// faultLibrary is built once, where a test wants it.
+// faultLibrary builds the fault injection library when the first test needs it, and returns its path.
 var faultLibrary = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "syscallfault")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return syscallfault.Build(folder)
 })
 
-// withFaults has the program's system calls go through a table of rules from its next start on.
+// withFaults makes the program's system calls go through a table of fault rules from its next start on.
 func (p *program) withFaults() *syscallfault.Table {
 	p.t.Helper()
 	library, err := faultLibrary()
@@ -43,6 +43,7 @@
 	return table
 }
 
+// peer is the remote end of the sockets to which a fault applies.
 type peer int
 
 const (
@@ -52,7 +53,7 @@
 	nameServicePeer
 )
 
-// fault is a system call that fails a few times while requests come.
+// fault is a system call that fails a few times while requests arrive.
 type fault struct {
 	name string
 	rule syscallfault.Rule
@@ -61,7 +62,7 @@
 
 const failuresPerFault = 3
 
-// faultsFor makes a fault for each of the errors.
+// faultsFor returns a fault for each of the errors, which fails failuresPerFault calls.
 func faultsFor(name string, at peer, rule syscallfault.Rule, errors ...syscall.Errno) (out []fault) {
 	for _, e := range errors {
 		r := rule
@@ -75,6 +76,7 @@
 	return out
 }
 
+// port returns the port by which a fault rule recognizes the peer; zero for any.
 func (p *program) port(e *standin.Engine, at peer) int {
 	switch at {
 	case clientPeer:
@@ -123,7 +125,7 @@
 	for _, group := range requestFaults {
 		for _, f := range group {
 			t.Run(f.name, func(t *testing.T) {
-				t.Parallel() // each has a process of its own, which mostly waits
+				t.Parallel() // each has its own process, which is mostly idle
 				testRequestsSurvive(t, f)
 			})
 		}
@@ -131,7 +133,7 @@
 	t.Run("log that nobody reads", testRequestsSurviveAnUnreadLog)
 }
 
-// Standard error is a pipe that is full: writing a line takes for ever.
+// Standard error is a full pipe that nobody reads, so writing a line blocks forever.
 func testRequestsSurviveAnUnreadLog(t *testing.T) {
 	t.Parallel()
 	p := newProgram(t, newEngine(t, nil))
@@ -143,15 +145,16 @@
 	p.start()
 	write.Close()
 	c, ids := p.client(), &requestIDs{}
-	for range 100 { // some lines each, more than a pipe holds
+	for range 100 { // each logs several lines; together more than a pipe buffers
 		p.sendUntilServed(c, ids, 4)
 	}
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, p.Wait())
 }
 
-// testRequestsSurvive asks on a connection that stays and on new ones, several at a time so that further connections to the
-// engine are made, until the fault has come as often as it should. A call that this program does not make fails nobody.
+// testRequestsSurvive sends requests on one connection that stays open and on new ones, several at a time so that the router opens
+// more connections to the engine, until the fault has occurred as often as it should. A test whose system call the program
+// never makes passes.
 func testRequestsSurvive(t *testing.T, f fault) {
 	e := newEngine(t, nil)
 	p := newProgram(t, e)
@@ -163,11 +166,11 @@
 	f.rule.Port = p.port(e, f.peer)
 	table.Set(0, f.rule)
 	kept, ids := p.client(), &requestIDs{}
-	const rounds, together = 20, 4
+	const rounds, concurrent = 20, 4
 	for round := uint32(0); round < rounds && table.Hits(0) < failuresPerFault; round++ {
 		fresh := p.client()
-		p.sendUntilServed(kept, ids, together)
-		p.sendUntilServed(fresh, ids, together)
+		p.sendUntilServed(kept, ids, concurrent)
+		p.sendUntilServed(fresh, ids, concurrent)
 		fresh.Close()
 	}
 	table.Clear(0)
@@ -177,7 +180,7 @@
 	require.NoError(t, p.Wait(), p.log.String())
 }
 
-// requestIDs counts requests up, for their streams and their ids.
+// requestIDs numbers requests; the number is both the stream and the id of a request.
 type requestIDs struct{ last uint32 }
 
 func (r *requestIDs) next() uint32 {
@@ -185,13 +188,14 @@
 	return r.last
 }
 
-// sendUntilServed asks for several requests at once until each has its result, every second one of a class that may not be repeated. A
-// refusal is an answer, after which a client asks again; an error is none that a client has to bear for a call that failed here.
-func (p *program) sendUntilServed(c *standin.Client, ids *requestIDs, together int) {
+// sendUntilServed sends several requests at once until each has its result. Every second one is of a class that is not safe to
+// retry. A rejection is a valid answer, after which the client sends the request again; an error is not, because a client
+// must not get one for a system call that failed in the router.
+func (p *program) sendUntilServed(c *standin.Client, ids *requestIDs, concurrent int) {
 	p.t.Helper()
-	const served, refused, tries = 0, 11, 50
+	const served, rejected, tries = 0, 11, 50
 	for range tries {
-		for range together {
+		for range concurrent {
 			i := ids.next()
 			class := "lookup"
 			if i%2 == 0 {
@@ -199,28 +203,28 @@
 			}
 			require.NoError(p.t, c.Ask(i, class, fmt.Sprintf("%016x", i), requestTimeout, "SELECT 1"))
 		}
-		answers := p.answers(c, together)
+		answers := p.answers(c, concurrent)
 		for _, a := range answers {
-			if a.Code != refused {
+			if a.Code != rejected {
 				require.Equal(p.t, uint8(served), a.Code, a.Body)
 				require.Equal(p.t, "hello\tfrom\tpage 0\nhello\tfrom\tpage 1\n", a.Body)
-				together--
+				concurrent--
 			}
 		}
-		if together == 0 {
+		if concurrent == 0 {
 			return
 		}
 	}
-	require.Fail(p.t, "never served")
+	require.Fail(p.t, "requests were not served")
 }
 
-// Connections can't be accepted as a stop comes: what their machine has accepted waits with its requests, and is answered before
-// the process ends.
+// Connections can't be accepted when SIGTERM arrives: those that the kernel has already established stay in its backlog with their
+// requests, and are answered before the process ends.
 func TestAStopAnswersWhatWaitsToBeAccepted(t *testing.T) {
 	testStopAnswersPending(t, syscallfault.Rule{Call: syscallfault.Accept4, Error: syscall.EMFILE, Times: syscallfault.Unbounded})
 }
 
-// Nor can a connection be read: its request waits.
+// An accepted connection can't be read when SIGTERM arrives: its request waits in the socket, and is answered before the process ends.
 func TestAStopAnswersWhatWaitsToBeRead(t *testing.T) {
 	testStopAnswersPending(t, syscallfault.Rule{Call: syscallfault.Read, Target: syscallfault.Stream, Error: syscall.ENOMEM, Times: syscallfault.Unbounded})
 }
@@ -231,23 +235,23 @@
 	p.configure(p.names)
 	p.start()
 	table.Set(0, rule)
-	waits := p.client()
-	require.NoError(t, waits.Ask(1, "lookup", "00000000000000f1", requestTimeout, "SELECT 1"))
+	waiting := p.client()
+	require.NoError(t, waiting.Ask(1, "lookup", "00000000000000f1", requestTimeout, "SELECT 1"))
 	require.Eventually(t, func() bool { return table.Hits(0) > 0 }, waitTimeout, time.Millisecond)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.Eventually(t, func() bool { return p.logged(`"stopped"`) }, waitTimeout, time.Millisecond)
 	table.Clear(0)
-	assert.Equal(t, uint8(11), p.answers(waits, 1)[1].Code, "refused: nothing is sent on any more")
+	assert.Equal(t, uint8(11), p.answers(waiting, 1)[1].Code, "rejected: nothing is dispatched any more")
 	require.NoError(t, p.Wait(), p.log.String())
 }
 
-// A call that fails at a start fails it no more than a moment.
+// System calls that fail a few times during startup do not make the start fail.
 func TestAStartSurvivesFailedSystemCalls(t *testing.T) {
 	for _, group := range [][]fault{
 		faultsFor("socket", anyPeer, syscallfault.Rule{Call: syscallfault.Socket}, syscall.EMFILE, syscall.ENOBUFS),
 		faultsFor("bind", anyPeer, syscallfault.Rule{Call: syscallfault.Bind}, syscall.EADDRINUSE, syscall.ENOMEM),
 		faultsFor("listen", anyPeer, syscallfault.Rule{Call: syscallfault.Listen}, syscall.EADDRINUSE),
-		// The first of each is the Go runtime's own, which gives up where it fails.
+		// The first call of each is made by the Go runtime itself, which aborts if it fails.
 		faultsFor("epoll create", anyPeer, syscallfault.Rule{Call: syscallfault.EpollCreate, After: 1}, syscall.EMFILE, syscall.ENOMEM),
 		faultsFor("eventfd", anyPeer, syscallfault.Rule{Call: syscallfault.Eventfd2, After: 1}, syscall.EMFILE, syscall.ENOMEM),
 		faultsFor("epoll add of the name service", anyPeer, syscallfault.Rule{Call: syscallfault.EpollCtl, Target: syscallfault.Datagram,
@@ -270,7 +274,7 @@
 	}
 }
 
-// The file can't be opened as SIGHUP comes, or is half written: it is read again until it can be used.
+// The file can't be opened when SIGHUP arrives, or is half written: the router reads it again until it can be used.
 func TestAReloadSurvivesAnUnreadableFile(t *testing.T) {
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.EIO, syscall.EINTR, 0} {
 		t.Run("open "+unix.ErrnoName(e), func(t *testing.T) {
@@ -298,7 +302,7 @@
 			assert.Eventually(t, func() bool {
 				p.sendUntilServed(c, ids, 1)
 				return len(fresh.Seen("fetch")) > 0
-			}, waitTimeout, 20*time.Millisecond, "the name service that the file names is never asked")
+			}, waitTimeout, 20*time.Millisecond, "the router never queries the name service of the new file")
 		})
 	}
 }
