--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -1,7 +1,7 @@
-// Command fleet puts up five routers that talk to each other, with toy engines and a name service, and shows what each knows
-// of the others while one is killed and comes back:
+// Command fleet starts five routers that exchange peer messages, with stand-in engines and a name service. It prints the first
+// router's view of the fleet at the start, after one router is killed, and after that router is started again:
 //
-//	go build -o bin/ ./cmd/... ./example/... && bin/fleet          # --stay keeps it up
+//	go build -o bin/ ./cmd/... ./example/... && bin/fleet          # --stay keeps the fleet running
 package main
 
 import (
@@ -23,11 +23,12 @@
 
 const (
 	routers       = 5
-	settleTimeout = 20 * time.Second
+	settleTimeout = 20 * time.Second // for the members to agree after a change
 )
 
+// fleet is the running example: router processes, their configuration files and the name service.
 type fleet struct {
-	folder, program string
+	folder, program string // of the configuration files; path of the router binary
 	names           *standin.Names
 	processes       [routers]*exec.Cmd
 }
@@ -44,6 +45,7 @@
 	}
 }
 
+// run starts the fleet, kills and restarts the fifth router, and with stay keeps the fleet running until ctx ends.
 func run(ctx context.Context, program string, stay bool) error {
 	folder, err := os.MkdirTemp("", "fleet")
 	if err != nil {
@@ -90,54 +92,56 @@
 	return nil
 }
 
+// start writes the configuration and settings of router i (counted from 0) and starts its process.
 func (f *fleet) start(i int) error {
 	address := func(base int) string { return fmt.Sprintf("127.0.0.1:%d", base+i) }
 	text, err := rig.Configuration(rig.Groups, fmt.Sprintf("n%d", i+1), address(7410), fmt.Sprintf("%016x", i+1), 64, 512, f.names.LocalAddr().String(), f.names.Known())
 	if err != nil {
 		return err
 	}
-	config, own := filepath.Join(f.folder, fmt.Sprintf("config-%d.json", i)), filepath.Join(f.folder, fmt.Sprintf("own-%d.toml", i))
+	configPath, settingsPath := filepath.Join(f.folder, fmt.Sprintf("config-%d.json", i)), filepath.Join(f.folder, fmt.Sprintf("own-%d.toml", i))
 	settings := fmt.Sprintf("[status]\nlisten = %q\n\n[fleet]\nname = \"example\"\nlisten = %q\nseeds = [\"127.0.0.1:7510\", \"127.0.0.1:7511\"]\nnetworks = [\"127.0.0.0/8\"]\nload = \"100ms\"\n\n"+
 		"[shares]\nkeepers = [\"127.0.0.1:7510\", \"127.0.0.1:7511\", \"127.0.0.1:7512\"]\n", address(7600), address(7510))
-	if err := errors.Join(os.WriteFile(config, text, 0o600), os.WriteFile(own, []byte(settings), 0o600)); err != nil {
+	if err := errors.Join(os.WriteFile(configPath, text, 0o600), os.WriteFile(settingsPath, []byte(settings), 0o600)); err != nil {
 		return err
 	}
-	c := exec.Command(f.program, "--settings", own)
-	c.Env = append(os.Environ(), "RELAY_CONFIG="+config)
-	f.processes[i] = c
-	return c.Start()
+	cmd := exec.Command(f.program, "--settings", settingsPath)
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+configPath)
+	f.processes[i] = cmd
+	return cmd.Start()
 }
 
-// show waits until the first router has settled with so many, and prints what it knows.
-func (f *fleet) show(ctx context.Context, what string, members int) error {
-	from := time.Now()
-	for time.Since(from) < settleTimeout && ctx.Err() == nil {
-		m, err := serve.AskMembers(ctx, "127.0.0.1:7600")
-		if err == nil && m.Certainty == "settled" && m.Count == members {
-			fmt.Printf("\n%s: settled after %.1f s\n", what, time.Since(from).Seconds())
-			if err := m.Print(os.Stdout); err != nil {
+// show waits until the first router reports a settled view with this number of members, and prints its members and quota pages.
+func (f *fleet) show(ctx context.Context, title string, members int) error {
+	startedAt := time.Now()
+	for time.Since(startedAt) < settleTimeout && ctx.Err() == nil {
+		view, err := serve.AskMembers(ctx, "127.0.0.1:7600")
+		if err == nil && view.Certainty == "settled" && view.Count == members {
+			fmt.Printf("\n%s: settled after %.1f s\n", title, time.Since(startedAt).Seconds())
+			if err := view.Print(os.Stdout); err != nil {
 				return err
 			}
-			s, err := serve.AskShares(ctx, "127.0.0.1:7600")
+			quotas, err := serve.AskShares(ctx, "127.0.0.1:7600")
 			if err != nil {
 				return err
 			}
-			return s.Print(os.Stdout)
+			return quotas.Print(os.Stdout)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("%s: not settled with %d within %s", what, members, settleTimeout)
+	return fmt.Errorf("%s: not settled with %d within %s", title, members, settleTimeout)
 }
 
+// stop sends SIGTERM to every router and waits until all have ended.
 func (f *fleet) stop() {
-	for _, c := range f.processes {
-		if c != nil && c.Process != nil {
-			c.Process.Signal(syscall.SIGTERM) //nolint:errcheck
+	for _, cmd := range f.processes {
+		if cmd != nil && cmd.Process != nil {
+			cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck
 		}
 	}
-	for _, c := range f.processes {
-		if c != nil && c.Process != nil {
-			c.Wait() //nolint:errcheck
+	for _, cmd := range f.processes {
+		if cmd != nil && cmd.Process != nil {
+			cmd.Wait() //nolint:errcheck
 		}
 	}
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy is a newcomer's world: with no arguments it plays two engines and the name service that
-// example/config.json names; "toy ask TEXT" sends one batch to the router of that file and prints the answer.
+// Command toy is a minimal environment for a first trial. Without arguments it runs two stand-in engines and the name service to
+// which example/config.json refers; "toy ask TEXT" sends one batch to the router of that file and prints the answer.
 package main
 
 import (
@@ -14,10 +14,11 @@
 )
 
 const (
-	router   = "127.0.0.1:7400"
-	resolver = "127.0.0.1:7453"
+	router   = "127.0.0.1:7400" // the address in example/config.json for clients
+	resolver = "127.0.0.1:7453" // the address in example/config.json of the name service
 )
 
+// engines maps the id of each engine to its address.
 var engines = map[string]string{"s-one": "127.0.0.1:7401", "s-two": "127.0.0.1:7402"}
 
 func main() {
@@ -33,6 +34,7 @@
 	}
 }
 
+// serve runs the engines and the name service until the process is ended, and prints each request that an engine gets.
 func serve() error {
 	names, err := standin.NewNames(resolver)
 	if err != nil {
@@ -56,23 +58,24 @@
 	select {}
 }
 
+// ask sends one batch of the service group "lookup" to the router and prints its result. It waits up to 3 s.
 func ask(text string) error {
-	c, err := standin.Dial(router)
+	client, err := standin.Dial(router)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer client.Close()
 	id := strconv.FormatInt(time.Now().UnixNano(), 16)
-	if err := c.Ask(1, "lookup", id, 2*time.Second, text); err != nil {
+	if err := client.Ask(1, "lookup", id, 2*time.Second, text); err != nil {
 		return err
 	}
-	a, err := c.Next(3 * time.Second)
+	answer, err := client.Next(3 * time.Second)
 	if err != nil {
 		return err
 	}
-	fmt.Print(a.Body)
-	if a.Code != 0 {
-		return errors.New("not served: code " + strconv.Itoa(int(a.Code)))
+	fmt.Print(answer.Body)
+	if answer.Code != 0 {
+		return errors.New("not served: code " + strconv.Itoa(int(answer.Code)))
 	}
 	return nil
 }
