--- a/cmd/pitchfield/commands.go
+++ b/cmd/pitchfield/commands.go
@@ -46,7 +46,7 @@
 				if err != nil {
 					return usageError{fmt.Errorf("configuration %s: %w", platformPath, err)}
 				}
-				if err := settings.Against(args[0], platform.Settings); err != nil {
+				if err := settings.ValidateAgainst(args[0], platform.Settings); err != nil {
 					return usageError{err}
 				}
 				groupsNote = "in the platform's settings"
