--- a/cmd/pitchfield/syscalls_test.go
+++ b/cmd/pitchfield/syscalls_test.go
@@ -110,7 +110,7 @@
 		syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscallfault.ShortTransfer),
 	faultsFor("epoll add", anyPeer, syscallfault.Rule{Call: syscallfault.EpollCtl, Target: syscallfault.Stream, Operation: unix.EPOLL_CTL_ADD},
 		syscall.ENOMEM, syscall.ENOSPC),
-	faultsFor("wake", anyPeer, syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NoSocket}, syscall.EINTR),
+	faultsFor("wake", anyPeer, syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NonSocket}, syscall.EINTR),
 	faultsFor("poll", anyPeer, syscallfault.Rule{Call: syscallfault.EpollPwait}, syscall.EINTR),
 	faultsFor("socket", anyPeer, syscallfault.Rule{Call: syscallfault.Socket}, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM),
 	faultsFor("connect", anyPeer, syscallfault.Rule{Call: syscallfault.Connect}, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS),
