--- a/cmd/pitchfield/commands.go
+++ b/cmd/pitchfield/commands.go
@@ -146,7 +146,7 @@
 func statusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status ADDRESS", Short: "Print how a router stands: its level of service, why, and the measures",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			status, err := serve.AskStatus(cmd.Context(), args[0])
+			status, err := serve.FetchStatus(cmd.Context(), args[0])
 			if err != nil {
 				return err
 			}
@@ -157,14 +157,14 @@
 // membersCommand fetches and prints a router's view of the members of its fleet.
 func membersCommand() *cobra.Command {
 	return pageCommand("members", "Print whom a router of a fleet knows, how sure it is, and who differs",
-		func(ctx context.Context, address string) (statusPage, error) { return serve.AskMembers(ctx, address) })
+		func(ctx context.Context, address string) (statusPage, error) { return serve.FetchMembers(ctx, address) })
 }
 
 // sharesCommand fetches and prints a router's quota leases of the fleet-wide budgets and, on the quota coordinator, the leases
 // granted to each member.
 func sharesCommand() *cobra.Command {
 	return pageCommand("shares", "Print what a router has of budgets that its fleet divides, and what the bursar has given to whom",
-		func(ctx context.Context, address string) (statusPage, error) { return serve.AskShares(ctx, address) })
+		func(ctx context.Context, address string) (statusPage, error) { return serve.FetchQuotas(ctx, address) })
 }
 
 // statusPage is the content of one page of a router's status server.
--- a/cmd/pitchfield/main.go
+++ b/cmd/pitchfield/main.go
@@ -115,7 +115,7 @@
 	hangups := make(chan os.Signal, 1) // caught first, because by default SIGHUP ends the process
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // by default it ends a process whose log pipe has no reader any more
-	var loaded serve.Told
+	var loaded serve.Configuration
 	err := transient.Retry(loadTimeout, func() (err error) {
 		loaded, err = serve.Load(os.Getenv, settingsPath)
 		return err
@@ -170,8 +170,8 @@
 // channel until ctx ends. If they can't be used, it logs the error, sends it once as Refused, and the router keeps the old
 // configuration. It then retries for reloadTimeout, because a file may be half written or the system short of a
 // resource for a moment, and no second signal may come.
-func watchReloads(ctx context.Context, hangups <-chan os.Signal, settingsPath string, log *zap.Logger) <-chan serve.Told {
-	out := make(chan serve.Told)
+func watchReloads(ctx context.Context, hangups <-chan os.Signal, settingsPath string, log *zap.Logger) <-chan serve.Configuration {
+	out := make(chan serve.Configuration)
 	go func() {
 		var retry <-chan time.Time // fires when the next retry is due; nil if none is
 		var failingSince time.Time // time of the first failed load since the signal; zero if the last load succeeded
@@ -192,7 +192,7 @@
 			case failingSince.IsZero():
 				log.Error("configuration can't be used, the old one is kept", zap.Duration("read again for", reloadTimeout), zap.Error(err))
 				failingSince = time.Now()
-				loaded = serve.Told{Refused: err, At: time.Now()}
+				loaded = serve.Configuration{Err: err, ReadAt: time.Now()}
 				retry = time.After(reloadRetryInterval)
 			case time.Since(failingSince) < reloadTimeout:
 				retry = time.After(reloadRetryInterval)
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -115,13 +115,13 @@
 func (f *fleet) show(ctx context.Context, title string, members int) error {
 	startedAt := time.Now()
 	for time.Since(startedAt) < settleTimeout && ctx.Err() == nil {
-		view, err := serve.AskMembers(ctx, "127.0.0.1:7600")
+		view, err := serve.FetchMembers(ctx, "127.0.0.1:7600")
 		if err == nil && view.Certainty == "settled" && view.Count == members {
 			fmt.Printf("\n%s: settled after %.1f s\n", title, time.Since(startedAt).Seconds())
 			if err := view.Print(os.Stdout); err != nil {
 				return err
 			}
-			quotas, err := serve.AskShares(ctx, "127.0.0.1:7600")
+			quotas, err := serve.FetchQuotas(ctx, "127.0.0.1:7600")
 			if err != nil {
 				return err
 			}
