--- a/cmd/pitchfield/commands.go
+++ b/cmd/pitchfield/commands.go
@@ -251,7 +251,7 @@
 				return err
 			}
 			if tails {
-				if _, err := experiment.DrawTails(folder, experiment.Summarize(runs)); err != nil {
+				if _, err := experiment.DrawLatencies(folder, experiment.Summarize(runs)); err != nil {
 					return err
 				}
 			}
@@ -264,7 +264,7 @@
 	}
 	if tails {
 		fmt.Fprintln(cmd.OutOrStdout())
-		if err := experiment.TailTable(cmd.OutOrStdout(), cells); err != nil {
+		if err := experiment.LatencyTable(cmd.OutOrStdout(), cells); err != nil {
 			return fmt.Errorf("table: %w", err)
 		}
 	}
