--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -36,7 +36,7 @@
 
 // serve runs the engines and the name service until the process is ended, and prints each request that an engine gets.
 func serve() error {
-	names, err := standin.NewNames(resolver)
+	names, err := standin.NewNameService(resolver)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 			if r[0] == "fetch" {
 				fmt.Println(id, strings.Join(r, " "))
 			}
-			return standin.Toy(r)
+			return standin.ToyAnswer(r)
 		})
 		if err != nil {
 			return err
@@ -66,10 +66,10 @@
 	}
 	defer client.Close()
 	id := strconv.FormatInt(time.Now().UnixNano(), 16)
-	if err := client.Ask(1, "lookup", id, 2*time.Second, text); err != nil {
+	if err := client.SendBatch(1, "lookup", id, 2*time.Second, text); err != nil {
 		return err
 	}
-	answer, err := client.Next(3 * time.Second)
+	answer, err := client.ReadFrame(3 * time.Second)
 	if err != nil {
 		return err
 	}
