--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -234,7 +234,7 @@
 	if e.fresh {
 		p.Columns, e.fresh = e.result, false
 	}
-	p.Form, e.rows = rows.Values, true
+	p.Encoding, e.rows = rows.Values, true
 	return &traffic.Reply{ID: e.id, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: p}
 }
 
@@ -274,7 +274,7 @@
 		if e.phase == running && !e.probe && d.status&doneCount != 0 && e.columns == nil && d.count > 0 && d.count <= math.MaxInt32 {
 			e.rows = true
 			return &traffic.Reply{ID: e.id, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1,
-				Rows: rows.Part{Form: rows.Values, Count: int(d.count)}}, nil
+				Rows: rows.Part{Encoding: rows.Values, Count: int(d.count)}}, nil
 		}
 		if d.status&doneError != 0 && e.failed == nil {
 			e.failed = &Message{Text: "the engine tells of an error without saying which"}
@@ -355,7 +355,7 @@
 			data.Truncate(at)
 			return nil
 		}
-		rows.Append(data, v)
+		rows.AppendValue(data, v)
 	}
 	e.part.Data = data
 	e.part.Count++
--- a/internal/tds/known.go
+++ b/internal/tds/known.go
@@ -14,7 +14,7 @@
 const product = "pitchfield, a router before analytic engines"
 
 // known gives the values of a SELECT of nothing but figures of the server, with the names they stand under.
-func (s *Session) known(all []statement.Word) ([]rows.Parameter, bool) {
+func (s *Session) known(all []statement.Token) ([]rows.Parameter, bool) {
 	for len(all) > 0 && all[len(all)-1].Text == ";" {
 		all = all[:len(all)-1]
 	}
@@ -41,7 +41,7 @@
 }
 
 // figure is one value of such a SELECT, with a name behind it or none.
-func (s *Session) figure(all []statement.Word) (v rows.Parameter, ok bool) {
+func (s *Session) figure(all []statement.Token) (v rows.Parameter, ok bool) {
 	if n := len(all); n >= 3 && all[n-2].Upper == "AS" {
 		v.Name, all = all[n-1].Text, all[:n-2]
 	}
--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -328,7 +328,7 @@
 
 // batch takes a SQLBatch.
 func (s *Session) batch(text string, owed *buffers.Chain) traffic.Said {
-	all := statement.Words(text)
+	all := statement.Tokenize(text)
 	if why := refused(all); why != "" {
 		return s.refuse(owed, unsupported(why))
 	}
@@ -393,7 +393,7 @@
 }
 
 // ask makes a batch of a statement.
-func (s *Session) ask(text string, all []statement.Word, ahead string, parameters []rows.Parameter, owed *buffers.Chain) traffic.Said {
+func (s *Session) ask(text string, all []statement.Token, ahead string, parameters []rows.Parameter, owed *buffers.Chain) traffic.Said {
 	ask := &traffic.Ask{Stream: s.stream + 1}
 	b := &ask.Batch
 	b.Client, b.Ahead, b.Parameters = s.client, ahead, parameters
@@ -401,9 +401,9 @@
 	if s.base == "" {
 		b.Database = s.login.base
 	}
-	about := assign.About{Login: s.login.user, Application: s.login.app, Database: s.database()}
+	about := assign.StatementInfo{Login: s.login.user, Application: s.login.app, Database: s.database()}
 	if len(all) > 0 {
-		about.Form = strings.ToLower(all[0].Text)
+		about.Command = strings.ToLower(all[0].Text)
 	}
 	if err := s.front.Rules().Assign(about, text, b); err != nil {
 		return s.refuse(owed, Message{50404, 1, 16, "pitchfield: " + err.Error() + "."})
@@ -429,7 +429,7 @@
 		if err != nil {
 			return nil, err
 		}
-		all := statement.Words(p.text)
+		all := statement.Tokenize(p.text)
 		if why := refused(all); why != "" {
 			return nil, refusal{unsupported(why)}
 		}
@@ -529,7 +529,7 @@
 		}
 		text += " " + literal
 	}
-	return s.ask(text, statement.Words(text), s.ahead(), nil, owed), nil
+	return s.ask(text, statement.Tokenize(text), s.ahead(), nil, owed), nil
 }
 
 func nameLike(r rune) bool {
--- a/internal/tds/speech.go
+++ b/internal/tds/speech.go
@@ -14,7 +14,7 @@
 }
 
 // leading gives the SET and USE statements at the start of a text and whether nothing else is in it.
-func leading(all []statement.Word, text string) (out []setting, only bool) {
+func leading(all []statement.Token, text string) (out []setting, only bool) {
 	i := 0
 	for i < len(all) {
 		w := all[i]
@@ -35,7 +35,7 @@
 		if n == i+1 {
 			return out, false
 		}
-		s := setting{text: strings.TrimSpace(text[w.From:all[n-1].To])}
+		s := setting{text: strings.TrimSpace(text[w.Start:all[n-1].End])}
 		switch name := all[i+1]; {
 		case w.Upper == "USE":
 			s.key, s.base = "USE", name.Text
@@ -63,7 +63,7 @@
 
 // refused says what of a statement needs a session of its own on an engine, which this router does not give; empty:
 // nothing. Batches of one session go to different engines.
-func refused(all []statement.Word) string {
+func refused(all []statement.Token) string {
 	for i, w := range all {
 		next := ""
 		if i+1 < len(all) && !all[i+1].Quoted {
