--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -8,7 +8,8 @@
 	"pitchfield/simwire"
 )
 
-// router is one instance: its module and its id-to-pointer maps.
+// router is one simulated router instance: its decision module, and the batches and engines that the wire refers to
+// by number.
 type router struct {
 	id           uint16
 	brain        *brain.Router
@@ -20,16 +21,18 @@
 	touched      bool
 }
 
-// host holds the instances of this process. They share nothing but the directory pages of the wire.
+// host holds the router instances of this process. They share nothing but the directory pages, which belong
+// to no router.
 type host struct {
 	routers         map[uint16]*router
 	pages           map[uint32][]simwire.Entry
 	touched         []*router
 	reply           simwire.Reply
 	reportValues    []float64
-	unknownReported bool // of settings that are not known
+	unknownReported bool // the warning about unknown settings was printed; it is printed once per process
 }
 
+// Forms of an endpoint list, and the flag of a job whose cost field is given.
 const (
 	listFull      = 1
 	listCached    = 2
@@ -37,6 +40,7 @@
 	costGivenFlag = 1
 )
 
+// Meanings of the wire's numeric codes.
 var (
 	phaseByCode   = map[uint8]brain.Phase{0: brain.Draining, 2: brain.Ready}
 	outcomeByCode = map[uint8]brain.Outcome{0: brain.Errored, 1: brain.Completed, 2: brain.Rejected, 3: brain.TimedOut,
@@ -44,7 +48,8 @@
 	updateByCode = map[uint8]brain.Update{1: brain.Progress, 2: brain.Spilling, 3: brain.Waiting}
 )
 
-// handleFrame handles one frame; the reply is in h.reply.
+// handleFrame passes the events of one frame to the routers that they are for, then collects the decisions of these
+// routers, in the order of their first event. The reply is left in h.reply, valid until the next call.
 func (h *host) handleFrame(f *simwire.Frame) error {
 	h.reply.Reset()
 	h.touched = h.touched[:0]
@@ -75,6 +80,8 @@
 	return nil
 }
 
+// handleEvent passes one event to the router that it is for; now is in seconds. Events with an unknown code or for an
+// unknown router are ignored. A truncated record is reported by rec.Err, not here.
 func (h *host) handleEvent(rec *simwire.Record, now float64) error {
 	if rec.Code < simwire.Destroy || rec.Code > simwire.Pong {
 		return nil
@@ -152,32 +159,36 @@
 	return nil
 }
 
-// removeIfFinished drops a batch that is over and has no dispatch out; later news of it is ignored.
+// removeIfFinished drops a batch that is done and has no dispatch in flight. Later events of it are ignored.
 func (rt *router) removeIfFinished(b *brain.Batch) {
 	if b.Done && b.InFlight == 0 {
 		delete(rt.batches, b.ID)
 	}
 }
 
+// addBatch passes a new batch to the decision module. A batch of an unknown service group, or with the number of one
+// that is still known, is ignored. A client number that the settings do not list becomes -1.
 func (rt *router) addBatch(rec *simwire.Record) {
 	b := &brain.Batch{ID: rec.U64()}
-	group, org := int(rec.U8()), int(rec.U32())
+	group, client := int(rec.U8()), int(rec.U32())
 	b.Key, b.TimeLeft = rec.U64(), rec.F64()/1000
-	cost, memory, tables, marks := rec.F64()/1000, rec.F32(), rec.F32(), rec.U16()
+	cost, memory, dataSet, flags := rec.F64()/1000, rec.F32(), rec.F32(), rec.U16()
 	if rec.Err() != nil || group >= len(rt.groups) || rt.batches[b.ID] != nil {
 		return
 	}
-	b.Group, b.EstimatedMemory, b.DataSet, b.Client = rt.groups[group], memory, tables, -1
-	if org < rt.clients {
-		b.Client = org
+	b.Group, b.EstimatedMemory, b.DataSet, b.Client = rt.groups[group], memory, dataSet, -1
+	if client < rt.clients {
+		b.Client = client
 	}
-	if marks&costGivenFlag != 0 {
+	if flags&costGivenFlag != 0 {
 		b.EstimatedWork = cost
 	}
 	rt.batches[b.ID] = b
 	rt.brain.AddBatch(b)
 }
 
+// updateEngines passes an engine list, or the failure to get one, to the decision module. A router keeps one Engine per
+// number for its whole life, so the module recognizes an engine across lists.
 func (h *host) updateEngines(rt *router, rec *simwire.Record) {
 	form, _, page := rec.U8(), rec.U32(), rec.U32()
 	if rec.Err() != nil {
@@ -201,6 +212,7 @@
 	rt.brain.UpdateEngines(list, form == listFull || form == listCached)
 }
 
+// readReport reads an engine's load report from a record. It is nil if the record holds no values.
 func (rt *router) readReport(rec *simwire.Record, h *host) *brain.Report {
 	h.reportValues = rec.Floats(h.reportValues[:0])
 	if len(h.reportValues) == 0 {
@@ -215,7 +227,7 @@
 	return rep
 }
 
-// writeDecisions writes the module's decisions as they come.
+// writeDecisions appends the module's pending decisions to the reply, in the order in which they were made.
 func (h *host) writeDecisions(rt *router) {
 	w := &h.reply
 	for {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost plays routers on the simulator's wire: it turns each record straight into a call on the
-// decision module and each decision straight into a message. It decides nothing.
+// Command simhost runs routers against the simulator: it reads event frames from standard input and writes action
+// frames to standard output. Each event becomes a call of the decision module and each decision becomes an action; the
+// command itself makes no decisions.
 package main
 
 import (
@@ -19,6 +20,8 @@
 	}
 }
 
+// serve answers frames until the input ends. Each reply is flushed before the next frame is read, so that the two sides can
+// take turns.
 func serve(stdin io.Reader, stdout io.Writer) error {
 	in, out := bufio.NewReaderSize(stdin, 1<<16), bufio.NewWriterSize(stdout, 1<<16)
 	h := &host{routers: map[uint16]*router{}, pages: map[uint32][]simwire.Entry{}}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -10,9 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-const oneGrade = `{"balancers":1,"discovery":"push","grades":[{"name":"a","on-time-ms":500,"deadline-ms":2000,
+// oneGroupSettings are the settings of an instance with one idempotent service group.
+const oneGroupSettings = `{"balancers":1,"discovery":"push","grades":[{"name":"a","on-time-ms":500,"deadline-ms":2000,
 "idempotency":"idempotent"}],"specifics":{"cores-by-kind":[8],"dop":[1]},"limits":{"attempts-cap":2},"tick-ms":5,"new":{}}`
 
+// record encodes an event record: its code, its length and its fields. Strings get a length in front.
 func record(code byte, fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
@@ -25,6 +27,7 @@
 	return append(binary.LittleEndian.AppendUint32([]byte{code}, uint32(b.Len())), b.Bytes()...)
 }
 
+// frame encodes a frame of events that occur at a time in milliseconds.
 func frame(ms float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	out := binary.LittleEndian.AppendUint32(nil, uint32(16+len(body)))
@@ -32,31 +35,34 @@
 	return append(binary.LittleEndian.AppendUint64(out, math.Float64bits(ms)), body...)
 }
 
+// page encodes a directory page that lists one ready engine.
 func page(id uint32, engine uint32) []byte {
 	return record(8, id, uint32(1), uint8(2), float32(1), 0.0, uint16(0), engine, uint16(0), uint16(0))
 }
 
+// job encodes the arrival of a batch at a router: 1000 ms to its deadline, a cost of 100 ms.
 func job(router uint16, id uint64) []byte {
 	return record(5, router, id, uint8(0), uint32(0), uint64(0), 1000.0, 100.0, float32(0), float32(0), uint16(1))
 }
 
-func play(t *testing.T, frames ...[]byte) ([]byte, error) {
+// runFrames returns the bytes that serve writes for the frames.
+func runFrames(t *testing.T, frames ...[]byte) ([]byte, error) {
 	var out bytes.Buffer
 	err := serve(bytes.NewReader(bytes.Join(frames, nil)), &out)
 	return out.Bytes(), err
 }
 
 func TestPagesAreResolvedInOrderAndInstancesAreApart(t *testing.T) {
-	birth := func(r uint16) []byte { return record(11, r, uint64(9), oneGrade) }
-	list := func(r uint16) []byte { return record(10, r, uint8(2), uint32(1), uint32(0)) }
-	start := frame(1000, page(0, 70), birth(0), list(0), page(0, 71), birth(1), list(1))
-	out, err := play(t, start, frame(1005, record(99, uint16(0)), job(0, 5), job(1, 6)))
+	newInstance := func(r uint16) []byte { return record(11, r, uint64(9), oneGroupSettings) }
+	endpoints := func(r uint16) []byte { return record(10, r, uint8(2), uint32(1), uint32(0)) }
+	start := frame(1000, page(0, 70), newInstance(0), endpoints(0), page(0, 71), newInstance(1), endpoints(1))
+	out, err := runFrames(t, start, frame(1005, record(99, uint16(0)), job(0, 5), job(1, 6)))
 	require.NoError(t, err)
 	for id, engine := range map[uint64]uint32{5: 70, 6: 71} {
 		try := binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint64(nil, id), engine)
 		assert.True(t, bytes.Contains(out, try), "batch %d to engine %d", id, engine)
 	}
-	again, err := play(t, start, frame(1005, record(1, uint16(0)), job(0, 5), birth(0), list(0)),
+	again, err := runFrames(t, start, frame(1005, record(1, uint16(0)), job(0, 5), newInstance(0), endpoints(0)),
 		frame(1010, record(4, uint16(0), uint64(5), uint8(0), uint16(0), uint8(0), uint32(70), 1.0, uint32(0), uint8(0))))
 	require.NoError(t, err)
 	assert.False(t, bytes.Contains(again, binary.LittleEndian.AppendUint64(nil, 5)), "destroyed with its batches")
@@ -67,14 +73,14 @@
 		"settings":        frame(0, record(11, uint16(0), uint64(1), "no json")),
 		"no grades":       frame(0, record(11, uint16(0), uint64(1), "{}")),
 		"grade 0 lacks":   frame(0, record(11, uint16(0), uint64(1), `{"grades":[{}]}`)),
-		"cut short":       frame(0, record(11, uint16(0), uint64(1), oneGrade), record(5, uint16(0))),
+		"cut short":       frame(0, record(11, uint16(0), uint64(1), oneGroupSettings), record(5, uint16(0))),
 		"record 1":        frame(0, []byte{5, 200, 0, 0, 0}),
 		"frame header: 3": {1, 2, 3},
 	} {
-		_, err := play(t, in)
+		_, err := runFrames(t, in)
 		require.ErrorContains(t, err, want)
 		assert.NotContains(t, err.Error(), "\n")
 	}
-	_, err := play(t)
+	_, err := runFrames(t)
 	assert.NoError(t, err, "end of input")
 }
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -1,4 +1,6 @@
-// Package simwire frames and codes the records of the simulator's wire (its words, its units: milliseconds).
+// Package simwire reads the event frames and writes the action frames of the simulator's wire protocol. It uses the
+// protocol's own names, and its unit of time: milliseconds. All numbers are little-endian. Its types are not safe for
+// concurrent use.
 package simwire
 
 import (
@@ -9,7 +11,7 @@
 	"math"
 )
 
-// Codes of the events.
+// Codes of the events that the simulator sends.
 const (
 	Destroy     = 1
 	Message     = 2
@@ -25,7 +27,7 @@
 	Pong        = 12
 )
 
-// Codes of the actions.
+// Codes of the actions that a router sends, and the size in bytes of an event frame's header.
 const (
 	tryCode    = 11
 	lookup     = 2
@@ -40,7 +42,8 @@
 	headerSize = 16
 )
 
-// Frame is one batch of events as it came in.
+// Frame holds the events that the simulator sends together. Its data are valid until the next ReadFrame into the same
+// buffer.
 type Frame struct {
 	Now         float64
 	Records     int
@@ -48,8 +51,9 @@
 	recordsRead int
 }
 
-// ReadFrame reads one frame; io.EOF says that the input has ended between frames. Memory is taken as
-// bytes arrive, never on the word of the length field.
+// ReadFrame reads one frame, using the buffer for its data. It returns io.EOF if the input ends between two frames, and
+// another error if it ends inside one. Memory is allocated as bytes arrive, never by the length field alone, so a wrong
+// length can't exhaust memory.
 func ReadFrame(in io.Reader, into *bytes.Buffer) (*Frame, error) {
 	into.Reset()
 	n, err := io.CopyN(into, in, headerSize)
@@ -64,7 +68,7 @@
 	records := int(binary.LittleEndian.Uint32(head[4:]))
 	now := math.Float64frombits(binary.LittleEndian.Uint64(head[8:]))
 	if size < headerSize {
-		return nil, fmt.Errorf("frame header: length %d is under the header's own", size)
+		return nil, fmt.Errorf("frame header: length %d is less than the header's own", size)
 	}
 	if math.IsNaN(now) || math.IsInf(now, 0) {
 		return nil, fmt.Errorf("frame header: clock is not a number")
@@ -75,7 +79,8 @@
 	return &Frame{Now: now, Records: records, remaining: into.Bytes()[headerSize:]}, nil
 }
 
-// Next gives the following record, nil after the last.
+// Next returns the next record, or nil after the last. A record that doesn't fit into the frame is an error, and so are
+// bytes after the last record.
 func (f *Frame) Next() (*Record, error) {
 	left := f.remaining
 	if f.recordsRead == f.Records {
@@ -86,7 +91,7 @@
 	}
 	f.recordsRead++
 	if len(left) < 5 {
-		return nil, fmt.Errorf("record %d: frame ends inside its head", f.recordsRead)
+		return nil, fmt.Errorf("record %d: frame ends inside its header", f.recordsRead)
 	}
 	size := binary.LittleEndian.Uint32(left[1:])
 	if uint64(size) > uint64(len(left)-5) {
@@ -96,7 +101,8 @@
 	return &Record{Code: left[0], Number: f.recordsRead, fields: left[5 : 5+size]}, nil
 }
 
-// Record is one event; its fields are read in turn. The first that is missing sets Err.
+// Record is one event. Its fields are read one after another. Once a field is missing, Err returns an error, and this
+// field and those after it read as 0.
 type Record struct {
 	Code      uint8
 	Number    int
@@ -104,7 +110,7 @@
 	truncated bool
 }
 
-// Err tells whether a field was missing.
+// Err returns an error if a field that was read is missing.
 func (r *Record) Err() error {
 	if r.truncated {
 		return fmt.Errorf("record %d (code %d): fields are cut short", r.Number, r.Code)
@@ -112,8 +118,11 @@
 	return nil
 }
 
+// zeros is what a missing field of up to eight bytes reads as.
 var zeros [8]byte
 
+// next returns the next n bytes. If fewer are left, it marks the record as truncated and returns zeros, or nil for more
+// than eight bytes.
 func (r *Record) next(n int) []byte {
 	if n > len(r.fields) {
 		r.truncated, r.fields = true, nil
@@ -127,16 +136,16 @@
 	return out
 }
 
-// U8 reads one byte.
+// U8 reads an unsigned integer of one byte.
 func (r *Record) U8() uint8 { return r.next(1)[0] }
 
-// U16 reads two bytes.
+// U16 reads an unsigned integer of two bytes.
 func (r *Record) U16() uint16 { return binary.LittleEndian.Uint16(r.next(2)) }
 
-// U32 reads four bytes.
+// U32 reads an unsigned integer of four bytes.
 func (r *Record) U32() uint32 { return binary.LittleEndian.Uint32(r.next(4)) }
 
-// U64 reads eight bytes.
+// U64 reads an unsigned integer of eight bytes.
 func (r *Record) U64() uint64 { return binary.LittleEndian.Uint64(r.next(8)) }
 
 // F32 reads a float of four bytes.
@@ -145,10 +154,10 @@
 // F64 reads a float of eight bytes.
 func (r *Record) F64() float64 { return math.Float64frombits(r.U64()) }
 
-// Bytes reads a u32 count and as many bytes.
+// Bytes reads a u32 count and that many bytes. They are not copied.
 func (r *Record) Bytes() []byte { return r.next(int(r.U32())) }
 
-// Floats reads a u8 count and as many floats of four bytes.
+// Floats reads a u8 count and that many floats of four bytes, and appends them to a slice.
 func (r *Record) Floats(into []float64) []float64 {
 	n := int(r.U8())
 	if n*4 > len(r.fields) {
@@ -161,7 +170,7 @@
 	return into
 }
 
-// Entry is one line of a directory page.
+// Entry describes one engine on a directory page, in the words of the wire.
 type Entry struct {
 	Phase      uint8
 	PowerHint  float64
@@ -171,9 +180,10 @@
 	Kind, Site uint16
 }
 
-// Entries reads a page: its number and its lines.
+// Entries reads a directory page: its number and its entries. It checks that the record holds the entries before it
+// allocates them.
 func (r *Record) Entries() (page uint32, list []Entry) {
-	const size = 23
+	const size = 23 // bytes of an entry
 	page = r.U32()
 	n := uint64(r.U32())
 	if n*size > uint64(len(r.fields)) {
@@ -187,18 +197,19 @@
 	return page, list
 }
 
-// Reply gathers the actions that answer one frame.
+// Reply collects the actions that answer one frame. Reset must be called before the first action.
 type Reply struct{ buf []byte }
 
-// Reset empties the reply.
+// Reset empties the reply and leaves space for its length.
 func (w *Reply) Reset() { w.buf = append(w.buf[:0], 0, 0, 0, 0) }
 
-// Bytes gives the finished frame.
+// Bytes returns the finished frame, valid until the next Reset.
 func (w *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(w.buf, uint32(len(w.buf)))
 	return w.buf
 }
 
+// appendHeader starts an action. The size in bytes counts the router's number and the fields after it.
 func (w *Reply) appendHeader(code uint8, size int, router uint16) {
 	w.buf = append(w.buf, code)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, uint32(size))
@@ -210,7 +221,7 @@
 func (w *Reply) u64(v uint64)  { w.buf = binary.LittleEndian.AppendUint64(w.buf, v) }
 func (w *Reply) f64(v float64) { w.u64(math.Float64bits(v)) }
 
-// Try starts an attempt.
+// Try starts an attempt of a request on an engine, to be given up after withinMS milliseconds.
 func (w *Reply) Try(router uint16, request uint64, engine uint32, withinMS float64) {
 	w.appendHeader(tryCode, 22, router)
 	w.u64(request)
@@ -218,7 +229,7 @@
 	w.f64(withinMS)
 }
 
-// AssignTerms names memory and priority for what is sent next.
+// AssignTerms sets the memory in MB and the priority of the attempts of a request that are sent from now on.
 func (w *Reply) AssignTerms(router uint16, request uint64, workspaceMB float64, importance uint8) {
 	w.appendHeader(assign, 15, router)
 	w.u64(request)
@@ -226,49 +237,49 @@
 	w.buf = append(w.buf, importance)
 }
 
-// Bounce rejects a request for good.
+// Bounce rejects a request and asks its client to come back after comeBackMS milliseconds.
 func (w *Reply) Bounce(router uint16, request uint64, comeBackMS float64) {
 	w.appendHeader(bounce, 18, router)
 	w.u64(request)
 	w.f64(comeBackMS)
 }
 
-// EndFailed fails a request for good.
+// EndFailed fails a request. No retry is suggested to its client.
 func (w *Reply) EndFailed(router uint16, request uint64) {
 	w.appendHeader(endFailed, 10, router)
 	w.u64(request)
 }
 
-// StopAttempt withdraws one attempt.
+// StopAttempt cancels one attempt of a request, given by its number.
 func (w *Reply) StopAttempt(router uint16, request uint64, sendNo uint16) {
 	w.appendHeader(stop, 12, router)
 	w.u64(request)
 	w.u16(sendNo)
 }
 
-// Poll probes an engine.
+// Poll sends a probe to an engine.
 func (w *Reply) Poll(router uint16, engine uint32) {
 	w.appendHeader(poll, 6, router)
 	w.u32(engine)
 }
 
-// NotifyMe sets a timer.
+// NotifyMe sets a timer to a time in milliseconds. The mark comes back with the timer's event.
 func (w *Reply) NotifyMe(router uint16, atMS float64, mark uint32) {
 	w.appendHeader(notifyMe, 14, router)
 	w.f64(atMS)
 	w.u32(mark)
 }
 
-// Lookup asks discovery for the whole list once.
+// Lookup asks service discovery for the whole list of engines once.
 func (w *Reply) Lookup(router uint16) { w.appendHeader(lookup, 2, router) }
 
-// Listen subscribes to discovery.
+// Listen subscribes to the engine list of service discovery.
 func (w *Reply) Listen(router uint16) {
 	w.appendHeader(listen, 3, router)
 	w.buf = append(w.buf, 1)
 }
 
-// Print writes a line into the report.
+// Print writes a line into the simulator's report. A text of more than 65535 bytes is cut.
 func (w *Reply) Print(router uint16, text string) {
 	if len(text) > math.MaxUint16 {
 		text = text[:math.MaxUint16]
