--- a/internal/assign/assign.go
+++ b/internal/assign/assign.go
@@ -1,6 +1,6 @@
-// Package assign says which batch a statement is, for protocols that do not say it themselves: its service group, key,
-// mark, time limit, cost and memory, from a leading comment, else from rules, else by a default. It is pure: what is
-// told and the rules decide.
+// Package assign decides the properties of a batch (service group, key, mark, time limit, cost and memory) for protocols
+// that don't carry them. They come from a leading comment of the statement, else from the operator's rules, else from a
+// default. The result depends only on the statement, its session and the rules.
 package assign
 
 import (
@@ -15,81 +15,86 @@
 	"pitchfield/internal/traffic"
 )
 
-// BatchProperties are what a rule, or a comment, says of a batch. What is empty or 0 is not said.
+// BatchProperties are what a rule or a comment sets for a batch. Empty strings and zeros are not set.
 type BatchProperties struct {
 	Group, Client string
-	Key           string  // {login}, {application} and {database} in it stand for the session's
+	Key           string  // {login}, {application} and {database} in a rule's key are replaced by the session's values
 	Limit         float64 // seconds that the client waits
 	Cost, Memory  float64 // seconds of work and MB
 }
 
-// StatementInfo is what is known of a statement and its session.
+// StatementInfo describes a statement and the session that it came in. Command is the first word of the statement.
 type StatementInfo struct{ Login, Application, Database, Command string }
 
-// Rule gives terms to what it matches. Patterns may hold *, and case does not count; empty ones match all.
+// Rule sets properties for the statements that it matches. Patterns may contain *, which matches any text; they ignore
+// case, and an empty one matches everything.
 type Rule struct {
 	Login, Application, Database string
-	Commands                     []string // the first word of the statement; none: any
+	Commands                     []string // first words of statements that match; empty: any
 	BatchProperties
 }
 
-// Rules are asked in order; the first that matches decides.
+// Rules are tried in order; the first that matches applies. The default applies if no rule matches, or if the rule that
+// does names no group.
 type Rules struct {
 	List        []Rule
-	Default     *BatchProperties // nil: what no rule matches is an error
-	KnownGroups map[string]bool  // that there are; nil: any
+	Default     *BatchProperties // nil: a statement that no rule matches is an error
+	KnownGroups map[string]bool  // service groups that exist; nil: not checked
 }
 
-// ErrNoRule says that no rule matches and there is no default.
+// ErrNoRule means that no rule and no comment names a service group and there is no default.
 var ErrNoRule = errors.New("no rule of this router says which service group this statement belongs to, and it has no default")
 
 const (
-	commentPrefix   = "pitchfield"
-	maxCommentBytes = 4096 // bytes of a comment that are looked at
+	commentPrefix   = "pitchfield" // first word of a comment that is meant for the router
+	maxCommentBytes = 4096         // bytes of the statement after its leading /* in which the comment has to end
 	maxKeyBytes     = 64
-	maxQuantity     = 1e7 // seconds, MB: no engine has so much
+	maxQuantity     = 1e7 // seconds of work, or MB of memory; no engine has as much
 	maxLimitSeconds = 24 * 3600
 )
 
-// Assign fills in what a batch is.
-func (r *Rules) Assign(about StatementInfo, text string, into *traffic.Batch) error {
-	terms := BatchProperties{}
+// Assign sets the group, key, mark, time limit, cost, memory and, if one is named, client of a batch. It returns
+// ErrNoRule, or an error that describes what is wrong with the leading comment or with the service group; the batch is
+// unchanged then.
+func (r *Rules) Assign(info StatementInfo, text string, into *traffic.Batch) error {
+	properties := BatchProperties{}
 	for i := range r.List {
-		if r.List[i].matches(about) {
-			terms = r.List[i].BatchProperties
+		if r.List[i].matches(info) {
+			properties = r.List[i].BatchProperties
 			break
 		}
 	}
-	if terms.Group == "" && r.Default != nil {
-		terms = *r.Default
+	if properties.Group == "" && r.Default != nil {
+		properties = *r.Default
 	}
-	key := terms.Key
+	key := properties.Key
 	if strings.Contains(key, "{") {
-		key = strings.NewReplacer("{login}", about.Login, "{application}", about.Application, "{database}", about.Database).Replace(key)
+		key = strings.NewReplacer("{login}", info.Login, "{application}", info.Application, "{database}", info.Database).Replace(key)
 	}
-	mark, err := parseComment(text, &terms, &key)
+	mark, err := parseComment(text, &properties, &key)
 	if err != nil {
 		return err
 	}
-	if terms.Group == "" {
+	if properties.Group == "" {
 		return ErrNoRule
 	}
-	if r.KnownGroups != nil && !r.KnownGroups[terms.Group] {
-		return fmt.Errorf("no such service group: %.40q", terms.Group)
+	if r.KnownGroups != nil && !r.KnownGroups[properties.Group] {
+		return fmt.Errorf("no such service group: %.40q", properties.Group)
 	}
-	into.Group, into.Mark, into.Left, into.Cost, into.Memory = terms.Group, mark, terms.Limit, terms.Cost, terms.Memory
-	if terms.Client != "" {
-		into.Client = terms.Client
+	into.Group, into.Mark, into.Left, into.Cost, into.Memory = properties.Group, mark, properties.Limit, properties.Cost, properties.Memory
+	if properties.Client != "" {
+		into.Client = properties.Client
 	}
 	into.Key = clients.Key(key)
 	return nil
 }
 
+// matches reports whether the rule applies to a statement.
 func (r *Rule) matches(a StatementInfo) bool {
 	if len(r.Commands) > 0 {
 		found := false
-		for _, f := range r.Commands {
-			found = found || strings.EqualFold(f, a.Command)
+		for _, command := range r.Commands {
+			found = found || strings.EqualFold(command, a.Command)
 		}
 		if !found {
 			return false
@@ -98,7 +103,8 @@
 	return Match(r.Login, a.Login) && Match(r.Application, a.Application) && Match(r.Database, a.Database)
 }
 
-// Match tells whether a text fits a pattern in which * stands for anything. An empty pattern fits all.
+// Match reports whether a text matches a pattern in which * matches any text. Case is ignored. An empty pattern matches
+// everything.
 func Match(pattern, text string) bool {
 	if pattern == "" {
 		return true
@@ -123,20 +129,21 @@
 	return strings.HasSuffix(text, parts[last])
 }
 
-// parseComment reads a comment of ours at the start of a text, as /* pitchfield group=upload key=depot-7 limit=9s */.
-func parseComment(text string, terms *BatchProperties, key *string) (mark string, err error) {
+// parseComment reads a leading comment such as /* pitchfield group=upload key=depot-7 limit=9s */ into properties and key,
+// and returns its mark. It does nothing if the text does not start with a comment whose first word is commentPrefix.
+func parseComment(text string, properties *BatchProperties, key *string) (mark string, err error) {
 	text = strings.TrimLeft(text, " \t\r\n")
-	body, is := strings.CutPrefix(text, "/*")
-	if !is {
+	body, found := strings.CutPrefix(text, "/*")
+	if !found {
 		return "", nil
 	}
-	body, rest, whole := strings.Cut(body[:min(len(body), maxCommentBytes)], "*/")
+	body, rest, closed := strings.Cut(body[:min(len(body), maxCommentBytes)], "*/")
 	_ = rest
 	words := strings.FieldsFunc(body, func(r rune) bool { return r == ' ' || r == ',' || r == '\t' || r == '\r' || r == '\n' })
 	if len(words) == 0 || words[0] != commentPrefix {
-		return "", nil // somebody else's
+		return "", nil // a comment that is not meant for the router
 	}
-	if !whole {
+	if !closed {
 		return "", errors.New("the leading pitchfield comment does not end")
 	}
 	seen := map[string]bool{}
@@ -148,9 +155,9 @@
 		seen[name] = true
 		switch name {
 		case "group":
-			terms.Group = value
+			properties.Group = value
 		case "client":
-			terms.Client = value
+			properties.Client = value
 		case "key":
 			if *key = value; len(value) > maxKeyBytes {
 				err = fmt.Errorf("key is longer than %d bytes", maxKeyBytes)
@@ -159,15 +166,15 @@
 			if mark = value; !clients.Hex(value, clients.MarkDigits) {
 				err = fmt.Errorf("mark is not %d hex digits in lower case", clients.MarkDigits)
 			}
-		case "id": // of the router before this one
+		case "id": // added by another router in front of this one; ignored
 		case "limit", "wait":
-			terms.Limit, err = ParseSeconds(value, maxLimitSeconds)
+			properties.Limit, err = ParseSeconds(value, maxLimitSeconds)
 		case "cost":
-			terms.Cost, err = ParseSeconds(value, maxQuantity)
+			properties.Cost, err = ParseSeconds(value, maxQuantity)
 		case "memory":
-			terms.Memory, err = ParseMegabytes(value)
+			properties.Memory, err = ParseMegabytes(value)
 		default:
-			err = fmt.Errorf("no such name; there are group, client, key, mark, limit, cost and memory")
+			err = fmt.Errorf("unknown name; known are group, client, key, mark, limit, cost and memory")
 		}
 		if err != nil {
 			return "", fmt.Errorf("leading pitchfield comment: %.60q: %w", w, err)
@@ -176,19 +183,19 @@
 	return mark, nil
 }
 
-// ParseSeconds reads a time with its unit, above 0.
-func ParseSeconds(text string, most float64) (float64, error) {
+// ParseSeconds parses a duration with a unit, as 900ms or 9s, into seconds. It must be above 0 and at most limit seconds.
+func ParseSeconds(text string, limit float64) (float64, error) {
 	d, err := time.ParseDuration(text)
-	if err != nil || d <= 0 || d.Seconds() > most {
-		return 0, fmt.Errorf("%.40q is not a time above 0 with its unit, as 900ms or 9s, of at most %gs", text, most)
+	if err != nil || d <= 0 || d.Seconds() > limit {
+		return 0, fmt.Errorf("%.40q is not a time above 0 with its unit, as 900ms or 9s, of at most %gs", text, limit)
 	}
 	return d.Seconds(), nil
 }
 
-// ParseMegabytes reads a size in MB or GB, above 0.
+// ParseMegabytes parses a size in MB or GB into MB (1 GB is 1024 MB). It must be above 0 and at most maxQuantity.
 func ParseMegabytes(text string) (float64, error) {
 	digits, scale := strings.TrimSuffix(text, "MB"), 1.0
-	if g, is := strings.CutSuffix(text, "GB"); is {
+	if g, found := strings.CutSuffix(text, "GB"); found {
 		digits, scale = g, 1024
 	}
 	v, err := strconv.ParseFloat(digits, 64)
--- a/internal/assign/assign_test.go
+++ b/internal/assign/assign_test.go
@@ -12,20 +12,20 @@
 	r := &Rules{KnownGroups: map[string]bool{"lookup": true, "report": true, "upload": true}, Default: &BatchProperties{Group: "report"},
 		List: []Rule{{Login: "etl*", Commands: []string{"insert"}, BatchProperties: BatchProperties{Group: "upload", Key: "{login}/{database}", Limit: 9}},
 			{Application: "*grid", BatchProperties: BatchProperties{Group: "lookup", Cost: 0.1}}}}
-	of := func(a StatementInfo, text string) traffic.Batch {
+	assign := func(a StatementInfo, text string) traffic.Batch {
 		var b traffic.Batch
 		assert.NoError(t, r.Assign(a, text, &b))
 		return b
 	}
-	assert.Equal(t, "report", of(StatementInfo{Login: "ann", Command: "select"}, "SELECT 1").Group)
-	assert.Equal(t, "lookup", of(StatementInfo{Application: "House GRID"}, "SELECT 1").Group)
-	a, b := of(StatementInfo{Login: "etl7", Database: "x", Command: "INSERT"}, ""), of(StatementInfo{Login: "etl7", Database: "y", Command: "insert"}, "")
+	assert.Equal(t, "report", assign(StatementInfo{Login: "ann", Command: "select"}, "SELECT 1").Group)
+	assert.Equal(t, "lookup", assign(StatementInfo{Application: "House GRID"}, "SELECT 1").Group)
+	a, b := assign(StatementInfo{Login: "etl7", Database: "x", Command: "INSERT"}, ""), assign(StatementInfo{Login: "etl7", Database: "y", Command: "insert"}, "")
 	assert.Equal(t, []any{"upload", 9.0}, []any{a.Group, a.Left})
 	assert.NotEqual(t, a.Key, b.Key)
-	told := of(StatementInfo{Login: "etl7", Command: "insert"},
+	fromComment := assign(StatementInfo{Login: "etl7", Command: "insert"},
 		" /* pitchfield group=lookup, key=k mark=00000000000000000000000000000001 limit=1500ms cost=2s memory=1GB client=c */ INSERT 1")
-	told.Key = 0
-	assert.Equal(t, traffic.Batch{Group: "lookup", Mark: "00000000000000000000000000000001", Left: 1.5, Cost: 2, Memory: 1024, Client: "c"}, told)
+	fromComment.Key = 0
+	assert.Equal(t, traffic.Batch{Group: "lookup", Mark: "00000000000000000000000000000001", Left: 1.5, Cost: 2, Memory: 1024, Client: "c"}, fromComment)
 }
 
 func TestInvalidCommentIsRejected(t *testing.T) {
--- a/internal/assign/section.go
+++ b/internal/assign/section.go
@@ -6,7 +6,7 @@
 	"pitchfield/internal/findings"
 )
 
-// RuleSections are [[rule]] and [default] of an operator's settings.
+// RuleSections holds the [[rule]] and [default] sections of the settings file.
 type RuleSections struct {
 	Rule []struct {
 		Login       string   `toml:"login"`
@@ -18,6 +18,7 @@
 	Default *propertiesSection `toml:"default"`
 }
 
+// propertiesSection holds the keys that [[rule]] and [default] have in common.
 type propertiesSection struct {
 	Group  string `toml:"group"`
 	Client string `toml:"client"`
@@ -29,12 +30,12 @@
 
 const maxRuleLimitSeconds = 24 * 3600
 
-// Validate gives the rules.
+// Validate checks the sections and returns the rules. Mistakes are reported to c under the setting's key.
 func (f *RuleSections) Validate(c findings.To) (out Rules) {
 	for i, r := range f.Rule {
 		at := fmt.Sprintf("rule[%d]", i)
 		if r.Group == "" {
-			c.Found(at, "a rule without a group decides nothing")
+			c.Found(at, "a rule must name a group")
 		}
 		out.List = append(out.List, Rule{Login: r.Login, Application: r.Application,
 			Database: r.Database, Commands: r.Form, BatchProperties: batchProperties(c, at, r.propertiesSection)})
@@ -42,13 +43,14 @@
 	if f.Default != nil {
 		t := batchProperties(c, "default", *f.Default)
 		if t.Group == "" {
-			c.Found("default", "a default without a group decides nothing")
+			c.Found("default", "the default must name a group")
 		}
 		out.Default = &t
 	}
 	return out
 }
 
+// batchProperties converts the common keys of the section at the given key.
 func batchProperties(c findings.To, at string, t propertiesSection) BatchProperties {
 	out := BatchProperties{Group: t.Group, Client: t.Client, Key: t.Key, Limit: c.Seconds(at+".limit", t.Limit, maxRuleLimitSeconds),
 		Cost: c.Seconds(at+".cost", t.Cost, 1e6)}
@@ -56,7 +58,8 @@
 	return out
 }
 
-// EachGroup gives the service groups that rules name, each with the key that it stands under.
+// EachGroup calls each with every service group that the rules and the default name, and with the key of the setting that
+// names it.
 func (r *Rules) EachGroup(each func(key, group string)) {
 	for n, one := range r.List {
 		each(fmt.Sprintf("rule[%d].group", n), one.Group)
