--- a/internal/statement/words.go
+++ b/internal/statement/words.go
@@ -2,16 +2,17 @@
 
 import "strings"
 
-// Token is one of a statement's words or signs, outside strings and comments.
+// Token is a word, a quoted name, a string or a single other character of a statement.
 type Token struct {
-	Text   string // as it stands; names without their quotes
-	Upper  string
-	Start  int  // where it begins, and
-	End    int  // ends
-	Quoted bool // a name in quotes, or a string
+	Text   string // as written; a quoted name without its quotes; of a string only '
+	Upper  string // Text in upper case
+	Start  int    // index of its first byte in the statement
+	End    int    // index after its last byte
+	Quoted bool   // a quoted name or a string
 }
 
-// Tokenize splits a text. A string counts as a word that is a quote.
+// Tokenize splits a statement into tokens. White space and comments are skipped. The text of a string is replaced by one
+// quote character, so that it can't be taken for a keyword or a name.
 func Tokenize(text string) (out []Token) {
 	out = make([]Token, 0, min(len(text)/4+1, 64))
 	for i := 0; i < len(text); {
@@ -29,7 +30,7 @@
 				end = "]"
 			}
 			n := skipPast(text, i+1, end)
-			for n < len(text) && text[n] == end[0] { // doubled
+			for n < len(text) && text[n] == end[0] { // a doubled quote is part of the text
 				n = skipPast(text, n+1, end)
 			}
 			inner := strings.TrimSuffix(text[i+1:n], end)
@@ -54,11 +55,13 @@
 	return out
 }
 
+// isWordByte reports whether a byte can be part of an unquoted name, keyword, number or parameter.
 func isWordByte(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' || c == '#' || c == '@' ||
 		c == '$' || c >= 0x80
 }
 
+// skipPast returns the index after the next occurrence of what, or the end of the text.
 func skipPast(text string, from int, what string) int {
 	if i := strings.Index(text[min(from, len(text)):], what); i >= 0 {
 		return from + i + len(what)
@@ -66,7 +69,7 @@
 	return len(text)
 }
 
-// skipComment reads past a comment; they nest.
+// skipComment returns the index after the block comment that starts at from. Block comments nest.
 func skipComment(text string, from int) int {
 	depth := 0
 	for i := from; i < len(text); {
