--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -1,5 +1,5 @@
-// Package rows holds results on their way from an engine to a client, in a form of no protocol: columns with types and
-// rows of values, or lines of text as they came.
+// Package rows represents results on their way from an engine to a client, independently of the protocols of both: typed
+// columns with rows of values, or lines of text as received. It also writes values as text and as SQL literals.
 package rows
 
 import (
@@ -13,33 +13,34 @@
 	"pitchfield/internal/buffers"
 )
 
-// Kind is the kind of a column's values.
+// Kind is the data type of a column, without its size, precision and scale.
 type Kind uint8
 
-// The kinds, with the bytes of a value. Numbers have their least byte first.
+// The kinds, with the size in bytes and the encoding of a value. Numbers are little-endian.
 const (
 	Bit            Kind = iota // 1
-	Int8                       // 1, without sign
+	Int8                       // 1, unsigned
 	Int16                      // 2
 	Int32                      // 4
 	Int64                      // 8
 	Float32                    // 4
 	Float64                    // 8
-	Decimal                    // 1 for the sign (1: not below 0), then 4, 8, 12 or 16
-	Money                      // 8: ten-thousandths
-	SmallMoney                 // 4: ten-thousandths
+	Decimal                    // 1 for the sign (1: not negative), then 4, 8, 12 or 16
+	Money                      // 8, in ten-thousandths
+	SmallMoney                 // 4, in ten-thousandths
 	Date                       // 3: days since 0001-01-01
-	Time                       // 3 to 5: units of the scale since midnight
-	DateTime2                  // a time, then a date
-	DateTimeOffset             // a time, a date (both UTC), then 2: minutes
-	DateTime                   // 4: days since 1900-01-01; 4: three-hundredths of a second
-	SmallDateTime              // 2: days since 1900-01-01; 2: minutes
-	Text                       // UTF-8
-	Bytes                      // as they are
-	GUID                       // 16, the first three groups with their least byte first
+	Time                       // 3 to 5: time since midnight, in units of 10^-scale seconds; see TimeSize
+	DateTime2                  // a Time, then a Date
+	DateTimeOffset             // a Time and a Date, both in UTC, then 2: offset in minutes
+	DateTime                   // 4: days since 1900-01-01; 4: time since midnight in 1/300 s
+	SmallDateTime              // 2: days since 1900-01-01; 2: minutes since midnight
+	Text                       // any size, UTF-8
+	Bytes                      // any size
+	GUID                       // 16, the first three groups little-endian
 	kindCount
 )
 
+// kindNames are the names of the kinds in SQL.
 var kindNames = [kindCount]string{"bit", "tinyint", "smallint", "int", "bigint", "real", "float", "decimal", "money",
 	"smallmoney", "date", "time", "datetime2", "datetimeoffset", "datetime", "smalldatetime", "nvarchar", "varbinary",
 	"uniqueidentifier"}
@@ -51,60 +52,60 @@
 	return kindNames[k]
 }
 
-// Type is a column's type.
+// Type is the data type of a column. Precision and Scale count decimal digits.
 type Type struct {
 	Kind             Kind
-	Size             int // of Text in characters and of Bytes in bytes, at most; 0: no bound
+	Size             int // largest size of a Text in characters or of a Bytes in bytes; 0: unbounded
 	Precision, Scale uint8
 }
 
-// Column is one of a result.
+// Column is the name and type of a column of a result.
 type Column struct {
 	Name string
 	Type
 }
 
-// Parameter is a value that a statement's text names.
+// Parameter is a value that the text of a statement refers to by name.
 type Parameter struct {
 	Column
 	Null  bool
 	Value []byte
 }
 
-// Encoding is how a part's data lie.
+// Encoding is how the data of a Part are encoded.
 type Encoding uint8
 
-// The forms.
+// The encodings.
 const (
-	Lines  Encoding = iota // three columns of text: tabs between them, an end of line after each row
-	Values                 // for each column a size in four bytes, or Null, and the value
+	Lines  Encoding = iota // three columns of text, separated by tabs, with a line feed after each row
+	Values                 // for each column the size of the value in four bytes, or NullSize, then the value
 )
 
-// NullSize stands for the size of a value that is none.
+// NullSize is the size that marks an SQL NULL in the encoding Values.
 const NullSize = 0xFFFFFFFF
 
-// Part is some rows of a result. Columns stand with the first part of each result of a batch.
+// Part holds some rows of a result. Only the first part of each result of a batch has Columns.
 type Part struct {
 	Encoding Encoding
 	Columns  []Column
-	Data     *buffers.Chain // may be nil: no rows
-	Count    int            // rows, in Values
+	Data     *buffers.Chain // nil if there are no rows
+	Count    int            // number of rows; only set with Values
 }
 
-// Len tells the bytes held.
+// Len returns the size of the data in bytes.
 func (p Part) Len() int { return p.Data.Len() }
 
-// Release gives the buffers back.
+// Release returns the buffers of the part to their pool.
 func (p Part) Release() { p.Data.Release() }
 
-// Release gives the buffers of all back.
+// Release returns the buffers of all parts to their pool.
 func Release(parts []Part) {
 	for _, p := range parts {
 		p.Release()
 	}
 }
 
-// AppendValue writes one value in the form Values; nil is none.
+// AppendValue appends one value in the encoding Values. A nil value is written as NULL; an empty one is not NULL.
 func AppendValue(out *buffers.Chain, value []byte) {
 	var size [4]byte
 	if value == nil {
@@ -117,10 +118,10 @@
 	out.Write(value)
 }
 
-// ErrMalformed says that rows are not what their columns say.
-var ErrMalformed = errors.New("rows do not fit their columns")
+// ErrMalformed means that data do not match the types or the number of their columns.
+var ErrMalformed = errors.New("rows do not match their columns")
 
-// scratch is what reading rows needs for a while.
+// scratch holds the slices that Each needs while it reads a part. They are pooled to avoid an allocation per part.
 type scratch struct {
 	row  [][]byte
 	data []byte
@@ -128,7 +129,8 @@
 
 var scratchPool = sync.Pool{New: func() any { return &scratch{} }}
 
-// Each gives the rows of a part in the form Values, each as its values; nil is none. They are good until the next.
+// Each calls handle with the values of each row of a part in the encoding Values; NULL is nil. The row and its values are
+// valid only during the call. Each stops at the first error of handle and returns it.
 func Each(p Part, columns int, handle func(row [][]byte) error) error {
 	if p.Data.Len() == 0 {
 		return nil
@@ -169,12 +171,12 @@
 	return nil
 }
 
-// lineColumns are those of results that come as lines.
+// lineColumns are the columns of results in the encoding Lines.
 var lineColumns = []Column{{Name: "c1", Type: Type{Kind: Text}}, {Name: "c2", Type: Type{Kind: Text}},
 	{Name: "c3", Type: Type{Kind: Text}}}
 
-// AsValues turns a result of lines to one of values; others stay. What can't be expressed is an error: bytes that are
-// no UTF-8 have no place in a column of text.
+// AsValues converts a result from the encoding Lines to Values and releases the parts given; a result in Values is
+// returned as it is. Bytes that are not UTF-8 are an error, because a column of text can't hold them.
 func AsValues(pool *buffers.Pool, parts []Part) ([]Part, error) {
 	if len(parts) == 0 || parts[0].Encoding == Values {
 		return parts, nil
@@ -185,7 +187,7 @@
 		text := p.Data.Bytes()
 		if !utf8.Valid(text) {
 			out.Release()
-			return nil, errors.New("the result is no UTF-8")
+			return nil, errors.New("the result is not valid UTF-8")
 		}
 		for len(text) > 0 {
 			for i := range lineColumns {
@@ -210,8 +212,9 @@
 	return []Part{out}, nil
 }
 
-// AsLines turns a result of values to lines; others stay. Lines carry three columns of text of one result, so another
-// number of columns, a second result, a value that is none, and tabs and ends of line inside a value are errors.
+// AsLines converts a result from the encoding Values to Lines and releases the parts given; a result in Lines is returned
+// as it is. Lines hold three columns of text of one result, so another number of columns, a second result, a NULL, and
+// tabs, line feeds and other control characters inside a value are errors.
 func AsLines(pool *buffers.Pool, parts []Part) ([]Part, error) {
 	if len(parts) == 0 || parts[0].Encoding == Lines {
 		return parts, nil
--- a/internal/rows/values.go
+++ b/internal/rows/values.go
@@ -14,7 +14,7 @@
 	"pitchfield/internal/statement"
 )
 
-// littleEndianUint reads a number of up to eight bytes, the least first.
+// littleEndianUint decodes an unsigned little-endian number of up to eight bytes.
 func littleEndianUint(b []byte) (v uint64) {
 	for i := len(b) - 1; i >= 0; i-- {
 		v = v<<8 | uint64(b[i])
@@ -22,7 +22,7 @@
 	return v
 }
 
-// TimeSize tells the bytes of a time of this scale (0 to 7 digits of a second).
+// TimeSize returns the size in bytes of a Time of a scale (0 to 7 digits of a second).
 func TimeSize(scale uint8) int {
 	switch {
 	case scale <= 2:
@@ -33,7 +33,7 @@
 	return 5
 }
 
-// FixedSize tells how many bytes a value of the type has; 0: it varies.
+// FixedSize returns the size in bytes of a value of the type, or 0 if it varies.
 func (t Type) FixedSize() int {
 	switch t.Kind {
 	case Bit, Int8:
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// Validate tells whether bytes can be a value of the type.
+// Validate returns an error that wraps ErrMalformed if the bytes can't be a value of the type.
 func (t Type) Validate(v []byte) error {
 	ok := true
 	switch t.Kind {
@@ -86,19 +86,21 @@
 		}
 	}
 	if !ok {
-		return fmt.Errorf("%w: %d bytes are no %s", ErrMalformed, len(v), t.Kind)
+		return fmt.Errorf("%w: %d bytes are not a valid %s", ErrMalformed, len(v), t.Kind)
 	}
 	return nil
 }
 
-const maxDays = 3652058 // 9999-12-31
+const maxDays = 3652058 // 9999-12-31, in days since 0001-01-01
 
 func notFinite(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) }
 
+// formatDate writes a Date as 2006-01-02.
 func formatDate(v []byte) string {
 	return time.Date(1, 1, 1+int(littleEndianUint(v)), 0, 0, 0, 0, time.UTC).Format("2006-01-02")
 }
 
+// formatTime writes a Time of a scale as 15:04:05, with as many digits after the point as the scale says.
 func formatTime(v []byte, scale uint8) string {
 	unit := uint64(math.Pow10(int(scale)))
 	n := littleEndianUint(v)
@@ -110,6 +112,7 @@
 	return out
 }
 
+// insertDecimalPoint inserts a point before the last scale digits, padding with zeros in front, and adds the sign.
 func insertDecimalPoint(digits string, scale int, negative bool) string {
 	if pad := scale + 1 - len(digits); pad > 0 {
 		digits = strings.Repeat("0", pad) + digits
@@ -123,7 +126,8 @@
 	return digits
 }
 
-// Format writes a value as a text that a person and SQL read alike.
+// Format writes a value as text in the notation of SQL, without quotes. It returns an error that wraps ErrMalformed if the
+// value is not valid for the type.
 func Format(t Type, v []byte) (string, error) {
 	if err := t.Validate(v); err != nil {
 		return "", err
@@ -142,11 +146,11 @@
 	case Float64:
 		return strconv.FormatFloat(math.Float64frombits(littleEndianUint(v)), 'g', -1, 64), nil
 	case Decimal:
-		big1 := make([]byte, len(v)-1)
-		for i := range big1 {
-			big1[i] = v[len(v)-1-i]
+		magnitude := make([]byte, len(v)-1) // big-endian, as math/big wants it
+		for i := range magnitude {
+			magnitude[i] = v[len(v)-1-i]
 		}
-		return insertDecimalPoint(new(big.Int).SetBytes(big1).String(), int(t.Scale), v[0] == 0), nil
+		return insertDecimalPoint(new(big.Int).SetBytes(magnitude).String(), int(t.Scale), v[0] == 0), nil
 	case Money:
 		return formatMoney(int64(littleEndianUint(v))), nil
 	case SmallMoney:
@@ -184,12 +188,14 @@
 	return string(v), nil
 }
 
+// formatMoney writes an amount in ten-thousandths with four digits after the point.
 func formatMoney(n int64) string {
 	digits := strconv.FormatInt(n, 10)
 	return insertDecimalPoint(strings.TrimPrefix(digits, "-"), 4, n < 0)
 }
 
-// Literal writes a parameter's value as SQL does; a text can't leave its quotes.
+// Literal writes the value of a parameter as an SQL literal. Quotes in a text are doubled, so it can't end its literal
+// early.
 func Literal(p Parameter) (string, error) {
 	if p.Null {
 		return "NULL", nil
@@ -207,8 +213,8 @@
 	return "'" + text + "'", nil
 }
 
-// Inline puts parameters in the place of their names in a statement's text, for engines that know none. Names in
-// strings, quoted names and comments stay.
+// Inline replaces the names of parameters in the text of a statement by literals, for engines that don't support
+// parameters. Names are matched without regard to case; those in strings, quoted names and comments are left alone.
 func Inline(text string, parameters []Parameter) (string, error) {
 	if len(parameters) == 0 {
 		return text, nil
@@ -222,14 +228,14 @@
 		literals[strings.ToLower(p.Name)] = l
 	}
 	var out strings.Builder
-	at := 0
+	copied := 0
 	for _, w := range statement.Tokenize(text) {
 		if l, ok := literals[strings.ToLower(w.Text)]; ok && !w.Quoted {
-			out.WriteString(text[at:w.Start])
+			out.WriteString(text[copied:w.Start])
 			out.WriteString(l)
-			at = w.End
+			copied = w.End
 		}
 	}
-	out.WriteString(text[at:])
+	out.WriteString(text[copied:])
 	return out.String(), nil
 }
