--- a/internal/outlook/outlook.go
+++ b/internal/outlook/outlook.go
@@ -1,6 +1,7 @@
-// Package outlook turns what the decision module holds of engines into what proxies that decide by weights are to be told:
-// clusters, endpoints with weights and health, and routes with time-outs, retries and budgets. It is pure: no input or
-// output, no clock, no chance. docs/xds.md says what of the module's decisions can be told so, and what can't.
+// Package outlook converts the decision module's view of the engines into configuration for proxies that balance load by
+// weights: clusters, endpoints with weights and health, and routes with time-outs, retries and budgets. It is pure: it does
+// no input or output and uses neither a clock nor random numbers. docs/xds.md says which decisions of the module can be
+// expressed this way and which can't. The package is not connected to the router yet.
 package outlook
 
 import (
@@ -12,7 +13,7 @@
 // Health of an endpoint.
 type Health uint8
 
-// The states; what drains or is gone is never told as anything else.
+// The health states. An engine that drains is always published as Draining.
 const (
 	Healthy Health = iota
 	Degraded
@@ -24,117 +25,118 @@
 	return [...]string{"healthy", "degraded", "unhealthy", "draining"}[h]
 }
 
-// Engine is what the module holds of one.
+// Engine is the decision module's view of one engine.
 type Engine struct {
 	Name, Address, Zone, Kind string
 	Draining                  bool
-	Ejected                   bool    // set aside by its health
-	StartSeenAt               float64 // when its latest start was first heard of, by the clock of Fleet.Now; 0: long ago
+	Ejected                   bool    // by outlier ejection
+	StartSeenAt               float64 // when its latest start was first seen, in seconds on the clock of Fleet.Now; 0: long ago
 	Cores                     float64
-	ThreadsPerCore            float64 // a core that are spoken for, as believed; below 0: nothing is known
+	ThreadsPerCore            float64 // estimated threads in use per core; below 0: unknown
 }
 
-// Group is a service group as far as proxies can keep it.
+// Group is the part of a service group's settings that proxies can apply.
 type Group struct {
 	Name            string
 	SafeToRetry     bool
 	TimeLimit       float64 // seconds
-	MaxDispatches   int     // at most; a route's may be fewer than the platform's
-	DispatchTimeout float64 // of one dispatch, seconds; 0: none of its own
+	MaxDispatches   int     // at most, for one batch; may be fewer than in Rules; 0: as in Rules
+	DispatchTimeout float64 // of one dispatch, in seconds; 0: none
 	Zones, Kinds    []string
-	WorkShare       float64 // of the work that comes, for the budget of cold engines
-	AdmittedShare   float64 // share that a level of reduced service lets in
+	WorkShare       float64 // of all work that arrives; the budget of cold engines depends on it
+	AdmittedShare   float64 // share of batches that the current level of reduced service admits
 }
 
-// Rules are those that hold over all proxies together.
+// Rules are the settings that apply to all proxies together.
 type Rules struct {
-	MaxDispatches                   int
-	ColdCapacityShare, ColdDuration float64
-	OverloadFactor, OverloadWindow  float64
-	RetryRatio                      float64 // of further dispatches; below 0: no budget
-	FreeRetries                     float64
+	MaxDispatches                    int
+	ColdCapacityShare, SlowStartTime float64 // capacity right after a start as a share of the full one; seconds until it is full
+	OverloadFactor, OverloadWindow   float64 // a cold engine fails above this multiple of its capacity within these seconds
+	RetryRatio                       float64 // retry budget, see View; below 0: no budget
+	FreeRetries                      float64
 }
 
-// Fleet is what is known at one time.
+// Fleet is the input of Build: what is known at the time Now, in seconds.
 type Fleet struct {
 	Now         float64
 	Engines     []Engine
 	Groups      []Group
 	Rules       Rules
-	OfferedWork float64 // core-seconds a second that all proxies send; below 0: not known
+	OfferedWork float64 // core-seconds per second that all proxies send; below 0: unknown
 }
 
-// Endpoint is one engine in a cluster.
+// Endpoint is an engine as a member of a cluster.
 type Endpoint struct {
 	Name, Address, Zone string
 	Health              Health
 	Weight              uint32
 }
 
-// Cluster is a subset of the engines that the same groups are placed on.
+// Cluster is a subset of the engines, shared by all groups with the same placement.
 type Cluster struct {
 	Name        string
 	Endpoints   []Endpoint
-	MaxRequests uint32 // requests out at once, over the cluster, from one proxy; 0: no bound
+	MaxRequests uint32 // requests in flight to the cluster from one proxy; 0: unlimited
 }
 
-// Route is what proxies do with a group's batches.
+// Route says how proxies send the batches of a group.
 type Route struct {
 	Group, Cluster string
 	Timeout        float64 // seconds, of all dispatches together
-	PerTryTimeout  float64 // seconds of one; 0: none of its own
-	Retries        int     // after the first
-	AdmittedShare  float64 // share that is let in; the rest is pushed back at once
+	PerTryTimeout  float64 // of one dispatch, in seconds; 0: none
+	Retries        int     // after the first dispatch
+	AdmittedShare  float64 // share of batches that is admitted; the rest is rejected at once
 }
 
-// View is all that is published, in one order whatever order it was told in.
+// View is everything that is published. Its order does not depend on the order of the input.
 type View struct {
 	Clusters []Cluster
 	Routes   []Route
-	// RetryShare is the budget of retries as a share of what is out, and RetryFree so many beside; below 0: no budget.
+	// RetryRatio is the retry budget as a share of the requests in flight, and FreeRetries the number of retries allowed on
+	// top of it. A RetryRatio below 0 means no budget.
 	RetryRatio, FreeRetries float64
 }
 
-// The values of this package. Weights are told in steps, so that a belief that moves a little is no news to a thousand proxies.
+// Weights are quantized, so that a small change of an estimate does not cause an update of a thousand proxies.
 const (
 	maxWeight             = 128.0
-	stepsPerDoubling      = 4    // to a doubling
-	warmUtilization       = 0.85 // of its pace that a cold engine is counted on for
-	coldBudgetShare       = 0.9  // of the cold budget that is handed out: weights hold on average, bursts don't know them
-	crowdedThreadsPerCore = 1.5  // threads a core from which an engine gets less
-	minWeightFactor       = 0.25 // of its weight, however crowded: reports are old when they come
-	panicThreshold        = 0.5  // with more than this share set aside it is more likely the network, or us
+	stepsPerDoubling      = 4    // steps of a weight between a value and its double
+	warmUtilization       = 0.85 // share of its cores that counts as the capacity of a cold engine
+	coldBudgetShare       = 0.9  // share of the cold budget that is handed out; weights hold only on average and ignore bursts
+	crowdedThreadsPerCore = 1.5  // above it an engine gets a lower weight
+	minWeightFactor       = 0.25 // lowest factor for a crowded engine; load reports are old when they arrive
+	panicThreshold        = 0.5  // with a larger share ejected, the network or the router is the likelier cause
 )
 
-// Build makes what is to be published.
+// Build computes the view to publish. It depends only on the fleet.
 func Build(f Fleet) View {
 	out := View{RetryRatio: f.Rules.RetryRatio, FreeRetries: f.Rules.FreeRetries}
 	groups := slices.Clone(f.Groups)
 	slices.SortFunc(groups, func(a, b Group) int { return cmp.Compare(a.Name, b.Name) })
-	places := map[string]*placement{}
+	placements := map[string]*placement{}
 	var order []*placement
 	for _, g := range groups {
 		name := clusterName(g)
-		p := places[name]
+		p := placements[name]
 		if p == nil {
 			p = &placement{name: name, group: g}
-			places[name], order = p, append(order, p)
+			placements[name], order = p, append(order, p)
 		}
 		p.workShare += g.WorkShare
 	}
 	for _, p := range order {
-		c, admit := buildCluster(&f, p)
+		c, admitted := buildCluster(&f, p)
 		out.Clusters = append(out.Clusters, c)
-		p.admittedShare = admit
+		p.admittedShare = admitted
 	}
 	for _, g := range groups {
-		p := places[clusterName(g)]
+		p := placements[clusterName(g)]
 		out.Routes = append(out.Routes, buildRoute(g, f.Rules, p))
 	}
 	return out
 }
 
-// placement is where some groups may run.
+// placement collects the groups that may use the same engines; they share one cluster.
 type placement struct {
 	name          string
 	group         Group
@@ -142,6 +144,7 @@
 	admittedShare float64
 }
 
+// clusterName returns the name of the cluster for the zones and kinds of engines that a group may use.
 func clusterName(g Group) string {
 	join := func(list []string) string {
 		if list == nil {
@@ -163,16 +166,18 @@
 	return "engines." + join(g.Zones) + "." + join(g.Kinds)
 }
 
+// allows reports whether the groups of the placement may use an engine.
 func (p *placement) allows(e *Engine) bool {
 	return (p.group.Zones == nil || slices.Contains(p.group.Zones, e.Zone)) && (p.group.Kinds == nil || slices.Contains(p.group.Kinds, e.Kind))
 }
 
-// buildCluster weighs the engines of a place. Cold ones get no more than a share of the traffic that keeps all proxies together
-// within what they bear, whatever the number of proxies; what no engine may take is not let in.
-func buildCluster(f *Fleet, p *placement) (out Cluster, admit float64) {
+// buildCluster assigns weights to the engines of a placement and returns the share of work to admit. The weights of cold
+// engines keep the traffic of all proxies together within what these engines can take, whatever the number of proxies. Work
+// that no engine can take is not admitted.
+func buildCluster(f *Fleet, p *placement) (out Cluster, admitted float64) {
 	out = Cluster{Name: p.name}
 	var warm, cold []*Engine
-	aside, there := 0, 0
+	ejected, total := 0, 0
 	for i := range f.Engines {
 		e := &f.Engines[i]
 		if !p.allows(e) {
@@ -182,8 +187,8 @@
 			out.Endpoints = append(out.Endpoints, Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Health: Draining})
 			continue
 		}
-		if there++; e.Ejected {
-			aside++
+		if total++; e.Ejected {
+			ejected++
 		}
 		if f.isCold(e) {
 			cold = append(cold, e)
@@ -191,45 +196,46 @@
 			warm = append(warm, e)
 		}
 	}
-	shaken := float64(aside) > panicThreshold*float64(there)
+	mostEjected := float64(ejected) > panicThreshold*float64(total)
 	sum := 0.0
 	weights := map[*Engine]float64{}
 	for _, e := range warm {
-		if w := warmWeight(e); !e.Ejected || shaken {
+		if w := warmWeight(e); !e.Ejected || mostEjected {
 			weights[e], sum = w, sum+w
 		}
 	}
 	work := f.OfferedWork * p.workShare
-	admit = 1
-	// Of all traffic each cold engine may have a fixed share; the warm ones have the rest, so weights follow from it.
-	caps, each := 0.0, map[*Engine]float64{}
+	admitted = 1
+	// Each cold engine may get a fixed share of all traffic and the warm ones get the rest; the weights follow from that.
+	coldShares, shares := 0.0, map[*Engine]float64{}
 	for _, e := range cold {
-		if e.Ejected && !shaken {
+		if e.Ejected && !mostEjected {
 			continue
 		}
 		share := 0.0
 		if work > 0 {
 			share = f.coldCapacity(e) / work
-		} else if f.OfferedWork < 0 { // nobody knows how much comes: it gets next to nothing until that is known
+		} else if f.OfferedWork < 0 { // the load is unknown: it gets the smallest weight until it is known
 			share = 1 / maxWeight
-		} else { // nothing comes
+		} else { // no load
 			share = 1
 		}
-		each[e], caps = share, caps+share
+		shares[e], coldShares = share, coldShares+share
 	}
 	switch {
-	case len(each) == 0:
-	case sum == 0: // only cold ones: what they don't bear together is not let in
-		admit = min(caps, 1)
-		for e, share := range each {
+	case len(shares) == 0:
+	case sum == 0: // all usable engines are cold: work beyond their joint capacity is not admitted
+		admitted = min(coldShares, 1)
+		for e, share := range shares {
 			weights[e] = share
 		}
 	default:
-		// Cold ones take caps of all, at most half: a fleet that is half cold must not rest on what is only believed.
-		if scale := min(1, 0.5/caps); caps > 0 {
-			for e, share := range each {
+		// Cold engines get coldShares of all traffic, but at most half: their capacity is an estimate, and a fleet that is
+		// half cold must not depend on it.
+		if scale := min(1, 0.5/coldShares); coldShares > 0 {
+			for e, share := range shares {
 				share *= scale
-				weights[e] = share / (1 - caps*scale) * sum
+				weights[e] = share / (1 - coldShares*scale) * sum
 			}
 		}
 	}
@@ -242,7 +248,7 @@
 		w := weights[e]
 		if e.Ejected {
 			end.Health = Unhealthy
-			if shaken {
+			if mostEjected {
 				end.Health = Degraded
 			}
 		}
@@ -250,25 +256,26 @@
 			end.Weight = quantizeWeight(w/most, f.isCold(e))
 		}
 		if end.Weight == 0 && end.Health == Healthy {
-			end.Health = Unhealthy // a weight of 0 can't be told everywhere
+			end.Health = Unhealthy // not every proxy accepts a weight of 0
 		}
 		out.Endpoints = append(out.Endpoints, end)
 	}
 	slices.SortFunc(out.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-	return out, admit
+	return out, admitted
 }
 
+// isCold reports whether an engine is within its slow start.
 func (f *Fleet) isCold(e *Engine) bool {
-	return e.StartSeenAt > 0 && f.Now < e.StartSeenAt+f.Rules.ColdDuration
+	return e.StartSeenAt > 0 && f.Now < e.StartSeenAt+f.Rules.SlowStartTime
 }
 
-// coldCapacity is the work a second that a cold engine may be sent, on average: its pace right after a start, for how it grows is
-// not told, and the multiple that a burst may reach is kept for bursts.
+// coldCapacity returns the work, in core-seconds per second, that a cold engine may be sent on average. It is the capacity
+// right after a start, because its growth is not published. The excess that OverloadFactor allows is left for bursts.
 func (f *Fleet) coldCapacity(e *Engine) float64 {
 	return coldBudgetShare * warmUtilization * f.Rules.ColdCapacityShare * max(e.Cores, 1) * min(max(f.Rules.OverloadFactor/2, 0.5), 1)
 }
 
-// warmWeight gives an engine a weight by its cores, less where it is believed to be crowded.
+// warmWeight returns a weight in proportion to the cores of an engine, reduced if the engine is crowded.
 func warmWeight(e *Engine) float64 {
 	fill := 1.0
 	if e.ThreadsPerCore > crowdedThreadsPerCore {
@@ -277,8 +284,8 @@
 	return max(e.Cores, 1) * fill
 }
 
-// quantizeWeight gives a share of the greatest weight as a whole number, in steps of a doubling. A cold engine's is rounded down: its
-// share is a bound.
+// quantizeWeight converts a share of the greatest weight into an integer weight, rounded to a step (stepsPerDoubling). The
+// weight of a cold engine is rounded down, because its share is an upper bound.
 func quantizeWeight(share float64, down bool) uint32 {
 	exact := math.Log2(share*maxWeight) * stepsPerDoubling
 	whole := math.Round(exact)
@@ -292,8 +299,8 @@
 	return max(uint32(math.Round(w)), 1)
 }
 
-// buildRoute tells proxies how to send a group's batches. No retry where an effect could come twice, and none that would leave
-// no time: a proxy can't see what the module sees of a dispatch that is out.
+// buildRoute returns the route of a group. Groups that are not safe to retry get no retries, and no retry may exceed the
+// time limit: unlike the decision module, a proxy does not know how far a dispatch in flight has come.
 func buildRoute(g Group, r Rules, p *placement) Route {
 	out := Route{Group: g.Name, Cluster: p.name, Timeout: g.TimeLimit, AdmittedShare: min(p.admittedShare, max(g.AdmittedShare, 0))}
 	most := max(r.MaxDispatches, 1)
@@ -313,8 +320,8 @@
 	return out
 }
 
-// ReducesCapacity tells what of a change must not wait: an engine that drains, is gone, or may take less. Engines are told by name and
-// address: what listens at an address may be another one's.
+// ReducesCapacity reports whether a change must be published at once: an engine drains, is gone, or stops accepting traffic.
+// Engines are identified by name and address, because another engine may listen at the same address later.
 func ReducesCapacity(before, after View) bool {
 	now := map[string]Endpoint{}
 	for _, c := range after.Clusters {
@@ -324,8 +331,8 @@
 	}
 	for _, c := range before.Clusters {
 		for _, e := range c.Endpoints {
-			next, there := now[c.Name+"\x00"+e.Name+"\x00"+e.Address]
-			if e.acceptsTraffic() && (!there || !next.acceptsTraffic()) {
+			next, found := now[c.Name+"\x00"+e.Name+"\x00"+e.Address]
+			if e.acceptsTraffic() && (!found || !next.acceptsTraffic()) {
 				return true
 			}
 		}
@@ -333,7 +340,7 @@
 	return false
 }
 
-// acceptsTraffic tells whether proxies send to it.
+// acceptsTraffic reports whether proxies send requests to the endpoint.
 func (e Endpoint) acceptsTraffic() bool {
 	return (e.Health == Healthy || e.Health == Degraded) && e.Weight > 0
 }
--- a/internal/outlook/outlook_test.go
+++ b/internal/outlook/outlook_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var rules = Rules{MaxDispatches: 3, ColdCapacityShare: 0.35, ColdDuration: 15, OverloadFactor: 2.5, OverloadWindow: 2, RetryRatio: 0.1}
+var rules = Rules{MaxDispatches: 3, ColdCapacityShare: 0.35, SlowStartTime: 15, OverloadFactor: 2.5, OverloadWindow: 2, RetryRatio: 0.1}
 
 func fleet(engines ...Engine) Fleet {
 	return Fleet{Now: 1000, Engines: engines, Rules: rules, OfferedWork: 20, Groups: []Group{{Name: "lookup", SafeToRetry: true, TimeLimit: 4, WorkShare: 1, AdmittedShare: 1}}}
@@ -77,7 +77,8 @@
 	assert.Equal(t, []string{"engines", "engines.yard.any", "engines"}, []string{o.Routes[0].Cluster, o.Routes[1].Cluster, o.Routes[2].Cluster})
 }
 
-// Whatever the fleet, however many proxies: what all of them send to a cold engine by the weights stays under what makes it fall.
+// For any fleet, the work that all proxies together send to a cold engine according to the weights stays below the load at
+// which the engine fails.
 func TestWeightsKeepColdEnginesUnderTheirBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Engine
@@ -116,5 +117,5 @@
 	a.ThreadsPerCore, b.ThreadsPerCore = 2, 2.6
 	one := Build(fleet(a, b))
 	b.ThreadsPerCore = 2.65
-	assert.True(t, equalViews(one, Build(fleet(b, a))), "nor is the order")
+	assert.True(t, equalViews(one, Build(fleet(b, a))), "the order of the engines does not matter either")
 }
--- a/internal/outlook/publish.go
+++ b/internal/outlook/publish.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// Kind is a type of resource, in the order in which what is new has to be there before it is used.
+// Kind is a type of resource. The order of the kinds is the order in which new resources must arrive before they are used.
 type Kind uint8
 
-// The kinds.
+// The kinds of resources.
 const (
 	ClusterKind Kind = iota
 	EndpointKind
@@ -20,25 +20,28 @@
 
 func (k Kind) String() string { return [...]string{"clusters", "endpoints", "routes"}[k] }
 
-// Version of what is published: it only grows, over restarts too. Life is the number of the start, which durable state keeps.
+// Version identifies a published view. It only grows, also over restarts: Epoch is the number of the start, kept in durable
+// state, and Count the number of the view since then.
 type Version struct{ Epoch, Count uint64 }
 
-// Older tells which of two came first.
+// Older reports whether v precedes o.
 func (v Version) Older(o Version) bool {
 	return v.Epoch < o.Epoch || v.Epoch == o.Epoch && v.Count < o.Count
 }
 
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch, v.Count) }
 
-// Resources is what a proxy is told of one kind: resources by name. Clusters have no body here; routes name their clusters.
+// Resources maps the names of resources of one kind to their contents: a uint32 (Cluster.MaxRequests) for a cluster, a
+// []Endpoint for the endpoints of a cluster, a Route for a route.
 type Resources map[string]any
 
-// Action is one thing for the host to do.
+// Action is something that the caller has to do.
 type Action interface{ action() }
 
-// The effects.
+// The actions.
 type (
-	// Send writes a response, whole: the state of the world of one kind. The host tells by Wrote once it is on its way.
+	// Send writes a response with all resources of one kind (state of the world). The caller calls HandleWritten once it is
+	// written.
 	Send struct {
 		Proxy     uint64
 		Kind      Kind
@@ -46,7 +49,7 @@
 		Nonce     uint64
 		Resources Resources
 	}
-	// EndStream ends a proxy's stream.
+	// EndStream closes the stream of a proxy.
 	EndStream struct {
 		Proxy  uint64
 		Reason string
@@ -56,66 +59,67 @@
 func (Send) action()      {}
 func (EndStream) action() {}
 
-// Publisher holds what each proxy was sent and has taken, and decides what it is sent next. One reducer: events bring the
-// time, effects do the rest.
+// Publisher records what each proxy was sent and has acknowledged, and decides what it is sent next. It is a state machine:
+// each method takes the current time in seconds and returns the actions that follow. It is not safe for concurrent use.
 type Publisher struct {
 	epoch, count uint64
 	version      Version
 	now          float64
 	published    View
 	hasPublished bool
-	changedAt    float64 // when what waits to be published began to differ; 0: nothing waits
+	changedAt    float64 // when pending began to differ from published; 0: nothing is pending
 	pending      View
-	proxies      map[uint64]*proxy // Gone deletes
+	proxies      map[uint64]*proxy // by number; Disconnect and repeated refusals delete from it
 	nonce        uint64
 	actions      []Action
 }
 
-// proxy is one stream. Its memory is bounded: what it was last sent of each kind, and no queue.
+// proxy is the state of one connection. Its memory is bounded: it keeps what was sent last of each kind and has no queue.
 type proxy struct {
 	number              uint64
 	node                string
 	streams             [kindCount]stream
-	consecutiveRefusals int // in a row
+	consecutiveRefusals int
 }
 
-// stream is one kind on it.
+// stream is the state of one kind of resource on a connection.
 type stream struct {
 	requested             bool
-	names                 []string // that it asked for, in order; nil: all
+	names                 []string // requested names, sorted; nil: all
 	sentVersion           Version
-	nonce                 uint64    // of what was last sent; 0: nothing
-	sentResources         Resources // the same
+	nonce                 uint64    // of the last response; 0: none was sent
+	sentResources         Resources // of the last response
 	acknowledgedVersion   Version
-	acknowledgedResources Resources // what it has acknowledged
-	writing               bool      // what was sent is not on its way yet
-	awaitingReply         bool      // it has neither taken nor refused it
-	refusalReason         string
-	updatePending         bool // something newer waits
+	acknowledgedResources Resources // of the last response that was acknowledged
+	writing               bool      // the last response is not written yet
+	awaitingReply         bool      // the last response was neither acknowledged nor refused
+	refusalReason         string    // of the last response, if it was refused
+	updatePending         bool      // a newer version may have to be sent
 }
 
-// The values of this package; seconds.
 const (
-	batchingDelay          = 0.1 // news that can wait is gathered for so long
-	maxConsecutiveRefusals = 8   // in a row; a proxy that refuses everything is ended, and may come back
+	batchingDelay          = 0.1 // seconds for which changes that are not urgent are collected
+	maxConsecutiveRefusals = 8   // a proxy that refuses everything is disconnected and may reconnect
 )
 
-// NewPublisher starts one. The life has to be above that of any earlier start.
+// NewPublisher returns a publisher with no proxies. The epoch must be greater than that of any earlier start.
 func NewPublisher(epoch uint64, now float64) *Publisher {
 	return &Publisher{epoch: epoch, now: now, proxies: map[uint64]*proxy{}}
 }
 
-// Version is what was published last.
+// Version returns the version of the view published last.
 func (p *Publisher) Version() Version { return p.version }
 
-// Published tells what is in force.
+// Published returns the view published last.
 func (p *Publisher) Published() View { return p.published }
 
+// begin starts the handling of an event. Time never goes back.
 func (p *Publisher) begin(now float64) {
 	p.now, p.actions = max(p.now, now), nil
 }
 
-// Update brings what the module holds now. What makes an engine take less goes out at once, all else is gathered.
+// Update sets the view to publish. It is published at once if it is the first or reduces capacity; other changes are
+// collected for batchingDelay.
 func (p *Publisher) Update(now float64, o View) []Action {
 	p.begin(now)
 	if p.hasPublished && equalViews(p.published, o) {
@@ -132,7 +136,7 @@
 	return p.actions
 }
 
-// Tick is due at Due.
+// Tick publishes the pending view if its time has come. It must be called at NextTick.
 func (p *Publisher) Tick(now float64) []Action {
 	p.begin(now)
 	if p.changedAt > 0 && p.now >= p.changedAt+batchingDelay {
@@ -141,7 +145,7 @@
 	return p.actions
 }
 
-// NextTick is when Tick has to be called; 0: not at all.
+// NextTick returns the time at which Tick must be called, or 0 if nothing is pending.
 func (p *Publisher) NextTick() float64 {
 	if p.changedAt == 0 {
 		return 0
@@ -149,6 +153,7 @@
 	return p.changedAt + batchingDelay
 }
 
+// publish makes the pending view the published one and sends it to the proxies.
 func (p *Publisher) publish() {
 	p.count++
 	p.version, p.published, p.hasPublished, p.changedAt = Version{p.epoch, p.count}, p.pending, true, 0
@@ -160,26 +165,28 @@
 	}
 }
 
+// sortedProxies returns the proxies by number.
 func (p *Publisher) sortedProxies() []*proxy {
 	return slices.SortedFunc(maps.Values(p.proxies), func(a, b *proxy) int { return cmp.Compare(a.number, b.number) })
 }
 
-// Connect lets a proxy in. It is sent nothing before it asks.
+// Connect adds a proxy. Nothing is sent to it before it requests something.
 func (p *Publisher) Connect(now float64, number uint64, node string) []Action {
 	p.begin(now)
 	p.proxies[number] = &proxy{number: number, node: node}
 	return p.actions
 }
 
-// Disconnect forgets it.
+// Disconnect removes a proxy.
 func (p *Publisher) Disconnect(now float64, number uint64) []Action {
 	p.begin(now)
 	delete(p.proxies, number)
 	return p.actions
 }
 
-// HandleRequest is a request of a proxy: the first of a kind, or its word on a nonce, each with the names that it wants (nil: all).
-// An old or unknown nonce says nothing.
+// HandleRequest handles a proxy's request: the first of a kind (nonce 0), or the reply to the response with the nonce. A
+// reply acknowledges the response, or refuses it if refused is not empty. Each request has the names that the proxy wants;
+// nil stands for all. Requests with an old or unknown nonce are ignored.
 func (p *Publisher) HandleRequest(now float64, number uint64, k Kind, names []string, nonce uint64, refused string) []Action {
 	p.begin(now)
 	one := p.proxies[number]
@@ -198,18 +205,18 @@
 	}
 	s.requested = true
 	switch {
-	case nonce == 0 || !s.awaitingReply: // it may change the names at any time
+	case nonce == 0 || !s.awaitingReply: // the names may change at any time
 	case refused != "":
 		s.awaitingReply, s.refusalReason = false, refused
 		if one.consecutiveRefusals++; one.consecutiveRefusals >= maxConsecutiveRefusals {
-			p.actions = append(p.actions, EndStream{number, fmt.Sprintf("refused %d in a row, the last for: %s", one.consecutiveRefusals, refused)})
+			p.actions = append(p.actions, EndStream{number, fmt.Sprintf("refused %d responses in a row, the last because: %s", one.consecutiveRefusals, refused)})
 			delete(p.proxies, number)
 			return p.actions
 		}
 	default:
 		s.awaitingReply, s.refusalReason, one.consecutiveRefusals = false, "", 0
 		s.acknowledgedVersion, s.acknowledgedResources = s.sentVersion, s.sentResources
-		if k == RouteKind { // what it has ceased to route to can go
+		if k == RouteKind { // clusters that are no longer routed to can be removed
 			one.streams[ClusterKind].updatePending, one.streams[EndpointKind].updatePending = true, true
 		}
 	}
@@ -217,7 +224,7 @@
 	return p.actions
 }
 
-// HandleWritten: what was sent of a kind is on its way, and the next may go.
+// HandleWritten records that the last response of a kind is written, so that the next one may be sent.
 func (p *Publisher) HandleWritten(now float64, number uint64, k Kind) []Action {
 	p.begin(now)
 	if one := p.proxies[number]; one != nil && k < kindCount {
@@ -227,8 +234,9 @@
 	return p.actions
 }
 
-// sendPending sends what may go to a proxy now: endpoints at once, for a drain waits for nobody's word; clusters as what is there
-// and what its routes still name; routes once it has taken all clusters that they name.
+// sendPending sends a proxy everything that it may be sent now. Endpoints are sent without waiting for a reply, so that a
+// drain is never delayed. Clusters are sent with those that the proxy's routes still refer to. Routes are sent once the
+// proxy has acknowledged the clusters that they refer to.
 func (p *Publisher) sendPending(one *proxy) {
 	if !p.hasPublished {
 		return
@@ -240,7 +248,7 @@
 		}
 		what := p.resourcesFor(one, k)
 		if what == nil {
-			continue // not yet
+			continue // its clusters are not acknowledged yet
 		}
 		s.updatePending = false
 		if s.nonce > 0 && equalResources(s.sentResources, what) && s.refusalReason == "" {
@@ -256,7 +264,7 @@
 	}
 }
 
-// resourcesFor is what a proxy is to have of a kind; nil: it can't be sent yet.
+// resourcesFor returns the resources of a kind that a proxy should have, or nil if they can't be sent yet.
 func (p *Publisher) resourcesFor(one *proxy, k Kind) Resources {
 	out := Resources{}
 	switch k {
@@ -264,7 +272,7 @@
 		for _, c := range p.published.Clusters {
 			out[c.Name] = c.MaxRequests
 		}
-		for _, name := range referencedClusters(one) { // still routed to
+		for _, name := range referencedClusters(one) { // a removed cluster that is still routed to
 			if _, there := out[name]; !there {
 				out[name] = uint32(0)
 			}
@@ -273,7 +281,7 @@
 		for _, c := range p.published.Clusters {
 			out[c.Name] = c.Endpoints
 		}
-		for _, name := range referencedClusters(one) { // of a cluster that is gone nobody is left
+		for _, name := range referencedClusters(one) { // a removed cluster has no endpoints
 			if _, there := out[name]; !there {
 				out[name] = []Endpoint(nil)
 			}
@@ -292,15 +300,15 @@
 	return out
 }
 
-// keeps: a proxy has a resource, and what is on its way to it does not take it away. Of a kind that it never asked for
-// nothing is known.
+// keeps reports whether a proxy has acknowledged a resource and the last response does not remove it. It is true for a kind
+// that the proxy never requested, of which nothing is known.
 func (s *stream) keeps(name string) bool {
 	_, has := s.acknowledgedResources[name]
 	_, stays := s.sentResources[name]
 	return !s.requested || has && stays
 }
 
-// referencedClusters are the clusters that routes of a proxy name, which it has taken or may yet take.
+// referencedClusters returns the clusters that the acknowledged and the last sent routes of a proxy refer to.
 func referencedClusters(one *proxy) (out []string) {
 	for _, names := range []Resources{one.streams[RouteKind].acknowledgedResources, one.streams[RouteKind].sentResources} {
 		for _, r := range names {
@@ -311,15 +319,15 @@
 	return slices.Compact(out)
 }
 
-// ProxyStatus is how a proxy stands, for operators.
+// ProxyStatus describes the state of a proxy to operators.
 type ProxyStatus struct {
 	Proxy              uint64
 	Node               string
 	Sent, Acknowledged [kindCount]Version
-	RefusalReasons     [kindCount]string // why, of what it refused last
+	RefusalReasons     [kindCount]string // of the last response, if it was refused
 }
 
-// ProxyStatuses tells it of all, in order.
+// ProxyStatuses returns the status of all proxies, by number.
 func (p *Publisher) ProxyStatuses() (out []ProxyStatus) {
 	for _, one := range p.sortedProxies() {
 		s := ProxyStatus{Proxy: one.number, Node: one.node}
