--- a/internal/outlook/publish_test.go
+++ b/internal/outlook/publish_test.go
@@ -10,32 +10,34 @@
 	"pgregory.net/rapid"
 )
 
-// fakeProxy is a proxy that does what it is told, in its own time.
+// fakeProxy is a proxy that applies the responses it reads. The test decides when it reads.
 type fakeProxy struct {
 	number     uint64
-	inbox      []Send // written and not read yet
+	inbox      []Send // written, but not read yet
 	resources  [kindCount]Resources
 	versions   [kindCount]Version
-	refusesAll bool // refuses everything
-	silent     bool // never says whether it took it
+	refusesAll bool // refuses every response
+	silent     bool // never replies
 }
 
-// harness is a publisher with some of them.
+// harness connects a publisher to some fake proxies.
 type harness struct {
 	t       *rapid.T
 	p       *Publisher
 	now     float64
 	proxies map[uint64]*fakeProxy
-	unsent  []Send // handed to the host, and not written
+	unsent  []Send // returned by the publisher, but not written yet
 	drained map[string]bool
 }
 
+// apply carries out actions and checks that at most one response of a kind waits to be written to a proxy, and that
+// responses never publish a drained engine as usable.
 func (w *harness) apply(effects []Action) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Send:
 			for _, other := range w.unsent {
-				require.False(w.t, other.Proxy == e.Proxy && other.Kind == e.Kind, "one at a time waits to be written")
+				require.False(w.t, other.Proxy == e.Proxy && other.Kind == e.Kind, "one response of a kind waits to be written")
 			}
 			if e.Kind == EndpointKind {
 				for _, list := range e.Resources {
@@ -51,7 +53,7 @@
 	}
 }
 
-// write has one message go out: the first of its proxy's, as all kinds go over one stream.
+// write writes the first unsent response of a proxy: all kinds share one stream, so their order stays.
 func (w *harness) write(i int) {
 	i = slices.IndexFunc(w.unsent, func(s Send) bool { return s.Proxy == w.unsent[i].Proxy })
 	s := w.unsent[i]
@@ -62,7 +64,7 @@
 	w.apply(w.p.HandleWritten(w.now, s.Proxy, s.Kind))
 }
 
-// read has a proxy take in its next message, and say so.
+// read makes a proxy apply its next response and reply to it.
 func (w *harness) read(m *fakeProxy) {
 	s := m.inbox[0]
 	m.inbox = m.inbox[1:]
@@ -75,7 +77,7 @@
 		for group, r := range m.resources[RouteKind] {
 			_, c := m.resources[ClusterKind][r.(Route).Cluster]
 			_, e := m.resources[EndpointKind][r.(Route).Cluster]
-			require.True(w.t, c && e, "%s is routed to a cluster that it hasn't got, after %s", group, s.Kind)
+			require.True(w.t, c && e, "%s is routed to a cluster that it does not have, after %s", group, s.Kind)
 		}
 	}
 	if !m.silent {
@@ -83,8 +85,9 @@
 	}
 }
 
-// Whatever comes when: no proxy routes to a cluster that it hasn't got, no message that is made after a drain has the drained
-// engine, nothing older ever follows, one message of a kind waits at the most, and in the end all hold the newest.
+// For any order of events: no proxy routes to a cluster that it does not have, no response made after a drain publishes the
+// drained engine as usable, versions never decrease, at most one response of a kind waits to be written, and in the end all
+// proxies have the newest view.
 func TestProxiesAreToldInAnOrderThatNeverBreaksThem(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &harness{t: t, p: NewPublisher(1, 0), proxies: map[uint64]*fakeProxy{}, drained: map[string]bool{}}
@@ -107,19 +110,19 @@
 					delete(w.proxies, m.number)
 					w.apply(w.p.Disconnect(w.now, m.number))
 				}
-			case 2: // a drain
+			case 2: // an engine drains
 				i := rapid.IntRange(0, len(f.Engines)-1).Draw(t, "engine")
 				f.Engines[i].Draining = true
 				w.drained[f.Engines[i].Name] = true
 				w.apply(w.p.Update(w.now, Build(f)))
-			case 3: // another in its place, under a name of its own
+			case 3: // an engine is replaced by one with another name
 				i := rapid.IntRange(0, len(f.Engines)-1).Draw(t, "engine")
 				zone := f.Engines[i].Zone
 				made++
 				f.Engines[i] = engine(made)
 				f.Engines[i].Zone = zone
 				w.apply(w.p.Update(w.now, Build(f)))
-			case 4: // a group is placed elsewhere
+			case 4: // a group moves to other zones
 				f.Groups[0].Zones = rapid.SampledFrom([][]string{nil, {"hall"}, {"yard"}, {"hall", "yard"}}).Draw(t, "zones")
 				w.apply(w.p.Update(w.now, Build(f)))
 			case 5:
@@ -158,7 +161,7 @@
 				continue
 			}
 			o := w.p.Published()
-			require.Len(t, m.resources[ClusterKind], len(o.Clusters), "what is not routed to any more has gone")
+			require.Len(t, m.resources[ClusterKind], len(o.Clusters), "clusters that are no longer routed to are removed")
 			for _, c := range o.Clusters {
 				require.Equal(t, c.Endpoints, m.resources[EndpointKind][c.Name])
 			}
@@ -182,13 +185,13 @@
 	assert.InDelta(t, 2+batchingDelay, p.NextTick(), 1e-9)
 	f.Engines[1].Draining = true
 	drained := p.Update(2.01, Build(f))
-	require.Len(t, drained, 1, "though it has not said whether it took the last")
+	require.Len(t, drained, 1, "the last response is not acknowledged yet")
 	assert.True(t, sent[0].(Send).Version.Older(drained[0].(Send).Version))
 	assert.Zero(t, p.NextTick())
 	f.Engines[0].ThreadsPerCore = 1
 	p.Update(3, Build(f))
 	assert.Empty(t, p.Tick(3.05))
-	assert.Empty(t, p.Tick(3.2), "it does not read: the newest waits, and no line of them")
+	assert.Empty(t, p.Tick(3.2), "the last response is not written: only the newest waits")
 	assert.Len(t, p.HandleWritten(4, 7, EndpointKind), 1)
 }
 
@@ -203,7 +206,7 @@
 		p.HandleWritten(float64(n), 1, EndpointKind)
 		effects = p.HandleRequest(float64(n), 1, EndpointKind, nil, s.Nonce, "bad weight")
 		if n < maxConsecutiveRefusals-1 {
-			require.Empty(t, effects, "nothing newer: the same again would be refused again")
+			require.Empty(t, effects, "no newer view: the same would be refused again")
 			assert.Equal(t, "bad weight", p.ProxyStatuses()[0].RefusalReasons[EndpointKind])
 			f.Engines[0].Name = fmt.Sprint("e-new-", n)
 			effects = p.Update(float64(n), Build(f))
