--- a/internal/assign/assign.go
+++ b/internal/assign/assign.go
@@ -85,7 +85,7 @@
 	if properties.Client != "" {
 		into.Client = properties.Client
 	}
-	into.Key = clients.Key(key)
+	into.Key = clients.HashOrderKey(key)
 	return nil
 }
 
@@ -163,8 +163,8 @@
 				err = fmt.Errorf("key is longer than %d bytes", maxKeyBytes)
 			}
 		case "mark":
-			if mark = value; !clients.Hex(value, clients.MarkDigits) {
-				err = fmt.Errorf("mark is not %d hex digits in lower case", clients.MarkDigits)
+			if mark = value; !clients.IsHex(value, clients.IdempotencyKeyDigits) {
+				err = fmt.Errorf("mark is not %d hex digits in lower case", clients.IdempotencyKeyDigits)
 			}
 		case "id": // added by another router in front of this one; ignored
 		case "limit", "wait":
