--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -104,12 +104,12 @@
 		if err != nil {
 			return err
 		}
-		if len(s.Unknown) > 0 && !h.unknownReported {
+		if len(s.UnknownKeys) > 0 && !h.unknownReported {
 			h.unknownReported = true
-			h.reply.Print(id, fmt.Sprintf("settings that are not known: %v", s.Unknown))
+			h.reply.Print(id, fmt.Sprintf("settings that are not known: %v", s.UnknownKeys))
 		}
 		h.routers[id] = &router{id: id, brain: brain.New(s.Settings, seed, now), batches: map[uint64]*brain.Batch{},
-			engines: map[uint32]*brain.Engine{}, groups: s.Groups, clients: len(s.Clients), reportFields: s.Reports}
+			engines: map[uint32]*brain.Engine{}, groups: s.Groups, clients: len(s.Clients), reportFields: s.ReportFields}
 	}
 	rt := h.routers[id]
 	if rt == nil {
@@ -218,10 +218,10 @@
 	if len(h.reportValues) == 0 {
 		return nil
 	}
-	rep := settings.NoReport()
+	rep := settings.EmptyReport()
 	for i, v := range h.reportValues {
 		if i < len(rt.reportFields) {
-			settings.Report(rep, rt.reportFields[i], v)
+			settings.SetReportField(rep, rt.reportFields[i], v)
 		}
 	}
 	return rep
--- a/internal/assign/section.go
+++ b/internal/assign/section.go
@@ -31,11 +31,11 @@
 const maxRuleLimitSeconds = 24 * 3600
 
 // Validate checks the sections and returns the rules. Mistakes are reported to c under the setting's key.
-func (f *RuleSections) Validate(c findings.To) (out Rules) {
+func (f *RuleSections) Validate(c findings.Reporter) (out Rules) {
 	for i, r := range f.Rule {
 		at := fmt.Sprintf("rule[%d]", i)
 		if r.Group == "" {
-			c.Found(at, "a rule must name a group")
+			c.Errorf(at, "a rule must name a group")
 		}
 		out.List = append(out.List, Rule{Login: r.Login, Application: r.Application,
 			Database: r.Database, Commands: r.Form, BatchProperties: batchProperties(c, at, r.propertiesSection)})
@@ -43,7 +43,7 @@
 	if f.Default != nil {
 		t := batchProperties(c, "default", *f.Default)
 		if t.Group == "" {
-			c.Found("default", "the default must name a group")
+			c.Errorf("default", "the default must name a group")
 		}
 		out.Default = &t
 	}
@@ -51,7 +51,7 @@
 }
 
 // batchProperties converts the common keys of the section at the given key.
-func batchProperties(c findings.To, at string, t propertiesSection) BatchProperties {
+func batchProperties(c findings.Reporter, at string, t propertiesSection) BatchProperties {
 	out := BatchProperties{Group: t.Group, Client: t.Client, Key: t.Key, Limit: c.Seconds(at+".limit", t.Limit, maxRuleLimitSeconds),
 		Cost: c.Seconds(at+".cost", t.Cost, 1e6)}
 	out.Memory = c.Megabytes(at+".memory", t.Memory)
