--- a/internal/assign/assign.go
+++ b/internal/assign/assign.go
@@ -81,11 +81,11 @@
 	if r.KnownGroups != nil && !r.KnownGroups[properties.Group] {
 		return fmt.Errorf("no such service group: %.40q", properties.Group)
 	}
-	into.Group, into.Mark, into.Left, into.Cost, into.Memory = properties.Group, mark, properties.Limit, properties.Cost, properties.Memory
+	into.Group, into.IdempotencyKey, into.TimeLeft, into.Cost, into.Memory = properties.Group, mark, properties.Limit, properties.Cost, properties.Memory
 	if properties.Client != "" {
 		into.Client = properties.Client
 	}
-	into.Key = clients.HashOrderKey(key)
+	into.OrderKey = clients.HashOrderKey(key)
 	return nil
 }
 
--- a/internal/assign/assign_test.go
+++ b/internal/assign/assign_test.go
@@ -20,12 +20,12 @@
 	assert.Equal(t, "report", assign(StatementInfo{Login: "ann", Command: "select"}, "SELECT 1").Group)
 	assert.Equal(t, "lookup", assign(StatementInfo{Application: "House GRID"}, "SELECT 1").Group)
 	a, b := assign(StatementInfo{Login: "etl7", Database: "x", Command: "INSERT"}, ""), assign(StatementInfo{Login: "etl7", Database: "y", Command: "insert"}, "")
-	assert.Equal(t, []any{"upload", 9.0}, []any{a.Group, a.Left})
-	assert.NotEqual(t, a.Key, b.Key)
+	assert.Equal(t, []any{"upload", 9.0}, []any{a.Group, a.TimeLeft})
+	assert.NotEqual(t, a.OrderKey, b.OrderKey)
 	fromComment := assign(StatementInfo{Login: "etl7", Command: "insert"},
 		" /* pitchfield group=lookup, key=k mark=00000000000000000000000000000001 limit=1500ms cost=2s memory=1GB client=c */ INSERT 1")
-	fromComment.Key = 0
-	assert.Equal(t, traffic.Batch{Group: "lookup", Mark: "00000000000000000000000000000001", Left: 1.5, Cost: 2, Memory: 1024, Client: "c"}, fromComment)
+	fromComment.OrderKey = 0
+	assert.Equal(t, traffic.Batch{Group: "lookup", IdempotencyKey: "00000000000000000000000000000001", TimeLeft: 1.5, Cost: 2, Memory: 1024, Client: "c"}, fromComment)
 }
 
 func TestInvalidCommentIsRejected(t *testing.T) {
