--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -24,13 +24,14 @@
 	"pitchfield/internal/traffic"
 )
 
-// event is something that is due.
+// event is an action scheduled for a point of simulated time.
 type event struct {
-	at     float64
-	seq    uint64
+	at     float64 // seconds of simulated time, counted like epoch
+	seq    uint64  // orders events that are due at the same time
 	action func()
 }
 
+// eventQueue is a heap of events, ordered by time and then by the order in which they were scheduled.
 type eventQueue []event
 
 func (m eventQueue) Len() int { return len(m) }
@@ -39,10 +40,10 @@
 }
 func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
 
-// Push is the heap's.
+// Push implements heap.Interface.
 func (m *eventQueue) Push(x any) { *m = append(*m, x.(event)) }
 
-// Pop is the heap's.
+// Pop implements heap.Interface.
 func (m *eventQueue) Pop() any {
 	old := *m
 	last := old[len(old)-1]
@@ -51,36 +52,37 @@
 	return last
 }
 
-// Options say how a day is played.
+// Options configure how a day is simulated: the seed, the routers' settings and hooks for tests.
 type Options struct {
 	Seed          uint64
-	Levels        *levels.Settings     // nil: off
-	SmoothingTime float64              // seconds over which measures fade
-	NewRoutes     func() *limits.Table // makes the limits of a router, which keeps what it spends in them; nil: none
-	// Adaptive limits what is out at each engine; the zero value does not.
+	Levels        *levels.Settings     // service levels; nil: off
+	SmoothingTime float64              // decay time of the load measures that decide the service level, in seconds
+	NewRoutes     func() *limits.Table // makes a table for each start of a router, because the router counts its use of the limits in it; nil: no routes
+	// Adaptive limits the active dispatches at each engine; the zero value sets no limit.
 	Adaptive           limits.AdaptiveSettings
-	AllRetries         *limits.RetryBudget // of further dispatches of all batches, and
-	EngineRetries      *limits.RetryBudget // to each engine; nil: none
-	LoadReportInterval float64             // routers tell each other what is out, so often; 0: they don't
-	PeerMessaging      bool                // routers talk to each other,
-	Quotas             *shares.Settings    // and divide what cold engines bear by that; nil: not
-	Log                io.Writer           // lines of what happens; nil: none
-	// Tamper changes what a router asks for, for the checker's own tests.
+	AllRetries         *limits.RetryBudget // retry budget for all batches together; nil: none
+	EngineRetries      *limits.RetryBudget // retry budget for each engine; nil: none
+	LoadReportInterval float64             // seconds between load reports of a router to the others; 0: no load reports
+	PeerMessaging      bool                // routers exchange membership messages
+	Quotas             *shares.Settings    // routers divide the capacity of cold engines by quota leases; nil: they don't
+	Log                io.Writer           // receives a line for each logged event; nil: none
+	// TamperAction replaces an action of a router, for the tests of the checker.
 	TamperAction func(node int, e router.Effect) []router.Effect
-	// TamperIn changes what a router is told, likewise.
+	// TamperEvent replaces an event before a router receives it, for the tests of the checker.
 	TamperEvent      func(node int, e router.Event) router.Event
-	relaxRouterRules func(*World) // what routers are told of the rules is another than what they are held to
+	relaxRouterRules func(*World) // changes the rules that routers are configured with; the checker keeps the original ones
 }
 
-// minRestartTime is how long an engine that starts again is away at least, in seconds: a process takes so long to come up.
+// minRestartTime is the shortest downtime of an engine that restarts, in seconds: the time that a process takes to start.
 const minRestartTime = 4
 
-// minDrainTime is how long an engine that drains is kept at least, in seconds.
+// minDrainTime is the shortest time between the start of an engine's draining and its shutdown, in seconds.
 const minDrainTime = 4
 
-// epoch is when days begin: routers take times for Unix ones.
+// epoch is the simulated time at which a day begins, in seconds. It is not 0 because routers take times as Unix times.
 const epoch = 1e6
 
+// sim is the state of one simulated day. It runs on one goroutine.
 type sim struct {
 	world   World
 	day     Day
@@ -95,13 +97,13 @@
 	dataSetDraw                            distuv.Categorical
 
 	routers          []*node
-	routersByAddress map[string]*node // by the address at which they talk
+	routersByAddress map[string]*node // by the address of their peer messages
 	engines          []*engine
 	nameService      *nameService
 	checker          *checker
 	result           *Result
-	requests         []*request        // all of the day
-	batches          map[string]*batch // by id; answered deletes
+	requests         []*request        // every request of the day
+	batches          map[string]*batch // open batches by id; closeBatch deletes them
 	batchCount       int
 	lastConnection   uint64
 	digest           interface {
@@ -110,20 +112,22 @@
 	}
 }
 
-// schedule puts something on the list; what is due at one time is done in the order in which it was put there.
+// schedule runs do at time t, or now if t has passed. Events that are due at the same time run in the order in which they
+// were scheduled.
 func (s *sim) schedule(t float64, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(t, s.now), s.seq, do})
 }
 
+// scheduleAfter runs do after a number of seconds.
 func (s *sim) scheduleAfter(wait float64, do func()) { s.schedule(s.now+wait, do) }
 
-// latency draws the time of one message.
+// latency draws the one-way network latency of a message, in seconds.
 func (s *sim) latency() float64 {
 	return s.world.NetworkLatency * (1 + s.world.Jitter*(2*s.latencyDraws.Float64()-1))
 }
 
-// log notes what happens: the digest of all lines is the day's.
+// log adds a line to the digest of the day and writes it to Options.Log.
 func (s *sim) log(format string, args ...any) {
 	fmt.Fprintf(s.digest, "%.6f ", s.now-epoch)
 	fmt.Fprintf(s.digest, format, args...)
@@ -133,7 +137,7 @@
 	}
 }
 
-// Play plays a day.
+// Play simulates a day of a world. It returns an error if the world or the day is invalid; violated rules are in the result.
 func Play(w World, d Day, o Options) (*Result, error) {
 	if err := w.Prepare(); err != nil {
 		return nil, err
@@ -160,7 +164,7 @@
 	for range w.Engines {
 		s.addEngine()
 	}
-	for i, e := range s.engines { // warm at the start, as after days of service
+	for i, e := range s.engines { // engines begin with warm data sets, as after days of service
 		for k := range w.Engine.WarmDataSets {
 			e.warmDataSets = append(e.warmDataSets, (i+k*w.Engines)%w.DataSets)
 		}
@@ -194,7 +198,7 @@
 	return s.result, nil
 }
 
-// addEngine adds an engine, of a name and an address that no other has had.
+// addEngine adds an engine with a name and an address that no other engine has had.
 func (s *sim) addEngine() *engine {
 	i := len(s.engines)
 	e := &engine{sim: s, name: fmt.Sprintf("e-%d", i+1), address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1),
@@ -203,8 +207,8 @@
 	return e
 }
 
-// replaceEngines is a release: in steps, engines drain, others that are new and cold take their place some time later, and the
-// drained ones end when they have had time to finish.
+// replaceEngines simulates a release. In each step a part of the engines drains, new cold engines start after the fault's
+// StartDelay, and the drained engines shut down after twice that delay, at least minDrainTime, so that they can finish.
 func (s *sim) replaceEngines(t Fault) {
 	steps := max(t.Steps, 1)
 	old := sample(s.batchDraws, s.engines, t.Share)
@@ -229,7 +233,7 @@
 	}
 }
 
-// faultFactor is what the troubles make of a figure now.
+// faultFactor is the product of the active faults' factors for a quantity ("rate", "list"), 1 without a fault.
 func (s *sim) faultFactor(kind string) float64 {
 	out, t := 1.0, s.now-epoch
 	for _, one := range s.day.Faults {
@@ -249,7 +253,7 @@
 	return out
 }
 
-// now's trouble of a kind, or none.
+// activeFault returns the first active fault of a kind, or nil.
 func (s *sim) activeFault(kind string) *Fault {
 	t := s.now - epoch
 	for i := range s.day.Faults {
@@ -260,7 +264,7 @@
 	return nil
 }
 
-// sample draws a share of what there is, at least one.
+// sample draws a share of the elements, at least one, without replacement.
 func sample[T any](r *rand.Rand, all []T, share float64) (out []T) {
 	n := min(max(int(math.Round(share*float64(len(all)))), 1), len(all))
 	for _, i := range r.Perm(len(all))[:n] {
@@ -269,7 +273,8 @@
 	return out
 }
 
-// scheduleFault sets up what happens once; rates, lists and data sets ask as they go.
+// scheduleFault schedules a fault that changes engines or routers. Faults of rates, name service lists and data sets need no
+// event: the code that they affect calls faultFactor and activeFault.
 func (s *sim) scheduleFault(t Fault) {
 	long := t.Duration
 	if long == 0 {
@@ -293,7 +298,7 @@
 					s.scheduleAfter(long, func() { s.nameService.setDraining(e, false) })
 				}
 			}
-		case "failing": // answers at once, with an error
+		case "failing": // the engines answer at once with an error
 			for _, e := range sample(s.batchDraws, s.engines, t.Share) {
 				e.failing = true
 				if !math.IsInf(long, 1) {
@@ -324,7 +329,7 @@
 	})
 }
 
-// node is a router.
+// node is an emulated router process with its connections.
 type node struct {
 	sim              *sim
 	index            int
@@ -334,23 +339,24 @@
 	up               bool
 	turnEndScheduled bool
 	timerNumber      int
-	clientCount      uint64 // connections that clients have opened
-	currentClient    uint64 // number of the connection on which clients come; 0: none
+	clientCount      uint64 // number of connections opened by clients so far
+	currentClient    uint64 // number of the connection that clients use now; 0: none
 	stream           uint32
-	openBatches      map[uint32]*batch // that the router has taken
+	openBatches      map[uint32]*batch // batches that the router has accepted, by stream
 	conns            map[uint64]*conn
 	status           router.Status
-	lastToClients    float64 // when its last message to its clients came there; they keep their order
-	lastFromClients  float64
+	lastToClients    float64 // arrival time of its last message to clients, which keeps messages in order
+	lastFromClients  float64 // arrival time of the last message from clients
 }
 
-// protocol of the emulated clients and engines: nothing is written, so there is nothing to parse.
+// Protocols of the emulated clients and engines. Messages are passed as values, so nothing is encoded or parsed.
 var (
 	clientProtocol = &traffic.ClientProtocol{Name: "emulated", Idle: 1e9, Open: 1 << 30,
 		Express: func(parts []rows.Part) ([]rows.Part, error) { return parts, nil }}
 	engineProtocol = &traffic.EngineProtocol{Name: "emulated", Bounded: true}
 )
 
+// start starts the router, or restarts it after a crash.
 func (n *node) start() {
 	s := n.sim
 	n.generation++
@@ -376,7 +382,7 @@
 	}
 }
 
-// routerSettings is what a router is told of its world.
+// routerSettings returns the settings of a router, with Options.relaxRouterRules applied.
 func (s *sim) routerSettings(index int) settings.Settings {
 	w := s.world
 	if s.options.relaxRouterRules != nil {
@@ -385,7 +391,7 @@
 	return w.routerSettings(index)
 }
 
-// crash ends a router as a kill does: all that it held is lost with it, and its clients see their connection end.
+// crash ends a router as a kill does: its queued and running batches are lost, and its clients see their connections close.
 func (n *node) crash() {
 	n.up = false
 	n.generation++
@@ -407,7 +413,8 @@
 	}
 }
 
-// deliver brings an event, does what comes of it, and sees to the end of the turn.
+// deliver passes an event to the router, executes the resulting actions and schedules the TurnEnded event that follows all
+// events of the same time.
 func (n *node) deliver(e router.Event) {
 	if n.sim.options.TamperEvent != nil {
 		e = n.sim.options.TamperEvent(n.index, e)
@@ -434,7 +441,7 @@
 	}
 }
 
-// scheduleAfter does something for this life of the router after a way.
+// scheduleAfter runs do after a number of seconds, unless the router has crashed by then.
 func (n *node) scheduleAfter(wait float64, do func()) {
 	life := n.generation
 	n.sim.scheduleAfter(wait, func() {
@@ -444,6 +451,7 @@
 	})
 }
 
+// execute carries out an action of the router.
 func (n *node) execute(what router.Effect) {
 	s := n.sim
 	switch w := what.(type) {
@@ -462,7 +470,7 @@
 		n.lastToClients = max(n.lastToClients+1e-9, s.now+s.latency())
 		code, wait := a.Code, a.Wait
 		s.schedule(n.lastToClients, func() { s.deliverAnswer(b, code, wait) })
-	case router.CloseClient: // one that has long been idle; the next batch comes on another
+	case router.CloseClient: // the connection was idle too long; the next batch opens another
 		if w.Client == n.currentClient {
 			n.currentClient = 0
 		}
@@ -503,18 +511,19 @@
 	}
 }
 
-// conn is a connection between a router and an engine.
+// conn is a connection between a router and an engine. Messages keep their order in each direction.
 type conn struct {
 	node             *node
 	engine           *engine
-	number           uint64 // the router's
-	serial           uint64
-	engineGeneration int // of the engine
-	lastToEngine     float64
-	lastToRouter     float64
+	number           uint64  // assigned by the router
+	serial           uint64  // unique in the day
+	engineGeneration int     // of the engine when the connection was opened
+	lastToEngine     float64 // arrival time of the last message to the engine
+	lastToRouter     float64 // arrival time of the last message to the router
 	closed           bool
 }
 
+// dial opens a connection after a round trip, or reports a refused one if no running engine has the address.
 func (n *node) dial(d router.Dial) {
 	s := n.sim
 	n.scheduleAfter(2*s.latency(), func() {
@@ -538,7 +547,7 @@
 	})
 }
 
-// send brings what a router asks to its engine.
+// send transmits an order of the router to the engine.
 func (c *conn) send(what traffic.Order) {
 	s := c.node.sim
 	var b *batch
@@ -563,7 +572,7 @@
 			e.start(c, o, b)
 		case traffic.GiveUp:
 			e.cancel(c, o.ID)
-		case traffic.AskPage: // results have one page, and that was told
+		case traffic.AskPage: // results have only one page, which the first reply announced
 			c.reply(&traffic.Reply{ID: o.ID, Word: traffic.Broke, Pages: -1, Page: -1, Work: -1, Memory: -1})
 		case traffic.Probe:
 			s.scheduleAfter(0.0005, func() {
@@ -575,7 +584,7 @@
 	})
 }
 
-// reply brings what an engine says to its router.
+// reply transmits a reply of the engine to the router.
 func (c *conn) reply(r *traffic.Reply) {
 	s, n := c.node.sim, c.node
 	life := n.generation
@@ -587,14 +596,14 @@
 	})
 }
 
-// drop is the router's end of it.
+// drop closes the connection at once on both sides, without telling the router.
 func (c *conn) drop() {
 	c.closed = true
 	delete(c.node.conns, c.number)
 	delete(c.engine.conns, c.serial)
 }
 
-// reset is the engine's end of it.
+// reset closes the connection from the engine's side; the router sees it one latency later.
 func (c *conn) reset() {
 	n := c.node
 	n.scheduleAfter(n.sim.latency(), func() {
@@ -605,18 +614,20 @@
 	})
 }
 
-// nameService is the name service: routers are told what stood some time ago.
+// nameService is the emulated name service. Routers receive lists that are older by World.ListDelay.
 type nameService struct {
 	sim      *sim
 	history  []version
 	draining map[*engine]bool
 }
 
+// version is a published list and the time from which it is valid.
 type version struct {
 	at   float64
 	list directory.List
 }
 
+// setDraining marks an engine as draining or not, and publishes a list.
 func (n *nameService) setDraining(e *engine, drains bool) {
 	if n.draining == nil {
 		n.draining = map[*engine]bool{}
@@ -625,6 +636,7 @@
 	n.publish()
 }
 
+// publish adds a list of the engines that are up.
 func (n *nameService) publish() {
 	list := directory.List{Serial: uint32(len(n.history) + 1)}
 	for _, e := range n.sim.engines {
@@ -636,6 +648,7 @@
 	n.history = append(n.history, version{n.sim.now, list})
 }
 
+// listAt returns the list that was valid at a time, or the first one.
 func (n *nameService) listAt(at float64) directory.List {
 	for i := len(n.history) - 1; i > 0; i-- {
 		if n.history[i].at <= at {
@@ -645,31 +658,31 @@
 	return n.history[0].list
 }
 
-// request is what a client wants; its utility counts once, however often it asks.
+// request is the work that a client wants done. Its utility counts once, however many batches the client submits for it.
 type request struct {
 	group     *Group
 	arrivedAt float64
 	served    bool
 }
 
-// batch is one try of a client.
+// batch is one submission of a request to a router.
 type batch struct {
 	*request
 	id, key, dedupID string
 	node             *node
-	client           uint64 // number of the connection that it came on
+	client           uint64 // number of the client connection that it came on
 	stream           uint32
-	work, memory     float64
-	estimatedWork    float64 // of its work
+	work, memory     float64 // seconds of a thread, MB
+	estimatedWork    float64 // the work that the client declares to the router, in seconds
 	dataSet          int
-	submissions      int
-	deadline         float64
-	answers          int
-	activeDispatches int // dispatches that have been sent and have not ended
-	closed           bool
+	submissions      int     // of the request, this one included
+	deadline         float64 // simulated time
+	answers          int     // final answers that the router has sent
+	activeDispatches int     // dispatches that were sent and have not ended
+	closed           bool    // answered, lost or past its deadline
 }
 
-// arrive brings the next client.
+// arrive submits the next request and schedules the one after it.
 func (s *sim) arrive() {
 	if s.now >= epoch+s.day.Seconds {
 		return
@@ -677,7 +690,7 @@
 	s.interarrivalTime = distuv.Exponential{Rate: s.world.Rate * s.faultFactor("rate"), Src: s.arrivalDraws}
 	s.scheduleAfter(s.interarrivalTime.Rand(), s.arrive)
 	g := int(s.groupDraw.Rand())
-	if t := s.activeFault("heavy"); t != nil && s.batchDraws.Float64() < t.Share { // they turn into the group with most work
+	if t := s.activeFault("heavy"); t != nil && s.batchDraws.Float64() < t.Share { // the request changes to the group with the most mean work
 		for i := range s.world.Groups {
 			if s.world.Groups[i].MeanWork > s.world.Groups[g].MeanWork {
 				g = i
@@ -706,7 +719,7 @@
 	s.submit(b)
 }
 
-// submit sends a try to a router.
+// submit sends a batch to a random router that is up. It does nothing if none is up or less than 0.05 s is left.
 func (s *sim) submit(b *batch) {
 	var up []*node
 	for _, n := range s.routers {
@@ -758,12 +771,13 @@
 	})
 }
 
+// atoi parses a decimal number that is known to be valid.
 func atoi(s string) int {
 	n, _ := strconv.Atoi(s)
 	return n
 }
 
-// routerLost: the router of a try is gone; its client asks another.
+// routerLost handles the crash of a batch's router: the client submits the request to another router.
 func (s *sim) routerLost(b *batch) {
 	if b.closed {
 		return
@@ -772,13 +786,14 @@
 	s.retry(b, 0.1)
 }
 
+// closeBatch marks a batch as closed and forgets it.
 func (s *sim) closeBatch(b *batch) {
 	b.closed = true
 	s.log("over %s", b.id)
 	delete(s.batches, b.id)
 }
 
-// retry lets a client ask once more, as the same request.
+// retry submits another batch for the same request after a number of seconds, unless the client has used up its retries.
 func (s *sim) retry(b *batch, wait float64) {
 	if b.submissions > s.world.Retries {
 		return
@@ -787,7 +802,7 @@
 	s.scheduleAfter(wait, func() { s.submit(next) })
 }
 
-// deliverAnswer is a final answer at its client.
+// deliverAnswer handles the arrival of a final answer at the client. A rejected request is retried after the router's delay.
 func (s *sim) deliverAnswer(b *batch, code traffic.Code, wait float64) {
 	s.checker.answerDelivered(b)
 	if b.closed {
