--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -10,53 +10,56 @@
 	"pitchfield/internal/traffic"
 )
 
+// progressInterval is the time between the progress notes of an engine, in seconds.
 const progressInterval = 1.0
 
-// engine is the model of one: cores shared by threads, memory that spills, data sets that are warm, a cold start.
+// engine models an engine: threads share its cores, batches spill to disk when memory is full, recently used data sets are
+// warm, and it is slower after a start.
 type engine struct {
 	sim        *sim
 	name       string
 	address    string
 	kind       int
 	up         bool
-	generation int // number of starts
-	startedAt  float64
-	faultSpeed float64 // times its pace
-	failing    bool
+	generation int     // counts crashes; distinguishes the connections and timers of each start
+	startedAt  float64 // simulated time; 0 for the engines that are there at the start of the day
+	faultSpeed float64 // factor of its speed that a "slow" fault sets; 1 without a fault
+	failing    bool    // answers each dispatch with an error
 
-	advancedTo        float64 // until when the running ones have been worked on
-	running           []*run
-	nextCheck         int // number of the next end that counts
-	warmDataSets      []int
-	conns             map[uint64]*conn // dropped with it
-	recentLoad        []load           // work that came since a fall's time ago
-	progressScheduled bool             // a round of notes is due
+	advancedTo        float64          // simulated time up to which the remaining work of the runs is accounted
+	running           []*run           // in the order in which they started
+	nextCheck         int              // number of the latest timer for a completion; older timers are ignored
+	warmDataSets      []int            // least recently used first
+	conns             map[uint64]*conn // by serial number; reset when the engine crashes
+	recentLoad        []load           // work that arrived within the last Rules.OverloadWindow
+	progressScheduled bool             // a round of progress notes is scheduled
 }
 
+// load is an amount of work, in seconds, that arrived at a time.
 type load struct{ at, work float64 }
 
-// run is a batch that an engine runs.
+// run is the execution of a batch on an engine.
 type run struct {
 	batch     *batch
 	conn      *conn
-	remaining float64 // seconds of work
-	totalWork float64
+	remaining float64 // seconds of work left
+	totalWork float64 // seconds of work at the start, with the costs of this engine
 	threads   float64
 	memory    float64
 	startedAt float64
-	rate      float64
-	ended     bool // given up, or the engine died
-	duplicate bool // a repeat that the engine remembers: it answers once the first has ended, and runs nothing
+	rate      float64 // seconds of work done in a second
+	ended     bool    // completed, cancelled, or stopped by a crash of the engine
+	duplicate bool    // a repeated dispatch that the engine deduplicates: it answers and runs nothing
 }
 
-// speed is the share of its full one that it has now.
+// speed is the current fraction of the engine's full speed.
 func (e *engine) speed() float64 {
 	w := &e.sim.world.Engine
 	warm := min(w.ColdSpeed+(1-w.ColdSpeed)*(e.sim.now-e.startedAt)/w.SlowStartTime, 1)
 	return warm * e.faultSpeed
 }
 
-// advance brings the running ones up to now.
+// advance accounts the work that the runs have done up to now.
 func (e *engine) advance() {
 	passed := e.sim.now - e.advancedTo
 	e.advancedTo = e.sim.now
@@ -65,7 +68,7 @@
 	}
 }
 
-// updateRates gives each running one its share and sets the next end.
+// updateRates recomputes the rate of each run and schedules the check at the next completion.
 func (e *engine) updateRates() {
 	w := &e.sim.world.Engine
 	threads, memory := 0.0, 0.0
@@ -77,7 +80,7 @@
 	next := math.Inf(1)
 	for _, r := range e.running {
 		r.rate = r.threads * share
-		if memory += r.memory; memory > w.Memory { // who came last finds none
+		if memory += r.memory; memory > w.Memory { // the runs that started last find no free memory and spill
 			r.rate *= w.SpillFactor
 		}
 		if r.rate > 0 {
@@ -89,7 +92,7 @@
 		return
 	}
 	due := e.nextCheck
-	if e.speed() < 1 { // a pace that grows is looked at again
+	if e.speed() < 1 { // the speed grows after a start, so the rates are recomputed at least every 0.25 s
 		next = min(next, 0.25)
 	}
 	e.sim.scheduleAfter(next+1e-7, func() {
@@ -99,7 +102,7 @@
 	})
 }
 
-// completeRuns ends what is done.
+// completeRuns completes the runs that have no work left.
 func (e *engine) completeRuns() {
 	e.advance()
 	var done []*run
@@ -116,6 +119,7 @@
 	e.updateRates()
 }
 
+// complete records a run as completed and sends its result.
 func (e *engine) complete(r *run) {
 	r.ended = true
 	r.batch.activeDispatches--
@@ -124,16 +128,17 @@
 	r.conn.reply(&traffic.Reply{ID: r.batch.id, Word: traffic.Done, Pages: 1, Page: -1, Work: r.batch.work, Memory: r.batch.memory})
 }
 
-// start begins a batch.
-func (e *engine) start(c *conn, d *traffic.Dispatch, b *batch) {
+// start handles a dispatch: it starts a run of the batch, answers with an error if the engine is failing, and crashes a cold
+// engine that receives more work than Rules allow.
+func (e *engine) start(connection *conn, d *traffic.Dispatch, b *batch) {
 	s := e.sim
-	if e.failing { // before it has begun, though nobody can know that
+	if e.failing { // the batch has not begun, but the reply does not say so
 		b.activeDispatches--
-		c.reply(&traffic.Reply{ID: b.id, Word: traffic.Broke, Pages: -1, Page: -1, Work: -1, Memory: -1})
+		connection.reply(&traffic.Reply{ID: b.id, Word: traffic.Broke, Pages: -1, Page: -1, Work: -1, Memory: -1})
 		return
 	}
 	e.advance()
-	r := &run{batch: b, conn: c, threads: b.group.Threads, memory: b.memory, startedAt: s.now}
+	r := &run{batch: b, conn: connection, threads: b.group.Threads, memory: b.memory, startedAt: s.now}
 	r.totalWork = b.work
 	if s.result.startedRuns++; !slices.Contains(e.warmDataSets, b.dataSet) {
 		s.result.coldDataSetRuns++
@@ -143,7 +148,7 @@
 	if n := len(e.warmDataSets) - s.world.Engine.WarmDataSets; n > 0 {
 		e.warmDataSets = slices.Delete(e.warmDataSets, 0, n)
 	}
-	if d.Memory > 0 && d.Memory < b.memory { // short of memory by its grant
+	if d.Memory > 0 && d.Memory < b.memory { // the router's memory grant is too small, so the batch spills
 		r.totalWork /= max(s.world.Engine.SpillFactor, d.Memory/b.memory)
 	}
 	if r.duplicate = b.group.Effect == "referenced" && s.checker.ranWithinWindow(b); r.duplicate {
@@ -152,8 +157,9 @@
 	r.remaining = r.totalWork
 	s.checker.runStarted(r, e)
 	e.running = append(e.running, r)
-	// What a batch adds to the load of that time is what its threads can ask for in it, of the work that was told. How far
-	// that is off, and that a data set is not warm, is not a router's to know: no rule is to break by chance alone.
+	// A batch adds to the recent load at most the work that its threads can do within the overload window, and at most the
+	// work that the client declared. The error of that estimate and the cost of a cold data set are not counted: a router
+	// cannot know them, and no rule may be violated by chance alone.
 	nominal := min(b.estimatedWork, b.group.Threads*s.world.Rules.OverloadWindow)
 	if r.duplicate {
 		nominal = 0
@@ -164,10 +170,10 @@
 		for _, l := range e.recentLoad {
 			sum += l.work
 		}
-		bears := s.world.Rules.OverloadFactor * e.speed() * s.world.Engine.Cores * s.world.Rules.OverloadWindow
-		s.result.MaxColdLoad = max(s.result.MaxColdLoad, sum/bears)
-		if sum > bears {
-			s.checker.engineOverloaded(e, sum, bears)
+		limit := s.world.Rules.OverloadFactor * e.speed() * s.world.Engine.Cores * s.world.Rules.OverloadWindow
+		s.result.MaxColdLoad = max(s.result.MaxColdLoad, sum/limit)
+		if sum > limit {
+			s.checker.engineOverloaded(e, sum, limit)
 			e.crash(s.world.Engine.RestartTime)
 			return
 		}
@@ -180,7 +186,7 @@
 	e.updateRates()
 }
 
-// sendProgress tells of progress, once a second.
+// sendProgress sends a progress note for each run and schedules the next round while runs are left.
 func (e *engine) sendProgress(life int) {
 	if e.generation != life || !e.up {
 		return
@@ -197,7 +203,7 @@
 	}
 }
 
-// cancel stops a batch that came on a connection.
+// cancel stops the run of a batch that was dispatched on a connection.
 func (e *engine) cancel(c *conn, id string) {
 	e.advance()
 	e.running = slices.DeleteFunc(e.running, func(r *run) bool {
@@ -213,6 +219,7 @@
 	e.updateRates()
 }
 
+// loadReport returns the load that the engine reports to probes. It holds what World.Reports asks for.
 func (e *engine) loadReport() *brain.Report {
 	rep := settings.NoReport()
 	memory, threads := 0.0, 0.0
@@ -226,8 +233,8 @@
 	return rep
 }
 
-// crash ends all that is there; unless back is infinite it starts again, cold, so much later.
-func (e *engine) crash(back float64) {
+// crash stops all runs and resets all connections. The engine restarts cold after downtime seconds, never if that is infinite.
+func (e *engine) crash(downtime float64) {
 	if !e.up {
 		return
 	}
@@ -251,8 +258,8 @@
 	}
 	e.conns = map[uint64]*conn{}
 	e.sim.nameService.publish()
-	if !math.IsInf(back, 1) {
-		e.sim.scheduleAfter(back, func() {
+	if !math.IsInf(downtime, 1) {
+		e.sim.scheduleAfter(downtime, func() {
 			e.up, e.startedAt, e.advancedTo = true, e.sim.now, e.sim.now
 			e.sim.nameService.publish()
 		})
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -11,40 +11,40 @@
 	"pitchfield/internal/traffic"
 )
 
-// Second is what one second of a day was like.
+// Second holds the measures of one second of a day.
 type Second struct {
-	RequestedUtility, UtilityInGoal float64 // utility of what was asked in it, and of that what came within its goal
-	Load                            float64 // work that came, by what the engines can do
-	ThreadsPerCore                  float64 // threads a core
-	Levels                          []int   // of each router
-	Accepted                        int     // batches that routers took, and
-	Dispatches                      int     // were sent in it
+	RequestedUtility, UtilityInGoal float64 // utility of the requests that arrived in it, and the part earned by answers
+	Load                            float64 // work that arrived, as a share of World.Capacity
+	ThreadsPerCore                  float64 // running threads per core at the end of the second
+	Levels                          []int   // number of each router's service level; 0: usual service
+	Accepted                        int     // batches that routers accepted
+	Dispatches                      int     // dispatches that routers sent
 }
 
-// Result is what came of a day.
+// Result holds the measures of a simulated day. Shares are from 0 to 1.
 type Result struct {
 	World, Day              string
 	Seed                    uint64
-	Service                 float64            // utility within goal, of the utility asked
-	Groups                  map[string]float64 // the same by group
-	Requests                int                // requests
-	Returned                int                // tries
-	Rejected                int
-	Failed                  int
-	LevelTransitions        int     // transitions between levels, of all routers
-	MaxTransitionsPerMinute int     // of one router in a minute
-	Amplification           float64 // dispatches for each batch taken, in the worst five seconds
-	ReducedServiceShare     float64 // share of the time in which a router was at a level of reduced service
-	Violations              []string
+	Service                 float64            // earned utility as a share of the requested utility
+	Groups                  map[string]float64 // the same by service group
+	Requests                int                // number of requests
+	Returned                int                // number of batches that returned a result
+	Rejected                int                // batches that were rejected
+	Failed                  int                // batches that failed
+	LevelTransitions        int                // transitions between service levels, of all routers
+	MaxTransitionsPerMinute int                // most transitions of one router in a minute
+	Amplification           float64            // dispatches per accepted batch, in the worst five seconds
+	ReducedServiceShare     float64            // share of the time that routers spent at a level of reduced service
+	Violations              []string           // count and first text for each violated rule
 	Seconds                 []Second
-	Digest                  uint64                      // of all that happened
-	Latencies               map[string]LatencyQuantiles // by group
-	WastedWorkShare         float64                     // work that engines did for nobody, of all that they did
-	ConcurrentDispatches    int                         // dispatches beside one that was out
-	PeerMessages            int                         // datagrams between routers
-	MaxColdLoad             float64                     // work that came to a cold engine within a fall time, of what it bears then, at the most
-	ColdDataSetShare        float64                     // share of the dispatches whose data set their engine had to read
-	RecoveryTime            float64                     // seconds from the end of the last trouble until service is what it was before the first; -1: never, or no trouble ends
+	Digest                  uint64                      // hash of all logged events
+	Latencies               map[string]LatencyQuantiles // by service group
+	WastedWorkShare         float64                     // share of the engines' work whose result no client used
+	ConcurrentDispatches    int                         // dispatches sent while another of the same batch was active
+	PeerMessages            int                         // datagrams that routers sent to each other
+	MaxColdLoad             float64                     // the most work that a cold engine received within the overload window, as a share of its limit
+	ColdDataSetShare        float64                     // share of the runs whose data set was not warm
+	RecoveryTime            float64                     // seconds from the end of the last fault until service has recovered; -1: never, or a fault has no end
 
 	latencyHistograms               map[string]*hdrhistogram.Histogram // microseconds
 	totalWork, wastedWork           float64
@@ -55,33 +55,37 @@
 	transitionReasons               []string
 }
 
-// LatencyQuantiles is what a group's requests took until they had their result, in seconds. One that never had it counts as its time
-// limit: what is given up must not look quick.
+// LatencyQuantiles holds the times from the arrival of a group's requests to their results, in seconds. A request without a
+// result counts with its time limit, so that giving up does not look fast.
 type LatencyQuantiles struct{ P50, P99, P999 float64 }
 
+// newResult returns an empty result.
 func newResult(w World, d Day, o Options) *Result {
 	return &Result{World: w.Name, Day: d.Name, Seed: o.Seed, Groups: map[string]float64{}, requestedUtility: map[string]float64{},
 		utilityInGoal: map[string]float64{}, transitionTimes: map[int][]float64{}, levels: map[int]string{}, Latencies: map[string]LatencyQuantiles{},
 		latencyHistograms: map[string]*hdrhistogram.Histogram{}}
 }
 
-const maxLatencyMicros = 3600 * 1e6 // microseconds
+// maxLatencyMicros is the largest latency that the histograms hold, in microseconds: one hour.
+const maxLatencyMicros = 3600 * 1e6
 
+// recordLatency adds the latency of a request to the histogram of its group.
 func (r *Result) recordLatency(g *Group, seconds float64) {
 	if r.latencyHistograms[g.Name] == nil {
 		r.latencyHistograms[g.Name] = hdrhistogram.New(1, maxLatencyMicros, 3)
 	}
-	r.latencyHistograms[g.Name].RecordValue(int64(max(1, min(seconds*1e6, maxLatencyMicros)))) //nolint:errcheck // it is within its bounds
+	r.latencyHistograms[g.Name].RecordValue(int64(max(1, min(seconds*1e6, maxLatencyMicros)))) //nolint:errcheck // the value is within the histogram's bounds
 }
 
-// recordWork notes work that an engine has done on a dispatch that has ended.
-func (r *Result) recordWork(one *run, used bool) {
-	done := max(one.totalWork-max(one.remaining, 0), 0)
+// recordWork adds the work that an engine did on a dispatch that has ended; used tells whether a client can use the result.
+func (r *Result) recordWork(run *run, used bool) {
+	done := max(run.totalWork-max(run.remaining, 0), 0)
 	if r.totalWork += done; !used {
 		r.wastedWork += done
 	}
 }
 
+// secondAt returns the second of a simulated time.
 func (r *Result) secondAt(t float64) *Second {
 	i := int(t - epoch)
 	for len(r.Seconds) <= i {
@@ -90,6 +94,7 @@
 	return &r.Seconds[i]
 }
 
+// recordRequest counts a new request.
 func (r *Result) recordRequest(s *sim, b *batch) {
 	r.Requests++
 	r.requestedUtility[b.group.Name] += b.group.Utility
@@ -98,6 +103,7 @@
 	second.Load += b.work / s.world.Capacity()
 }
 
+// recordAnswer counts a final answer and the utility that it earns.
 func (r *Result) recordAnswer(s *sim, b *batch, code traffic.Code) {
 	switch code {
 	case traffic.PushedBack:
@@ -120,17 +126,17 @@
 	}
 }
 
-// recordSecond notes how it stands at the end of one.
+// recordSecond returns an action that records the state at the end of a second.
 func (r *Result) recordSecond(s *sim) func() {
 	return func() {
-		one := r.secondAt(s.now - 1e-3)
+		second := r.secondAt(s.now - 1e-3)
 		threads := 0.0
 		for _, e := range s.engines {
 			for _, run := range e.running {
 				threads += run.threads
 			}
 		}
-		one.ThreadsPerCore = threads / s.world.Capacity()
+		second.ThreadsPerCore = threads / s.world.Capacity()
 		for _, n := range s.routers {
 			level := 0
 			if s.options.Levels != nil {
@@ -143,30 +149,30 @@
 			if level > 0 {
 				r.ReducedServiceShare += 1 / (s.day.Seconds * float64(len(s.routers)))
 			}
-			one.Levels = append(one.Levels, level)
+			second.Levels = append(second.Levels, level)
 		}
 	}
 }
 
-// recordLevel notes a line that a router logs of its level; steps of a trial are none.
-func (r *Result) recordLevel(s *sim, n *node, w router.Log) {
+// recordLevel handles a router's log line about its service level. Steps of a trial of the same level are not transitions.
+func (r *Result) recordLevel(s *sim, node *node, line router.Log) {
 	fields := map[string]any{}
-	for i := 0; i+1 < len(w.Fields); i += 2 {
-		fields[w.Fields[i].(string)] = w.Fields[i+1]
+	for i := 0; i+1 < len(line.Fields); i += 2 {
+		fields[line.Fields[i].(string)] = line.Fields[i+1]
 	}
 	name, _ := fields["level"].(string)
-	s.log("n%d level %s step %v", n.index+1, name, fields["step"])
-	before, known := r.levels[n.index]
+	s.log("n%d level %s step %v", node.index+1, name, fields["step"])
+	before, known := r.levels[node.index]
 	if !known {
 		before = "usual"
 	}
-	if r.levels[n.index] = name; name == before {
+	if r.levels[node.index] = name; name == before {
 		return
 	}
 	r.LevelTransitions++
-	r.transitionReasons = append(r.transitionReasons, fmt.Sprintf("%.1f n%d %s: %v", s.now-epoch, n.index+1, name, fields["reason"]))
-	times := append(r.transitionTimes[n.index], s.now)
-	r.transitionTimes[n.index] = times
+	r.transitionReasons = append(r.transitionReasons, fmt.Sprintf("%.1f n%d %s: %v", s.now-epoch, node.index+1, name, fields["reason"]))
+	times := append(r.transitionTimes[node.index], s.now)
+	r.transitionTimes[node.index] = times
 	count := 0
 	for _, at := range times {
 		if at > s.now-60 {
@@ -176,9 +182,10 @@
 	r.MaxTransitionsPerMinute = max(r.MaxTransitionsPerMinute, count)
 }
 
-// TransitionReasons are the transitions with what caused them, in order.
+// TransitionReasons describes the transitions between service levels and their causes, in order of time.
 func (r *Result) TransitionReasons() []string { return r.transitionReasons }
 
+// finish computes the totals at the end of the day.
 func (r *Result) finish(s *sim) {
 	asked, in := 0.0, 0.0
 	for _, g := range s.world.Groups {
@@ -213,8 +220,8 @@
 	const window = 5
 	for i := window; i <= len(r.Seconds); i++ {
 		came, sent := 0, 0
-		for _, one := range r.Seconds[i-window : i] {
-			came, sent = came+one.Accepted, sent+one.Dispatches
+		for _, second := range r.Seconds[i-window : i] {
+			came, sent = came+second.Accepted, sent+second.Dispatches
 		}
 		if came >= 20 {
 			r.Amplification = max(r.Amplification, float64(sent)/float64(came))
@@ -222,7 +229,8 @@
 	}
 }
 
-// computeRecovery finds when service is back at 0.95 of what it was before the first trouble, and stays there for five seconds.
+// computeRecovery finds the first time after the last fault at which the service of five seconds is at least 0.95 of the service
+// before the first fault.
 func (r *Result) computeRecovery(d Day) {
 	const stays, enough = 5, 0.95
 	first, last := math.Inf(1), 0.0
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -34,21 +34,21 @@
 // eventQueue is a heap of events, ordered by time and then by the order in which they were scheduled.
 type eventQueue []event
 
-func (m eventQueue) Len() int { return len(m) }
-func (m eventQueue) Less(i, j int) bool {
-	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
+func (queue eventQueue) Len() int { return len(queue) }
+func (queue eventQueue) Less(i, j int) bool {
+	return queue[i].at < queue[j].at || queue[i].at == queue[j].at && queue[i].seq < queue[j].seq
 }
-func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (queue eventQueue) Swap(i, j int) { queue[i], queue[j] = queue[j], queue[i] }
 
 // Push implements heap.Interface.
-func (m *eventQueue) Push(x any) { *m = append(*m, x.(event)) }
+func (queue *eventQueue) Push(x any) { *queue = append(*queue, x.(event)) }
 
 // Pop implements heap.Interface.
-func (m *eventQueue) Pop() any {
-	old := *m
-	last := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*m = old[:len(old)-1]
+func (queue *eventQueue) Pop() any {
+	events := *queue
+	last := events[len(events)-1]
+	events[len(events)-1] = event{}
+	*queue = events[:len(events)-1]
 	return last
 }
 
@@ -138,60 +138,60 @@
 }
 
 // Play simulates a day of a world. It returns an error if the world or the day is invalid; violated rules are in the result.
-func Play(w World, d Day, o Options) (*Result, error) {
-	if err := w.Prepare(); err != nil {
+func Play(world World, day Day, options Options) (*Result, error) {
+	if err := world.Prepare(); err != nil {
 		return nil, err
 	}
-	if err := d.Check(); err != nil {
+	if err := day.Check(); err != nil {
 		return nil, err
 	}
-	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(o.Seed, n)) }
-	s := &sim{world: w, day: d, options: o, now: epoch, arrivalDraws: stream(1), batchDraws: stream(2), latencyDraws: stream(3),
+	stream := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(options.Seed, n)) }
+	s := &sim{world: world, day: day, options: options, now: epoch, arrivalDraws: stream(1), batchDraws: stream(2), latencyDraws: stream(3),
 		batches: map[string]*batch{}, routersByAddress: map[string]*node{}, digest: fnv.New64a()}
-	s.result = newResult(w, d, o)
+	s.result = newResult(world, day, options)
 	s.checker = newChecker(s)
 	s.nameService = &nameService{sim: s}
-	shares := make([]float64, len(w.Groups))
-	for i, g := range w.Groups {
+	shares := make([]float64, len(world.Groups))
+	for i, g := range world.Groups {
 		shares[i] = g.Share
 	}
-	data := make([]float64, w.DataSets)
+	data := make([]float64, world.DataSets)
 	for i := range data {
-		data[i] = math.Pow(float64(i+1), -w.DataSetSkew)
+		data[i] = math.Pow(float64(i+1), -world.DataSetSkew)
 	}
-	source := rand.NewPCG(o.Seed, 4)
+	source := rand.NewPCG(options.Seed, 4)
 	s.groupDraw, s.dataSetDraw = distuv.NewCategorical(shares, source), distuv.NewCategorical(data, source)
-	for range w.Engines {
+	for range world.Engines {
 		s.addEngine()
 	}
 	for i, e := range s.engines { // engines begin with warm data sets, as after days of service
-		for k := range w.Engine.WarmDataSets {
-			e.warmDataSets = append(e.warmDataSets, (i+k*w.Engines)%w.DataSets)
+		for k := range world.Engine.WarmDataSets {
+			e.warmDataSets = append(e.warmDataSets, (i+k*world.Engines)%world.DataSets)
 		}
 	}
 	s.nameService.publish()
 	s.nameService.history[0].at = s.now - 60
-	for i := range w.Routers {
+	for i := range world.Routers {
 		n := &node{sim: s, index: i}
 		s.routers, s.routersByAddress[peerAddress(i)] = append(s.routers, n), n
 		n.start()
 	}
-	for _, t := range d.Faults {
+	for _, t := range day.Faults {
 		s.scheduleFault(t)
 	}
-	end := s.now + d.Seconds
+	end := s.now + day.Seconds
 	s.scheduleAfter(0.5, s.arrive)
-	for t := 1.0; t <= d.Seconds; t++ {
+	for t := 1.0; t <= day.Seconds; t++ {
 		s.schedule(epoch+t, s.result.recordSecond(s))
 	}
-	last := 0.0
-	for _, g := range w.Groups {
-		last = max(last, g.Limit)
+	longestLimit := 0.0
+	for _, g := range world.Groups {
+		longestLimit = max(longestLimit, g.Limit)
 	}
-	for len(s.queue) > 0 && s.queue[0].at <= end+last+1 {
-		m := heap.Pop(&s.queue).(event)
-		s.now = m.at
-		m.action()
+	for len(s.queue) > 0 && s.queue[0].at <= end+longestLimit+1 {
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
+		next.action()
 	}
 	s.checker.finish()
 	s.result.finish(s)
@@ -209,22 +209,22 @@
 
 // replaceEngines simulates a release. In each step a part of the engines drains, new cold engines start after the fault's
 // StartDelay, and the drained engines shut down after twice that delay, at least minDrainTime, so that they can finish.
-func (s *sim) replaceEngines(t Fault) {
-	steps := max(t.Steps, 1)
-	old := sample(s.batchDraws, s.engines, t.Share)
+func (s *sim) replaceEngines(fault Fault) {
+	steps := max(fault.Steps, 1)
+	old := sample(s.batchDraws, s.engines, fault.Share)
 	for step := range steps {
-		s.scheduleAfter(t.Duration*float64(step)/float64(steps), func() {
+		s.scheduleAfter(fault.Duration*float64(step)/float64(steps), func() {
 			part := old[len(old)*step/steps : len(old)*(step+1)/steps]
 			for _, e := range part {
 				s.nameService.setDraining(e, true)
 			}
-			s.scheduleAfter(t.StartDelay, func() {
+			s.scheduleAfter(fault.StartDelay, func() {
 				for range part {
 					s.addEngine().startedAt = s.now
 				}
 				s.nameService.publish()
 			})
-			s.scheduleAfter(max(2*t.StartDelay, minDrainTime), func() {
+			s.scheduleAfter(max(2*fault.StartDelay, minDrainTime), func() {
 				for _, e := range part {
 					e.crash(math.Inf(1))
 				}
@@ -235,30 +235,30 @@
 
 // faultFactor is the product of the active faults' factors for a quantity ("rate", "list"), 1 without a fault.
 func (s *sim) faultFactor(kind string) float64 {
-	out, t := 1.0, s.now-epoch
-	for _, one := range s.day.Faults {
-		if t < one.At || one.Duration > 0 && t > one.At+one.Duration {
+	product, t := 1.0, s.now-epoch
+	for _, fault := range s.day.Faults {
+		if t < fault.At || fault.Duration > 0 && t > fault.At+fault.Duration {
 			continue
 		}
 		switch {
-		case one.Kind == kind:
-			out *= one.Factor
-		case one.Kind == "wave" && kind == "rate":
-			if one.Factor > 0 {
-				out *= one.Factor
+		case fault.Kind == kind:
+			product *= fault.Factor
+		case fault.Kind == "wave" && kind == "rate":
+			if fault.Factor > 0 {
+				product *= fault.Factor
 			}
-			out *= 1 + one.Amplitude*math.Sin(2*math.Pi*(t-one.At)/one.Period)
+			product *= 1 + fault.Amplitude*math.Sin(2*math.Pi*(t-fault.At)/fault.Period)
 		}
 	}
-	return out
+	return product
 }
 
 // activeFault returns the first active fault of a kind, or nil.
 func (s *sim) activeFault(kind string) *Fault {
 	t := s.now - epoch
 	for i := range s.day.Faults {
-		if one := &s.day.Faults[i]; one.Kind == kind && t >= one.At && (one.Duration == 0 || t <= one.At+one.Duration) {
-			return one
+		if fault := &s.day.Faults[i]; fault.Kind == kind && t >= fault.At && (fault.Duration == 0 || t <= fault.At+fault.Duration) {
+			return fault
 		}
 	}
 	return nil
@@ -275,43 +275,43 @@
 
 // scheduleFault schedules a fault that changes engines or routers. Faults of rates, name service lists and data sets need no
 // event: the code that they affect calls faultFactor and activeFault.
-func (s *sim) scheduleFault(t Fault) {
-	long := t.Duration
-	if long == 0 {
-		long = math.Inf(1)
-	}
-	s.schedule(epoch+t.At, func() {
-		s.log("trouble %s", t.Kind)
-		switch t.Kind {
+func (s *sim) scheduleFault(fault Fault) {
+	duration := fault.Duration
+	if duration == 0 {
+		duration = math.Inf(1)
+	}
+	s.schedule(epoch+fault.At, func() {
+		s.log("trouble %s", fault.Kind)
+		switch fault.Kind {
 		case "lost", "cold":
-			for _, e := range sample(s.batchDraws, s.engines, t.Share) {
-				if t.Kind == "cold" {
-					e.crash(max(t.Duration, minRestartTime))
+			for _, e := range sample(s.batchDraws, s.engines, fault.Share) {
+				if fault.Kind == "cold" {
+					e.crash(max(fault.Duration, minRestartTime))
 				} else {
-					e.crash(long)
+					e.crash(duration)
 				}
 			}
 		case "drain":
-			for _, e := range sample(s.batchDraws, s.engines, t.Share) {
+			for _, e := range sample(s.batchDraws, s.engines, fault.Share) {
 				s.nameService.setDraining(e, true)
-				if !math.IsInf(long, 1) {
-					s.scheduleAfter(long, func() { s.nameService.setDraining(e, false) })
+				if !math.IsInf(duration, 1) {
+					s.scheduleAfter(duration, func() { s.nameService.setDraining(e, false) })
 				}
 			}
 		case "failing": // the engines answer at once with an error
-			for _, e := range sample(s.batchDraws, s.engines, t.Share) {
+			for _, e := range sample(s.batchDraws, s.engines, fault.Share) {
 				e.failing = true
-				if !math.IsInf(long, 1) {
-					s.scheduleAfter(long, func() { e.failing = false })
+				if !math.IsInf(duration, 1) {
+					s.scheduleAfter(duration, func() { e.failing = false })
 				}
 			}
 		case "slow":
-			for _, e := range sample(s.batchDraws, s.engines, max(t.Share, 1e-9)) {
+			for _, e := range sample(s.batchDraws, s.engines, max(fault.Share, 1e-9)) {
 				e.advance()
-				e.faultSpeed = t.Factor
+				e.faultSpeed = fault.Factor
 				e.updateRates()
-				if !math.IsInf(long, 1) {
-					s.scheduleAfter(long, func() {
+				if !math.IsInf(duration, 1) {
+					s.scheduleAfter(duration, func() {
 						e.advance()
 						e.faultSpeed = 1
 						e.updateRates()
@@ -319,9 +319,9 @@
 				}
 			}
 		case "replace":
-			s.replaceEngines(t)
+			s.replaceEngines(fault)
 		case "restart":
-			for _, n := range sample(s.batchDraws, s.routers, t.Share) {
+			for _, n := range sample(s.batchDraws, s.routers, fault.Share) {
 				n.crash()
 				s.scheduleAfter(1, n.start)
 			}
@@ -420,13 +420,13 @@
 		e = n.sim.options.TamperEvent(n.index, e)
 	}
 	_, last := e.(router.TurnEnded)
-	for _, what := range n.router.Reduce(n.sim.now, e) {
+	for _, action := range n.router.Reduce(n.sim.now, e) {
 		if n.sim.options.TamperAction == nil {
-			n.execute(what)
+			n.execute(action)
 			continue
 		}
-		for _, other := range n.sim.options.TamperAction(n.index, what) {
-			n.execute(other)
+		for _, replacement := range n.sim.options.TamperAction(n.index, action) {
+			n.execute(replacement)
 		}
 	}
 	if !last && !n.turnEndScheduled {
@@ -452,11 +452,11 @@
 }
 
 // execute carries out an action of the router.
-func (n *node) execute(what router.Effect) {
+func (n *node) execute(action router.Effect) {
 	s := n.sim
-	switch w := what.(type) {
+	switch action := action.(type) {
 	case router.TellClient:
-		a, is := w.What.(*traffic.Answer)
+		a, is := action.What.(*traffic.Answer)
 		if !is {
 			return
 		}
@@ -471,42 +471,42 @@
 		code, wait := a.Code, a.Wait
 		s.schedule(n.lastToClients, func() { s.deliverAnswer(b, code, wait) })
 	case router.CloseClient: // the connection was idle too long; the next batch opens another
-		if w.Client == n.currentClient {
+		if action.Client == n.currentClient {
 			n.currentClient = 0
 		}
 	case router.Dial:
-		n.dial(w)
+		n.dial(action)
 	case router.OrderEngine:
-		if c := n.conns[w.Connection]; c != nil {
-			c.send(w.What)
+		if c := n.conns[action.Connection]; c != nil {
+			c.send(action.What)
 		}
 	case router.CloseEngine:
-		if c := n.conns[w.Connection]; c != nil {
+		if c := n.conns[action.Connection]; c != nil {
 			c.drop()
 		}
 	case router.AskList:
 		n.scheduleAfter(2*s.latency(), func() {
 			list := s.nameService.listAt(s.now - s.world.ListDelay*s.faultFactor("list"))
 			s.checker.listReceived(n, list)
-			n.deliver(router.ListAnswered{Query: w.Query, List: list})
+			n.deliver(router.ListAnswered{Query: action.Query, List: list})
 		})
 	case router.SetTimer:
 		n.timerNumber++
 		number, life := n.timerNumber, n.generation
-		s.schedule(w.At, func() {
+		s.schedule(action.At, func() {
 			if n.timerNumber == number && n.generation == life {
 				n.deliver(router.TimerFired{})
 			}
 		})
 	case router.Release:
-		w.Chain.Release()
+		action.Chain.Release()
 	case router.Talk:
-		n.sendPeerMessage(w)
+		n.sendPeerMessage(action)
 	case router.Tell:
-		n.status = w.Status
+		n.status = action.Status
 	case router.Log:
-		if w.Text == "level of service" {
-			s.result.recordLevel(s, n, w)
+		if action.Text == "level of service" {
+			s.result.recordLevel(s, n, action)
 		}
 	}
 }
@@ -548,10 +548,10 @@
 }
 
 // send transmits an order of the router to the engine.
-func (c *conn) send(what traffic.Order) {
+func (c *conn) send(order traffic.Order) {
 	s := c.node.sim
 	var b *batch
-	if d, is := what.(*traffic.Dispatch); is {
+	if d, is := order.(*traffic.Dispatch); is {
 		if b = s.batches[d.ID]; b == nil {
 			return
 		}
@@ -567,7 +567,7 @@
 		if !e.up || e.generation != c.engineGeneration {
 			return
 		}
-		switch o := what.(type) {
+		switch o := order.(type) {
 		case *traffic.Dispatch:
 			e.start(c, o, b)
 		case traffic.GiveUp:
--- a/internal/emulator/talk.go
+++ b/internal/emulator/talk.go
@@ -9,13 +9,13 @@
 	"pitchfield/internal/shares"
 )
 
-// replicaCount of the routers choose a bursar among themselves, where shares are divided by talk.
+// replicaCount is the largest number of routers that hold the replicated quota records and elect the quota coordinator.
 const replicaCount = 5
 
-// peerAddress is where a router talks to others. It says what it is: nothing but this emulator reads it.
+// peerAddress returns the address at which a router receives peer messages. Only the emulator interprets it.
 func peerAddress(index int) string { return fmt.Sprintf("10.1.%d.%d:7500", index/250, index%250+1) }
 
-// peerSettings is what a router is told of the others, where they talk.
+// peerSettings returns the settings of a router's peer messaging: membership, quotas and load reports.
 func (s *sim) peerSettings(n *node) router.TalkSet {
 	m := membership.Defaults()
 	m.Self = membership.ID{Name: fmt.Sprintf("n%d", n.index+1), Start: uint64(s.now*1e3)<<16 + uint64(n.generation)}
@@ -25,9 +25,9 @@
 		own := *s.options.Quotas
 		own.Listen = m.Listen
 		all := s.world.Routers
-		keepers := min(replicaCount, all-(all+1)%2) // an odd number, spread over all
-		for i := range keepers {
-			own.Replicas = append(own.Replicas, peerAddress(i*all/keepers))
+		replicas := min(replicaCount, all-(all+1)%2) // an odd number of replicas, spread over all routers
+		for i := range replicas {
+			own.Replicas = append(own.Replicas, peerAddress(i*all/replicas))
 		}
 		set.Shares = &own
 	}
@@ -39,23 +39,23 @@
 	return set
 }
 
-// sendPeerMessage brings a datagram to whoever has the address.
-func (n *node) sendPeerMessage(w router.Talk) {
+// sendPeerMessage delivers a datagram to the router with the address, unless that router is down.
+func (n *node) sendPeerMessage(message router.Talk) {
 	s := n.sim
 	s.result.PeerMessages++
-	to := s.routersByAddress[w.To]
+	to := s.routersByAddress[message.To]
 	if to == nil {
 		return
 	}
 	s.scheduleAfter(s.latency(), func() {
 		if to.up {
-			said := w.Message
+			copied := message.Message
 			var shared *shares.Message
-			if w.Shares != nil {
-				one := *w.Shares
-				shared = &one
+			if message.Shares != nil {
+				copied := *message.Shares
+				shared = &copied
 			}
-			to.deliver(router.TalkCame{Message: &said, Shares: shared, News: w.News})
+			to.deliver(router.TalkCame{Message: &copied, Shares: shared, News: message.News})
 		}
 	})
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -1,6 +1,7 @@
-// Package emulator plays a day of a whole installation in simulated time: several routers, each the real reducer with
-// the real module, before a model of engines, a name service and clients. The same world and seed give the same day, to
-// the byte. It is a model: docs/emulator.md says what it leaves out, and how far it is from the users' bench.
+// Package emulator simulates a day of a whole installation in simulated time: several routers, each with the real reducer
+// and the real decision module (package brain), and models of engines, a name service and clients. The same world, day,
+// options and seed give the same events, byte for byte. docs/emulator.md says what the model leaves out and how far its
+// results are from those of the users' bench.
 package emulator
 
 import (
@@ -14,96 +15,96 @@
 	"pitchfield/internal/settings"
 )
 
-// World is an installation. Times are seconds, sizes MB.
+// World describes an installation. Times are in seconds, sizes in MB.
 type World struct {
 	Name           string      `toml:"name"`
 	Routers        int         `toml:"routers"`
 	Engines        int         `toml:"engines"`
-	Rate           float64     `toml:"rate"`      // batches a second of all clients
-	DataSets       int         `toml:"data-sets"` // that batches are of; a few draw most
-	DataSetSkew    float64     `toml:"crowd"`     // how much they do: the exponent of their shares
-	Keys           int         `toml:"keys"`      // of groups in order
-	Retries        int         `toml:"retries"`   // that a client asks again after a pushback
-	NetworkLatency float64     `toml:"net"`       // one way
-	Jitter         float64     `toml:"jitter"`    // share of that
-	ListDelay      float64     `toml:"list-delay"`
-	EstimateError  float64     `toml:"guess"`   // how far told work is off: the deviation of its logarithm
-	Reports        string      `toml:"reports"` // none, memory or full: what probes tell
+	Rate           float64     `toml:"rate"`       // requests per second of all clients together
+	DataSets       int         `toml:"data-sets"`  // number of data sets; a few of them get most requests
+	DataSetSkew    float64     `toml:"crowd"`      // exponent of the power law of the data sets' shares; larger is more skewed
+	Keys           int         `toml:"keys"`       // number of keys of the groups whose batches run in order
+	Retries        int         `toml:"retries"`    // how often a client submits a request again after a rejection
+	NetworkLatency float64     `toml:"net"`        // mean one-way latency
+	Jitter         float64     `toml:"jitter"`     // largest deviation from the mean latency, as a share of it
+	ListDelay      float64     `toml:"list-delay"` // age of the name service's lists when routers receive them
+	EstimateError  float64     `toml:"guess"`      // standard deviation of the logarithm of declared work over real work
+	Reports        string      `toml:"reports"`    // what engines report to probes: none, memory or full
 	Engine         EngineModel `toml:"engine"`
 	Groups         []Group     `toml:"group"`
 	Rules          Rules       `toml:"rules"`
 }
 
-// EngineModel is what each engine is.
+// EngineModel describes an engine; all engines are alike.
 type EngineModel struct {
 	Cores                float64 `toml:"cores"`
 	Memory               float64 `toml:"memory"`
-	WarmDataSets         int     `toml:"warm"`      // data sets that it keeps warm
-	ColdCost             float64 `toml:"cold-cost"` // times the work of a batch whose data set is not warm
-	SpillFactor          float64 `toml:"spill"`     // times the pace of a batch that finds no memory
-	OversubscriptionCost float64 `toml:"strain"`    // share of the pace lost for each thread a core beyond two
-	ColdSpeed            float64 `toml:"cold-from"` // share of the pace right after a start,
-	SlowStartTime        float64 `toml:"cold"`      // until it is whole
-	RestartTime          float64 `toml:"restart"`   // until it is back, once it has fallen over
+	WarmDataSets         int     `toml:"warm"`      // number of data sets that stay warm
+	ColdCost             float64 `toml:"cold-cost"` // factor of the work of a batch whose data set is not warm
+	SpillFactor          float64 `toml:"spill"`     // factor of the speed of a batch that finds no free memory
+	OversubscriptionCost float64 `toml:"strain"`    // slowdown for each thread per core beyond two
+	ColdSpeed            float64 `toml:"cold-from"` // fraction of the full speed right after a start
+	SlowStartTime        float64 `toml:"cold"`      // seconds from a start until full speed
+	RestartTime          float64 `toml:"restart"`   // seconds until it is up again after a crash by overload
 }
 
-// Group is a service group and what its batches are like.
+// Group is a service group and the distribution of its batches. Work is in seconds of one thread at full speed.
 type Group struct {
 	Name          string  `toml:"name"`
 	Effect        string  `toml:"effect"` // repeatable, referenced or once-only
-	Share         float64 `toml:"share"`  // of the batches
+	Share         float64 `toml:"share"`  // weight of the group among the requests
 	Goal          float64 `toml:"goal"`
-	GoalStretch   float64 `toml:"stretch"` // the goal grows by this times work over threads
-	LateShare     float64 `toml:"late"`    // part of the utility that an answer past the goal still earns
-	Limit         float64 `toml:"limit"`
+	GoalStretch   float64 `toml:"stretch"` // the goal grows by this factor times work over threads
+	LateShare     float64 `toml:"late"`    // share of the utility that an answer past the goal still earns
+	Limit         float64 `toml:"limit"`   // time limit of a request
 	Utility       float64 `toml:"utility"`
 	Threads       float64 `toml:"threads"`
-	MeanWork      float64 `toml:"work"`   // seconds, on average
-	WorkDeviation float64 `toml:"spread"` // the deviation of its logarithm
-	MeanMemory    float64 `toml:"need"`   // of memory, on average
+	MeanWork      float64 `toml:"work"`   // mean work of a batch
+	WorkDeviation float64 `toml:"spread"` // standard deviation of the logarithm of the work
+	MeanMemory    float64 `toml:"need"`   // mean memory of a batch
 	DedupWindow   float64 `toml:"window"`
 	InOrder       bool    `toml:"in-order"`
-	Kinds         []int   `toml:"kinds"` // of engines that may run it; none: all. Engines take turns as kind 0 and 1
+	Kinds         []int   `toml:"kinds"` // kinds of engines that may run it; empty: all. Engines are alternately of kind 0 and 1
 }
 
-// Rules are those that the checker holds routers to.
+// Rules are the limits that the checker verifies. Routers are configured with the same values.
 type Rules struct {
-	MaxDispatches  int     `toml:"dispatches"`
-	ListGrace      float64 `toml:"grace"`
-	OverloadFactor float64 `toml:"fall-multiple"`
-	OverloadWindow float64 `toml:"fall"`
-	SettleTime     float64 `toml:"settle"`
-	FreeRetries    float64 `toml:"free"`  // further dispatches, and
-	RetryRatio     float64 `toml:"share"` // their share of the batches taken
+	MaxDispatches  int     `toml:"dispatches"`    // of a batch
+	ListGrace      float64 `toml:"grace"`         // time in which an engine may still get dispatches after a list omits it or shows it as draining
+	OverloadFactor float64 `toml:"fall-multiple"` // a cold engine crashes when it receives more than this times its capacity
+	OverloadWindow float64 `toml:"fall"`          // within this time
+	SettleTime     float64 `toml:"settle"`        // time after a cancellation in which no other batch of the key may start
+	FreeRetries    float64 `toml:"free"`          // retries within RetryWindow that are always allowed
+	RetryRatio     float64 `toml:"share"`         // further retries, as a share of the batches accepted within RetryWindow
 	RetryWindow    float64 `toml:"window"`
 }
 
-// Fault is something that happens to a day.
+// Fault is a fault or a change of load during a day. Its kind decides which fields are used.
 type Fault struct {
 	Kind       string  `toml:"kind"`
-	At         float64 `toml:"at"`
-	Duration   float64 `toml:"for"`    // 0: to the end
-	Factor     float64 `toml:"times"`  // of the rate, the pace or the delay
-	Amplitude  float64 `toml:"swing"`  // of a wave: its share of the rate, up and down,
-	Period     float64 `toml:"period"` // and its period
-	Share      float64 `toml:"share"`  // of engines, routers or batches
-	Steps      int     `toml:"steps"`  // of a replacement; 0: one
-	StartDelay float64 `toml:"lag"`    // of a replacement: seconds until the new engines of a step are there
+	At         float64 `toml:"at"`     // seconds from the start of the day
+	Duration   float64 `toml:"for"`    // seconds; 0: to the end of the day
+	Factor     float64 `toml:"times"`  // factor of the request rate, the engine speed or the list delay
+	Amplitude  float64 `toml:"swing"`  // of a wave: its amplitude as a share of the rate
+	Period     float64 `toml:"period"` // of a wave: its period in seconds
+	Share      float64 `toml:"share"`  // share of the engines, routers or requests that it affects
+	Steps      int     `toml:"steps"`  // number of steps of a replacement; 0: one
+	StartDelay float64 `toml:"lag"`    // of a replacement: seconds until the new engines of a step are up
 }
 
-// Kinds of trouble.
+// faultParameters lists the kinds of faults, each with the key that must be above 0.
 var faultParameters = map[string]string{"rate": "times", "wave": "period", "lost": "share", "cold": "share", "drain": "share",
 	"list": "times", "hot": "share", "slow": "times", "restart": "share", "heavy": "share", "failing": "share",
 	"replace": "share"}
 
-// Day is what is played on a world.
+// Day describes the length of a simulation, in seconds, and its faults.
 type Day struct {
 	Name    string  `toml:"name"`
 	Seconds float64 `toml:"seconds"`
 	Faults  []Fault `toml:"trouble"`
 }
 
-// Defaults of what a world does not say.
+// setDefaults replaces zero values by the defaults.
 func (w *World) setDefaults() {
 	set := func(v *float64, to float64) {
 		if *v == 0 {
@@ -147,29 +148,29 @@
 	}
 }
 
-// validate finds what can't be.
+// validate returns all errors of a world, joined.
 func (w *World) validate() error {
 	var errs []error
-	wrong := func(ok bool, format string, args ...any) {
+	require := func(ok bool, format string, args ...any) {
 		if !ok {
 			errs = append(errs, fmt.Errorf("world %q: "+format, append([]any{w.Name}, args...)...))
 		}
 	}
-	wrong(w.Routers >= 1 && w.Routers <= 1000, "routers: %d is not from 1 to 1000", w.Routers)
-	wrong(w.Engines >= 1 && w.Engines <= 1000, "engines: %d is not from 1 to 1000", w.Engines)
-	wrong(w.Rate > 0 && w.Rate <= 1e5, "rate: %g is not above 0", w.Rate)
-	wrong(len(w.Groups) > 0, "there is no group")
-	wrong(w.Reports == "none" || w.Reports == "memory" || w.Reports == "full", "reports: %q is not none, memory or full", w.Reports)
+	require(w.Routers >= 1 && w.Routers <= 1000, "routers: %d is not from 1 to 1000", w.Routers)
+	require(w.Engines >= 1 && w.Engines <= 1000, "engines: %d is not from 1 to 1000", w.Engines)
+	require(w.Rate > 0 && w.Rate <= 1e5, "rate: %g is not above 0", w.Rate)
+	require(len(w.Groups) > 0, "there is no group")
+	require(w.Reports == "none" || w.Reports == "memory" || w.Reports == "full", "reports: %q is not none, memory or full", w.Reports)
 	for _, g := range w.Groups {
-		wrong(g.Name != "" && g.Share > 0 && g.Goal > 0 && g.Limit >= g.Goal && g.MeanWork > 0 && g.Threads >= 1,
+		require(g.Name != "" && g.Share > 0 && g.Goal > 0 && g.Limit >= g.Goal && g.MeanWork > 0 && g.Threads >= 1,
 			"group %q: name, share, goal, limit (not below the goal), work and threads (at least 1) must be there", g.Name)
 		_, known := idempotencies[g.Effect]
-		wrong(known, "group %q: effect %q is not repeatable, referenced or once-only", g.Name, g.Effect)
+		require(known, "group %q: effect %q is not repeatable, referenced or once-only", g.Name, g.Effect)
 	}
 	return errors.Join(errs...)
 }
 
-// Check finds what of a day can't be.
+// Check returns all errors of a day, joined.
 func (d *Day) Check() error {
 	var errs []error
 	if !(d.Seconds > 0 && d.Seconds <= 24*3600) {
@@ -185,9 +186,10 @@
 	return errors.Join(errs...)
 }
 
+// idempotencies maps the effects of groups to the module's constants.
 var idempotencies = map[string]brain.Idempotency{"repeatable": brain.Idempotent, "referenced": brain.Deduplicated, "once-only": brain.AtMostOnce}
 
-// ParseWorld reads a world's TOML; strict.
+// ParseWorld decodes a world from TOML and prepares it. Unknown keys are errors.
 func ParseWorld(text []byte) (*World, error) {
 	var w World
 	d := toml.NewDecoder(strings.NewReader(string(text)))
@@ -202,13 +204,13 @@
 	return &w, w.Prepare()
 }
 
-// Prepare fills in what is not said and checks the rest.
+// Prepare sets the defaults of a world and validates it.
 func (w *World) Prepare() error {
 	w.setDefaults()
 	return w.validate()
 }
 
-// routerSettings are what a router of the world is told.
+// routerSettings returns the settings of the router with an index.
 func (w *World) routerSettings(index int) settings.Settings {
 	s := brain.Settings{Routers: w.Routers, Index: index, MayCancel: true, MayHedge: true, MayProbe: w.Reports != "none", MaxDispatches: w.Rules.MaxDispatches,
 		Grants: true, MaxGrantShare: 0.4, MaxRetryDelay: 0.5, UpdateInterval: progressInterval, ProbeCost: 0.01, ColdCapacityShare: w.Engine.ColdSpeed,
@@ -226,14 +228,14 @@
 		MostHeld: 20000, Loads: w.Reports != "none"}
 }
 
-// Capacity is the work that the engines do in a second when all are warm and none is strained.
+// Capacity is the work in seconds that all engines do in a second when they are warm and not oversubscribed.
 func (w *World) Capacity() float64 { return float64(w.Engines) * w.Engine.Cores }
 
-// Demand is the work that comes in a second at the world's rate.
+// Demand is the mean work in seconds that arrives in a second at the world's rate.
 func (w *World) Demand() float64 {
-	share, work := 0.0, 0.0
+	totalWeight, work := 0.0, 0.0
 	for _, g := range w.Groups {
-		share, work = share+g.Share, work+g.Share*g.MeanWork
+		totalWeight, work = totalWeight+g.Share, work+g.Share*g.MeanWork
 	}
-	return w.Rate * work / share
+	return w.Rate * work / totalWeight
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -108,34 +108,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	var f fileConfig
+	var file fileConfig
 	d := toml.NewDecoder(strings.NewReader(string(text)))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&f); err != nil {
+	if err := d.Decode(&file); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
 			return nil, fmt.Errorf("%s: no such key:\n%s", path, strict.String())
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	e := &Experiment{Name: f.Name, Worlds: f.World, Days: f.Day, Charts: f.Charts}
-	if e.Name == "" {
-		e.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
+	experiment := &Experiment{Name: file.Name, Worlds: file.World, Days: file.Day, Charts: file.Charts}
+	if experiment.Name == "" {
+		experiment.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	}
-	for n := range max(f.Seeds, 1) {
-		e.Seeds = append(e.Seeds, max(f.First, 1)+uint64(n))
+	for n := range max(file.Seeds, 1) {
+		experiment.Seeds = append(experiment.Seeds, max(file.First, 1)+uint64(n))
 	}
-	held := func(name string, does levels.Actions) Variant {
+	forcedLevel := func(name string, does levels.Actions) Variant {
 		return Variant{Name: name, SmoothingTime: 5, Levels: &levels.Settings{ForcedLevel: "fixed", Levels: []levels.Level{{Name: "fixed", MinDuration: forcedLevelMinDuration, Actions: does}}}}
 	}
 	fixed := func(name, group string, keep float64) Variant {
-		return held(name, levels.Actions{AdmitRatio: map[string]float64{group: keep}})
+		return forcedLevel(name, levels.Actions{AdmitRatio: map[string]float64{group: keep}})
 	}
-	for _, v := range f.Variant {
-		one := Variant{Name: v.Name}
+	for _, v := range file.Variant {
+		variant := Variant{Name: v.Name}
 		switch {
 		case v.Group != "":
-			one = fixed(v.Name, v.Group, v.Keep)
+			variant = fixed(v.Name, v.Group, v.Keep)
 		case v.Settings != "":
 			own, err := installation.Load(filepath.Join(filepath.Dir(path), v.Settings), os.Getenv)
 			if err != nil {
@@ -144,68 +144,68 @@
 			if own.Levels == nil && len(own.Routes.Routes) == 0 && own.Limits.Adaptive.Kind == "" && own.Limits.AllRetries == nil && own.Limits.EngineRetries == nil {
 				return nil, fmt.Errorf("%s: variant %q: %s has neither levels nor limits", path, v.Name, v.Settings)
 			}
-			one.Adaptive, one.AllRetries, one.EngineRetries = own.Limits.Adaptive, own.Limits.AllRetries, own.Limits.EngineRetries
+			variant.Adaptive, variant.AllRetries, variant.EngineRetries = own.Limits.Adaptive, own.Limits.AllRetries, own.Limits.EngineRetries
 			if own.Levels != nil {
 				s := *own.Levels
 				if v.Hold != "" {
 					s.ForcedLevel = v.Hold
 				}
-				one.Levels, one.SmoothingTime = &s, own.LevelsOver
+				variant.Levels, variant.SmoothingTime = &s, own.LevelsOver
 			}
 			if len(own.Routes.Routes) > 0 {
-				one.NewRoutes = own.Routes.CopyUnspent
+				variant.NewRoutes = own.Routes.CopyUnspent
 			}
 		}
-		one.LoadReportInterval = v.Load
-		if one.PeerMessaging = v.Talk || v.Shares; v.Shares {
+		variant.LoadReportInterval = v.Load
+		if variant.PeerMessaging = v.Talk || v.Shares; v.Shares {
 			s := shares.Defaults()
 			s.FixedFraction = v.Firm
-			one.Quotas = &s
+			variant.Quotas = &s
 		}
 		if v.Adaptive != "" {
-			one.Adaptive = limits.AdaptiveSettings{Kind: v.Adaptive, Initial: v.Limit}
+			variant.Adaptive = limits.AdaptiveSettings{Kind: v.Adaptive, Initial: v.Limit}
 		}
-		if found := limits.Check(limits.Config{Adaptive: one.Adaptive}, limits.Platform{}); len(found) > 0 {
+		if found := limits.Check(limits.Config{Adaptive: variant.Adaptive}, limits.Platform{}); len(found) > 0 {
 			return nil, fmt.Errorf("%s: variant %q: %s", path, v.Name, found[0].Message)
 		}
-		e.Variants = append(e.Variants, one)
+		experiment.Variants = append(experiment.Variants, variant)
 	}
-	for _, n := range f.Limits {
-		e.Variants = append(e.Variants, Variant{Name: fmt.Sprintf("%g out", n), swept: true, Adaptive: limits.AdaptiveSettings{Kind: "fixed", Initial: n}})
+	for _, n := range file.Limits {
+		experiment.Variants = append(experiment.Variants, Variant{Name: fmt.Sprintf("%g out", n), swept: true, Adaptive: limits.AdaptiveSettings{Kind: "fixed", Initial: n}})
 	}
-	if f.Sweep != nil {
-		for _, k := range f.Sweep.Keep {
-			one := fixed(fmt.Sprintf("%s %.0f%%", f.Sweep.Group, 100*k), f.Sweep.Group, k)
-			one.swept = true
-			e.Variants = append(e.Variants, one)
+	if file.Sweep != nil {
+		for _, k := range file.Sweep.Keep {
+			variant := fixed(fmt.Sprintf("%s %.0f%%", file.Sweep.Group, 100*k), file.Sweep.Group, k)
+			variant.swept = true
+			experiment.Variants = append(experiment.Variants, variant)
 		}
-		for _, g := range f.Sweep.LeastGain {
-			one := held(fmt.Sprintf("gain %g", g), levels.Actions{MinUtilityRate: g})
-			one.swept = true
-			e.Variants = append(e.Variants, one)
+		for _, g := range file.Sweep.LeastGain {
+			variant := forcedLevel(fmt.Sprintf("gain %g", g), levels.Actions{MinUtilityRate: g})
+			variant.swept = true
+			experiment.Variants = append(experiment.Variants, variant)
 		}
 	}
-	if w := f.Waves; w != nil {
+	if w := file.Waves; w != nil {
 		for _, times := range w.Times {
 			for _, swing := range w.Swing {
 				for _, period := range w.Period {
 					name := fmt.Sprintf("%gx %.0f%% %gs", times, 100*swing, period)
 					d := emulator.Day{Name: name, Seconds: w.Seconds, Faults: []emulator.Fault{
 						{Kind: "wave", At: 1, Factor: times, Amplitude: swing, Period: period}}}
-					e.Days = append(e.Days, d)
+					experiment.Days = append(experiment.Days, d)
 					if w.Cold {
 						d.Name += " cold"
 						d.Faults = append(slices.Clone(d.Faults), emulator.Fault{Kind: "lost", At: w.Seconds / 3, Duration: w.Seconds / 6, Share: 0.01})
-						e.Days = append(e.Days, d)
+						experiment.Days = append(experiment.Days, d)
 					}
 				}
 			}
 		}
 	}
-	if len(e.Variants) == 0 {
-		e.Variants = []Variant{{Name: "off"}}
+	if len(experiment.Variants) == 0 {
+		experiment.Variants = []Variant{{Name: "off"}}
 	}
-	return e, e.check(path)
+	return experiment, experiment.check(path)
 }
 
 func (e *Experiment) check(path string) error {
