--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -15,7 +15,7 @@
 	"pitchfield/internal/traffic"
 )
 
-// newTestWorld is a world with a load, as a share of what its engines can do.
+// newTestWorld returns a world whose demand is a share (load) of the capacity of its engines.
 func newTestWorld(routers, engines int, load float64) World {
 	w := World{Name: "hall", Routers: routers, Engines: engines, Rate: 1, Retries: 2, Groups: []Group{
 		{Name: "lookup", Effect: "repeatable", Share: 0.8, Goal: 0.8, Limit: 4, Utility: 1, Threads: 1, MeanWork: 0.12, WorkDeviation: 0.7, MeanMemory: 60},
@@ -59,7 +59,7 @@
 	}
 }
 
-// Routers end connections that say nothing for long; those who come later open others.
+// Routers close client connections that are idle for long. Clients that arrive later open new ones, and all batches are served.
 func TestIdleClientConnectionsAreReplaced(t *testing.T) {
 	w := newTestWorld(3, 6, 1)
 	w.Rate = 0.5
@@ -79,7 +79,7 @@
 	assert.Error(t, (&Day{Name: "a day", Seconds: 1, Faults: []Fault{{Kind: "replace", Share: 0.5, StartDelay: -1}}}).Check())
 }
 
-// For each rule one router that breaks it is caught, and for that rule.
+// For each rule, a router that is made to violate it is reported for that rule.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	keyed := func(w *World) { w.Keys = 3 }
 	type tamper struct {
@@ -172,7 +172,7 @@
 			one.change(&w)
 		}
 		o := Options{Seed: 3, TamperAction: one.out, TamperEvent: one.in}
-		if one.rule == 7 { // the checker holds it to less than it was told
+		if one.rule == 7 { // the router is configured with a larger budget than the checker's
 			o.relaxRouterRules = func(w *World) { w.Rules.FreeRetries, w.Rules.RetryRatio = 1000, 10 }
 		}
 		r := play(t, w, o, one.days...)
@@ -180,7 +180,7 @@
 	}
 }
 
-// A whole fleet, shed by a fixed share: who is refused is told at once, and no rule breaks.
+// A forced service level on all routers rejects its share of the batches at once, and no rule is violated.
 func TestForcedLevelShedsOnlyItsShare(t *testing.T) {
 	w := newTestWorld(4, 8, 1.3)
 	s := &levels.Settings{ForcedLevel: "no reports", Levels: []levels.Level{{Name: "no reports", Actions: levels.Actions{AdmitRatio: map[string]float64{"report": 0}}}}}
@@ -201,7 +201,8 @@
 	assert.Error(t, (&Day{Name: "d", Seconds: 10, Faults: []Fault{{Kind: "rain"}}}).Check())
 }
 
-// BenchmarkLargeDay is 200 routers before 60 engines at 1,100 batches a second: seconds of a day in a second of ours.
+// BenchmarkLargeDay simulates 200 routers and 60 engines at 1,100 batches per second. It reports the simulated seconds per second
+// of real time.
 func BenchmarkLargeDay(b *testing.B) {
 	w := newTestWorld(200, 60, 0.9)
 	scale := w.Rate / 1100
@@ -219,8 +220,8 @@
 	b.ReportMetric(20*float64(b.N)/b.Elapsed().Seconds(), "days-s/s")
 }
 
-// Two routers share a cold engine's budget, and one heavy batch of each fills it. Booked by what batches told so large mostly
-// need, which is less, two of them pushed it over on this day.
+// Two routers share a cold engine's budget, and one heavy batch of each uses it up. When batches were charged their likely work,
+// which is less than declared for batches that declare so much, two of them overloaded the engine on this day.
 func TestTwoHeavyBatchesDoNotOverloadColdEngine(t *testing.T) {
 	w := newTestWorld(2, 4, 0.9)
 	w.Groups = append(w.Groups, Group{Name: "once", Effect: "once-only", Share: 0.04, Goal: 3, Limit: 10, Utility: 2, Threads: 1, MeanWork: 0.3, WorkDeviation: 0.5})
--- a/internal/emulator/main_test.go
+++ b/internal/emulator/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The same draws every time; a hunt for more sets another -rapid.seed and more -rapid.checks.
+// TestMain fixes the seed of rapid so that each run makes the same draws. To search further, set -rapid.seed and -rapid.checks.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/internal/emulator/news_test.go
+++ b/internal/emulator/news_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Many routers that tell each other what is out waste less of what their engines can do than those that only see their own.
+// Routers that exchange load reports use the engines' capacity better than routers that know only their own dispatches.
 func TestLoadReportsImproveService(t *testing.T) {
 	w := newTestWorld(30, 8, 0.9)
 	service := map[float64]float64{}
--- a/internal/emulator/routes_test.go
+++ b/internal/emulator/routes_test.go
@@ -10,7 +10,7 @@
 	"pitchfield/internal/limits"
 )
 
-// limitsPlatform is what a world's routers may be told, as limits see it.
+// limitsPlatform returns the properties of a world against which package limits validates routes.
 func (w *World) limitsPlatform() limits.Platform {
 	p := limits.Platform{Known: true, AllowsHedging: true, EngineKinds: []string{"a", "b"}, MaxDispatches: w.Rules.MaxDispatches, RetriesLimited: w.Rules.FreeRetries > 0 || w.Rules.RetryRatio > 0, FreeRetries: w.Rules.FreeRetries, RetryRatio: w.Rules.RetryRatio, RetryWindow: w.Rules.RetryWindow}
 	for _, g := range w.Groups {
@@ -19,7 +19,7 @@
 	return p
 }
 
-// No set of routes that passes the checker lets a router break a rule, on days with troubles drawn alike.
+// With any routes that pass limits.Check, routers violate no rule on days with a random fault.
 func TestValidatedRoutesKeepRules(t *testing.T) {
 	passed, refused, batches := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -19,16 +19,17 @@
 	"pitchfield/internal/emulator"
 )
 
+// colors of the variants' lines.
 var colors = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255}, color.RGBA{44, 160, 44, 255},
 	color.RGBA{148, 103, 189, 255}, color.RGBA{255, 127, 14, 255}, color.RGBA{23, 190, 207, 255}}
 
 const (
 	width, height    = 9 * vg.Inch, 7.5 * vg.Inch
-	smoothingSeconds = 5 // seconds
+	smoothingSeconds = 5 // window of the moving averages
 )
 
-// Draw draws each world and day, of the first seed: service, load and levels over time, each variant a line, but for
-// those of a sweep. Files are SVG and PNG in a folder; it gives their names.
+// Draw writes a chart for each world and day of the first seed: service, load and service levels over time, with a line for each
+// variant except those of a sweep. It writes SVG and PNG files to a folder and returns their names.
 func (e *Experiment) Draw(folder string, runs []Run) (names []string, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, fmt.Errorf("charts: %w", err)
@@ -55,8 +56,8 @@
 	return names, nil
 }
 
-// DrawLatencies draws what the requests of each group took, of each world: variants side by side, a panel for each day. It gives
-// the names of the files.
+// DrawLatencies writes a chart of the latency quantiles for each world and service group: variants side by side, a panel for each
+// day. It writes SVG and PNG files to a folder and returns their names.
 func DrawLatencies(folder string, cells []Summary) (names []string, err error) {
 	type key struct{ world, group string }
 	days := map[key][]string{}
@@ -98,7 +99,7 @@
 				p.Legend.Add(name, l, points)
 			}
 			p.NominalX(variants...)
-			p.X.Max = float64(len(variants)) - 0.5 // room for the legend
+			p.X.Max = float64(len(variants)) - 0.5 // leaves space for the legend
 			panels = append(panels, []*plot.Plot{p})
 		}
 		name := filepath.Join(folder, fileName("tails-"+k.world+"-"+k.group))
@@ -110,10 +111,12 @@
 	return names, nil
 }
 
+// fileName replaces characters that are awkward in file names.
 func fileName(text string) string {
 	return strings.NewReplacer(" ", "-", "%", "", "/", "-", ",", "").Replace(text)
 }
 
+// drawPanels writes panels below each other to an SVG and a PNG file.
 func drawPanels(name string, panels [][]*plot.Plot) error {
 	png, svg := vgimg.New(width, height), vgsvg.New(width, height)
 	for _, c := range []vg.CanvasSizer{png, svg} {
@@ -125,6 +128,7 @@
 	return writeFiles(name, png, svg)
 }
 
+// drawChart writes the chart of a world and day.
 func drawChart(name, title string, runs []Run) error {
 	service, load, level := plot.New(), plot.New(), plot.New()
 	service.Title.Text = title
@@ -175,6 +179,7 @@
 	return drawPanels(name, [][]*plot.Plot{{service}, {load}, {level}})
 }
 
+// writeFiles writes the canvases to name.png and name.svg.
 func writeFiles(name string, png *vgimg.Canvas, svg *vgsvg.Canvas) error {
 	f, err := os.Create(name + ".png")
 	if err != nil {
@@ -198,7 +203,7 @@
 	return nil
 }
 
-// movingWindow gives a figure of the last seconds at each.
+// movingWindow evaluates a function at each second, over the last smoothingSeconds seconds.
 func movingWindow(all []emulator.Second, figure func([]emulator.Second) float64) (out plotter.XYs) {
 	for i := range all {
 		out = append(out, plotter.XY{X: float64(i), Y: figure(all[max(0, i+1-smoothingSeconds) : i+1])})
@@ -206,6 +211,7 @@
 	return out
 }
 
+// mean returns the mean of x, 0 if it is empty.
 func mean(x []int) float64 {
 	sum := 0
 	for _, v := range x {
@@ -214,6 +220,7 @@
 	return float64(sum) / float64(max(len(x), 1))
 }
 
+// minimum returns the least value of x, 0 if it is empty.
 func minimum(x []int) float64 {
 	if len(x) == 0 {
 		return 0
@@ -225,6 +232,7 @@
 	return float64(out)
 }
 
+// maximum returns the greatest value of x, at least 0.
 func maximum(x []int) float64 {
 	out := 0
 	for _, v := range x {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays a matrix of worlds, days, seeds and settings in the emulator and keeps what came of it, as
-// a table, CSV and charts.
+// Package experiment runs the emulator on a matrix of worlds, days, variants of the settings and seeds, and writes the results
+// as tables, CSV and charts.
 package experiment
 
 import (
@@ -32,24 +32,24 @@
 	"pitchfield/internal/shares"
 )
 
-// Variant is one way to set routers up.
+// Variant is a configuration of the routers; the fields are those of emulator.Options.
 type Variant struct {
 	Name          string
-	Levels        *levels.Settings // nil: off
-	SmoothingTime float64
-	NewRoutes     func() *limits.Table // makes the routes of a router; nil: none
-	// Adaptive limits what is out at each engine.
+	Levels        *levels.Settings     // service levels; nil: off
+	SmoothingTime float64              // decay time of the load measures, in seconds
+	NewRoutes     func() *limits.Table // makes the routes of each router; nil: none
+	// Adaptive limits the active dispatches at each engine.
 	Adaptive           limits.AdaptiveSettings
-	AllRetries         *limits.RetryBudget // of further dispatches, and
-	EngineRetries      *limits.RetryBudget // to each engine
-	LoadReportInterval float64             // and tell each other what is out, so often
-	PeerMessaging      bool                // routers talk,
-	Quotas             *shares.Settings    // and divide by that; nil: not
+	AllRetries         *limits.RetryBudget // retry budget for all batches together; nil: none
+	EngineRetries      *limits.RetryBudget // retry budget for each engine; nil: none
+	LoadReportInterval float64             // seconds between load reports of a router; 0: none
+	PeerMessaging      bool                // routers exchange membership messages
+	Quotas             *shares.Settings    // settings of the quota leases; nil: none
 
-	swept bool // one of many fixed ones
+	swept bool // made by "limits" or "sweep"; left out of the charts over time
 }
 
-// Experiment is what a file asks for.
+// Experiment is the matrix to run: each world with each day, variant and seed.
 type Experiment struct {
 	Name     string
 	Worlds   []emulator.World
@@ -59,6 +59,7 @@
 	Charts   bool
 }
 
+// fileConfig is the TOML of an experiment's file.
 type fileConfig struct {
 	Name    string           `toml:"name"`
 	Seeds   int              `toml:"seeds"`
@@ -68,41 +69,41 @@
 	Day     []emulator.Day   `toml:"day"`
 	Variant []struct {
 		Name     string  `toml:"name"`
-		Settings string  `toml:"settings"` // a file with settings of our own, whose levels count; beside this one
-		Hold     string  `toml:"hold"`     // a level to be held
-		Keep     float64 `toml:"keep"`     // a fixed share of a group, in place of levels
+		Settings string  `toml:"settings"` // path of a settings file, relative to this file; its levels, routes and limits are used
+		Hold     string  `toml:"hold"`     // name of a service level that is forced
+		Keep     float64 `toml:"keep"`     // admitted share of the batches of Group, in place of levels
 		Group    string  `toml:"group"`
-		Adaptive string  `toml:"adaptive"` // a kind of adaptive limit
-		Limit    float64 `toml:"limit"`    // of kind fixed
-		Load     float64 `toml:"load"`     // routers tell each other what is out, each so many seconds; 0: they don't
-		Talk     bool    `toml:"talk"`     // routers talk to each other,
-		Shares   bool    `toml:"shares"`   // and divide what cold engines bear by that,
-		Firm     float64 `toml:"firm"`     // of which so much stays with each
+		Adaptive string  `toml:"adaptive"` // kind of the adaptive limit
+		Limit    float64 `toml:"limit"`    // initial limit; the constant one of kind "fixed"
+		Load     float64 `toml:"load"`     // seconds between load reports; 0: none
+		Talk     bool    `toml:"talk"`     // routers exchange membership messages
+		Shares   bool    `toml:"shares"`   // routers divide the capacity of cold engines by quota leases; implies Talk
+		Firm     float64 `toml:"firm"`     // share of that capacity that is divided in fixed parts
 	} `toml:"variant"`
-	// Limits makes a variant of each fixed number of dispatches out at an engine.
+	// Limits makes a variant for each fixed limit of the active dispatches at an engine.
 	Limits []float64 `toml:"limits"`
-	// Sweep makes a variant of each fixed share of a group, and of each fixed gain that a batch must promise.
+	// Sweep makes a variant for each admitted share of a group, and for each minimum utility per second of work below which batches are shed.
 	Sweep *struct {
 		Group     string    `toml:"group"`
 		Keep      []float64 `toml:"keep"`
-		LeastGain []float64 `toml:"least-gain"` // of any batch, in place of a share
+		LeastGain []float64 `toml:"least-gain"` // for batches of all groups, in place of a share
 	} `toml:"sweep"`
-	// Waves makes a day of each swing and period of a load that swings round a rate.
+	// Waves makes a day for each combination of rate factor, amplitude and period of a sinusoidal load.
 	Waves *struct {
 		Seconds float64   `toml:"seconds"`
 		Times   []float64 `toml:"times"`
 		Swing   []float64 `toml:"swing"`
 		Period  []float64 `toml:"period"`
-		Cold    bool      `toml:"cold"` // each also with an engine that returns cold in the middle
+		Cold    bool      `toml:"cold"` // adds a copy of each day in which an engine restarts cold in the middle
 	} `toml:"waves"`
 }
 
 const (
-	maxRuns                = 100000
-	forcedLevelMinDuration = 1e9
+	maxRuns                = 100000 // runs of an experiment
+	forcedLevelMinDuration = 1e9    // seconds; longer than any day
 )
 
-// Load reads an experiment's file.
+// Load reads and validates the TOML file of an experiment. Unknown keys are errors.
 func Load(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -208,6 +209,7 @@
 	return experiment, experiment.check(path)
 }
 
+// check prepares the worlds and returns all errors, joined.
 func (e *Experiment) check(path string) error {
 	var errs []error
 	if len(e.Worlds) == 0 || len(e.Days) == 0 {
@@ -228,14 +230,15 @@
 	return nil
 }
 
-// Run is one day that was played.
+// Run is the result of one simulated day.
 type Run struct {
 	World, Day, Variant string
 	Seed                uint64
 	*emulator.Result
 }
 
-// Play plays all of it on all cores, and reports how many are done.
+// Play runs the whole matrix on all cores and returns the runs in the order of the matrix. It calls progress, if it is not nil,
+// after each run, from several goroutines.
 func (e *Experiment) Play(ctx context.Context, progress func(done, of int)) ([]Run, error) {
 	var todo []Run
 	var jobs []func() (*emulator.Result, error)
@@ -276,10 +279,10 @@
 	return todo, nil
 }
 
-// csvHeader of the CSV; columns are found by name.
+// csvHeader lists the fixed columns of the CSV; ReadCSV finds columns by name.
 var csvHeader = []string{"world", "day", "variant", "seed", "service", "asked", "returned", "pushed back", "errored", "turns", "most turns", "away", "amplified", "wasted", "copies", "recovery", "rules broken", "cold most", "not warm"}
 
-// WriteCSV writes a line for each run, and a column for each group.
+// WriteCSV writes a row for each run, with four more columns for each service group.
 func WriteCSV(out io.Writer, runs []Run) error {
 	groups := map[string]bool{}
 	for _, r := range runs {
@@ -297,7 +300,7 @@
 	for _, g := range names {
 		all = append(all, "group "+g, "p50 "+g, "p99 "+g, "p99.9 "+g)
 	}
-	w.Write(all) //nolint:errcheck // told by Error
+	w.Write(all) //nolint:errcheck // reported by Error
 	for _, r := range runs {
 		f := func(v float64) string { return strconv.FormatFloat(v, 'f', 6, 64) }
 		row := []string{r.World, r.Day, r.Variant, strconv.FormatUint(r.Seed, 10), f(r.Service), strconv.Itoa(r.Requests), strconv.Itoa(r.Returned),
@@ -312,7 +315,7 @@
 	return w.Error()
 }
 
-// ReadCSV reads runs back, with the figures that a comparison needs.
+// ReadCSV reads the runs that WriteCSV wrote, with only the fields that Compare needs.
 func ReadCSV(in io.Reader) ([]Run, error) {
 	rows, err := csv.NewReader(in).ReadAll()
 	if err != nil || len(rows) == 0 {
@@ -340,25 +343,25 @@
 	return out, nil
 }
 
-// Summary is what the seeds of one cell of the matrix came to.
+// Summary aggregates the runs of one cell of the matrix (a world, day and variant) over its seeds.
 type Summary struct {
 	World, Day, Variant     string
-	Runs                    int
-	Mean, HalfWidth         float64 // and half of the interval that holds the mean with 95%
-	WorstTenth              float64 // mean of the worst tenth of the runs
-	MaxTransitionsPerMinute int
-	ReducedServiceShare     float64
-	MaxAmplification        float64 // the most of any run
-	WastedWorkShare         float64
-	ConcurrentDispatches    float64
-	MaxColdLoad             float64                              // the most of any run, and
-	ColdDataSetShare        float64                              // the mean
-	RecoveryTime            float64                              // the longest; -1: some never did, or nothing was to recover from
-	Latencies               map[string]emulator.LatencyQuantiles // mean of the runs
-	Violations              []string
+	Runs                    int                                  // number of runs
+	Mean, HalfWidth         float64                              // mean service, and half the width of its 95% confidence interval
+	WorstTenth              float64                              // mean service of the worst tenth of the runs
+	MaxTransitionsPerMinute int                                  // the most of any run
+	ReducedServiceShare     float64                              // mean
+	MaxAmplification        float64                              // the most of any run
+	WastedWorkShare         float64                              // mean
+	ConcurrentDispatches    float64                              // mean
+	MaxColdLoad             float64                              // the most of any run
+	ColdDataSetShare        float64                              // mean
+	RecoveryTime            float64                              // the longest of any run, in seconds; -1: a run did not recover or had no fault to recover from
+	Latencies               map[string]emulator.LatencyQuantiles // means over the runs, by service group
+	Violations              []string                             // with the seed of the run
 }
 
-// Summarize gives one for each cell, in their order.
+// Summarize returns a summary for each cell, in the order of the runs.
 func Summarize(runs []Run) (out []Summary) {
 	cells := map[[3]string][]Run{}
 	var order [][3]string
@@ -401,7 +404,8 @@
 	return out
 }
 
-// interval gives a mean and half of its 95% interval, by Student's t; NaN where one run says nothing of the spread.
+// interval returns a mean and half the width of its 95% confidence interval by Student's t distribution; NaN for fewer than two
+// values, which give no deviation.
 func interval(x []float64) (mean, half float64) {
 	mean, deviation := stat.MeanStdDev(x, nil)
 	if len(x) < 2 {
@@ -411,6 +415,7 @@
 	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * deviation / math.Sqrt(n)
 }
 
+// formatHalfWidth formats half the width of an interval, "-" if it is unknown.
 func formatHalfWidth(v float64) string {
 	if math.IsNaN(v) {
 		return "-"
@@ -418,7 +423,7 @@
 	return fmt.Sprintf("%.3f", v)
 }
 
-// Table writes a line for each cell. It tells whether a rule was broken.
+// Table writes a line for each cell. It reports whether any rule was violated.
 func Table(out io.Writer, list []Summary) (broken bool, err error) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "world\tday\tvariant\truns\tservice\t+-\tworst tenth\tturns/min\taway\tamplified\twasted\tcopies\trecovery\tcold most\tnot warm\trules broken")
@@ -437,7 +442,7 @@
 	return broken, t.Flush()
 }
 
-// LatencyTable writes what the requests of each group took.
+// LatencyTable writes the latency quantiles of each cell and service group.
 func LatencyTable(out io.Writer, list []Summary) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "world\tday\tvariant\tgroup\tp50\tp99\tp99.9")
@@ -449,7 +454,7 @@
 	return t.Flush()
 }
 
-// Compare writes how runs differ from older ones of the same world, day, variant and seed.
+// Compare writes the mean difference in service from earlier runs of the same world, day, variant and seed, for each cell.
 func Compare(out io.Writer, now, before []Run) error {
 	type key struct {
 		world, day, variant string
@@ -473,7 +478,7 @@
 		cells[cell] = append(cells[cell], r.Service-was)
 	}
 	if len(order) == 0 {
-		return errors.New("nothing of the older file is played here")
+		return errors.New("no run of the earlier file has the world, day, variant and seed of a run here")
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "world\tday\tvariant\tpairs\tdifference\t+-")
