--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -113,45 +113,45 @@
 	if b.key == "" {
 		return
 	}
-	l := b.keyID()
-	for i, other := range c.keyQueues[l] {
+	id := b.keyID()
+	for i, other := range c.keyQueues[id] {
 		if other == b {
-			c.keyQueues[l] = append(c.keyQueues[l][:i:i], c.keyQueues[l][i+1:]...)
+			c.keyQueues[id] = append(c.keyQueues[id][:i:i], c.keyQueues[id][i+1:]...)
 			break
 		}
 	}
-	if len(c.keyQueues[l]) == 0 {
-		delete(c.keyQueues, l)
+	if len(c.keyQueues[id]) == 0 {
+		delete(c.keyQueues, id)
 	}
 }
 
 // listReceived records a name service list that a router received.
 func (c *checker) listReceived(n *node, list directory.List) {
-	k := c.endpointViews[n]
-	if k.unavailableSince == nil {
-		k = endpointView{unavailableSince: map[string]float64{}, firstListAt: c.sim.now}
+	view := c.endpointViews[n]
+	if view.unavailableSince == nil {
+		view = endpointView{unavailableSince: map[string]float64{}, firstListAt: c.sim.now}
 	}
-	there := map[string]bool{}
+	available := map[string]bool{}
 	for _, e := range list.Engines {
-		there[e.ID] = !e.Draining
+		available[e.ID] = !e.Draining
 	}
 	for _, e := range c.sim.engines {
-		if there[e.name] {
-			delete(k.unavailableSince, e.name)
-		} else if _, since := k.unavailableSince[e.name]; !since {
-			k.unavailableSince[e.name] = c.sim.now
+		if available[e.name] {
+			delete(view.unavailableSince, e.name)
+		} else if _, since := view.unavailableSince[e.name]; !since {
+			view.unavailableSince[e.name] = c.sim.now
 		}
 	}
-	c.endpointViews[n] = k
+	c.endpointViews[n] = view
 }
 
 // dispatchSent checks rules 2, 3, 6 and 7 when a router sends a dispatch.
 func (c *checker) dispatchSent(n *node, e *engine, b *batch) {
-	now, r := c.sim.now, c.sim.world.Rules
-	if c.dispatches[b.id]++; c.dispatches[b.id] > r.MaxDispatches {
+	now, rules := c.sim.now, c.sim.world.Rules
+	if c.dispatches[b.id]++; c.dispatches[b.id] > rules.MaxDispatches {
 		c.report(2, "dispatch %d of %s", c.dispatches[b.id], b.id)
 	}
-	if at, since := c.endpointViews[n].unavailableSince[e.name]; since && now > at+r.ListGrace {
+	if at, since := c.endpointViews[n].unavailableSince[e.name]; since && now > at+rules.ListGrace {
 		c.report(3, "%s sent to %s, %.3f s after n%d learned that it drains or is gone", b.id, e.name, now-at, n.index+1)
 	}
 	if len(b.group.Kinds) > 0 {
@@ -163,7 +163,7 @@
 			c.report(6, "%s (%s) sent to %s, whose kind is not allowed", b.id, b.group.Name, e.name)
 		}
 	}
-	if c.dispatches[b.id] > 1 && (r.FreeRetries > 0 || r.RetryRatio > 0) {
+	if c.dispatches[b.id] > 1 && (rules.FreeRetries > 0 || rules.RetryRatio > 0) {
 		count := func(list []float64, window float64) (n int) {
 			for _, at := range list {
 				if at > now-window {
@@ -174,8 +174,8 @@
 		}
 		c.retryTimes[n] = append(c.retryTimes[n], now)
 		// A dispatch may wait for its connection after the router has decided on it, so the windows differ by the dial timeout.
-		if got, may := float64(count(c.retryTimes[n], r.RetryWindow-dialTimeout)), r.FreeRetries+r.RetryRatio*float64(count(c.acceptTimes[n], r.RetryWindow+dialTimeout)); got > may+1e-9 {
-			c.report(7, "n%d sent %.0f retries in %g s, the budget allows %.1f", n.index+1, got, r.RetryWindow, may)
+		if retries, allowedRetries := float64(count(c.retryTimes[n], rules.RetryWindow-dialTimeout)), rules.FreeRetries+rules.RetryRatio*float64(count(c.acceptTimes[n], rules.RetryWindow+dialTimeout)); retries > allowedRetries+1e-9 {
+			c.report(7, "n%d sent %.0f retries in %g s, the budget allows %.1f", n.index+1, retries, rules.RetryWindow, allowedRetries)
 		}
 	}
 }
@@ -206,18 +206,18 @@
 	if b.key == "" || r.duplicate {
 		return
 	}
-	l := b.keyID()
-	if d := c.keyStates[l]; d.running > 0 {
+	id := b.keyID()
+	if d := c.keyStates[id]; d.running > 0 {
 		c.report(5, "%s starts while another batch of key %s runs", b.id, b.key)
 	} else if now < d.settleUntil && d.settlingBatch != b {
 		c.report(5, "%s starts while key %s settles for another %.3f s", b.id, b.key, d.settleUntil-now)
 	}
-	if line := c.keyQueues[l]; len(line) > 0 && line[0] != b && !b.closed {
-		c.report(5, "%s starts before %s, which was accepted earlier", b.id, line[0].id)
+	if queue := c.keyQueues[id]; len(queue) > 0 && queue[0] != b && !b.closed {
+		c.report(5, "%s starts before %s, which was accepted earlier", b.id, queue[0].id)
 	}
-	d := c.keyStates[l]
+	d := c.keyStates[id]
 	d.running++
-	c.keyStates[l] = d
+	c.keyStates[id] = d
 }
 
 // runCompleted records that an engine has run a batch to its end.
@@ -234,17 +234,17 @@
 	if r.batch.key == "" || r.duplicate {
 		return
 	}
-	l := r.batch.keyID()
-	d := c.keyStates[l]
+	id := r.batch.keyID()
+	d := c.keyStates[id]
 	d.running--
 	if settleTime > 0 {
 		d.settleUntil, d.settlingBatch = c.sim.now+settleTime, r.batch
 	}
 	if d.running <= 0 && d.settleUntil <= c.sim.now {
-		delete(c.keyStates, l)
+		delete(c.keyStates, id)
 		return
 	}
-	c.keyStates[l] = d
+	c.keyStates[id] = d
 }
 
 // engineOverloaded reports a cold engine that received more work than its capacity; both are in seconds of work.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -119,7 +119,7 @@
 			}
 			return same(e)
 		}},
-		"drains are not seen": {rule: 3, days: []Fault{{Kind: "drain", At: 10, Share: 0.5}}, in: func(_ int, e router.Event) router.Event {
+		"draining is ignored": {rule: 3, days: []Fault{{Kind: "drain", At: 10, Share: 0.5}}, in: func(_ int, e router.Event) router.Event {
 			if l, is := e.(router.ListAnswered); is {
 				l.List.Engines = slices.Clone(l.List.Engines)
 				for i := range l.List.Engines {
@@ -129,7 +129,7 @@
 			}
 			return e
 		}},
-		"a cold engine is pushed over": {rule: 4, days: []Fault{{Kind: "cold", At: 10, Share: 1}}, out: func(_ int, e router.Effect) []router.Effect {
+		"a cold engine is overloaded": {rule: 4, days: []Fault{{Kind: "cold", At: 10, Share: 1}}, out: func(_ int, e router.Effect) []router.Effect {
 			if o, is := e.(router.OrderEngine); is {
 				if _, is := o.What.(*traffic.Dispatch); is {
 					return slices.Repeat([]router.Effect{e}, 30)
@@ -137,7 +137,7 @@
 			}
 			return same(e)
 		}},
-		"keys are not seen": {rule: 5, change: keyed, in: func(_ int, e router.Event) router.Event {
+		"keys are ignored": {rule: 5, change: keyed, in: func(_ int, e router.Event) router.Event {
 			if c, is := e.(router.ClientSaid); is {
 				if a, is := c.Said.(*traffic.Ask); is {
 					a.Batch.Key = 0
@@ -145,7 +145,7 @@
 			}
 			return e
 		}},
-		"kinds are mixed up": {rule: 6, change: func(w *World) { w.Groups[0].Kinds = []int{0} }, out: func(_ int, e router.Effect) []router.Effect {
+		"engine kinds are ignored": {rule: 6, change: func(w *World) { w.Groups[0].Kinds = []int{0} }, out: func(_ int, e router.Effect) []router.Effect {
 			o, is := e.(router.OrderEngine)
 			if !is {
 				return same(e)
@@ -162,7 +162,7 @@
 			}
 			return same(e)
 		}},
-		"a budget is not kept": {rule: 7, days: []Fault{{Kind: "lost", At: 8, Duration: 5, Share: 0.6}, {Kind: "slow", At: 20, Duration: 8, Factor: 0.02, Share: 0.5}},
+		"a retry budget is exceeded": {rule: 7, days: []Fault{{Kind: "lost", At: 8, Duration: 5, Share: 0.6}, {Kind: "slow", At: 20, Duration: 8, Factor: 0.02, Share: 0.5}},
 			change: func(w *World) { w.Rules.FreeRetries = 1 },
 			in:     func(_ int, e router.Event) router.Event { return e }},
 	} {
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -55,16 +55,16 @@
 // speed is the current fraction of the engine's full speed.
 func (e *engine) speed() float64 {
 	w := &e.sim.world.Engine
-	warm := min(w.ColdSpeed+(1-w.ColdSpeed)*(e.sim.now-e.startedAt)/w.SlowStartTime, 1)
-	return warm * e.faultSpeed
+	startFactor := min(w.ColdSpeed+(1-w.ColdSpeed)*(e.sim.now-e.startedAt)/w.SlowStartTime, 1)
+	return startFactor * e.faultSpeed
 }
 
 // advance accounts the work that the runs have done up to now.
 func (e *engine) advance() {
-	passed := e.sim.now - e.advancedTo
+	elapsed := e.sim.now - e.advancedTo
 	e.advancedTo = e.sim.now
 	for _, r := range e.running {
-		r.remaining -= r.rate * passed
+		r.remaining -= r.rate * elapsed
 	}
 }
 
@@ -180,15 +180,15 @@
 	}
 	if !e.progressScheduled {
 		e.progressScheduled = true
-		life := e.generation
-		s.scheduleAfter(progressInterval, func() { e.sendProgress(life) })
+		generation := e.generation
+		s.scheduleAfter(progressInterval, func() { e.sendProgress(generation) })
 	}
 	e.updateRates()
 }
 
 // sendProgress sends a progress note for each run and schedules the next round while runs are left.
-func (e *engine) sendProgress(life int) {
-	if e.generation != life || !e.up {
+func (e *engine) sendProgress(generation int) {
+	if e.generation != generation || !e.up {
 		return
 	}
 	e.advance()
@@ -199,7 +199,7 @@
 		}
 	}
 	if e.progressScheduled = len(e.running) > 0; e.progressScheduled {
-		e.sim.scheduleAfter(progressInterval, func() { e.sendProgress(life) })
+		e.sim.scheduleAfter(progressInterval, func() { e.sendProgress(generation) })
 	}
 }
 
--- a/internal/emulator/news_test.go
+++ b/internal/emulator/news_test.go
@@ -19,7 +19,7 @@
 			service[load] += r.Service / 2
 		}
 	}
-	t.Log("service without and with what is out:", service)
+	t.Log("service without and with load reports:", service)
 	assert.Greater(t, service[0.1], service[0]+0.02)
 }
 
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -187,15 +187,15 @@
 
 // finish computes the totals at the end of the day.
 func (r *Result) finish(s *sim) {
-	asked, in := 0.0, 0.0
+	requested, earned := 0.0, 0.0
 	for _, g := range s.world.Groups {
-		asked, in = asked+r.requestedUtility[g.Name], in+r.utilityInGoal[g.Name]
+		requested, earned = requested+r.requestedUtility[g.Name], earned+r.utilityInGoal[g.Name]
 		if r.requestedUtility[g.Name] > 0 {
 			r.Groups[g.Name] = r.utilityInGoal[g.Name] / r.requestedUtility[g.Name]
 		}
 	}
-	if asked > 0 {
-		r.Service = in / asked
+	if requested > 0 {
+		r.Service = earned / requested
 	}
 	for _, b := range s.requests {
 		if !b.served {
@@ -219,12 +219,12 @@
 	r.Digest = s.digest.Sum64()
 	const window = 5
 	for i := window; i <= len(r.Seconds); i++ {
-		came, sent := 0, 0
+		accepted, sent := 0, 0
 		for _, second := range r.Seconds[i-window : i] {
-			came, sent = came+second.Accepted, sent+second.Dispatches
+			accepted, sent = accepted+second.Accepted, sent+second.Dispatches
 		}
-		if came >= 20 {
-			r.Amplification = max(r.Amplification, float64(sent)/float64(came))
+		if accepted >= 20 {
+			r.Amplification = max(r.Amplification, float64(sent)/float64(accepted))
 		}
 	}
 }
@@ -242,11 +242,11 @@
 	}
 	r.RecoveryTime = -1
 	service := func(from, to int) float64 {
-		asked, in := 0.0, 0.0
+		requested, earned := 0.0, 0.0
 		for _, s := range r.Seconds[max(from, 0):min(to, len(r.Seconds))] {
-			asked, in = asked+s.RequestedUtility, in+s.UtilityInGoal
+			requested, earned = requested+s.RequestedUtility, earned+s.UtilityInGoal
 		}
-		return in / max(asked, 1e-9)
+		return earned / max(requested, 1e-9)
 	}
 	if len(d.Faults) == 0 || first < 1 || int(min(last, 1e9)) >= len(r.Seconds) {
 		return
--- a/internal/emulator/routes_test.go
+++ b/internal/emulator/routes_test.go
@@ -12,11 +12,11 @@
 
 // limitsPlatform returns the properties of a world against which package limits validates routes.
 func (w *World) limitsPlatform() limits.Platform {
-	p := limits.Platform{Known: true, AllowsHedging: true, EngineKinds: []string{"a", "b"}, MaxDispatches: w.Rules.MaxDispatches, RetriesLimited: w.Rules.FreeRetries > 0 || w.Rules.RetryRatio > 0, FreeRetries: w.Rules.FreeRetries, RetryRatio: w.Rules.RetryRatio, RetryWindow: w.Rules.RetryWindow}
+	platform := limits.Platform{Known: true, AllowsHedging: true, EngineKinds: []string{"a", "b"}, MaxDispatches: w.Rules.MaxDispatches, RetriesLimited: w.Rules.FreeRetries > 0 || w.Rules.RetryRatio > 0, FreeRetries: w.Rules.FreeRetries, RetryRatio: w.Rules.RetryRatio, RetryWindow: w.Rules.RetryWindow}
 	for _, g := range w.Groups {
-		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == "repeatable", Referenced: g.Effect == "referenced", TimeLimit: g.Limit, DedupWindow: g.DedupWindow})
+		platform.Groups = append(platform.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == "repeatable", Referenced: g.Effect == "referenced", TimeLimit: g.Limit, DedupWindow: g.DedupWindow})
 	}
-	return p
+	return platform
 }
 
 // With any routes that pass limits.Check, routers violate no rule on days with a random fault.
@@ -61,13 +61,13 @@
 		if adaptive.Kind != "" {
 			adaptive.Initial = rapid.Float64Range(1, 20).Draw(t, "first")
 		}
-		further := func(name string) *limits.RetryBudget {
+		drawBudget := func(name string) *limits.RetryBudget {
 			if rapid.IntRange(0, 2).Draw(t, name) > 0 {
 				return nil
 			}
 			return &limits.RetryBudget{Name: name, FreeRetries: rapid.Float64Range(0, 21).Draw(t, "free"), RetryRatio: rapid.Float64Range(0, 0.3).Draw(t, "share"), Window: 10}
 		}
-		all, engine := further("all"), further("engine")
+		all, engine := drawBudget("all"), drawBudget("engine")
 		if len(limits.Check(limits.Config{Routes: routes, Budgets: budgets, ConcurrencyLimits: concurrencies, Adaptive: adaptive, AllRetries: all, EngineRetries: engine}, w.limitsPlatform())) > 0 {
 			refused++
 			return
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -362,11 +362,11 @@
 	n.generation++
 	n.up, n.openBatches, n.conns, n.turnEndScheduled, n.stream, n.currentClient = true, map[uint32]*batch{}, map[uint64]*conn{}, false, 0, 0
 	n.pool = &buffers.Pool{Keep: 16}
-	c := config.Config{Name: fmt.Sprintf("n%d", n.index+1), Seed: s.options.Seed<<16 ^ uint64(n.index)<<8 ^ uint64(n.generation),
+	config := config.Config{Name: fmt.Sprintf("n%d", n.index+1), Seed: s.options.Seed<<16 ^ uint64(n.index)<<8 ^ uint64(n.generation),
 		Descriptors: 1 << 14, Known: s.nameService.listAt(s.now - s.world.ListDelay), Settings: s.routerSettings(n.index)}
-	n.router = router.New(c, func(directory.Engine) *traffic.EngineProtocol { return engineProtocol }, n.pool, s.now)
+	n.router = router.New(config, func(directory.Engine) *traffic.EngineProtocol { return engineProtocol }, n.pool, s.now)
 	s.checker.routerRestarted(n)
-	s.checker.listReceived(n, c.Known)
+	s.checker.listReceived(n, config.Known)
 	if s.options.PeerMessaging || s.options.LoadReportInterval > 0 || s.options.Quotas != nil {
 		n.deliver(s.peerSettings(n))
 	}
@@ -431,9 +431,9 @@
 	}
 	if !last && !n.turnEndScheduled {
 		n.turnEndScheduled = true
-		life := n.generation
+		generation := n.generation
 		n.sim.scheduleAfter(0, func() {
-			if n.generation == life {
+			if n.generation == generation {
 				n.turnEndScheduled = false
 				n.deliver(router.TurnEnded{})
 			}
@@ -443,9 +443,9 @@
 
 // scheduleAfter runs do after a number of seconds, unless the router has crashed by then.
 func (n *node) scheduleAfter(wait float64, do func()) {
-	life := n.generation
+	generation := n.generation
 	n.sim.scheduleAfter(wait, func() {
-		if n.generation == life {
+		if n.generation == generation {
 			do()
 		}
 	})
@@ -587,10 +587,10 @@
 // reply transmits a reply of the engine to the router.
 func (c *conn) reply(r *traffic.Reply) {
 	s, n := c.node.sim, c.node
-	life := n.generation
+	generation := n.generation
 	c.lastToRouter = max(c.lastToRouter+1e-9, s.now+s.latency())
 	s.schedule(c.lastToRouter, func() {
-		if n.generation == life && !c.closed && n.conns[c.number] == c {
+		if n.generation == generation && !c.closed && n.conns[c.number] == c {
 			n.deliver(router.EngineSaid{Connection: c.number, Reply: r})
 		}
 	})
@@ -727,19 +727,19 @@
 			up = append(up, n)
 		}
 	}
-	left := b.group.Limit - (s.now - b.arrivedAt)
-	if len(up) == 0 || left < 0.05 {
+	remaining := b.group.Limit - (s.now - b.arrivedAt)
+	if len(up) == 0 || remaining < 0.05 {
 		return
 	}
 	s.batchCount++
-	b.id, b.submissions, b.deadline = fmt.Sprintf("%016x", s.batchCount), b.submissions+1, s.now+left
+	b.id, b.submissions, b.deadline = fmt.Sprintf("%016x", s.batchCount), b.submissions+1, s.now+remaining
 	b.node = up[s.batchDraws.IntN(len(up))]
-	n, life := b.node, b.node.generation
+	n, generation := b.node, b.node.generation
 	b.estimatedWork = b.work * math.Exp(s.world.EstimateError*s.batchDraws.NormFloat64())
 	s.batches[b.id] = b
 	n.lastFromClients = max(n.lastFromClients+1e-9, s.now+s.latency())
 	s.schedule(n.lastFromClients, func() {
-		if n.generation != life {
+		if n.generation != generation {
 			s.routerLost(b)
 			return
 		}
@@ -752,7 +752,7 @@
 		b.stream, b.client = n.stream, n.currentClient
 		n.openBatches[b.stream] = b
 		s.checker.batchAccepted(n, b)
-		ask := &traffic.Ask{Stream: b.stream, Batch: traffic.Batch{ID: b.id, Group: b.group.Name, Mark: b.dedupID, Left: left, Cost: b.estimatedWork,
+		ask := &traffic.Ask{Stream: b.stream, Batch: traffic.Batch{ID: b.id, Group: b.group.Name, Mark: b.dedupID, Left: remaining, Cost: b.estimatedWork,
 			Memory: b.memory * math.Exp(0.3*s.batchDraws.NormFloat64())}}
 		if b.key != "" {
 			ask.Batch.Key = uint64(len(b.key))<<32 | uint64(atoi(b.key)+1)
@@ -762,7 +762,7 @@
 		n.deliver(router.ClientSaid{Client: n.currentClient, Said: ask})
 	})
 	s.schedule(b.deadline, func() {
-		if !b.closed && b.node == n && n.generation == life {
+		if !b.closed && b.node == n && n.generation == generation {
 			s.checker.deadlinePassed(b)
 			s.closeBatch(b)
 			n.deliver(router.ClientSaid{Client: b.client, Said: traffic.Cancel{Stream: b.stream}})
--- a/internal/emulator/talk.go
+++ b/internal/emulator/talk.go
@@ -17,13 +17,13 @@
 
 // peerSettings returns the settings of a router's peer messaging: membership, quotas and load reports.
 func (s *sim) peerSettings(n *node) router.TalkSet {
-	m := membership.Defaults()
-	m.Self = membership.ID{Name: fmt.Sprintf("n%d", n.index+1), Start: uint64(s.now*1e3)<<16 + uint64(n.generation)}
-	m.Listen, m.Seeds = peerAddress(n.index), []string{peerAddress(0), peerAddress(s.world.Routers / 2)}
-	set := router.TalkSet{Settings: m}
+	membershipSettings := membership.Defaults()
+	membershipSettings.Self = membership.ID{Name: fmt.Sprintf("n%d", n.index+1), Start: uint64(s.now*1e3)<<16 + uint64(n.generation)}
+	membershipSettings.Listen, membershipSettings.Seeds = peerAddress(n.index), []string{peerAddress(0), peerAddress(s.world.Routers / 2)}
+	set := router.TalkSet{Settings: membershipSettings}
 	if s.options.Quotas != nil {
 		own := *s.options.Quotas
-		own.Listen = m.Listen
+		own.Listen = membershipSettings.Listen
 		all := s.world.Routers
 		replicas := min(replicaCount, all-(all+1)%2) // an odd number of replicas, spread over all routers
 		for i := range replicas {
