--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -371,14 +371,14 @@
 		n.deliver(s.peerSettings(n))
 	}
 	if s.options.Levels != nil {
-		n.deliver(router.LevelsSet{Levels: *s.options.Levels, Over: s.options.SmoothingTime})
+		n.deliver(router.LevelsSet{Levels: *s.options.Levels, DecayTime: s.options.SmoothingTime})
 	}
 	if o := &s.options; o.NewRoutes != nil || o.Adaptive.Kind != "" || o.AllRetries != nil || o.EngineRetries != nil {
 		routes := limits.NewTable(nil)
 		if s.options.NewRoutes != nil {
 			routes = s.options.NewRoutes()
 		}
-		n.deliver(router.RoutesSet{Routes: routes, Adaptive: s.options.Adaptive, All: s.options.AllRetries, Engine: s.options.EngineRetries})
+		n.deliver(router.RoutesSet{Routes: routes, Adaptive: s.options.Adaptive, RetryBudget: s.options.AllRetries, EngineRetryBudget: s.options.EngineRetries})
 	}
 }
 
@@ -455,8 +455,8 @@
 func (n *node) execute(action router.Effect) {
 	s := n.sim
 	switch action := action.(type) {
-	case router.TellClient:
-		a, is := action.What.(*traffic.Answer)
+	case router.SendToClient:
+		a, is := action.Message.(*traffic.Answer)
 		if !is {
 			return
 		}
@@ -476,19 +476,19 @@
 		}
 	case router.Dial:
 		n.dial(action)
-	case router.OrderEngine:
+	case router.SendToEngine:
 		if c := n.conns[action.Connection]; c != nil {
-			c.send(action.What)
+			c.send(action.Order)
 		}
 	case router.CloseEngine:
 		if c := n.conns[action.Connection]; c != nil {
 			c.drop()
 		}
-	case router.AskList:
+	case router.QueryList:
 		n.scheduleAfter(2*s.latency(), func() {
 			list := s.nameService.listAt(s.now - s.world.ListDelay*s.faultFactor("list"))
 			s.checker.listReceived(n, list)
-			n.deliver(router.ListAnswered{Query: action.Query, List: list})
+			n.deliver(router.ListAnswered{QueryID: action.QueryID, List: list})
 		})
 	case router.SetTimer:
 		n.timerNumber++
@@ -500,9 +500,9 @@
 		})
 	case router.Release:
 		action.Chain.Release()
-	case router.Talk:
+	case router.SendToPeer:
 		n.sendPeerMessage(action)
-	case router.Tell:
+	case router.ReportStatus:
 		n.status = action.Status
 	case router.Log:
 		if action.Text == "level of service" {
@@ -534,7 +534,7 @@
 			if !e.up {
 				break
 			}
-			if !n.router.Wants(d.Connection) {
+			if !n.router.WantsConnection(d.Connection) {
 				return
 			}
 			s.lastConnection++
@@ -591,7 +591,7 @@
 	c.lastToRouter = max(c.lastToRouter+1e-9, s.now+s.latency())
 	s.schedule(c.lastToRouter, func() {
 		if n.generation == generation && !c.closed && n.conns[c.number] == c {
-			n.deliver(router.EngineSaid{Connection: c.number, Reply: r})
+			n.deliver(router.EngineReplied{Connection: c.number, Reply: r})
 		}
 	})
 }
@@ -746,7 +746,7 @@
 		if n.currentClient == 0 {
 			n.clientCount++
 			n.currentClient = n.clientCount
-			n.deliver(router.ClientOpened{Client: n.currentClient, Speaks: clientProtocol})
+			n.deliver(router.ClientOpened{Client: n.currentClient, Protocol: clientProtocol})
 		}
 		n.stream++
 		b.stream, b.client = n.stream, n.currentClient
@@ -759,13 +759,13 @@
 		}
 		ask.Batch.Text = n.pool.Chain()
 		ask.Batch.Text.WriteString("SELECT 1 FROM d_" + strconv.Itoa(b.dataSet) + ".t")
-		n.deliver(router.ClientSaid{Client: n.currentClient, Said: ask})
+		n.deliver(router.ClientMessage{Client: n.currentClient, Message: ask})
 	})
 	s.schedule(b.deadline, func() {
 		if !b.closed && b.node == n && n.generation == generation {
 			s.checker.deadlinePassed(b)
 			s.closeBatch(b)
-			n.deliver(router.ClientSaid{Client: b.client, Said: traffic.Cancel{Stream: b.stream}})
+			n.deliver(router.ClientMessage{Client: b.client, Message: traffic.Cancel{Stream: b.stream}})
 			delete(n.openBatches, b.stream)
 		}
 	})
--- a/internal/emulator/talk.go
+++ b/internal/emulator/talk.go
@@ -16,11 +16,11 @@
 func peerAddress(index int) string { return fmt.Sprintf("10.1.%d.%d:7500", index/250, index%250+1) }
 
 // peerSettings returns the settings of a router's peer messaging: membership, quotas and load reports.
-func (s *sim) peerSettings(n *node) router.TalkSet {
+func (s *sim) peerSettings(n *node) router.PeerMessagingSet {
 	membershipSettings := membership.Defaults()
 	membershipSettings.Self = membership.ID{Name: fmt.Sprintf("n%d", n.index+1), Start: uint64(s.now*1e3)<<16 + uint64(n.generation)}
 	membershipSettings.Listen, membershipSettings.Seeds = peerAddress(n.index), []string{peerAddress(0), peerAddress(s.world.Routers / 2)}
-	set := router.TalkSet{Settings: membershipSettings}
+	set := router.PeerMessagingSet{Settings: membershipSettings}
 	if s.options.Quotas != nil {
 		own := *s.options.Quotas
 		own.Listen = membershipSettings.Listen
@@ -29,18 +29,18 @@
 		for i := range replicas {
 			own.Replicas = append(own.Replicas, peerAddress(i*all/replicas))
 		}
-		set.Shares = &own
+		set.Quotas = &own
 	}
 	if s.options.LoadReportInterval > 0 {
 		own := news.Defaults()
 		own.Every, own.Stale = s.options.LoadReportInterval, own.Stale*s.options.LoadReportInterval/own.Every
-		set.News = &own
+		set.LoadReports = &own
 	}
 	return set
 }
 
 // sendPeerMessage delivers a datagram to the router with the address, unless that router is down.
-func (n *node) sendPeerMessage(message router.Talk) {
+func (n *node) sendPeerMessage(message router.SendToPeer) {
 	s := n.sim
 	s.result.PeerMessages++
 	to := s.routersByAddress[message.To]
@@ -51,11 +51,11 @@
 		if to.up {
 			copied := message.Message
 			var shared *shares.Message
-			if message.Shares != nil {
-				copied := *message.Shares
+			if message.Quotas != nil {
+				copied := *message.Quotas
 				shared = &copied
 			}
-			to.deliver(router.TalkCame{Message: &copied, Shares: shared, News: message.News})
+			to.deliver(router.PeerMessageReceived{Message: &copied, Quotas: shared, LoadReports: message.LoadReports})
 		}
 	})
 }
