--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -221,7 +221,7 @@
 
 // loadReport returns the load that the engine reports to probes. It holds what World.Reports asks for.
 func (e *engine) loadReport() *brain.Report {
-	rep := settings.NoReport()
+	rep := settings.EmptyReport()
 	memory, threads := 0.0, 0.0
 	for _, r := range e.running {
 		memory, threads = memory+r.memory, threads+r.threads
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -363,10 +363,10 @@
 	n.up, n.openBatches, n.conns, n.turnEndScheduled, n.stream, n.currentClient = true, map[uint32]*batch{}, map[uint64]*conn{}, false, 0, 0
 	n.pool = &buffers.Pool{Keep: 16}
 	config := config.Config{Name: fmt.Sprintf("n%d", n.index+1), Seed: s.options.Seed<<16 ^ uint64(n.index)<<8 ^ uint64(n.generation),
-		Descriptors: 1 << 14, Known: s.nameService.listAt(s.now - s.world.ListDelay), Settings: s.routerSettings(n.index)}
+		Descriptors: 1 << 14, KnownEngines: s.nameService.listAt(s.now - s.world.ListDelay), Settings: s.routerSettings(n.index)}
 	n.router = router.New(config, func(directory.Engine) *traffic.EngineProtocol { return engineProtocol }, n.pool, s.now)
 	s.checker.routerRestarted(n)
-	s.checker.listReceived(n, config.Known)
+	s.checker.listReceived(n, config.KnownEngines)
 	if s.options.PeerMessaging || s.options.LoadReportInterval > 0 || s.options.Quotas != nil {
 		n.deliver(s.peerSettings(n))
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -224,8 +224,8 @@
 			Goal: g.Goal, GoalStretch: g.GoalStretch,
 			LateShare: g.LateShare, Limit: g.Limit, Utility: g.Utility, Threads: g.Threads, InOrder: g.InOrder, Kinds: g.Kinds})
 	}
-	return settings.Settings{Settings: s, Zones: []string{"hall"}, Kinds: []string{"a", "b"}, DialTime: dialTimeout, IdleTime: 30, Multiplex: 32,
-		MostHeld: 20000, Loads: w.Reports != "none"}
+	return settings.Settings{Settings: s, Zones: []string{"hall"}, Kinds: []string{"a", "b"}, DialTimeout: dialTimeout, IdleTimeout: 30, MaxStreamsPerConnection: 32,
+		MaxQueued: 20000, EnginesReportLoad: w.Reports != "none"}
 }
 
 // Capacity is the work in seconds that all engines do in a second when they are warm and not oversubscribed.
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -151,7 +151,7 @@
 				if v.Hold != "" {
 					s.ForcedLevel = v.Hold
 				}
-				variant.Levels, variant.SmoothingTime = &s, own.LevelsOver
+				variant.Levels, variant.SmoothingTime = &s, own.LevelDecayTime
 			}
 			if len(own.Routes.Routes) > 0 {
 				variant.NewRoutes = own.Routes.CopyUnspent
