--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -361,7 +361,7 @@
 	s := n.sim
 	n.generation++
 	n.up, n.openBatches, n.conns, n.turnEndScheduled, n.stream, n.currentClient = true, map[uint32]*batch{}, map[uint64]*conn{}, false, 0, 0
-	n.pool = &buffers.Pool{Keep: 16}
+	n.pool = &buffers.Pool{MaxFree: 16}
 	config := config.Config{Name: fmt.Sprintf("n%d", n.index+1), Seed: s.options.Seed<<16 ^ uint64(n.index)<<8 ^ uint64(n.generation),
 		Descriptors: 1 << 14, KnownEngines: s.nameService.listAt(s.now - s.world.ListDelay), Settings: s.routerSettings(n.index)}
 	n.router = router.New(config, func(directory.Engine) *traffic.EngineProtocol { return engineProtocol }, n.pool, s.now)
