--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -125,7 +125,7 @@
 	r.batch.activeDispatches--
 	e.sim.result.recordWork(r, !r.batch.closed && !r.batch.served)
 	e.sim.checker.runCompleted(r)
-	r.conn.reply(&traffic.Reply{ID: r.batch.id, Word: traffic.Done, Pages: 1, Page: -1, Work: r.batch.work, Memory: r.batch.memory})
+	r.conn.reply(&traffic.EngineReply{ID: r.batch.id, Kind: traffic.ReplyFirstPage, Pages: 1, Page: -1, Work: r.batch.work, Memory: r.batch.memory})
 }
 
 // start handles a dispatch: it starts a run of the batch, answers with an error if the engine is failing, and crashes a cold
@@ -134,7 +134,7 @@
 	s := e.sim
 	if e.failing { // the batch has not begun, but the reply does not say so
 		b.activeDispatches--
-		connection.reply(&traffic.Reply{ID: b.id, Word: traffic.Broke, Pages: -1, Page: -1, Work: -1, Memory: -1})
+		connection.reply(&traffic.EngineReply{ID: b.id, Kind: traffic.ReplyFailed, Pages: -1, Page: -1, Work: -1, Memory: -1})
 		return
 	}
 	e.advance()
@@ -194,7 +194,7 @@
 	e.advance()
 	for _, r := range e.running {
 		if r.startedAt <= e.sim.now-progressInterval/2 {
-			r.conn.reply(&traffic.Reply{ID: r.batch.id, Word: traffic.News, Pages: -1, Page: -1, Work: -1, Memory: -1,
+			r.conn.reply(&traffic.EngineReply{ID: r.batch.id, Kind: traffic.ReplyProgress, Pages: -1, Page: -1, Work: -1, Memory: -1,
 				Note: brain.Progress, Level: min(max(1-r.remaining/r.totalWork, 0), 1)})
 		}
 	}
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -106,11 +106,11 @@
 // recordAnswer counts a final answer and the utility that it earns.
 func (r *Result) recordAnswer(s *sim, b *batch, code traffic.Code) {
 	switch code {
-	case traffic.PushedBack:
+	case traffic.Rejected:
 		r.Rejected++
-	case traffic.Errored:
+	case traffic.Failed:
 		r.Failed++
-	case traffic.Returned:
+	case traffic.Succeeded:
 		r.Returned++
 		g := b.group
 		earned := g.Utility
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -351,9 +351,9 @@
 
 // Protocols of the emulated clients and engines. Messages are passed as values, so nothing is encoded or parsed.
 var (
-	clientProtocol = &traffic.ClientProtocol{Name: "emulated", Idle: 1e9, Open: 1 << 30,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return parts, nil }}
-	engineProtocol = &traffic.EngineProtocol{Name: "emulated", Bounded: true}
+	clientProtocol = &traffic.ClientProtocol{Name: "emulated", IdleTimeout: 1e9, MaxOpenBatches: 1 << 30,
+		ConvertResult: func(parts []rows.Part) ([]rows.Part, error) { return parts, nil }}
+	engineProtocol = &traffic.EngineProtocol{Name: "emulated", BoundedResult: true}
 )
 
 // start starts the router, or restarts it after a crash.
@@ -468,7 +468,7 @@
 		}
 		delete(n.openBatches, a.Stream)
 		n.lastToClients = max(n.lastToClients+1e-9, s.now+s.latency())
-		code, wait := a.Code, a.Wait
+		code, wait := a.Code, a.RetryAfter
 		s.schedule(n.lastToClients, func() { s.deliverAnswer(b, code, wait) })
 	case router.CloseClient: // the connection was idle too long; the next batch opens another
 		if action.Client == n.currentClient {
@@ -548,7 +548,7 @@
 }
 
 // send transmits an order of the router to the engine.
-func (c *conn) send(order traffic.Order) {
+func (c *conn) send(order traffic.EngineCommand) {
 	s := c.node.sim
 	var b *batch
 	if d, is := order.(*traffic.Dispatch); is {
@@ -570,14 +570,14 @@
 		switch o := order.(type) {
 		case *traffic.Dispatch:
 			e.start(c, o, b)
-		case traffic.GiveUp:
+		case traffic.CancelDispatch:
 			e.cancel(c, o.ID)
-		case traffic.AskPage: // results have only one page, which the first reply announced
-			c.reply(&traffic.Reply{ID: o.ID, Word: traffic.Broke, Pages: -1, Page: -1, Work: -1, Memory: -1})
+		case traffic.FetchPage: // results have only one page, which the first reply announced
+			c.reply(&traffic.EngineReply{ID: o.ID, Kind: traffic.ReplyFailed, Pages: -1, Page: -1, Work: -1, Memory: -1})
 		case traffic.Probe:
 			s.scheduleAfter(0.0005, func() {
 				if e.up && e.generation == c.engineGeneration {
-					c.reply(&traffic.Reply{ID: o.Tag, Word: traffic.Fit, Pages: -1, Page: -1, Work: -1, Memory: -1, Load: e.loadReport()})
+					c.reply(&traffic.EngineReply{ID: o.Tag, Kind: traffic.ReplyHealthy, Pages: -1, Page: -1, Work: -1, Memory: -1, Load: e.loadReport()})
 				}
 			})
 		}
@@ -585,7 +585,7 @@
 }
 
 // reply transmits a reply of the engine to the router.
-func (c *conn) reply(r *traffic.Reply) {
+func (c *conn) reply(r *traffic.EngineReply) {
 	s, n := c.node.sim, c.node
 	generation := n.generation
 	c.lastToRouter = max(c.lastToRouter+1e-9, s.now+s.latency())
@@ -752,10 +752,10 @@
 		b.stream, b.client = n.stream, n.currentClient
 		n.openBatches[b.stream] = b
 		s.checker.batchAccepted(n, b)
-		ask := &traffic.Ask{Stream: b.stream, Batch: traffic.Batch{ID: b.id, Group: b.group.Name, Mark: b.dedupID, Left: remaining, Cost: b.estimatedWork,
+		ask := &traffic.BatchRequest{Stream: b.stream, Batch: traffic.Batch{ID: b.id, Group: b.group.Name, IdempotencyKey: b.dedupID, TimeLeft: remaining, Cost: b.estimatedWork,
 			Memory: b.memory * math.Exp(0.3*s.batchDraws.NormFloat64())}}
 		if b.key != "" {
-			ask.Batch.Key = uint64(len(b.key))<<32 | uint64(atoi(b.key)+1)
+			ask.Batch.OrderKey = uint64(len(b.key))<<32 | uint64(atoi(b.key)+1)
 		}
 		ask.Batch.Text = n.pool.Chain()
 		ask.Batch.Text.WriteString("SELECT 1 FROM d_" + strconv.Itoa(b.dataSet) + ".t")
@@ -811,7 +811,7 @@
 	s.log("answer %s %s", b.id, code)
 	s.closeBatch(b)
 	s.result.recordAnswer(s, b, code)
-	if code == traffic.PushedBack {
+	if code == traffic.Rejected {
 		s.retry(b, max(wait, 0.05)*(0.75+0.5*s.batchDraws.Float64()))
 	}
 }
--- a/internal/standin/tds.go
+++ b/internal/standin/tds.go
@@ -73,8 +73,8 @@
 				break
 			}
 			switch w := said.(type) {
-			case *traffic.Ask:
-				run := Run{Engine: s.Name, Text: w.Batch.Text.String(), Group: w.Batch.Group, Mark: w.Batch.Mark}
+			case *traffic.BatchRequest:
+				run := Run{Engine: s.Name, Text: w.Batch.Text.String(), Group: w.Batch.Group, Mark: w.Batch.IdempotencyKey}
 				if len(w.Batch.Parameters) > 0 {
 					run.Text, _ = rows.Inline(run.Text, w.Batch.Parameters)
 				}
@@ -100,7 +100,7 @@
 }
 
 // tell answers the batch that runs, if it still does.
-func (c *tdsConn) tell(stream uint32, raw func([]byte) (keep []byte, hush bool), what ...traffic.Tell) {
+func (c *tdsConn) tell(stream uint32, raw func([]byte) (keep []byte, hush bool), what ...traffic.ClientReply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.stream != stream {
@@ -108,7 +108,7 @@
 	}
 	out := c.pool.Chain()
 	for _, w := range what {
-		c.session.Tell(out, w)
+		c.session.Encode(out, w)
 	}
 	b := out.Bytes()
 	out.Release()
@@ -127,7 +127,7 @@
 	defer s.ledger.answered(r)
 	if r.Act.Deed == TurnAway {
 		s.ledger.end(r)
-		c.tell(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.PushedBack})
+		c.tell(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Rejected})
 		return
 	}
 	c.mutex.Lock()
@@ -143,7 +143,7 @@
 	columns := []rows.Column{{Name: "engine", Type: rows.Type{Kind: rows.Text, Size: 64}},
 		{Name: "queue", Type: rows.Type{Kind: rows.Text, Size: 64}}, {Name: "line", Type: rows.Type{Kind: rows.Text}}}
 	count := max(r.Act.Rows, 1)
-	piece := func(from int) traffic.Tell { // made as it is sent, as an engine does that has begun to answer
+	piece := func(from int) traffic.ClientReply { // made as it is sent, as an engine does that has begun to answer
 		part := rows.Part{Form: rows.Values, Data: (&buffers.Pool{}).Chain()}
 		if from == 0 {
 			part.Columns = columns
@@ -155,7 +155,7 @@
 		}
 		return &traffic.Rows{Stream: stream, Part: part}
 	}
-	whole := func() (out []traffic.Tell) {
+	whole := func() (out []traffic.ClientReply) {
 		for from := 0; from < count; from += pageRows {
 			out = append(out, piece(from))
 		}
@@ -173,7 +173,7 @@
 		}
 		c.tell(stream, nil, &traffic.Answer{Stream: stream})
 	case Fail:
-		c.tell(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Errored, Why: "scripted"})
+		c.tell(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Failed, Reason: "scripted"})
 	case Drop:
 		c.Close()
 	case Cut:
@@ -222,7 +222,7 @@
 	out := pool.Chain()
 	c.state.Open(out)
 	c.flush(out)
-	if _, err := c.next(within, traffic.Up); err != nil {
+	if _, err := c.next(within, traffic.ReplyReady); err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("client: login: %w", err)
 	}
@@ -237,7 +237,7 @@
 
 // Reply is how a batch ended, with what came of its result.
 type Reply struct {
-	Word  traffic.Word
+	Word  traffic.ReplyKind
 	Why   string
 	Lines []string // its rows, values with tabs between them
 }
@@ -253,20 +253,20 @@
 // GiveUp sends an Attention and waits until it is acknowledged.
 func (c *TDSClient) GiveUp(within time.Duration) error {
 	out := c.pool.Chain()
-	c.state.Order(out, traffic.GiveUp{ID: fmt.Sprint(c.count)})
+	c.state.Encode(out, traffic.CancelDispatch{ID: fmt.Sprint(c.count)})
 	if err := c.flush(out); err != nil {
 		return err
 	}
-	_, err := c.next(within, traffic.Free)
+	_, err := c.next(within, traffic.ReplyReleased)
 	return err
 }
 
 // Next waits for the end of what was asked.
 func (c *TDSClient) Next(within time.Duration) (Reply, error) {
-	return c.next(within, traffic.Whole, traffic.Broke, traffic.Full)
+	return c.next(within, traffic.ReplyComplete, traffic.ReplyFailed, traffic.ReplyOverloaded)
 }
 
-func (c *TDSClient) next(within time.Duration, until ...traffic.Word) (out Reply, err error) {
+func (c *TDSClient) next(within time.Duration, until ...traffic.ReplyKind) (out Reply, err error) {
 	c.SetReadDeadline(time.Now().Add(within)) //nolint:errcheck
 	var columns []rows.Column
 	piece := make([]byte, 16<<10)
@@ -287,7 +287,7 @@
 			c.in.Write(piece[:n])
 			continue
 		}
-		if p := reply.Rows; reply.Word == traffic.Some {
+		if p := reply.Rows; reply.Kind == traffic.ReplyRows {
 			if p.Columns != nil {
 				columns = p.Columns
 			}
@@ -309,8 +309,8 @@
 			}
 		}
 		for _, w := range until {
-			if reply.Word == w {
-				out.Word, out.Why = reply.Word, reply.Why
+			if reply.Kind == w {
+				out.Word, out.Why = reply.Kind, reply.Reason
 				return out, nil
 			}
 		}
