--- a/internal/emulator/talk.go
+++ b/internal/emulator/talk.go
@@ -33,7 +33,7 @@
 	}
 	if s.options.LoadReportInterval > 0 {
 		own := news.Defaults()
-		own.Every, own.Stale = s.options.LoadReportInterval, own.Stale*s.options.LoadReportInterval/own.Every
+		own.Interval, own.StaleAfter = s.options.LoadReportInterval, own.StaleAfter*s.options.LoadReportInterval/own.Interval
 		set.LoadReports = &own
 	}
 	return set
