--- a/cmd/pitchfield/drain_test.go
+++ b/cmd/pitchfield/drain_test.go
@@ -37,7 +37,7 @@
 // answer is for standin.NewEngine: a result at once, of one page.
 func (a *arrivalLog) answer(r standin.Request) [][]string {
 	if r[0] != "fetch" {
-		return standin.Toy(r)
+		return standin.ToyAnswer(r)
 	}
 	a.mutex.Lock()
 	a.entries = append(a.entries, arrival{r[1], time.Now()})
@@ -81,8 +81,8 @@
 // waitForDrainAnswer waits until the name service has sent an answer with a drain, and gives when that was.
 func (p *program) waitForDrainAnswer(id string) time.Time {
 	p.t.Helper()
-	require.Eventually(p.t, func() bool { return !p.names.Drains()[id].IsZero() }, waitTimeout, time.Millisecond)
-	return p.names.Drains()[id]
+	require.Eventually(p.t, func() bool { return !p.names.FirstDrained()[id].IsZero() }, waitTimeout, time.Millisecond)
+	return p.names.FirstDrained()[id]
 }
 
 // A name service with a backlog answers each question late, but what it sends counts. All of its answers came to questions
@@ -91,8 +91,8 @@
 	var old, fresh arrivalLog
 	e0, e1 := newEngine(t, old.answer), newEngine(t, fresh.answer)
 	p := newProgram(t, e0)
-	p.names.Behind(40)
-	p.configureWithEngines(p.names, p.names.Known())
+	p.names.SetLag(40)
+	p.configureWithEngines(p.names, p.names.StartupEvents())
 	p.start()
 	p.names.Set(drainingHost("s-0", e0), readyHost("s-new", e1))
 	limit := p.waitForDrainAnswer("s-0").Add(grace + slack)
@@ -113,15 +113,15 @@
 	}
 	p.configure(p.names)
 	p.start()
-	before := p.names.Now()
+	before := p.names.CurrentList()
 	require.NoError(t, p.Process.Kill())
 	p.Wait() //nolint:errcheck
-	p.names.Renumber()
-	p.names.Stale(before)
-	p.configureWithEngines(p.names, p.names.Known())
-	answers := p.names.Answers()
+	p.names.ResetSerial()
+	p.names.AnswerNextWith(before)
+	p.configureWithEngines(p.names, p.names.StartupEvents())
+	answers := p.names.AnswerCount()
 	p.start()
-	require.Eventually(t, func() bool { return p.names.Answers() > answers+3 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return p.names.AnswerCount() > answers+3 }, waitTimeout, time.Millisecond)
 	p.names.Set(drainingHost("s-0", e0), readyHost("s-new", e1))
 	limit := p.waitForDrainAnswer("s-0").Add(grace + slack)
 	p.sendRequestsUntilPast(limit)
@@ -138,7 +138,7 @@
 		if time.Now().After(limit) {
 			past++
 		}
-		require.NoError(p.t, c.Ask(i, "lookup", fmt.Sprintf("%016x", i), requestTimeout, "SELECT 1"))
+		require.NoError(p.t, c.SendBatch(i, "lookup", fmt.Sprintf("%016x", i), requestTimeout, "SELECT 1"))
 		p.answers(c, 1)
 	}
 }
@@ -155,7 +155,7 @@
 	}))
 	gate := make(chan struct{})
 	var old, fresh arrivalLog
-	e0 := standin.EngineOn(&gatedListener{listener, gate}, old.answer)
+	e0 := standin.NewEngineFromListener(&gatedListener{listener, gate}, old.answer)
 	t.Cleanup(func() { e0.Close() })
 	e1 := newEngine(t, fresh.answer)
 	p := startNewProgram(t, e0)
@@ -163,7 +163,7 @@
 	text := "SELECT '" + strings.Repeat("x", 200_000) + "'"
 	const requests = 30 // more than there are connections to one engine
 	for i := range uint32(requests) {
-		require.NoError(t, c.Ask(i+1, "lookup", fmt.Sprintf("%016x", i+1), requestTimeout, text))
+		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), requestTimeout, text))
 	}
 	p.names.Set(drainingHost("s-0", e0), readyHost("s-new", e1))
 	limit := p.waitForDrainAnswer("s-0").Add(grace + slack)
--- a/internal/torture/budgets.go
+++ b/internal/torture/budgets.go
@@ -34,7 +34,7 @@
 			if c.coldCapacity(r.Engine, c.at(r)) < 0 || c.maybeDelayed(r) {
 				return "", 0
 			}
-			return r.Engine, r.Act.After.Seconds()
+			return r.Engine, r.Step.After.Seconds()
 		},
 		Instances: func(c *dispatchChecker) (out []string) {
 			for name, e := range c.Engines {
@@ -172,7 +172,7 @@
 	}
 	var moments []moment
 	for _, r := range c.runs {
-		if r.Group != "report" || r.Act.Deed == standin.TurnAway || r.GivenUp || r.Ended.IsZero() || c.linkFaulty(r, c.at(r)-maxTransit, r.Ended.Sub(c.Began)) {
+		if r.Group != "report" || r.Step.Action == standin.Reject || r.Canceled || r.Ended.IsZero() || c.linkFaulty(r, c.at(r)-maxTransit, r.Ended.Sub(c.Began)) {
 			continue
 		}
 		moments = append(moments, moment{r.Began, true, r}, moment{r.Ended, false, r})
--- a/internal/torture/runs.go
+++ b/internal/torture/runs.go
@@ -112,7 +112,7 @@
 		if count[r.ID]++; count[r.ID] == maxDispatches+1 {
 			c.found(2, r, "%s was sent more than %d times", r.ID, maxDispatches)
 		}
-		if r.Act.Deed == standin.TurnAway {
+		if r.Step.Action == standin.Reject {
 			continue
 		}
 		origin := c.origin(r.ID)
@@ -147,11 +147,11 @@
 
 // outcomeUnknown is what leaves in doubt whether a batch still runs: no whole answer came of it.
 func outcomeUnknown(r standin.Run) bool {
-	switch r.Act.Deed {
-	case standin.Drop, standin.Cut, standin.Hush, standin.Mute, standin.Half, standin.Garble, standin.Overlong, standin.Flood:
+	switch r.Step.Action {
+	case standin.CloseUnanswered, standin.CloseMidAnswer, standin.SilenceConnection, standin.SilenceEngine, standin.HalfAnswer, standin.SendGarbage, standin.InvalidLength, standin.EndlessAnswer:
 		return true
 	}
-	return r.GivenUp
+	return r.Canceled
 }
 
 // checkKeyOrder run in order, one at a time for each router, and rest after doubt; for half the time at least, as a stand-in may see
@@ -163,7 +163,7 @@
 	}
 	last := map[line]standin.Run{}
 	for _, r := range c.runs {
-		if r.Key == "" || r.Act.Deed == standin.TurnAway || r.Repeat {
+		if r.Key == "" || r.Step.Action == standin.Reject || r.Duplicate {
 			continue
 		}
 		l := line{c.router(r), r.Key}
--- a/internal/torture/terms.go
+++ b/internal/torture/terms.go
@@ -26,7 +26,7 @@
 }
 
 // arrival is when an attempt came to its engine, which may read it later.
-func (c *dispatchChecker) arrival(r standin.Run) time.Duration { return c.at(r) - r.Late }
+func (c *dispatchChecker) arrival(r standin.Run) time.Duration { return c.at(r) - r.ReadDelay }
 
 // checkEndedClients: no attempt begins once its client has cancelled it or its connection has ended.
 func (c *dispatchChecker) checkEndedClients() {
@@ -65,7 +65,7 @@
 	before := map[string][]standin.Run{}
 	for _, r := range c.runs {
 		for _, other := range before[r.ID] {
-			if other.Act.Deed != standin.TurnAway && (other.Over.IsZero() || other.Over.After(r.Began)) {
+			if other.Step.Action != standin.Reject && (other.Settled.IsZero() || other.Settled.After(r.Began)) {
 				c.found(2, r, "%s of %s came to %s beside an attempt that was out at %s since %.3f s", r.ID, c.Routers[c.router(r)].Name, r.Engine,
 					other.Engine, c.at(other).Seconds())
 				break
