--- a/cmd/pitchfield/attempts_test.go
+++ b/cmd/pitchfield/attempts_test.go
@@ -43,7 +43,7 @@
 		delete(a.open, r[1])
 		return nil
 	}
-	return standin.Toy(r)
+	return standin.ToyAnswer(r)
 }
 
 // Issue 53: where second copies are forbidden, no further attempt leaves before the engine has read that the first is given up. It
@@ -53,7 +53,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	e := &standin.Engine{Listener: listener, Answer: seen.answer, Late: func(connection int) time.Duration {
+	e := &standin.Engine{Listener: listener, Answer: seen.answer, ReadDelay: func(connection int) time.Duration {
 		if connection == 0 {
 			return readsLate
 		}
@@ -66,7 +66,7 @@
 	p.start()
 	c := p.client()
 	fields := []string{"c", "lookup", "i", "00000000000000f1", "d", "4000", "h", "20"}
-	_, err = c.Write(standin.Frame(10, 1, fields, "SELECT 1 FROM a_3.b"))
+	_, err = c.Write(standin.EncodeFrame(10, 1, fields, "SELECT 1 FROM a_3.b"))
 	require.NoError(t, err)
 	a := p.answers(c, 1)[1]
 	assert.Equal(t, uint8(0), a.Code, "the second attempt has a result")
--- a/cmd/pitchfield/drain_test.go
+++ b/cmd/pitchfield/drain_test.go
@@ -37,7 +37,7 @@
 // answer is for standin.NewEngine: a result at once, of one page.
 func (a *arrivals) answer(r standin.Request) [][]string {
 	if r[0] != "fetch" {
-		return standin.Toy(r)
+		return standin.ToyAnswer(r)
 	}
 	a.mutex.Lock()
 	a.all = append(a.all, arrival{r[1], time.Now()})
@@ -81,8 +81,8 @@
 // told waits until the name service has sent an answer with a drain, and gives when that was.
 func (p *program) told(id string) time.Time {
 	p.t.Helper()
-	require.Eventually(p.t, func() bool { return !p.names.Drains()[id].IsZero() }, patience, time.Millisecond)
-	return p.names.Drains()[id]
+	require.Eventually(p.t, func() bool { return !p.names.FirstDrained()[id].IsZero() }, patience, time.Millisecond)
+	return p.names.FirstDrained()[id]
 }
 
 // A name service with a backlog answers each question late, but what it sends counts. All of its answers came to questions
@@ -91,8 +91,8 @@
 	var old, fresh arrivals
 	e0, e1 := engine(t, old.answer), engine(t, fresh.answer)
 	p := prepare(t, e0)
-	p.names.Behind(40)
-	p.configureKnown(p.names, p.names.Known())
+	p.names.SetLag(40)
+	p.configureKnown(p.names, p.names.StartupEvents())
 	p.start()
 	p.names.Set(draining("s-0", e0), ready("s-new", e1))
 	limit := p.told("s-0").Add(grace + slack)
@@ -113,15 +113,15 @@
 	}
 	p.configure(p.names)
 	p.start()
-	before := p.names.Now()
+	before := p.names.CurrentList()
 	require.NoError(t, p.Process.Kill())
 	p.Wait() //nolint:errcheck
-	p.names.Renumber()
-	p.names.Stale(before)
-	p.configureKnown(p.names, p.names.Known())
-	answers := p.names.Answers()
+	p.names.ResetSerial()
+	p.names.AnswerNextWith(before)
+	p.configureKnown(p.names, p.names.StartupEvents())
+	answers := p.names.AnswerCount()
 	p.start()
-	require.Eventually(t, func() bool { return p.names.Answers() > answers+3 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return p.names.AnswerCount() > answers+3 }, patience, time.Millisecond)
 	p.names.Set(draining("s-0", e0), ready("s-new", e1))
 	limit := p.told("s-0").Add(grace + slack)
 	p.askUntilPast(limit)
@@ -138,7 +138,7 @@
 		if time.Now().After(limit) {
 			past++
 		}
-		require.NoError(p.t, c.Ask(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
+		require.NoError(p.t, c.SendBatch(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
 		p.answers(c, 1)
 	}
 }
@@ -155,7 +155,7 @@
 	}))
 	gate := make(chan struct{})
 	var old, fresh arrivals
-	e0 := standin.EngineOn(&gatedListener{listener, gate}, old.answer)
+	e0 := standin.NewEngineFromListener(&gatedListener{listener, gate}, old.answer)
 	t.Cleanup(func() { e0.Close() })
 	e1 := engine(t, fresh.answer)
 	p := launch(t, e0)
@@ -163,7 +163,7 @@
 	text := "SELECT '" + strings.Repeat("x", 200_000) + "'"
 	const requests = 30 // more than there are connections to one engine
 	for i := range uint32(requests) {
-		require.NoError(t, c.Ask(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, text))
+		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, text))
 	}
 	p.names.Set(draining("s-0", e0), ready("s-new", e1))
 	limit := p.told("s-0").Add(grace + slack)
--- a/cmd/pitchfield/main_test.go
+++ b/cmd/pitchfield/main_test.go
@@ -45,7 +45,7 @@
 	*exec.Cmd
 	t       *testing.T
 	address string
-	names   *standin.Names
+	names   *standin.NameService
 	log     lockedText
 	stderr  io.Writer // in place of the log, unless nil
 	path    string
@@ -86,7 +86,7 @@
 
 // prepare makes a name service that lists the engines, and a program that is not started.
 func prepare(t *testing.T, engines ...*standin.Engine) *program {
-	names, err := standin.NewNames("127.0.0.1:0")
+	names, err := standin.NewNameService("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { names.Close() })
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,12 +99,12 @@
 }
 
 // configure writes the file that names this name service.
-func (p *program) configure(names *standin.Names) {
+func (p *program) configure(names *standin.NameService) {
 	p.configureKnown(names, map[string]any{"pos": 0, "entries": []any{}})
 }
 
 // configureKnown does so with a list of engines that the program knows from its start.
-func (p *program) configureKnown(names *standin.Names, known any) {
+func (p *program) configureKnown(names *standin.NameService, known any) {
 	config, err := json.Marshal(map[string]any{"name": "n1", "listen": p.address, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
 		"resolver": names.LocalAddr().String(), "known": known, "settings": json.RawMessage(p.settings)})
@@ -128,8 +128,8 @@
 			return false
 		}
 		defer c.Close()
-		c.Write(standin.Frame(20, 1, []string{}, ""))
-		a, err := c.Next(time.Second)
+		c.Write(standin.EncodeFrame(20, 1, []string{}, ""))
+		a, err := c.ReadFrame(time.Second)
 		return err == nil && a.Type == 21 && a.Code == 0
 	}, patience, 20*time.Millisecond)
 }
@@ -149,10 +149,10 @@
 	return c
 }
 
-func (p *program) answers(c *standin.Client, n int) map[uint32]standin.Answer {
-	out := map[uint32]standin.Answer{}
+func (p *program) answers(c *standin.Client, n int) map[uint32]standin.ResponseFrame {
+	out := map[uint32]standin.ResponseFrame{}
 	for len(out) < n {
-		a, err := c.Next(patience)
+		a, err := c.ReadFrame(patience)
 		require.NoError(p.t, err)
 		if a.Type == 11 {
 			require.NotContains(p.t, out, a.Stream)
@@ -174,15 +174,15 @@
 	p := launch(t, e)
 	c := p.client()
 	for i := range uint32(8) {
-		require.NoError(t, c.Ask(i+1, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1 FROM a_3.b"))
+		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1 FROM a_3.b"))
 	}
 	for _, a := range p.answers(c, 8) {
 		assert.Equal(t, uint8(0), a.Code)
 		assert.Equal(t, "hello\tfrom\tpage 0\nhello\tfrom\tpage 1\n", a.Body)
 	}
-	require.Len(t, e.Seen("fetch"), 8)
-	assert.Equal(t, "SELECT 1 FROM a_3.b", e.Seen("fetch")[0][3])
-	assert.Contains(t, e.Seen("fetch")[0][2], "queue=lookup,budget=")
+	require.Len(t, e.Requests("fetch"), 8)
+	assert.Equal(t, "SELECT 1 FROM a_3.b", e.Requests("fetch")[0][3])
+	assert.Contains(t, e.Requests("fetch")[0][2], "queue=lookup,budget=")
 }
 
 func TestAnEngineThatDiesMidwayEndsOnceOnlyBatchesInAnError(t *testing.T) {
@@ -191,12 +191,12 @@
 	t.Cleanup(func() { close(hold) })
 	p := launch(t, dying)
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "INSERT INTO a_3.b SELECT 1"))
-	require.Eventually(t, func() bool { return len(dying.Seen("fetch")) == 1 }, patience, 10*time.Millisecond)
-	dying.Drop()
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "INSERT INTO a_3.b SELECT 1"))
+	require.Eventually(t, func() bool { return len(dying.Requests("fetch")) == 1 }, patience, 10*time.Millisecond)
+	dying.Shutdown()
 	a := p.answers(c, 1)[1]
 	assert.Equal(t, uint8(5), a.Code, "it may have run")
-	assert.Len(t, dying.Seen("fetch"), 1)
+	assert.Len(t, dying.Requests("fetch"), 1)
 }
 
 func TestAnEngineThatTalksRubbishLosesItsConnection(t *testing.T) {
@@ -204,13 +204,13 @@
 		if r[1] == "00000000000000f1" {
 			return [][]string{{"only one part"}}
 		}
-		return standin.Toy(r)
+		return standin.ToyAnswer(r)
 	})
 	p := launch(t, e)
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
 	assert.Equal(t, uint8(5), p.answers(c, 1)[1].Code, "it may have run")
-	require.NoError(t, c.Ask(2, "once", "00000000000000f2", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(2, "once", "00000000000000f2", left, "SELECT 1"))
 	assert.Equal(t, uint8(0), p.answers(c, 1)[2].Code)
 }
 
@@ -222,7 +222,7 @@
 	p.Wait()
 	p.start()
 	c := p.client()
-	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
 	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code)
 }
 
@@ -238,18 +238,18 @@
 
 func TestBadInputLeavesTheProgramUp(t *testing.T) {
 	p := launch(t, engine(t, nil))
-	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00\x00", string(standin.Frame(99, 1, nil, "?")),
-		string(standin.Frame(10, 0, []string{}, ""))} {
+	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00\x00", string(standin.EncodeFrame(99, 1, nil, "?")),
+		string(standin.EncodeFrame(10, 0, []string{}, ""))} {
 		c := p.client()
 		c.Write([]byte(text))
-		a, err := c.Next(patience)
+		a, err := c.ReadFrame(patience)
 		require.NoError(t, err)
 		assert.Equal(t, []any{uint8(11), uint32(0), uint8(5)}, []any{a.Type, a.Stream, a.Code})
-		_, err = c.Next(patience)
+		_, err = c.ReadFrame(patience)
 		assert.Error(t, err, "the connection ends")
 	}
 	c := p.client()
-	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
 	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code)
 }
 
@@ -265,11 +265,11 @@
 	for i := range uint32(20) { // who comes later is let in, and stays while it is in use
 		c := p.client()
 		for n := range uint32(3) {
-			require.NoError(t, c.Ask(n+1, "lookup", fmt.Sprintf("%016x", i*3+n+1), left, "SELECT 1"))
+			require.NoError(t, c.SendBatch(n+1, "lookup", fmt.Sprintf("%016x", i*3+n+1), left, "SELECT 1"))
 			require.Equal(t, uint8(0), p.answers(c, 1)[n+1].Code)
 		}
 	}
-	_, err := last.Next(patience)
+	_, err := last.ReadFrame(patience)
 	require.ErrorIs(t, err, io.EOF, "it says nothing")
 }
 
@@ -278,18 +278,18 @@
 		if r[0] == "fetch" {
 			time.Sleep(200 * time.Millisecond)
 		}
-		return standin.Toy(r)
+		return standin.ToyAnswer(r)
 	}))
 	c := p.client()
-	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
-	a, err := c.Next(50 * time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	a, err := c.ReadFrame(50 * time.Millisecond)
 	require.Error(t, err, "still out: %v", a)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	a, err = c.Next(patience)
+	a, err = c.ReadFrame(patience)
 	require.NoError(t, err)
 	assert.Equal(t, uint8(30), a.Type, "no new batch here")
 	late := p.client()
-	require.NoError(t, late.Ask(1, "lookup", "00000000000000f2", left, "SELECT 1"))
+	require.NoError(t, late.SendBatch(1, "lookup", "00000000000000f2", left, "SELECT 1"))
 	assert.Equal(t, uint8(0), p.answers(late, 1)[1].Code, "taken all the same")
 	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code)
 	assert.NoError(t, p.Wait(), p.log.String())
@@ -302,21 +302,21 @@
 		if r[0] == "fetch" {
 			<-hold
 		}
-		return standin.Toy(r)
+		return standin.ToyAnswer(r)
 	})
 	p := launch(t, e)
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Seen("fetch")) == 1 }, patience, 10*time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 1 }, patience, 10*time.Millisecond)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	a, err := c.Next(patience)
+	a, err := c.ReadFrame(patience)
 	require.NoError(t, err)
 	require.Equal(t, uint8(30), a.Type)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	late := p.client()
-	require.NoError(t, late.Ask(1, "lookup", "00000000000000f2", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Seen("fetch")) == 2 }, patience, 10*time.Millisecond, "it still takes what comes")
+	require.NoError(t, late.SendBatch(1, "lookup", "00000000000000f2", left, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 2 }, patience, 10*time.Millisecond, "it still takes what comes")
 	close(hold)
 	assert.Equal(t, uint8(0), p.answers(late, 1)[1].Code)
 	assert.Equal(t, uint8(0), p.answers(c, 1)[1].Code)
@@ -339,17 +339,17 @@
 	i := uint32(0)
 	require.Eventually(t, func() bool {
 		i++
-		require.NoError(t, c.Ask(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
+		require.NoError(t, c.SendBatch(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
 		p.answers(c, 1)
-		return len(fresh.Seen("fetch")) > 0
+		return len(fresh.Requests("fetch")) > 0
 	}, patience, 20*time.Millisecond)
-	before := len(old.Seen("fetch"))
+	before := len(old.Requests("fetch"))
 	for range 3 {
 		i++
-		require.NoError(t, c.Ask(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
+		require.NoError(t, c.SendBatch(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
 		p.answers(c, 1)
 	}
-	assert.Len(t, old.Seen("fetch"), before)
+	assert.Len(t, old.Requests("fetch"), before)
 }
 
 func TestAReloadMovesToAnotherNameServiceAndABadOneChangesNothing(t *testing.T) {
@@ -357,13 +357,13 @@
 		if r[0] == "fetch" {
 			time.Sleep(300 * time.Millisecond)
 		}
-		return standin.Toy(r)
+		return standin.ToyAnswer(r)
 	}
 	old, fresh := engine(t, slow), engine(t, nil)
 	p := launch(t, old)
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
-	other, err := standin.NewNames("127.0.0.1:0")
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
+	other, err := standin.NewNameService("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { other.Close() })
 	for range 2 { // the numbers go on
@@ -378,9 +378,9 @@
 	i := uint32(1)
 	require.Eventually(t, func() bool {
 		i++
-		require.NoError(t, c.Ask(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
+		require.NoError(t, c.SendBatch(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
 		p.answers(c, 1)
-		return len(fresh.Seen("fetch")) > 0
+		return len(fresh.Requests("fetch")) > 0
 	}, patience, 20*time.Millisecond)
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
--- a/cmd/pitchfield/syscalls_test.go
+++ b/cmd/pitchfield/syscalls_test.go
@@ -197,7 +197,7 @@
 			if i%2 == 0 {
 				class = "once"
 			}
-			require.NoError(p.t, c.Ask(i, class, fmt.Sprintf("%016x", i), left, "SELECT 1"))
+			require.NoError(p.t, c.SendBatch(i, class, fmt.Sprintf("%016x", i), left, "SELECT 1"))
 		}
 		answers := p.answers(c, together)
 		for _, a := range answers {
@@ -232,7 +232,7 @@
 	p.start()
 	table.Set(0, rule)
 	waits := p.client()
-	require.NoError(t, waits.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, waits.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
 	require.Eventually(t, func() bool { return table.Hits(0) > 0 }, patience, time.Millisecond)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.Eventually(t, func() bool { return p.logged(`"stopped"`) }, patience, time.Millisecond)
@@ -279,7 +279,7 @@
 			table := p.withFaults()
 			p.configure(p.names)
 			p.start()
-			other, err := standin.NewNames("127.0.0.1:0")
+			other, err := standin.NewNameService("127.0.0.1:0")
 			require.NoError(t, err)
 			t.Cleanup(func() { other.Close() })
 			other.Set(ready("s-new", fresh))
@@ -297,7 +297,7 @@
 			c, ids := p.client(), &requestIDs{}
 			assert.Eventually(t, func() bool {
 				p.served(c, ids, 1)
-				return len(fresh.Seen("fetch")) > 0
+				return len(fresh.Requests("fetch")) > 0
 			}, patience, 20*time.Millisecond, "the name service that the file names is never asked")
 		})
 	}
--- a/cmd/pitchfield/words_test.go
+++ b/cmd/pitchfield/words_test.go
@@ -83,7 +83,7 @@
 	}, patience, 50*time.Millisecond)
 	assert.Regexp(t, `reason +held by the operator`, out)
 	c := p.client()
-	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
 	a := p.answers(c, 1)[1]
 	assert.Equal(t, []any{uint8(11), "500"}, []any{a.Code, a.Fields["w"]}, "shed at once, with the time to come back")
 }
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -28,7 +28,7 @@
 
 type fleet struct {
 	folder, program string
-	names           *standin.Names
+	names           *standin.NameService
 	processes       [routers]*exec.Cmd
 }
 
@@ -52,7 +52,7 @@
 	defer os.RemoveAll(folder)
 	f := &fleet{folder: folder, program: program}
 	defer f.end()
-	if f.names, err = standin.NewNames("127.0.0.1:0"); err != nil {
+	if f.names, err = standin.NewNameService("127.0.0.1:0"); err != nil {
 		return err
 	}
 	var hosts []standin.Host
@@ -92,7 +92,7 @@
 
 func (f *fleet) start(i int) error {
 	address := func(base int) string { return fmt.Sprintf("127.0.0.1:%d", base+i) }
-	text, err := rig.Configuration(rig.Groups, fmt.Sprintf("n%d", i+1), address(7410), fmt.Sprintf("%016x", i+1), 64, 512, f.names.LocalAddr().String(), f.names.Known())
+	text, err := rig.Configuration(rig.Groups, fmt.Sprintf("n%d", i+1), address(7410), fmt.Sprintf("%016x", i+1), 64, 512, f.names.LocalAddr().String(), f.names.StartupEvents())
 	if err != nil {
 		return err
 	}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -34,7 +34,7 @@
 }
 
 func serve() error {
-	names, err := standin.NewNames(resolver)
+	names, err := standin.NewNameService(resolver)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 			if r[0] == "fetch" {
 				fmt.Println(id, strings.Join(r, " "))
 			}
-			return standin.Toy(r)
+			return standin.ToyAnswer(r)
 		})
 		if err != nil {
 			return err
@@ -63,10 +63,10 @@
 	}
 	defer c.Close()
 	id := strconv.FormatInt(time.Now().UnixNano(), 16)
-	if err := c.Ask(1, "lookup", id, 2*time.Second, text); err != nil {
+	if err := c.SendBatch(1, "lookup", id, 2*time.Second, text); err != nil {
 		return err
 	}
-	a, err := c.Next(3 * time.Second)
+	a, err := c.ReadFrame(3 * time.Second)
 	if err != nil {
 		return err
 	}
--- a/internal/loop/crossings_test.go
+++ b/internal/loop/crossings_test.go
@@ -46,7 +46,7 @@
 type place struct {
 	t       *testing.T
 	address string
-	names   *standin.Names
+	names   *standin.NameService
 	cancel  context.CancelFunc
 	ended   chan error
 	said    lines
@@ -166,7 +166,7 @@
 // begin starts a router. The name service is asked through via, which is told where it is, or directly without one; listed
 // engines are what the router knows from its start.
 func begin(t *testing.T, descriptors int, via func(names string) string, listed ...directory.Engine) *place {
-	names, err := standin.NewNames("127.0.0.1:0")
+	names, err := standin.NewNameService("127.0.0.1:0")
 	require.NoError(t, err)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -249,15 +249,15 @@
 	return &standin.Client{Conn: c}
 }
 
-func (p *place) next(c *standin.Client) standin.Answer {
+func (p *place) next(c *standin.Client) standin.ResponseFrame {
 	p.t.Helper()
-	a, err := c.Next(patience)
+	a, err := c.ReadFrame(patience)
 	require.NoError(p.t, err)
 	return a
 }
 
 // answer gives the next final answer.
-func (p *place) answer(c *standin.Client) standin.Answer {
+func (p *place) answer(c *standin.Client) standin.ResponseFrame {
 	p.t.Helper()
 	for {
 		if a := p.next(c); a.Type == clients.Answer {
@@ -376,7 +376,7 @@
 	listener, err := net.FileListener(l.file)
 	require.NoError(l.t, err)
 	l.t.Cleanup(func() { listener.Close() })
-	l.engine = standin.EngineOn(listener, answer)
+	l.engine = standin.NewEngineFromListener(listener, answer)
 	return l.engine
 }
 
@@ -384,7 +384,7 @@
 func (p *place) ends(c *standin.Client) {
 	p.t.Helper()
 	for {
-		_, err := c.Next(patience)
+		_, err := c.ReadFrame(patience)
 		if err != nil {
 			assert.ErrorIs(p.t, err, io.EOF)
 			return
@@ -400,27 +400,27 @@
 	p.names.Set(host("s-0", e))
 	idle := p.narrow()
 	for i := range uint32(3) {
-		require.NoError(t, idle.Ask(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 FROM a_3.b"))
+		require.NoError(t, idle.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 FROM a_3.b"))
 	}
 	p.answered(3)
 	for range 3 {
 		c := p.client()
-		c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
 		p.next(c)
 	}
 	crossed := make(chan bool, 1)
 	p.mutex.Lock()
 	p.opened = sync.OnceFunc(func() {
-		crossed <- idle.Ask(4, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b") == nil
+		crossed <- idle.SendBatch(4, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b") == nil
 	})
 	p.mutex.Unlock()
 	other := p.client() // one too many
 	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served, 3: clients.Served}, p.codes(idle, 3))
 	p.ends(idle)
 	require.True(t, <-crossed)
-	require.NoError(t, other.Ask(1, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
+	require.NoError(t, other.SendBatch(1, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
 	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
-	assert.Len(t, e.Seen("fetch"), 4, "sent again on another connection, and sent on once")
+	assert.Len(t, e.Requests("fetch"), 4, "sent again on another connection, and sent on once")
 }
 
 // The same at the end of the process: the batch comes between the decision to end and the end.
@@ -430,22 +430,22 @@
 	p.names.Set(host("s-0", e))
 	slow, other := p.narrow(), p.client()
 	for i := range uint32(3) {
-		require.NoError(t, slow.Ask(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 FROM a_3.b"))
+		require.NoError(t, slow.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 FROM a_3.b"))
 	}
-	require.NoError(t, other.Ask(1, "lookup", fmt.Sprintf("%016x", 9), left, "SELECT 1 FROM a_3.b"))
+	require.NoError(t, other.SendBatch(1, "lookup", fmt.Sprintf("%016x", 9), left, "SELECT 1 FROM a_3.b"))
 	p.answered(4)
 	there, goOn := p.said.hold("stopped")
 	defer goOn()
 	p.cancel()
 	<-there
-	require.NoError(t, slow.Ask(4, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
+	require.NoError(t, slow.SendBatch(4, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
 	goOn()
 	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served, 3: clients.Served}, p.codes(slow, 3))
 	p.ends(slow)
 	assert.Equal(t, uint32(1), p.answer(other).Stream)
 	p.ends(other)
 	p.end()
-	assert.Len(t, e.Seen("fetch"), 4, "what crossed the end is not sent on")
+	assert.Len(t, e.Requests("fetch"), 4, "what crossed the end is not sent on")
 }
 
 // Half a batch is there as the router is told to stop, and the rest comes after it would have ended.
@@ -454,14 +454,14 @@
 	p := begin(t, 1024, nil, listed("s-0", e))
 	p.names.Set(host("s-0", e))
 	c := p.client()
-	frame := standin.Frame(clients.Ask, 1, []string{"c", "once", "i", "00000000000000f1", "d", "6000"}, "SELECT 1")
+	frame := standin.EncodeFrame(clients.Ask, 1, []string{"c", "once", "i", "00000000000000f1", "d", "6000"}, "SELECT 1")
 	c.Write(frame[:20]) //nolint:errcheck
 	whole := p.client()
-	whole.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
-	p.next(whole)                                                   // so the half has been read
+	whole.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+	p.next(whole)                                                         // so the half has been read
 	p.cancel()
 	assert.Equal(t, uint8(clients.NoMore), p.next(c).Type)
-	_, err := c.Next(time.Second)
+	_, err := c.ReadFrame(time.Second)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is waited for")
 	c.Write(frame[20:]) //nolint:errcheck
 	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
@@ -475,15 +475,15 @@
 	p := begin(t, 1024, nil, slow.listed("s-late"))
 	p.names.Set(slow.host("s-late"))
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
 	p.said.await(t, "dispatch map", "s-late")
 	slow.asked() // before the drain, which may have the router give the connection up
 	p.names.Set(draining(slow.host("s-late")), host("s-other", other))
 	p.said.await(t, "engine listed", "draining:true", "s-late")
 	up := slow.release(nil)
 	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
-	assert.Empty(t, up.Seen("fetch"), "nothing new for an engine that drains")
-	assert.Len(t, other.Seen("fetch"), 1)
+	assert.Empty(t, up.Requests("fetch"), "nothing new for an engine that drains")
+	assert.Len(t, other.Requests("fetch"), 1)
 }
 
 // A repeat waits for its connection until the engines have forgotten its first.
@@ -494,17 +494,17 @@
 	p.names.Set(host("s-first", first))
 	c := p.client()
 	fields := []string{"c", "load", "i", "00000000000000f1", "d", "6000", "k", strings.Repeat("a", clients.MarkDigits)}
-	_, err := c.Write(standin.Frame(clients.Ask, 1, fields, "SELECT 1"))
+	_, err := c.Write(standin.EncodeFrame(clients.Ask, 1, fields, "SELECT 1"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return len(first.Seen("fetch")) == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(first.Requests("fetch")) == 1 }, patience, time.Millisecond)
 	p.names.Set(draining(host("s-first", first)), slow.host("s-late"))
 	p.said.await(t, "engine listed", "s-late")
-	first.Drop()
+	first.Shutdown()
 	close(hold)
 	slow.asked()
 	up := slow.release(nil)
 	assert.Equal(t, uint8(clients.Failed), p.answer(c).Code, "it may have run")
-	assert.Empty(t, up.Seen("fetch"), "the engines have forgotten it")
+	assert.Empty(t, up.Requests("fetch"), "the engines have forgotten it")
 }
 
 // A client goes while its batch waits for a connection, and the connection comes up after that.
@@ -513,15 +513,15 @@
 	p := begin(t, 1024, nil, slow.listed("s-late"))
 	p.names.Set(slow.host("s-late"))
 	c, other := p.client(), p.client()
-	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
 	p.said.await(t, "dispatch map", "f1")
 	c.Close()
 	p.said.await(t, "left map", "f1")
 	slow.asked()
 	up := slow.release(nil)
-	require.NoError(t, other.Ask(1, "lookup", "00000000000000f2", left, "SELECT 2"))
+	require.NoError(t, other.SendBatch(1, "lookup", "00000000000000f2", left, "SELECT 2"))
 	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
-	for _, r := range up.Seen("fetch") {
+	for _, r := range up.Requests("fetch") {
 		assert.Equal(t, "00000000000000f2", r[1], "nothing is sent for who has gone")
 	}
 }
@@ -537,21 +537,21 @@
 	p := begin(t, 1024, nil, listed("s-0", e))
 	p.names.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Seen("more")) > 0 }, patience, time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("more")) > 0 }, patience, time.Millisecond)
 	c.Close()
-	require.Eventually(t, func() bool { return len(e.Seen("done")) == 1 }, patience, time.Millisecond, "the engine may forget them")
+	require.Eventually(t, func() bool { return len(e.Requests("done")) == 1 }, patience, time.Millisecond, "the engine may forget them")
 }
 
 // Bytes that can't be read come behind a batch that is out.
 func TestRubbishCrossesAnAnswer(t *testing.T) {
 	hold := make(chan struct{})
-	e := engine(t, func(r standin.Request) [][]string { <-hold; return standin.Toy(r) })
+	e := engine(t, func(r standin.Request) [][]string { <-hold; return standin.ToyAnswer(r) })
 	p := begin(t, 1024, nil, listed("s-0", e))
 	p.names.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Seen("fetch")) == 1 }, patience, time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 1 }, patience, time.Millisecond)
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) //nolint:errcheck
 	for stream := range uint32(2) {
 		a := p.next(c)
@@ -560,7 +560,7 @@
 	p.ends(c)
 	close(hold)
 	whole := p.client()
-	require.NoError(t, whole.Ask(1, "once", "00000000000000f2", left, "SELECT 1"))
+	require.NoError(t, whole.SendBatch(1, "once", "00000000000000f2", left, "SELECT 1"))
 	assert.Equal(t, uint8(clients.Served), p.answer(whole).Code)
 }
 
@@ -637,9 +637,9 @@
 	p.names.Set(draining(host("s-old", old)), host("s-new", fresh))
 	p.said.await(t, "engine listed", "s-new")
 	c := p.client()
-	require.NoError(t, c.Ask(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
 	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
-	assert.Empty(t, old.Seen("fetch"))
+	assert.Empty(t, old.Requests("fetch"))
 }
 
 // Idle clients take all the descriptors that clients may have while the name service says nothing. Engines, the name service and
@@ -666,10 +666,10 @@
 	ask := func(id string) uint8 { // as clients do that may be shut unread at the bound
 		for {
 			c := p.client()
-			if c.Ask(1, "lookup", id, left, "SELECT 1") != nil {
+			if c.SendBatch(1, "lookup", id, left, "SELECT 1") != nil {
 				continue
 			}
-			if a, err := c.Next(patience); err == nil {
+			if a, err := c.ReadFrame(patience); err == nil {
 				return a.Code
 			}
 		}
@@ -680,9 +680,9 @@
 	p.names.Set(draining(host("s-old", old)), host("s-new", fresh))
 	d.fallSilent(false)
 	p.said.await(t, "engine listed", "s-new")
-	before := len(old.Seen("fetch"))
+	before := len(old.Requests("fetch"))
 	assert.Equal(t, uint8(clients.Served), ask("00000000000000f2"))
-	assert.Len(t, old.Seen("fetch"), before)
+	assert.Len(t, old.Requests("fetch"), before)
 }
 
 // The list is not there yet: a client that asks at once is told to wait, not that all is well.
@@ -692,7 +692,7 @@
 	ready := func() uint8 {
 		c := p.client()
 		defer c.Close()
-		c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
 		return p.next(c).Code
 	}
 	assert.Equal(t, uint8(clients.Refused), ready())
@@ -711,7 +711,7 @@
 	p.cancel()
 	<-there
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
 	goOn()
 	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
 	p.ends(c)
@@ -726,9 +726,9 @@
 	p := begin(t, 1024, nil, listed("s-0", e))
 	p.names.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
-	require.NoError(t, c.Ask(2, "lookup", "00000000000000f2", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Seen("fetch")) == 2 }, patience, time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(2, "lookup", "00000000000000f2", left, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 2 }, patience, time.Millisecond)
 	at := time.Now()
 	p.cancel()
 	got := p.codes(c, 2)
@@ -746,18 +746,18 @@
 	c, other := p.client(), p.client()
 	there, goOn := p.said.hold("f9 left:")
 	defer goOn()
-	require.NoError(t, other.Ask(1, "lookup", "00000000000000f9", left, "SELECT 1"))
+	require.NoError(t, other.SendBatch(1, "lookup", "00000000000000f9", left, "SELECT 1"))
 	<-there
 	for i := range uint32(4) { // more than is read at a time
-		require.NoError(t, c.Ask(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 /* "+strings.Repeat("x", 60000)+" */"))
+		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 /* "+strings.Repeat("x", 60000)+" */"))
 	}
 	c.Close()
 	goOn()
 	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
 	p.said.await(t, "client gone with open batches", "open:4")
-	require.NoError(t, other.Ask(2, "lookup", "00000000000000fa", left, "SELECT 1"))
+	require.NoError(t, other.SendBatch(2, "lookup", "00000000000000fa", left, "SELECT 1"))
 	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
-	for _, r := range e.Seen("fetch") {
+	for _, r := range e.Requests("fetch") {
 		assert.Contains(t, []string{"00000000000000f9", "00000000000000fa"}, r[1], "nothing is sent for who has gone")
 	}
 }
@@ -768,14 +768,14 @@
 	p := begin(t, 1024, nil, listed("s-0", e))
 	p.names.Set(host("s-0", e))
 	c, other := p.client(), p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
 	require.Equal(t, uint8(clients.Served), p.answer(c).Code)
 	there, goOn := p.said.hold("batch can't be used")
 	defer goOn()
-	require.NoError(t, other.Ask(1, "nobody's", "00000000000000f9", left, "SELECT 1"))
+	require.NoError(t, other.SendBatch(1, "nobody's", "00000000000000f9", left, "SELECT 1"))
 	<-there
-	e.Cut()
-	require.NoError(t, c.Ask(2, "once", "00000000000000f2", left, "SELECT 1"))
+	e.CloseConnections()
+	require.NoError(t, c.SendBatch(2, "once", "00000000000000f2", left, "SELECT 1"))
 	goOn()
 	assert.Equal(t, uint8(clients.Served), p.answer(c).Code, "all that has come is known before a batch is sent")
 }
@@ -786,8 +786,8 @@
 	p := begin(t, 1024, nil, listed("s-0", e))
 	p.names.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.Ask(1, "once", "00000000000000f1", left, "SELECT 1"))
-	for _, b := range standin.Frame(clients.Ask, 2, []string{"c", "once", "i", "00000000000000f2", "d", "6000"}, "SELECT 1") {
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
+	for _, b := range standin.EncodeFrame(clients.Ask, 2, []string{"c", "once", "i", "00000000000000f2", "d", "6000"}, "SELECT 1") {
 		_, err := c.Write([]byte{b})
 		require.NoError(t, err)
 	}
@@ -804,9 +804,9 @@
 		return nobody.LocalAddr().String()
 	}, listed("s-0", e))
 	c := p.client()
-	c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+	c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
 	assert.Equal(t, uint8(clients.Served), p.next(c).Code, "ready")
-	require.NoError(t, c.Ask(2, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(2, "once", "00000000000000f1", left, "SELECT 1"))
 	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
 	p.said.await(t, "name service is silent")
 	assert.Less(t, strings.Count(p.said.String(), "stood still"), 3, "waiting for the next event is no standstill")
@@ -823,24 +823,24 @@
 	p := begin(t, 8, nil, listed("s-0", e)) // four clients
 	p.names.Set(host("s-0", e))
 	idle := p.client()
-	require.NoError(t, idle.Ask(1, "lookup", "0000000000000001", left, "SELECT 1 FROM a_3.b"))
+	require.NoError(t, idle.SendBatch(1, "lookup", "0000000000000001", left, "SELECT 1 FROM a_3.b"))
 	require.Equal(t, uint8(clients.Served), p.answer(idle).Code)
 	for range 3 {
 		c := p.client()
-		c.Write(standin.Frame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
 		p.next(c)
 	}
 	p.mutex.Lock()
 	p.opened = sync.OnceFunc(func() { // the loop stands still here, and ends the idle one then
 		for i := range uint32(3) {
-			idle.Ask(2+i, "lookup", fmt.Sprintf("%016x", 2+i), left, "SELECT 1 FROM a_3.b") //nolint:errcheck
+			idle.SendBatch(2+i, "lookup", fmt.Sprintf("%016x", 2+i), left, "SELECT 1 FROM a_3.b") //nolint:errcheck
 		}
 	})
 	p.mutex.Unlock()
 	p.client() // one too many
 	assert.Equal(t, map[uint32]uint8{2: clients.Refused, 3: clients.Refused, 4: clients.Refused}, p.codes(idle, 3))
 	p.ends(idle)
-	assert.Len(t, e.Seen("fetch"), 1)
+	assert.Len(t, e.Requests("fetch"), 1)
 }
 
 // standstill is a router that stands still in the middle of a step, twice: while it stands still first, a timer fires and the
@@ -861,15 +861,15 @@
 	p.names.Set(host("s-0", e))
 	s := &standstill{place: p, first: p.client(), second: p.client()}
 	for i, c := range []*standin.Client{s.first, s.second} {
-		require.NoError(t, c.Ask(1, "lookup", fmt.Sprintf("%016x", 0xf0+i), left, "SELECT 1"))
+		require.NoError(t, c.SendBatch(1, "lookup", fmt.Sprintf("%016x", 0xf0+i), left, "SELECT 1"))
 		require.Equal(t, uint8(clients.Served), p.answer(c).Code)
 	}
-	p.names.Withhold(true)
-	require.Eventually(t, func() bool { return p.names.Waiting() > 0 }, patience, time.Millisecond)
+	p.names.SetWithheld(true)
+	require.Eventually(t, func() bool { return p.names.PendingQueries() > 0 }, patience, time.Millisecond)
 	stands, goOn := p.said.hold("batch map")
-	require.NoError(t, s.first.Ask(2, "lookup", "0000000000000002", left, "SELECT 1"))
+	require.NoError(t, s.first.SendBatch(2, "lookup", "0000000000000002", left, "SELECT 1"))
 	<-stands
-	require.NoError(t, s.second.Ask(2, "lookup", "0000000000000003", left, "SELECT 1"))
+	require.NoError(t, s.second.SendBatch(2, "lookup", "0000000000000003", left, "SELECT 1"))
 	s.wait(time.Now().Add(2 * grace)) // the timer fires
 	stands, s.goOn = p.said.hold("batch map")
 	goOn()
@@ -890,7 +890,7 @@
 
 func (a *arrivals) answer(r standin.Request) [][]string {
 	if r[0] != "fetch" {
-		return standin.Toy(r)
+		return standin.ToyAnswer(r)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -919,9 +919,9 @@
 	e0, e1 := engine(t, old.answer), engine(t, fresh.answer)
 	s := standStill(t, e0)
 	s.names.Set(draining(host("s-0", e0)), host("s-new", e1))
-	s.names.Withhold(false)
-	require.Eventually(t, func() bool { return !s.names.Drains()["s-0"].IsZero() }, patience, time.Millisecond)
-	limit := s.names.Drains()["s-0"].Add(grace + slack)
+	s.names.SetWithheld(false)
+	require.Eventually(t, func() bool { return !s.names.FirstDrained()["s-0"].IsZero() }, patience, time.Millisecond)
+	limit := s.names.FirstDrained()["s-0"].Add(grace + slack)
 	s.wait(limit)
 	s.goOn()
 	assert.Equal(t, uint8(clients.Served), s.answer(s.first).Code)
@@ -938,7 +938,7 @@
 	s.wait(time.Now().Add(100*time.Millisecond + slack))
 	s.goOn()
 	assert.Equal(t, uint8(clients.Served), s.answer(s.second).Code)
-	require.NoError(t, s.second.Ask(3, "lookup", "0000000000000004", left, "SELECT 1"))
+	require.NoError(t, s.second.SendBatch(3, "lookup", "0000000000000004", left, "SELECT 1"))
 	assert.Equal(t, uint8(clients.Served), s.answer(s.second).Code)
 	assert.NotContains(t, arrived.after(time.Time{}), "0000000000000002", "an attempt long after its client closed")
 }
--- a/internal/rig/askers.go
+++ b/internal/rig/askers.go
@@ -105,12 +105,12 @@
 	if s.Mark != "" {
 		fields = append(fields, "k", s.Mark)
 	}
-	_, err := a.c.Write(standin.Frame(10, a.stream, fields, s.Text+" --key="+s.Key))
+	_, err := a.c.Write(standin.EncodeFrame(10, a.stream, fields, s.Text+" --key="+s.Key))
 	return err
 }
 
 func (a *framesAsker) leave() error {
-	_, err := a.c.Write(standin.Frame(12, a.stream, nil, ""))
+	_, err := a.c.Write(standin.EncodeFrame(12, a.stream, nil, ""))
 	return err
 }
 
@@ -118,7 +118,7 @@
 
 func (a *framesAsker) end(within time.Duration) (out Ending) {
 	for {
-		f, err := a.c.Next(within)
+		f, err := a.c.ReadFrame(within)
 		if err != nil {
 			return Ending{Lost: true, Why: err.Error(), Took: time.Since(a.began)}
 		}
@@ -135,7 +135,7 @@
 		break
 	}
 	for { // a connection that closes or says that there is no more is none
-		f, err := a.c.Next(second)
+		f, err := a.c.ReadFrame(second)
 		if err != nil {
 			return out
 		}
@@ -157,15 +157,15 @@
 	if s.Mark != "" {
 		head += " mark=" + s.Mark
 	}
-	return a.c.Ask(fmt.Sprintf("%s limit=%s */ %s --key=%s", head, s.Limit, s.Text, s.Key))
+	return a.c.Send(fmt.Sprintf("%s limit=%s */ %s --key=%s", head, s.Limit, s.Text, s.Key))
 }
 
-func (a *tdsAsker) leave() error { return a.c.GiveUp(readyWithin) }
+func (a *tdsAsker) leave() error { return a.c.Cancel(readyWithin) }
 
 func (a *tdsAsker) Close() error { return a.c.Close() }
 
 func (a *tdsAsker) end(within time.Duration) Ending {
-	r, err := a.c.Next(within)
+	r, err := a.c.ReadReply(within)
 	if err != nil {
 		return Ending{Lost: true, Why: err.Error(), Took: time.Since(a.began)}
 	}
--- a/internal/rig/driver_test.go
+++ b/internal/rig/driver_test.go
@@ -62,11 +62,11 @@
 }
 
 func TestTheDriverCancelsAndIsTurnedAway(t *testing.T) {
-	ledger := &standin.Ledger{Script: func(r standin.Run, _ int) standin.Act {
+	ledger := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step {
 		if r.Group == "once" {
-			return standin.Act{Deed: standin.TurnAway}
+			return standin.Step{Action: standin.Reject}
 		}
-		return standin.Act{After: 400 * time.Millisecond}
+		return standin.Step{After: 400 * time.Millisecond}
 	}}
 	w := world(t, Options{TDS: 1, Ledger: ledger})
 	db := driver(t, w, "")
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -38,7 +38,7 @@
 }
 
 func stories() (out []story) {
-	for d := standin.TurnAway; d <= standin.Flood; d++ {
+	for d := standin.Reject; d <= standin.EndlessAnswer; d++ {
 		out = append(out, story{d.String(), func(p string) ([]line, error) { return deed(p, d) }})
 	}
 	return append(out, story{"client leaves", leaving}, story{"client cuts", cutting}, story{"keys in doubt", keys},
@@ -93,9 +93,9 @@
 }
 
 // engines of one protocol, or of both.
-func options(protocol string, l *standin.Ledger) Options {
-	if l.Memory == 0 {
-		l.Memory = time.Minute
+func options(protocol string, l *standin.Fleet) Options {
+	if l.MarkMemory == 0 {
+		l.MarkMemory = time.Minute
 	}
 	o := Options{Ledger: l}
 	if protocol == "tds" {
@@ -133,7 +133,7 @@
 	for _, r := range runs {
 		dispatches[r.ID]++
 		l.Dispatches = max(l.Dispatches, dispatches[r.ID])
-		if r.Act.Deed == standin.TurnAway || r.Repeat {
+		if r.Step.Action == standin.Reject || r.Duplicate {
 			continue
 		}
 		switch effects[r.Group] {
@@ -153,7 +153,7 @@
 	}
 	byKey := map[string][]standin.Run{}
 	for _, r := range runs {
-		if r.Key != "" && r.Act.Deed != standin.TurnAway && !r.Repeat {
+		if r.Key != "" && r.Step.Action != standin.Reject && !r.Duplicate {
 			byKey[r.Key] = append(byKey[r.Key], r)
 		}
 	}
@@ -175,12 +175,12 @@
 func mark(n int) string { return fmt.Sprintf("%032x", n+1) }
 
 // deed: the first dispatch of a batch meets a fault, in each kind of group.
-func deed(protocol string, d standin.Deed) (out []line, err error) {
+func deed(protocol string, d standin.Action) (out []line, err error) {
 	for _, group := range []string{"lookup", "once", "upload"} {
-		ledger := &standin.Ledger{Script: func(r standin.Run, count int) standin.Act {
-			act := standin.Act{After: workTime}
+		ledger := &standin.Fleet{Script: func(r standin.Run, count int) standin.Step {
+			act := standin.Step{After: workTime}
 			if strings.Contains(r.Text, "faulty") && count == 0 {
-				act.Deed = d
+				act.Action = d
 			}
 			return act
 		}}
@@ -217,12 +217,12 @@
 
 func gone(protocol, name string, how func(asker) error) ([]line, error) {
 	began := make(chan struct{}, 8)
-	ledger := &standin.Ledger{Script: func(r standin.Run, count int) standin.Act {
+	ledger := &standin.Fleet{Script: func(r standin.Run, count int) standin.Step {
 		if strings.Contains(r.Text, "SELECT 1") && count == 0 {
 			began <- struct{}{}
-			return standin.Act{After: time.Second}
+			return standin.Step{After: time.Second}
 		}
-		return standin.Act{After: workTime}
+		return standin.Step{After: workTime}
 	}}
 	w, err := Start(options(protocol, ledger))
 	if err != nil {
@@ -256,13 +256,13 @@
 
 // keys: batches of one key come in a row, and some meet a fault. They run one at a time, in order, and rest.
 func keys(protocol string) ([]line, error) {
-	ledger := &standin.Ledger{Script: func(r standin.Run, count int) standin.Act {
-		act := standin.Act{After: 10 * time.Millisecond}
+	ledger := &standin.Fleet{Script: func(r standin.Run, count int) standin.Step {
+		act := standin.Step{After: 10 * time.Millisecond}
 		if count == 0 && strings.Contains(r.Text, "SELECT 2") {
-			act.Deed = standin.Drop
+			act.Action = standin.CloseUnanswered
 		}
 		if count == 0 && strings.Contains(r.Text, "SELECT 4") {
-			act.Deed = standin.TurnAway
+			act.Action = standin.Reject
 		}
 		return act
 	}}
@@ -295,7 +295,7 @@
 // drain: clients of both protocols keep asking engines of both, and one of each drains. The protocol of the line is
 // that of the engine that drains.
 func drain(protocol string) ([]line, error) {
-	ledger := &standin.Ledger{Memory: time.Minute, Script: func(standin.Run, int) standin.Act { return standin.Act{After: workTime} }}
+	ledger := &standin.Fleet{MarkMemory: time.Minute, Script: func(standin.Run, int) standin.Step { return standin.Step{After: workTime} }}
 	w, err := Start(Options{RESP: 2, TDS: 2, Ledger: ledger})
 	if err != nil {
 		return nil, err
@@ -359,13 +359,13 @@
 
 // stopping: the router is told to stop amid batches; all that it has taken is answered.
 func stopping(protocol string) ([]line, error) {
-	ledger := &standin.Ledger{Script: func(standin.Run, int) standin.Act { return standin.Act{After: 150 * time.Millisecond} }}
+	ledger := &standin.Fleet{Script: func(standin.Run, int) standin.Step { return standin.Step{After: 150 * time.Millisecond} }}
 	return amid(protocol, "stop", ledger, func(w *World) error { return w.Stop() })
 }
 
 // reloading: our own settings are read again amid batches, a bad one first.
 func reloading(protocol string) ([]line, error) {
-	ledger := &standin.Ledger{Script: func(standin.Run, int) standin.Act { return standin.Act{After: 150 * time.Millisecond} }}
+	ledger := &standin.Fleet{Script: func(standin.Run, int) standin.Step { return standin.Step{After: 150 * time.Millisecond} }}
 	return amid(protocol, "reload", ledger, func(w *World) error {
 		if err := w.Reload("[[rule]]\ngroup = \"nobody's\"\n"); err == nil {
 			return errors.New("a bad file came into force")
@@ -374,7 +374,7 @@
 	})
 }
 
-func amid(protocol, name string, ledger *standin.Ledger, what func(*World) error) ([]line, error) {
+func amid(protocol, name string, ledger *standin.Fleet, what func(*World) error) ([]line, error) {
 	w, err := Start(options(protocol, ledger))
 	if err != nil {
 		return nil, err
@@ -424,7 +424,7 @@
 
 // small: 32 MB and 256 descriptors, most of which are taken by clients that do nothing.
 func small(protocol string) ([]line, error) {
-	ledger := &standin.Ledger{Script: func(standin.Run, int) standin.Act { return standin.Act{After: workTime, Rows: 300} }}
+	ledger := &standin.Fleet{Script: func(standin.Run, int) standin.Step { return standin.Step{After: workTime, Rows: 300} }}
 	o := options(protocol, ledger)
 	o.MemoryMB, o.Descriptors = 32, 256
 	w, err := Start(o)
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -31,17 +31,17 @@
 const big = 400000 // rows, some 20 MB on the wire: more than sockets hold
 
 func TestALargeResultStreamsAndASlowReaderHoldsTheEngineNotTheMemory(t *testing.T) {
-	ledger := &standin.Ledger{Script: func(r standin.Run, _ int) standin.Act { return standin.Act{Rows: big} }}
+	ledger := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step { return standin.Step{Rows: big} }}
 	w := world(t, Options{TDS: 1, Ledger: ledger})
 	c, err := standin.DialTDS(w.TDS, User, Password, Database, patience)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.Conn.(*net.TCPConn).SetReadBuffer(256<<10))
-	require.NoError(t, c.Ask("/* pitchfield group=report limit=16s */ SELECT a FROM sales_1.orders"))
+	require.NoError(t, c.Send("/* pitchfield group=report limit=16s */ SELECT a FROM sales_1.orders"))
 	time.Sleep(time.Second) // nothing is read meanwhile
 	require.Len(t, ledger.Runs(), 1)
 	assert.Zero(t, ledger.Runs()[0].Answered, "the engine is still writing")
-	r, err := c.Next(patience)
+	r, err := c.ReadReply(patience)
 	require.NoError(t, err)
 	assert.Equal(t, traffic.Whole, r.Word, r.Why)
 	assert.Equal(t, big, len(r.Lines)) //nolint:testifylint // the lines themselves are no help
@@ -52,7 +52,9 @@
 	// Half of it is several times what has to be whole. The engine makes all of it before it sends the first half, so a
 	// much larger one takes it longer than the batch has, on a busy machine.
 	const rows = 20000
-	ledger := &standin.Ledger{Script: func(r standin.Run, _ int) standin.Act { return standin.Act{Rows: rows, Deed: standin.Cut} }}
+	ledger := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step {
+		return standin.Step{Rows: rows, Action: standin.CloseMidAnswer}
+	}}
 	w := world(t, Options{TDS: 2, Ledger: ledger})
 	e := play("tds", w, Spec{Group: "report", Text: "SELECT a FROM sales_1.orders", Limit: 8 * time.Second})
 	assert.Equal(t, traffic.Errored, e.Code)
@@ -62,7 +64,7 @@
 }
 
 func TestFramesCarryNoLargeResult(t *testing.T) {
-	ledger := &standin.Ledger{Script: func(r standin.Run, _ int) standin.Act { return standin.Act{Rows: big} }}
+	ledger := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step { return standin.Step{Rows: big} }}
 	w := world(t, Options{TDS: 1, Ledger: ledger})
 	assert.Equal(t, traffic.Errored, play("frames", w, Spec{Group: "lookup", Text: "SELECT a FROM sales_1.orders", Limit: 4 * time.Second}).Code)
 	require.Eventually(t, func() bool { // its engine's connection is of use again once the Attention is acknowledged
@@ -71,22 +73,22 @@
 }
 
 func TestAClientThatStopsReadingIsEndedAtItsLimit(t *testing.T) {
-	ledger := &standin.Ledger{Script: func(r standin.Run, _ int) standin.Act {
+	ledger := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step {
 		if r.Group == "report" {
-			return standin.Act{Rows: big}
+			return standin.Step{Rows: big}
 		}
-		return standin.Act{}
+		return standin.Step{}
 	}}
 	w := world(t, Options{TDS: 1, Ledger: ledger})
 	c, err := standin.DialTDS(w.TDS, User, Password, Database, patience)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.Conn.(*net.TCPConn).SetReadBuffer(256<<10))
-	require.NoError(t, c.Ask("/* pitchfield group=report limit=4s */ SELECT a FROM sales_1.orders")) // rows have to begin to come within it, on a busy machine too
+	require.NoError(t, c.Send("/* pitchfield group=report limit=4s */ SELECT a FROM sales_1.orders")) // rows have to begin to come within it, on a busy machine too
 	time.Sleep(4200 * time.Millisecond)
 	assert.Equal(t, "returned", play("frames", w, Spec{Group: "lookup", Text: "SELECT a FROM sales_1.b", Limit: 3 * time.Second}).String(),
 		"the engine is free for others")
-	r, err := c.Next(patience)
+	r, err := c.ReadReply(patience)
 	require.NoError(t, err)
 	assert.Equal(t, traffic.Broke, r.Word)
 	assert.Less(t, len(r.Lines), big)
--- a/internal/rig/try.go
+++ b/internal/rig/try.go
@@ -110,11 +110,11 @@
 	defer c.Close()
 	for n := range batches {
 		began := time.Now()
-		if err := c.Ask(uint32(n+1), "lookup", fmt.Sprintf("%08x%08x", i+1, n), 4*time.Second, tryText("frames", i, n)); err != nil {
+		if err := c.SendBatch(uint32(n+1), "lookup", fmt.Sprintf("%08x%08x", i+1, n), 4*time.Second, tryText("frames", i, n)); err != nil {
 			t.failed("frames: %s", err)
 			return
 		}
-		a, err := c.Next(tryWithin)
+		a, err := c.ReadFrame(tryWithin)
 		if err != nil || a.Code != 0 {
 			t.failed("frames: batch %d: code %d %v", n, a.Code, err)
 			return
@@ -132,11 +132,11 @@
 	defer c.Close()
 	for n := range batches {
 		began := time.Now()
-		if err := c.Ask("/* pitchfield group=lookup */ " + tryText("tds", i, n)); err != nil {
+		if err := c.Send("/* pitchfield group=lookup */ " + tryText("tds", i, n)); err != nil {
 			t.failed("tds: %s", err)
 			return
 		}
-		a, err := c.Next(tryWithin)
+		a, err := c.ReadReply(tryWithin)
 		if err != nil || a.Word != traffic.Whole || len(a.Lines) != 1 {
 			t.failed("tds: batch %d: %s %v", n, a.Why, err)
 			return
--- a/internal/rig/world.go
+++ b/internal/rig/world.go
@@ -34,16 +34,16 @@
 	RESP, TDS             int // engines of each
 	MemoryMB, Descriptors int // of the router; 0: 192 and 1024
 	Log                   *zap.Logger
-	Ledger                *standin.Ledger // nil: all is served
-	Own                   string          // more of our own settings
+	Ledger                *standin.Fleet // nil: all is served
+	Own                   string         // more of our own settings
 }
 
 // World is a running one.
 type World struct {
 	Frames, TDS string // addresses of the router
-	Names       *standin.Names
+	Names       *standin.NameService
 	Engines     []*standin.Server
-	Ledger      *standin.Ledger
+	Ledger      *standin.Fleet
 
 	cancel  context.CancelFunc
 	ended   chan struct{}
@@ -93,10 +93,10 @@
 		}
 	}()
 	if w.Ledger == nil {
-		w.Ledger = &standin.Ledger{}
+		w.Ledger = &standin.Fleet{}
 	}
 	own := host()
-	if w.Names, err = standin.NewNames(own + ":0"); err != nil {
+	if w.Names, err = standin.NewNameService(own + ":0"); err != nil {
 		return w, err
 	}
 	for i := range o.RESP + o.TDS {
@@ -142,7 +142,7 @@
 	if descriptors == 0 {
 		descriptors = 1024
 	}
-	text, err := Configuration(Groups, "n1", w.Frames, "8c1f30d27a5be964", memory, descriptors, w.Names.LocalAddr().String(), w.Names.Known())
+	text, err := Configuration(Groups, "n1", w.Frames, "8c1f30d27a5be964", memory, descriptors, w.Names.LocalAddr().String(), w.Names.StartupEvents())
 	if err != nil {
 		return t, fmt.Errorf("configuration: %w", err)
 	}
@@ -221,8 +221,8 @@
 		if err != nil {
 			continue
 		}
-		c.Write(standin.Frame(20, 1, []string{}, "")) //nolint:errcheck
-		a, err := c.Next(time.Second)
+		c.Write(standin.EncodeFrame(20, 1, []string{}, "")) //nolint:errcheck
+		a, err := c.ReadFrame(time.Second)
 		c.Close()
 		if err == nil && a.Type == 21 && a.Code == 0 {
 			time.Sleep(200 * time.Millisecond) // a question to the name service, and its answer
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -156,7 +156,7 @@
 func (h *host) sendBatch(group string, limit int) (uint32, string) {
 	h.lastID++
 	id := fmt.Sprintf("%016x", 240+h.lastID)
-	h.deliver(h.clientFrame(1, standin.Frame(clients.Ask, uint32(h.lastID), []string{"c", group, "i", id, "d", strconv.Itoa(limit)},
+	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.Ask, uint32(h.lastID), []string{"c", group, "i", id, "d", strconv.Itoa(limit)},
 		"SELECT 1 FROM a_3.b")))
 	return uint32(h.lastID), id
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -157,10 +157,10 @@
 	stream, id := h.sendBatch("nobody's", 2000)
 	assert.Equal(t, answerFailed, h.answers[stream], "unknown service group")
 	h.deliver(h.clientOpenedEvent(2))
-	h.deliver(h.clientFrame(2, standin.Frame(77, 5, nil, "")))
+	h.deliver(h.clientFrame(2, standin.EncodeFrame(77, 5, nil, "")))
 	assert.Equal(t, answerFailed, h.answers[0])
 	h.deliver(h.clientOpenedEvent(3))
-	frame := standin.Frame(clients.Ask, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
+	frame := standin.EncodeFrame(clients.Ask, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
 	h.deliver(h.clientFrame(3, frame))
 	delete(h.answers, 0)
 	h.deliver(h.clientFrame(3, frame))
@@ -298,7 +298,7 @@
 	for name, value := range values {
 		all = append(all, name, value)
 	}
-	h.deliver(h.clientFrame(client, standin.Frame(clients.Ask, stream, all, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(client, standin.EncodeFrame(clients.Ask, stream, all, "SELECT 1 FROM a_3.b")))
 }
 
 // A client that sends an invalid request gets an error or its connection is closed, and nothing of the request reaches an engine.
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -37,7 +37,7 @@
 func (h *host) sendHeavyBatch() (uint32, string) {
 	h.lastID++
 	id := strconv.Itoa(1000000000000000 + h.lastID)
-	h.deliver(h.clientFrame(1, standin.Frame(clients.Ask, uint32(h.lastID), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.Ask, uint32(h.lastID), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
 	return uint32(h.lastID), id
 }
 
--- a/internal/standin/act.go
+++ b/internal/standin/act.go
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// Deed is what a scripted engine does with a batch.
-type Deed uint8
+// Action is what a scripted engine does with a batch.
+type Action uint8
 
 // The deeds; each protocol's stand-in does them in its own bytes.
 const (
-	Serve    Deed = iota
-	TurnAway      // says that it has not run
-	Fail          // runs, and ends in an error
-	Drop          // runs, and closes without an answer
-	Cut           // runs, and closes within the answer
-	Hush          // runs, and says nothing at all any more on this connection
-	Mute          // as Hush, but on all its connections, for muteTime
-	Half          // runs, sends half an answer, and says nothing more
-	Garble        // runs, and sends what is no message
-	Overlong      // runs, and sends a length that can't be
-	Flood         // runs, and sends an answer without end, until the connection closes
+	Serve             Action = iota
+	Reject                   // says that it has not run
+	Fail                     // runs, and ends in an error
+	CloseUnanswered          // runs, and closes without an answer
+	CloseMidAnswer           // runs, and closes within the answer
+	SilenceConnection        // runs, and says nothing at all any more on this connection
+	SilenceEngine            // as Hush, but on all its connections, for muteTime
+	HalfAnswer               // runs, sends half an answer, and says nothing more
+	SendGarbage              // runs, and sends what is no message
+	InvalidLength            // runs, and sends a length that can't be
+	EndlessAnswer            // runs, and sends an answer without end, until the connection closes
 )
 
-var deedNames = []string{"serve", "turn away", "fail", "drop", "cut", "hush", "mute", "half", "garble", "overlong", "flood"}
+var actionNames = []string{"serve", "turn away", "fail", "drop", "cut", "hush", "mute", "half", "garble", "overlong", "flood"}
 
-func (d Deed) String() string { return deedNames[d] }
+func (d Action) String() string { return actionNames[d] }
 
-// Act is a deed with what it takes.
-type Act struct {
-	Deed
+// Step is a deed with what it takes.
+type Step struct {
+	Action
 	After time.Duration // of work
 	Rows  int           // of the result; 0: one
 }
@@ -46,71 +46,71 @@
 	Engine, ID, Group, Mark, Key, Text string
 	Began, Ended                       time.Time     // Ended is zero while it runs: what is written of it comes after that
 	Answered                           time.Time     // zero while its answer is being written
-	Over                               time.Time     // its whole answer was written, or it was known to be given up; zero: it is out
-	Late                               time.Duration // by which its connection is read late
-	Act                                Act
-	Repeat                             bool // the engine remembered its mark, and ran nothing
-	GivenUp                            bool // before it had ended
+	Settled                            time.Time     // its whole answer was written, or it was known to be given up; zero: it is out
+	ReadDelay                          time.Duration // by which its connection is read late
+	Step                               Step
+	Duplicate                          bool // the engine remembered its mark, and ran nothing
+	Canceled                           bool // before it had ended
 
 	Budget time.Duration // for which the router will wait, as it told; 0: it told none
 
 	stop chan struct{} // closed when it is given up
 }
 
-// giveUp stops what still runs: it has ended when this returns.
-func (l *Ledger) giveUp(r *Run) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+// cancel stops what still runs: it has ended when this returns.
+func (fleet *Fleet) cancel(r *Run) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
 	if r.Ended.IsZero() {
-		r.Ended, r.GivenUp = time.Now(), true
+		r.Ended, r.Canceled = time.Now(), true
 		close(r.stop)
 	}
-	l.isOver(r)
+	fleet.settleLocked(r)
 }
 
-// over notes that nothing of a batch is out any more.
-func (l *Ledger) over(r *Run) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.isOver(r)
+// settle notes that nothing of a batch is out any more.
+func (fleet *Fleet) settle(r *Run) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	fleet.settleLocked(r)
 }
 
-func (l *Ledger) isOver(r *Run) {
-	if r.Over.IsZero() {
-		r.Over = time.Now()
+func (fleet *Fleet) settleLocked(r *Run) {
+	if r.Settled.IsZero() {
+		r.Settled = time.Now()
 	}
 }
 
-// work takes its time; false: it was given up meanwhile.
-func (r *Run) work() bool {
-	if r.Repeat {
+// simulateWork takes its time; false: it was given up meanwhile.
+func (r *Run) simulateWork() bool {
+	if r.Duplicate {
 		return true
 	}
 	select {
 	case <-r.stop:
 		return false
-	case <-time.After(r.Act.After):
+	case <-time.After(r.Step.After):
 		return true
 	}
 }
 
-// Ledger is what a fleet of scripted engines has run, and what it does next. It remembers marks, as engines that are
+// Fleet is what a fleet of scripted engines has run, and what it does next. It remembers marks, as engines that are
 // given marks do, for Memory.
-type Ledger struct {
-	Memory time.Duration
+type Fleet struct {
+	MarkMemory time.Duration
 	// Script gives the act for a batch; the count tells how often its text has come.
-	Script func(r Run, count int) Act
+	Script func(r Run, count int) Step
 	// TellsMemory: engines tell the memory that runs hold, as answers tell it of each; else a fixed tenth.
-	TellsMemory bool
+	ReportsMemory bool
 	// GivesUp: what runs for a connection ends with it, as the protocol's page says of real engines.
-	GivesUp bool
+	CancelsOnClose bool
 	// Late tells by how much an engine reads a new connection late; nil: none does.
-	Late func() time.Duration
+	ReadDelay func() time.Duration
 
-	mutex  sync.Mutex
-	runs   []*Run
-	seen   map[string]int
-	probes []Probe
+	mutex      sync.Mutex
+	runs       []*Run
+	textCounts map[string]int
+	probes     []Probe
 }
 
 // Probe is one question for an engine's load.
@@ -119,34 +119,34 @@
 	At     time.Time
 }
 
-// probed notes a probe and tells how many batches run there, turned away ones aside.
-func (l *Ledger) probed(engine string) (running int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.probes = append(l.probes, Probe{engine, time.Now()})
-	for i := len(l.runs) - 1; i >= max(len(l.runs)-lookBack, 0); i-- {
-		if r := l.runs[i]; r.Engine == engine && r.Ended.IsZero() {
+// recordProbe notes a probe and tells how many batches run there, turned away ones aside.
+func (fleet *Fleet) recordProbe(engine string) (running int) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	fleet.probes = append(fleet.probes, Probe{engine, time.Now()})
+	for i := len(fleet.runs) - 1; i >= max(len(fleet.runs)-maxRecentRuns, 0); i-- {
+		if r := fleet.runs[i]; r.Engine == engine && r.Ended.IsZero() {
 			running++
 		}
 	}
 	return running
 }
 
-const lookBack = 2000 // runs; none goes on for longer
+const maxRecentRuns = 2000 // runs; none goes on for longer
 
 // Probes gives all so far, in order.
-func (l *Ledger) Probes() []Probe {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return slices.Clone(l.probes)
+func (fleet *Fleet) Probes() []Probe {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	return slices.Clone(fleet.probes)
 }
 
-var inComment = regexp.MustCompile(`\b(id|key|group|mark)=([^ ,*]+)`)
+var commentField = regexp.MustCompile(`\b(id|key|group|mark)=([^ ,*]+)`)
 
-// begin notes a batch; the deed says what to do with it.
-func (l *Ledger) begin(r Run) *Run {
+// recordStart notes a batch; the deed says what to do with it.
+func (fleet *Fleet) recordStart(r Run) *Run {
 	head, _, _ := strings.Cut(r.Text, "*/")
-	for _, m := range inComment.FindAllStringSubmatch(head, -1) {
+	for _, m := range commentField.FindAllStringSubmatch(head, -1) {
 		switch {
 		case m[1] == "id" && r.ID == "":
 			r.ID = m[2]
@@ -162,55 +162,55 @@
 	for strings.HasPrefix(r.Text, "/* pitchfield id=") {
 		_, r.Text, _ = strings.Cut(r.Text, "*/ ")
 	}
-	if m := keyed.FindStringSubmatch(r.Text); m != nil && r.Key == "" {
+	if m := keyPattern.FindStringSubmatch(r.Text); m != nil && r.Key == "" {
 		r.Key = m[1]
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.seen == nil {
-		l.seen = map[string]int{}
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	if fleet.textCounts == nil {
+		fleet.textCounts = map[string]int{}
 	}
-	count := l.seen[r.Text]
-	l.seen[r.Text]++
+	count := fleet.textCounts[r.Text]
+	fleet.textCounts[r.Text]++
 	r.Began = time.Now()
-	if l.Script != nil {
-		r.Act = l.Script(r, count)
+	if fleet.Script != nil {
+		r.Step = fleet.Script(r, count)
 	}
 	if r.Mark != "" {
-		for _, old := range l.runs {
-			if old.Mark == r.Mark && old.Act.Deed != TurnAway && !old.Repeat && time.Since(old.Began) < l.Memory {
-				r.Repeat = true
+		for _, old := range fleet.runs {
+			if old.Mark == r.Mark && old.Step.Action != Reject && !old.Duplicate && time.Since(old.Began) < fleet.MarkMemory {
+				r.Duplicate = true
 			}
 		}
 	}
 	r.stop = make(chan struct{})
 	run := &r
-	l.runs = append(l.runs, run)
+	fleet.runs = append(fleet.runs, run)
 	return run
 }
 
-var keyed = regexp.MustCompile(`(?:/\* pitchfield [^*]*|--)key=([^ ,*\n]+)`)
+var keyPattern = regexp.MustCompile(`(?:/\* pitchfield [^*]*|--)key=([^ ,*\n]+)`)
 
-// end notes that a batch runs no more, before anything of that can be known elsewhere.
-func (l *Ledger) end(r *Run) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+// recordEnd notes that a batch runs no more, before anything of that can be known elsewhere.
+func (fleet *Fleet) recordEnd(r *Run) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
 	if r.Ended.IsZero() {
 		r.Ended = time.Now()
 	}
 }
 
-func (l *Ledger) answered(r *Run) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (fleet *Fleet) recordAnswered(r *Run) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
 	r.Answered = time.Now()
 }
 
 // Runs gives all so far, in order.
-func (l *Ledger) Runs() (out []Run) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for _, r := range l.runs {
+func (fleet *Fleet) Runs() (out []Run) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	for _, r := range fleet.runs {
 		out = append(out, *r)
 	}
 	return out
@@ -221,28 +221,28 @@
 	net.Listener
 	Name, Protocol string
 
-	mute   atomic.Int64 // until then, in Unix milliseconds, nothing is said
-	ledger *Ledger
-	serve  func(*Server, net.Conn)
-	mutex  sync.Mutex
-	conns  []net.Conn
-	ended  map[net.Conn]func() // notes that nothing is out on a connection any more
-	done   sync.WaitGroup
+	silentUntil  atomic.Int64 // until then, in Unix milliseconds, nothing is said
+	fleet        *Fleet
+	serve        func(*Server, net.Conn)
+	mutex        sync.Mutex
+	conns        []net.Conn
+	endCallbacks map[net.Conn]func() // notes that nothing is out on a connection any more
+	done         sync.WaitGroup
 }
 
-// endsWith has the end of a connection noted by a function.
-func (s *Server) endsWith(c net.Conn, ended func()) {
+// onConnectionEnd has the end of a connection noted by a function.
+func (s *Server) onConnectionEnd(c net.Conn, ended func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ended[c] = ended
+	s.endCallbacks[c] = ended
 }
 
-func newServer(name, protocol, address string, l *Ledger, serve func(*Server, net.Conn)) (*Server, error) {
+func newServer(name, protocol, address string, fleet *Fleet, serve func(*Server, net.Conn)) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("engine %s: %w", name, err)
 	}
-	s := &Server{Listener: listener, Name: name, Protocol: protocol, ledger: l, serve: serve, ended: map[net.Conn]func(){}}
+	s := &Server{Listener: listener, Name: name, Protocol: protocol, fleet: fleet, serve: serve, endCallbacks: map[net.Conn]func(){}}
 	s.done.Add(1)
 	go s.accept()
 	return s, nil
@@ -265,26 +265,26 @@
 			s.serve(s, c)
 			s.mutex.Lock()
 			s.conns = slices.DeleteFunc(s.conns, func(o net.Conn) bool { return o == c })
-			delete(s.ended, c)
+			delete(s.endCallbacks, c)
 			s.mutex.Unlock()
 		}()
 	}
 }
 
-const muteTime = 2 * time.Second
+const engineSilence = 2 * time.Second
 
-func (s *Server) fallSilent() { s.Silence(muteTime) }
+func (s *Server) silenceBriefly() { s.Silence(engineSilence) }
 
 // Silence has it say nothing for a while, on all its connections.
-func (s *Server) Silence(long time.Duration) { s.mute.Store(time.Now().Add(long).UnixMilli()) }
+func (s *Server) Silence(long time.Duration) { s.silentUntil.Store(time.Now().Add(long).UnixMilli()) }
 
-func (s *Server) silent() bool { return time.Now().UnixMilli() < s.mute.Load() }
+func (s *Server) silent() bool { return time.Now().UnixMilli() < s.silentUntil.Load() }
 
 // Stop closes all of it and waits.
 func (s *Server) Stop() {
 	s.Close()
 	s.mutex.Lock()
-	conns, ended := slices.Clone(s.conns), slices.Collect(maps.Values(s.ended))
+	conns, ended := slices.Clone(s.conns), slices.Collect(maps.Values(s.endCallbacks))
 	s.mutex.Unlock()
 	for _, end := range ended { // before it can be known elsewhere
 		end()
@@ -307,5 +307,5 @@
 	return Host{ID: s.Name, Zone: "hall", Kind: "std", Address: s.Addr().String()}
 }
 
-// lineOf gives a row of a result.
-func lineOf(r *Run, i int) string { return fmt.Sprintf("%s\t%s\trow %d", r.Engine, r.Group, i) }
+// resultRow gives a row of a result.
+func resultRow(r *Run, i int) string { return fmt.Sprintf("%s\t%s\trow %d", r.Engine, r.Group, i) }
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// arrival is what came at once on a connection.
-type arrival struct {
+// chunk is what came at once on a connection.
+type chunk struct {
 	data []byte
 	err  error
 	due  time.Time
 }
 
-// lateReader gives what comes some time after it came, in order. Once its own side has closed the connection nothing more comes.
-type lateReader struct {
-	arrivals <-chan arrival
-	closed   <-chan struct{}
-	rest     []byte
+// delayedReader gives what comes some time after it came, in order. Once its own side has closed the connection nothing more comes.
+type delayedReader struct {
+	chunks <-chan chunk
+	closed <-chan struct{}
+	unread []byte
 }
 
-// readLate reads a connection late, as a peer does whose receive queue is long. It reads until the connection ends.
-func readLate(from io.Reader, by time.Duration) io.Reader {
-	arrivals, closed := make(chan arrival, 1024), make(chan struct{})
+// newDelayedReader reads a connection late, as a peer does whose receive queue is long. It reads until the connection ends.
+func newDelayedReader(from io.Reader, by time.Duration) io.Reader {
+	arrivals, closed := make(chan chunk, 1024), make(chan struct{})
 	go func() {
 		for {
 			data := make([]byte, 4096)
@@ -32,21 +32,21 @@
 				close(closed)
 				return
 			}
-			arrivals <- arrival{data[:n], err, time.Now().Add(by)}
+			arrivals <- chunk{data[:n], err, time.Now().Add(by)}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	return &lateReader{arrivals: arrivals, closed: closed}
+	return &delayedReader{chunks: arrivals, closed: closed}
 }
 
 // Read waits until something is due.
-func (l *lateReader) Read(p []byte) (int, error) {
-	for len(l.rest) == 0 {
-		var next arrival
+func (l *delayedReader) Read(p []byte) (int, error) {
+	for len(l.unread) == 0 {
+		var next chunk
 		select {
-		case next = <-l.arrivals:
+		case next = <-l.chunks:
 		case <-l.closed:
 			return 0, net.ErrClosed
 		}
@@ -55,11 +55,11 @@
 		case <-l.closed:
 			return 0, net.ErrClosed
 		}
-		if l.rest = next.data; next.err != nil {
+		if l.unread = next.data; next.err != nil {
 			return 0, next.err
 		}
 	}
-	n := copy(p, l.rest)
-	l.rest = l.rest[n:]
+	n := copy(p, l.unread)
+	l.unread = l.unread[n:]
 	return n, nil
 }
--- a/internal/standin/resp.go
+++ b/internal/standin/resp.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	pageRows = 100
-	roomMB   = 4        // that each batch holds,
-	engineMB = 16000    // of so many
-	floodMax = 64 << 20 // bytes after which a flood ends by itself
+	pageRows       = 100
+	batchMemoryMB  = 4        // that each batch holds,
+	engineMemoryMB = 16000    // of so many
+	maxFloodBytes  = 64 << 20 // bytes after which a flood ends by itself
 )
 
 // NewRESP listens as a scripted engine that speaks RESP.
-func NewRESP(name, address string, l *Ledger) (*Server, error) {
-	return newServer(name, "resp", address, l, serveRESP)
+func NewRESP(name, address string, fleet *Fleet) (*Server, error) {
+	return newServer(name, "resp", address, fleet, serveRESP)
 }
 
 // respConn is a connection to one, on which many batches run.
 type respConn struct {
 	net.Conn
-	server *Server
-	mutex  sync.Mutex
-	hush   bool
-	pages  map[string][]string // by id, for later
-	runs   map[string]*Run     // by id
-	late   time.Duration       // by which it is read late
+	server    *Server
+	mutex     sync.Mutex
+	silenced  bool
+	pages     map[string][]string // by id, for later
+	runs      map[string]*Run     // by id
+	readDelay time.Duration       // by which it is read late
 }
 
-func (c *respConn) say(parts ...string) {
+func (c *respConn) send(parts ...string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.hush && !c.server.silent() {
-		fmt.Fprint(c, array(parts))
+	if !c.silenced && !c.server.silent() {
+		fmt.Fprint(c, encodeArray(parts))
 	}
 }
 
-// raw writes bytes as they are, and nothing after them if hush.
-func (c *respConn) raw(text string, hush bool) {
+// sendRaw writes bytes as they are, and nothing after them if hush.
+func (c *respConn) sendRaw(text string, hush bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.hush && !c.server.silent() {
+	if !c.silenced && !c.server.silent() {
 		c.Write([]byte(text))
 	}
-	c.hush = c.hush || hush
+	c.silenced = c.silenced || hush
 }
 
-func array(parts []string) string {
+func encodeArray(parts []string) string {
 	out := fmt.Sprintf("*%d\r\n", len(parts))
 	for _, p := range parts {
 		out += fmt.Sprintf("$%d\r\n%s\r\n", len(p), p)
@@ -62,13 +62,13 @@
 func serveRESP(s *Server, conn net.Conn) {
 	c := &respConn{Conn: conn, server: s, pages: map[string][]string{}, runs: map[string]*Run{}}
 	in := bufio.NewReader(conn)
-	if s.ledger.Late != nil {
-		if c.late = s.ledger.Late(); c.late > 0 {
-			in = bufio.NewReader(readLate(conn, c.late))
+	if s.fleet.ReadDelay != nil {
+		if c.readDelay = s.fleet.ReadDelay(); c.readDelay > 0 {
+			in = bufio.NewReader(newDelayedReader(conn, c.readDelay))
 		}
 	}
-	defer c.ended()
-	s.endsWith(conn, c.ended)
+	defer c.settleRuns()
+	s.onConnectionEnd(conn, c.settleRuns)
 	for {
 		r, err := readArray(in)
 		if err != nil || len(r) < 2 {
@@ -79,7 +79,7 @@
 			if len(r) < 4 {
 				return
 			}
-			run := Run{Engine: s.Name, ID: r[1], Text: r[3], Late: c.late}
+			run := Run{Engine: s.Name, ID: r[1], Text: r[3], ReadDelay: c.readDelay}
 			for _, f := range strings.Split(r[2], ",") {
 				switch name, value, _ := strings.Cut(f, "="); name {
 				case "queue":
@@ -91,11 +91,11 @@
 					run.Budget = time.Duration(ms) * time.Millisecond
 				}
 			}
-			begun := s.ledger.begin(run)
+			begun := s.fleet.recordStart(run)
 			c.mutex.Lock()
 			c.runs[begun.ID] = begun
 			c.mutex.Unlock()
-			go c.play(s, begun)
+			go c.perform(s, begun)
 		case "more":
 			c.mutex.Lock()
 			pages := c.pages[r[1]]
@@ -103,9 +103,9 @@
 			n := 0
 			fmt.Sscan(r[2], &n) //nolint:errcheck
 			if n > 0 && n < len(pages) {
-				c.say(r[1], "MORE", "sheet="+r[2], pages[n])
+				c.send(r[1], "MORE", "sheet="+r[2], pages[n])
 			} else {
-				c.say(r[1], "BROKE", "-", "")
+				c.send(r[1], "BROKE", "-", "")
 			}
 		case "done", "abort":
 			c.mutex.Lock()
@@ -113,97 +113,97 @@
 			run := c.runs[r[1]]
 			c.mutex.Unlock()
 			if run != nil && r[0] == "abort" {
-				s.ledger.giveUp(run)
+				s.fleet.cancel(run)
 			}
 		case "alive", "stats":
 			used := "0.1"
 			if r[0] == "stats" {
-				if running := s.ledger.probed(s.Name); s.ledger.TellsMemory {
-					used = fmt.Sprintf("%.5f", float64(running*roomMB)/engineMB)
+				if running := s.fleet.recordProbe(s.Name); s.fleet.ReportsMemory {
+					used = fmt.Sprintf("%.5f", float64(running*batchMemoryMB)/engineMemoryMB)
 				}
 			}
-			c.say(r[1], "FIT", "use=queue:0;x0:"+used+";x1:0.1", "")
+			c.send(r[1], "FIT", "use=queue:0;x0:"+used+";x1:0.1", "")
 		}
 	}
 }
 
-// ended: nothing is out on the connection any more, and where engines give up what runs for one, it stops.
-func (c *respConn) ended() {
+// settleRuns: nothing is out on the connection any more, and where engines give up what runs for one, it stops.
+func (c *respConn) settleRuns() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, r := range c.runs {
-		if c.server.ledger.GivesUp {
-			c.server.ledger.giveUp(r)
+		if c.server.fleet.CancelsOnClose {
+			c.server.fleet.cancel(r)
 		}
-		c.server.ledger.over(r)
+		c.server.fleet.settle(r)
 	}
 }
 
-// end says how a batch has ended, in a whole answer.
-func (c *respConn) end(r *Run, answer string) {
+// sendAnswer says how a batch has ended, in a whole answer.
+func (c *respConn) sendAnswer(r *Run, answer string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.hush && !c.server.silent() {
-		c.server.ledger.over(r) // before it can be known elsewhere
+	if !c.silenced && !c.server.silent() {
+		c.server.fleet.settle(r) // before it can be known elsewhere
 		fmt.Fprint(c, answer)
 	}
 }
 
-func (c *respConn) play(s *Server, r *Run) {
-	defer s.ledger.answered(r)
-	if r.Act.Deed == TurnAway {
-		s.ledger.end(r)
-		c.end(r, array([]string{r.ID, "WAIT", "-", ""}))
+func (c *respConn) perform(s *Server, r *Run) {
+	defer s.fleet.recordAnswered(r)
+	if r.Step.Action == Reject {
+		s.fleet.recordEnd(r)
+		c.sendAnswer(r, encodeArray([]string{r.ID, "WAIT", "-", ""}))
 		return
 	}
-	whole := r.work()
-	s.ledger.end(r)
+	whole := r.simulateWork()
+	s.fleet.recordEnd(r)
 	if !whole {
 		return
 	}
 	var pages []string
-	for from, count := 0, max(r.Act.Rows, 1); from < count; from += pageRows {
+	for from, count := 0, max(r.Step.Rows, 1); from < count; from += pageRows {
 		page := ""
 		for i := from; i < min(from+pageRows, count); i++ {
-			page += lineOf(r, i) + "\n"
+			page += resultRow(r, i) + "\n"
 		}
 		pages = append(pages, page)
 	}
 	c.mutex.Lock()
 	c.pages[r.ID] = pages
 	c.mutex.Unlock()
-	answer := array([]string{r.ID, "DONE", fmt.Sprintf("sheets=%d,toil=%d,room=%d", len(pages), max(r.Act.After.Milliseconds(), 1), roomMB), pages[0]})
-	switch r.Act.Deed {
+	answer := encodeArray([]string{r.ID, "DONE", fmt.Sprintf("sheets=%d,toil=%d,room=%d", len(pages), max(r.Step.After.Milliseconds(), 1), batchMemoryMB), pages[0]})
+	switch r.Step.Action {
 	case Serve:
-		c.end(r, answer)
+		c.sendAnswer(r, answer)
 	case Fail:
-		c.end(r, array([]string{r.ID, "BROKE", "-", ""}))
-	case Drop:
-		c.ended()
+		c.sendAnswer(r, encodeArray([]string{r.ID, "BROKE", "-", ""}))
+	case CloseUnanswered:
+		c.settleRuns()
 		c.Close()
-	case Cut:
-		c.raw(answer[:len(answer)/2], true)
-		c.ended()
+	case CloseMidAnswer:
+		c.sendRaw(answer[:len(answer)/2], true)
+		c.settleRuns()
 		c.Close()
-	case Mute:
-		s.fallSilent()
-	case Hush:
-		c.raw("", true)
-	case Half:
-		c.raw(answer[:len(answer)/2], true)
-	case Garble:
-		c.raw("HTTP/1.1 200 OK\r\n\r\n", false)
-	case Overlong:
-		c.raw("*4\r\n$-7\r\n", false)
-	case Flood:
-		c.raw("*4\r\n$16\r\n"+r.ID+"\r\n$4\r\nDONE\r\n$8\r\nsheets=1\r\n$999999999\r\n", false)
+	case SilenceEngine:
+		s.silenceBriefly()
+	case SilenceConnection:
+		c.sendRaw("", true)
+	case HalfAnswer:
+		c.sendRaw(answer[:len(answer)/2], true)
+	case SendGarbage:
+		c.sendRaw("HTTP/1.1 200 OK\r\n\r\n", false)
+	case InvalidLength:
+		c.sendRaw("*4\r\n$-7\r\n", false)
+	case EndlessAnswer:
+		c.sendRaw("*4\r\n$16\r\n"+r.ID+"\r\n$4\r\nDONE\r\n$8\r\nsheets=1\r\n$999999999\r\n", false)
 		flood(c.Conn, []byte(strings.Repeat("a\tb\tc\n", 1000)))
 	}
 }
 
 // flood writes the same until the other side has had enough.
 func flood(c net.Conn, piece []byte) {
-	for sent := 0; sent < floodMax; sent += len(piece) {
+	for sent := 0; sent < maxFloodBytes; sent += len(piece) {
 		if _, err := c.Write(piece); err != nil {
 			return
 		}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -22,12 +22,12 @@
 // Engine is a toy engine: it answers what Answer gives, in RESP.
 type Engine struct {
 	net.Listener
-	Answer func(r Request) [][]string         // may be nil: a result of one row, on two pages
-	Late   func(connection int) time.Duration // by how much it reads a connection late, counted from 0; nil: no one
+	Answer    func(r Request) [][]string         // may be nil: a result of one row, on two pages
+	ReadDelay func(connection int) time.Duration // by how much it reads a connection late, counted from 0; nil: no one
 
-	mutex sync.Mutex
-	seen  []Request
-	conns []net.Conn
+	mutex    sync.Mutex
+	requests []Request
+	conns    []net.Conn
 }
 
 // NewEngine listens on an address.
@@ -36,11 +36,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
-	return EngineOn(l, answer), nil
+	return NewEngineFromListener(l, answer), nil
 }
 
-// EngineOn takes connections from a listener that is there.
-func EngineOn(l net.Listener, answer func(Request) [][]string) *Engine {
+// NewEngineFromListener takes connections from a listener that is there.
+func NewEngineFromListener(l net.Listener, answer func(Request) [][]string) *Engine {
 	e := &Engine{Listener: l, Answer: answer}
 	e.Start()
 	return e
@@ -49,7 +49,7 @@
 // Start has it take connections. Its fields are set before.
 func (e *Engine) Start() {
 	if e.Answer == nil {
-		e.Answer = Toy
+		e.Answer = ToyAnswer
 	}
 	go func() {
 		for {
@@ -66,8 +66,8 @@
 	}()
 }
 
-// Toy answers each fetch with a result of two pages after some milliseconds.
-func Toy(r Request) [][]string {
+// ToyAnswer answers each fetch with a result of two pages after some milliseconds.
+func ToyAnswer(r Request) [][]string {
 	switch r[0] {
 	case "fetch":
 		time.Sleep(20 * time.Millisecond)
@@ -80,11 +80,11 @@
 	return nil
 }
 
-// Seen gives the commands so far that begin with a word.
-func (e *Engine) Seen(word string) (out []Request) {
+// Requests gives the commands so far that begin with a word.
+func (e *Engine) Requests(word string) (out []Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for _, r := range e.seen {
+	for _, r := range e.requests {
 		if r[0] == word {
 			out = append(out, r)
 		}
@@ -99,14 +99,14 @@
 	return len(e.conns)
 }
 
-// Drop closes all its connections, and it takes no more.
-func (e *Engine) Drop() {
+// Shutdown closes all its connections, and it takes no more.
+func (e *Engine) Shutdown() {
 	e.Close()
-	e.Cut()
+	e.CloseConnections()
 }
 
-// Cut closes all its connections.
-func (e *Engine) Cut() {
+// CloseConnections closes all its connections.
+func (e *Engine) CloseConnections() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, c := range e.conns {
@@ -117,9 +117,9 @@
 func (e *Engine) serve(c net.Conn, number int) {
 	defer c.Close()
 	in := bufio.NewReader(c)
-	if e.Late != nil {
-		if by := e.Late(number); by > 0 {
-			in = bufio.NewReader(readLate(c, by))
+	if e.ReadDelay != nil {
+		if by := e.ReadDelay(number); by > 0 {
+			in = bufio.NewReader(newDelayedReader(c, by))
 		}
 	}
 	var writing sync.Mutex
@@ -129,7 +129,7 @@
 			return
 		}
 		e.mutex.Lock()
-		e.seen = append(e.seen, r)
+		e.requests = append(e.requests, r)
 		e.mutex.Unlock()
 		go func() {
 			for _, answer := range e.Answer(r) {
@@ -182,43 +182,43 @@
 	Started        int64 // Unix milliseconds of a late start; 0: long ago
 }
 
-// Names is the name service: it answers each query with the whole list.
-type Names struct {
+// NameService is the name service: it answers each query with the whole list.
+type NameService struct {
 	net.PacketConn
 
-	mutex    sync.Mutex
-	hosts    []Host
-	serial   uint32
-	drains   map[string]time.Time // when an answer first said so, by id
-	waiting  []question           // not answered yet, the oldest first
-	behind   int                  // each waits until so many more have come
-	withhold bool                 // none is answered
-	stale    *List                // answers the next query, unless nil
-	before   []List               // lists that were in force, the oldest first
-	chance   float64              // that one of those answers a query
-	draw     func() float64       // of chance
-	answers  int                  // sent so far
-}
-
-// List is a list of engines as the name service had it at some time.
-type List struct {
+	mutex        sync.Mutex
+	hosts        []Host
+	serial       uint32
+	firstDrained map[string]time.Time // when an answer first said so, by id
+	pending      []pendingQuery       // not answered yet, the oldest first
+	lag          int                  // each waits until so many more have come
+	withheld     bool                 // none is answered
+	nextList     *EngineList          // answers the next query, unless nil
+	earlierLists []EngineList         // lists that were in force, the oldest first
+	staleChance  float64              // that one of those answers a query
+	random       func() float64       // of chance
+	answerCount  int                  // sent so far
+}
+
+// EngineList is a list of engines as the name service had it at some time.
+type EngineList struct {
 	hosts  []Host
 	serial uint32
 }
 
-// question is a query and who asked it.
-type question struct {
+// pendingQuery is a query and who asked it.
+type pendingQuery struct {
 	query []byte
 	from  net.Addr
 }
 
-// NewNames listens on an address.
-func NewNames(address string) (*Names, error) {
+// NewNameService listens on an address.
+func NewNameService(address string) (*NameService, error) {
 	c, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("name service: %w", err)
 	}
-	n := &Names{PacketConn: c, drains: map[string]time.Time{}}
+	n := &NameService{PacketConn: c, firstDrained: map[string]time.Time{}}
 	go func() {
 		buf := make([]byte, 512)
 		for {
@@ -227,126 +227,126 @@
 				return
 			}
 			if size > 12 {
-				n.asked(question{append([]byte(nil), buf[:size]...), from})
+				n.enqueue(pendingQuery{append([]byte(nil), buf[:size]...), from})
 			}
 		}
 	}()
 	return n, nil
 }
 
-// Now gives the list as it is.
-func (n *Names) Now() List {
+// CurrentList gives the list as it is.
+func (n *NameService) CurrentList() EngineList {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return List{n.hosts, n.serial}
+	return EngineList{n.hosts, n.serial}
 }
 
-// Renumber begins the numbers anew with 1, as for a router that has started again.
-func (n *Names) Renumber() {
+// ResetSerial begins the numbers anew with 1, as for a router that has started again.
+func (n *NameService) ResetSerial() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.keep()
+	n.archiveList()
 	n.serial = 1
 }
 
-// Stale has the next query answered with a list of before, under its number of then.
-func (n *Names) Stale(before List) {
+// AnswerNextWith has the next query answered with a list of before, under its number of then.
+func (n *NameService) AnswerNextWith(before EngineList) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.stale = &before
+	n.nextList = &before
 }
 
-// Answers tells how many answers were sent.
-func (n *Names) Answers() int {
+// AnswerCount tells how many answers were sent.
+func (n *NameService) AnswerCount() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.answers
+	return n.answerCount
 }
 
-// Behind makes the service slow: from now on a query is answered once so many more have come, with the list as it is then.
-func (n *Names) Behind(queries int) {
+// SetLag makes the service slow: from now on a query is answered once so many more have come, with the list as it is then.
+func (n *NameService) SetLag(queries int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.behind = queries
-	n.reply()
+	n.lag = queries
+	n.answerPending()
 }
 
-// Withhold keeps all answers back, or sends those that wait, with the list as it is then.
-func (n *Names) Withhold(withhold bool) {
+// SetWithheld keeps all answers back, or sends those that wait, with the list as it is then.
+func (n *NameService) SetWithheld(withhold bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.withhold = withhold
-	n.reply()
+	n.withheld = withhold
+	n.answerPending()
 }
 
-// Waiting tells how many queries are not answered yet.
-func (n *Names) Waiting() int {
+// PendingQueries tells how many queries are not answered yet.
+func (n *NameService) PendingQueries() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return len(n.waiting)
+	return len(n.pending)
 }
 
-func (n *Names) asked(q question) {
+func (n *NameService) enqueue(q pendingQuery) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.waiting = append(n.waiting, q)
-	n.reply()
+	n.pending = append(n.pending, q)
+	n.answerPending()
 }
 
-func (n *Names) reply() {
-	for !n.withhold && len(n.waiting) > n.behind {
-		q := n.waiting[0]
-		n.waiting = n.waiting[1:]
-		list := List{n.hosts, n.serial}
+func (n *NameService) answerPending() {
+	for !n.withheld && len(n.pending) > n.lag {
+		q := n.pending[0]
+		n.pending = n.pending[1:]
+		list := EngineList{n.hosts, n.serial}
 		switch {
-		case n.stale != nil:
-			list, n.stale = *n.stale, nil
-		case len(n.before) > 0 && n.chance > 0 && n.draw() < n.chance:
-			list = n.before[int(n.draw()*float64(len(n.before)))]
+		case n.nextList != nil:
+			list, n.nextList = *n.nextList, nil
+		case len(n.earlierLists) > 0 && n.staleChance > 0 && n.random() < n.staleChance:
+			list = n.earlierLists[int(n.random()*float64(len(n.earlierLists)))]
 		}
-		n.answers++
-		n.WriteTo(n.answer(q.query, list), q.from) //nolint:errcheck
+		n.answerCount++
+		n.WriteTo(n.encodeAnswer(q.query, list), q.from) //nolint:errcheck
 	}
 }
 
 // Set makes a new list, which is the next event.
-func (n *Names) Set(hosts ...Host) {
+func (n *NameService) Set(hosts ...Host) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.keep()
+	n.archiveList()
 	n.hosts, n.serial = hosts, n.serial+1
 }
 
-const mostBefore = 8 // lists that are kept for old answers
+const maxEarlierLists = 8 // lists that are kept for old answers
 
-func (n *Names) keep() {
-	if n.before = append(n.before, List{n.hosts, n.serial}); len(n.before) > mostBefore {
-		n.before = n.before[1:]
+func (n *NameService) archiveList() {
+	if n.earlierLists = append(n.earlierLists, EngineList{n.hosts, n.serial}); len(n.earlierLists) > maxEarlierLists {
+		n.earlierLists = n.earlierLists[1:]
 	}
 }
 
-// Old has a part of the queries, by chance, answered with a list of before: as it was, under its number of then, be it of
+// SetStaleAnswers has a part of the queries, by chance, answered with a list of before: as it was, under its number of then, be it of
 // before the router's start. The chances are drawn by draw, between 0 and 1.
-func (n *Names) Old(chance float64, draw func() float64) {
+func (n *NameService) SetStaleAnswers(chance float64, draw func() float64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.chance, n.draw = chance, draw
+	n.staleChance, n.random = chance, draw
 }
 
-// From goes on with the numbers of another: the same service, at another address.
-func (n *Names) From(other *Names) {
+// CopyFrom goes on with the numbers of another: the same service, at another address.
+func (n *NameService) CopyFrom(other *NameService) {
 	other.mutex.Lock()
-	hosts, serial, drains := other.hosts, other.serial, maps.Clone(other.drains)
-	before, chance, draw := slices.Clone(other.before), other.chance, other.draw
+	hosts, serial, drains := other.hosts, other.serial, maps.Clone(other.firstDrained)
+	before, chance, draw := slices.Clone(other.earlierLists), other.staleChance, other.random
 	other.mutex.Unlock()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.hosts, n.serial, n.drains = hosts, serial, drains
-	n.before, n.chance, n.draw = before, chance, draw
+	n.hosts, n.serial, n.firstDrained = hosts, serial, drains
+	n.earlierLists, n.staleChance, n.random = before, chance, draw
 }
 
-// Known gives the list as a router's configuration tells it at a start: one event that holds all of it.
-func (n *Names) Known() any {
+// StartupEvents gives the list as a router's configuration tells it at a start: one event that holds all of it.
+func (n *NameService) StartupEvents() any {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	instances := []map[string]any{}
@@ -362,14 +362,14 @@
 		"hosts": map[string]any{"generation": 1, "reset": true, "instances": instances}}}}
 }
 
-// Drains gives when a router was first told that an engine drains, by the engine's id.
-func (n *Names) Drains() map[string]time.Time {
+// FirstDrained gives when a router was first told that an engine drains, by the engine's id.
+func (n *NameService) FirstDrained() map[string]time.Time {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return maps.Clone(n.drains)
+	return maps.Clone(n.firstDrained)
 }
 
-func (n *Names) answer(query []byte, list List) []byte {
+func (n *NameService) encodeAnswer(query []byte, list EngineList) []byte {
 	u16 := binary.BigEndian.AppendUint16
 	name := func(out []byte, s string) []byte {
 		for _, label := range strings.Split(s, ".") {
@@ -393,8 +393,8 @@
 		state := uint16(0)
 		if h.Draining {
 			state = 1
-			if _, told := n.drains[h.ID]; !told {
-				n.drains[h.ID] = time.Now()
+			if _, told := n.firstDrained[h.ID]; !told {
+				n.firstDrained[h.ID] = time.Now()
 			}
 		}
 		out = record(out, "_rpc._tcp.mesh.local", 33, name(u16(u16(u16(nil, state), 10), uint16(p)), target))
@@ -410,8 +410,8 @@
 	return append(out, more...)
 }
 
-// Answer is one frame from the router.
-type Answer struct {
+// ResponseFrame is one frame from the router.
+type ResponseFrame struct {
 	Type   uint8
 	Stream uint32
 	Code   uint8
@@ -431,8 +431,8 @@
 	return &Client{c}, nil
 }
 
-// Frame makes a frame; fields are names and values in turn, and none at all leaves out their count.
-func Frame(kind uint8, stream uint32, fields []string, body string) []byte {
+// EncodeFrame makes a frame; fields are names and values in turn, and none at all leaves out their count.
+func EncodeFrame(kind uint8, stream uint32, fields []string, body string) []byte {
 	var payload []byte
 	if fields != nil {
 		payload = append(payload, byte(len(fields)/2))
@@ -448,25 +448,25 @@
 	return append(out, payload...)
 }
 
-// Ask sends a batch.
-func (c *Client) Ask(stream uint32, group, id string, left time.Duration, text string) error {
+// SendBatch sends a batch.
+func (c *Client) SendBatch(stream uint32, group, id string, left time.Duration, text string) error {
 	fields := []string{"c", group, "i", id, "d", strconv.Itoa(int(left.Milliseconds()))}
-	_, err := c.Write(Frame(10, stream, fields, text))
+	_, err := c.Write(EncodeFrame(10, stream, fields, text))
 	return err
 }
 
-// Next reads the next frame.
-func (c *Client) Next(within time.Duration) (Answer, error) {
+// ReadFrame reads the next frame.
+func (c *Client) ReadFrame(within time.Duration) (ResponseFrame, error) {
 	c.SetReadDeadline(time.Now().Add(within)) //nolint:errcheck
 	var head [9]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
-		return Answer{}, err
+		return ResponseFrame{}, err
 	}
 	rest := make([]byte, int(binary.LittleEndian.Uint32(head[:]))-5)
 	if _, err := io.ReadFull(c, rest); err != nil {
-		return Answer{}, err
+		return ResponseFrame{}, err
 	}
-	a := Answer{Type: head[4], Stream: binary.LittleEndian.Uint32(head[5:]), Fields: map[string]string{}}
+	a := ResponseFrame{Type: head[4], Stream: binary.LittleEndian.Uint32(head[5:]), Fields: map[string]string{}}
 	if len(rest) < 2 {
 		return a, nil
 	}
--- a/internal/standin/tds.go
+++ b/internal/standin/tds.go
@@ -21,21 +21,21 @@
 )
 
 // NewTDS listens as a scripted engine that speaks TDS.
-func NewTDS(name, address string, l *Ledger) (*Server, error) {
-	return newServer(name, "tds", address, l, serveTDS)
+func NewTDS(name, address string, fleet *Fleet) (*Server, error) {
+	return newServer(name, "tds", address, fleet, serveTDS)
 }
 
 // tdsConn is a connection to one: one batch at a time. Its own lock keeps the session, which the answers of a batch and
 // what is read share.
 type tdsConn struct {
 	net.Conn
-	server  *Server
-	mutex   sync.Mutex
-	pool    *buffers.Pool
-	session *tds.Session
-	stream  uint32 // of the batch that runs; 0: none
-	run     *Run
-	hush    bool
+	server   *Server
+	mutex    sync.Mutex
+	pool     *buffers.Pool
+	session  *tds.Session
+	stream   uint32 // of the batch that runs; 0: none
+	run      *Run
+	silenced bool
 }
 
 func serveTDS(s *Server, conn net.Conn) {
@@ -80,11 +80,11 @@
 				}
 				w.Batch.Text.Release()
 				c.stream = w.Stream
-				go c.play(s, run, w.Stream)
+				go c.perform(s, run, w.Stream)
 			case traffic.Cancel:
 				c.stream = 0
 				if c.run != nil {
-					s.ledger.giveUp(c.run)
+					s.fleet.cancel(c.run)
 				}
 			}
 		}
@@ -93,14 +93,14 @@
 }
 
 func (c *tdsConn) flush(out *buffers.Chain) {
-	if out.Len() > 0 && !c.hush && !c.server.silent() {
+	if out.Len() > 0 && !c.silenced && !c.server.silent() {
 		c.Write(out.Bytes())
 	}
 	out.Release()
 }
 
-// tell answers the batch that runs, if it still does.
-func (c *tdsConn) tell(stream uint32, raw func([]byte) (keep []byte, hush bool), what ...traffic.Tell) {
+// send answers the batch that runs, if it still does.
+func (c *tdsConn) send(stream uint32, raw func([]byte) (keep []byte, hush bool), what ...traffic.Tell) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.stream != stream {
@@ -116,40 +116,40 @@
 	if raw != nil {
 		b, hush = raw(b)
 	}
-	if !c.hush && !c.server.silent() {
+	if !c.silenced && !c.server.silent() {
 		c.Write(b)
 	}
-	c.hush = c.hush || hush
+	c.silenced = c.silenced || hush
 }
 
-func (c *tdsConn) play(s *Server, run Run, stream uint32) {
-	r := s.ledger.begin(run)
-	defer s.ledger.answered(r)
-	if r.Act.Deed == TurnAway {
-		s.ledger.end(r)
-		c.tell(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.PushedBack})
+func (c *tdsConn) perform(s *Server, run Run, stream uint32) {
+	r := s.fleet.recordStart(run)
+	defer s.fleet.recordAnswered(r)
+	if r.Step.Action == Reject {
+		s.fleet.recordEnd(r)
+		c.send(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.PushedBack})
 		return
 	}
 	c.mutex.Lock()
 	if c.run = r; c.stream != stream {
-		s.ledger.giveUp(r)
+		s.fleet.cancel(r)
 	}
 	c.mutex.Unlock()
-	done := r.work()
-	s.ledger.end(r)
+	done := r.simulateWork()
+	s.fleet.recordEnd(r)
 	if !done {
 		return
 	}
 	columns := []rows.Column{{Name: "engine", Type: rows.Type{Kind: rows.Text, Size: 64}},
 		{Name: "queue", Type: rows.Type{Kind: rows.Text, Size: 64}}, {Name: "line", Type: rows.Type{Kind: rows.Text}}}
-	count := max(r.Act.Rows, 1)
+	count := max(r.Step.Rows, 1)
 	piece := func(from int) traffic.Tell { // made as it is sent, as an engine does that has begun to answer
 		part := rows.Part{Form: rows.Values, Data: (&buffers.Pool{}).Chain()}
 		if from == 0 {
 			part.Columns = columns
 		}
 		for i := from; i < min(from+pageRows, count); i++ {
-			for _, v := range strings.Split(lineOf(r, i), "\t") {
+			for _, v := range strings.Split(resultRow(r, i), "\t") {
 				rows.Append(part.Data, []byte(v))
 			}
 		}
@@ -162,40 +162,40 @@
 		return append(out, &traffic.Answer{Stream: stream})
 	}
 	if strings.Contains(r.Text, "typed") {
-		c.tell(stream, nil, &traffic.Rows{Stream: stream, Part: Typed()}, &traffic.Answer{Stream: stream})
+		c.send(stream, nil, &traffic.Rows{Stream: stream, Part: TypedRows()}, &traffic.Answer{Stream: stream})
 		return
 	}
 	half := func(b []byte) ([]byte, bool) { return b[:len(b)/2], true }
-	switch r.Act.Deed {
+	switch r.Step.Action {
 	case Serve:
 		for from := 0; from < count; from += pageRows {
-			c.tell(stream, nil, piece(from))
+			c.send(stream, nil, piece(from))
 		}
-		c.tell(stream, nil, &traffic.Answer{Stream: stream})
+		c.send(stream, nil, &traffic.Answer{Stream: stream})
 	case Fail:
-		c.tell(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Errored, Why: "scripted"})
-	case Drop:
+		c.send(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Errored, Why: "scripted"})
+	case CloseUnanswered:
 		c.Close()
-	case Cut:
-		c.tell(stream, half, whole()...)
+	case CloseMidAnswer:
+		c.send(stream, half, whole()...)
 		c.Close()
-	case Mute:
-		s.fallSilent()
-	case Hush:
-		c.tell(stream, func([]byte) ([]byte, bool) { return nil, true })
-	case Half:
-		c.tell(stream, half, whole()...)
-	case Garble:
-		c.tell(stream, func([]byte) ([]byte, bool) { return []byte("HTTP/1.1 200 OK\r\n\r\n"), false })
-	case Overlong:
-		c.tell(stream, func([]byte) ([]byte, bool) { return []byte{4, 0, 0, 3, 0, 0, 1, 0}, false })
-	case Flood:
+	case SilenceEngine:
+		s.silenceBriefly()
+	case SilenceConnection:
+		c.send(stream, func([]byte) ([]byte, bool) { return nil, true })
+	case HalfAnswer:
+		c.send(stream, half, whole()...)
+	case SendGarbage:
+		c.send(stream, func([]byte) ([]byte, bool) { return []byte("HTTP/1.1 200 OK\r\n\r\n"), false })
+	case InvalidLength:
+		c.send(stream, func([]byte) ([]byte, bool) { return []byte{4, 0, 0, 3, 0, 0, 1, 0}, false })
+	case EndlessAnswer:
 		// A packet that is never the last, of a row that never ends: a value in pieces.
 		endless := make([]byte, 8+4096)
 		copy(endless, []byte{4, 0, byte(len(endless) >> 8), byte(len(endless) & 0xFF), 0, 0, 1, 0})
 		head := []byte{4, 0, 0, 8 + 30, 0, 0, 1, 0, 0x81, 1, 0, 0, 0, 0, 0, 1, 0, 0xA5, 0xFF, 0xFF, 1, 'b', 0,
 			0xD1, 0xFE, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0, 0, 0xF0, 0x7F, 0, 0}
-		c.tell(stream, func([]byte) ([]byte, bool) { return head, false })
+		c.send(stream, func([]byte) ([]byte, bool) { return head, false })
 		flood(c.Conn, endless)
 	}
 }
@@ -203,10 +203,10 @@
 // TDSClient is a client that speaks TDS: one request at a time.
 type TDSClient struct {
 	net.Conn
-	pool  *buffers.Pool
-	in    *buffers.Chain
-	state *tds.Engine
-	count int
+	pool           *buffers.Pool
+	received       *buffers.Chain
+	session        *tds.Engine
+	statementCount int
 }
 
 // DialTDS connects and logs in.
@@ -218,11 +218,11 @@
 	pool := &buffers.Pool{}
 	access := &tds.Access{Pool: pool, User: user, Password: password, Database: database, Program: "standin",
 		Packet: 4096, TurnedAway: []int32{tds.NumberPushedBack}}
-	c := &TDSClient{Conn: conn, pool: pool, in: pool.Chain(), state: access.Engine()}
+	c := &TDSClient{Conn: conn, pool: pool, received: pool.Chain(), session: access.Engine()}
 	out := pool.Chain()
-	c.state.Open(out)
+	c.session.Open(out)
 	c.flush(out)
-	if _, err := c.next(within, traffic.Up); err != nil {
+	if _, err := c.readUntil(within, traffic.Up); err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("client: login: %w", err)
 	}
@@ -242,37 +242,37 @@
 	Lines []string // its rows, values with tabs between them
 }
 
-// Ask sends a statement.
-func (c *TDSClient) Ask(text string, parameters ...rows.Parameter) error {
+// Send sends a statement.
+func (c *TDSClient) Send(text string, parameters ...rows.Parameter) error {
 	out := c.pool.Chain()
-	c.count++
-	c.state.Send(out, fmt.Sprint(c.count), text, parameters)
+	c.statementCount++
+	c.session.Send(out, fmt.Sprint(c.statementCount), text, parameters)
 	return c.flush(out)
 }
 
-// GiveUp sends an Attention and waits until it is acknowledged.
-func (c *TDSClient) GiveUp(within time.Duration) error {
+// Cancel sends an Attention and waits until it is acknowledged.
+func (c *TDSClient) Cancel(within time.Duration) error {
 	out := c.pool.Chain()
-	c.state.Order(out, traffic.GiveUp{ID: fmt.Sprint(c.count)})
+	c.session.Order(out, traffic.GiveUp{ID: fmt.Sprint(c.statementCount)})
 	if err := c.flush(out); err != nil {
 		return err
 	}
-	_, err := c.next(within, traffic.Free)
+	_, err := c.readUntil(within, traffic.Free)
 	return err
 }
 
-// Next waits for the end of what was asked.
-func (c *TDSClient) Next(within time.Duration) (Reply, error) {
-	return c.next(within, traffic.Whole, traffic.Broke, traffic.Full)
+// ReadReply waits for the end of what was asked.
+func (c *TDSClient) ReadReply(within time.Duration) (Reply, error) {
+	return c.readUntil(within, traffic.Whole, traffic.Broke, traffic.Full)
 }
 
-func (c *TDSClient) next(within time.Duration, until ...traffic.Word) (out Reply, err error) {
+func (c *TDSClient) readUntil(within time.Duration, until ...traffic.Word) (out Reply, err error) {
 	c.SetReadDeadline(time.Now().Add(within)) //nolint:errcheck
 	var columns []rows.Column
 	piece := make([]byte, 16<<10)
 	for {
 		owed := c.pool.Chain()
-		reply, err := c.state.Read(c.in, owed)
+		reply, err := c.session.Read(c.received, owed)
 		if owed.Len() > 0 {
 			c.flush(owed) //nolint:errcheck
 		}
@@ -284,7 +284,7 @@
 			if err != nil {
 				return out, err
 			}
-			c.in.Write(piece[:n])
+			c.received.Write(piece[:n])
 			continue
 		}
 		if p := reply.Rows; reply.Word == traffic.Some {
@@ -317,8 +317,8 @@
 	}
 }
 
-// Typed is a result of one row with the types that reporting tools meet, and one of which all is missing.
-func Typed() rows.Part {
+// TypedRows is a result of one row with the types that reporting tools meet, and one of which all is missing.
+func TypedRows() rows.Part {
 	values := []struct {
 		rows.Column
 		value []byte
--- a/internal/torture/budgets.go
+++ b/internal/torture/budgets.go
@@ -34,7 +34,7 @@
 			if c.bears(r.Engine, c.at(r)) < 0 || c.late(r) {
 				return "", 0
 			}
-			return r.Engine, r.Act.After.Seconds()
+			return r.Engine, r.Step.After.Seconds()
 		},
 		All: func(c *runsCheck) (out []string) {
 			for name, e := range c.Engines {
@@ -172,7 +172,7 @@
 	}
 	var moments []moment
 	for _, r := range c.runs {
-		if r.Group != "report" || r.Act.Deed == standin.TurnAway || r.GivenUp || r.Ended.IsZero() || c.unfair(r, c.at(r)-wayWithin, r.Ended.Sub(c.Began)) {
+		if r.Group != "report" || r.Step.Action == standin.Reject || r.Canceled || r.Ended.IsZero() || c.unfair(r, c.at(r)-wayWithin, r.Ended.Sub(c.Began)) {
 			continue
 		}
 		moments = append(moments, moment{r.Began, true, r}, moment{r.Ended, false, r})
--- a/internal/torture/clients.go
+++ b/internal/torture/clients.go
@@ -157,7 +157,7 @@
 	work := p.act(standin.Run{ID: b.ID, Text: text}, 0).After.Seconds() * 1e3 * (0.8 + 0.4*r.Float64())
 	fields = append(fields, "h", strconv.FormatFloat(work, 'f', 1, 64))
 	b.fields, b.text = fields, text
-	frame := standin.Frame(10, stream, fields, text)
+	frame := standin.EncodeFrame(10, stream, fields, text)
 	if r.IntN(150) == 0 { // this client's machine stands still within a frame
 		l.Write(frame[:len(frame)/2]) //nolint:errcheck
 		l.mutex.Lock()
@@ -198,7 +198,7 @@
 			l.happened("%s left", b.ID)
 		}
 		l.mutex.Unlock()
-		l.Write(standin.Frame(12, stream, nil, "")) //nolint:errcheck
+		l.Write(standin.EncodeFrame(12, stream, nil, "")) //nolint:errcheck
 	}
 }
 
@@ -206,7 +206,7 @@
 func (p *play) read(l *line) {
 	defer close(l.done)
 	for {
-		a, err := l.Next(time.Hour)
+		a, err := l.ReadFrame(time.Hour)
 		l.mutex.Lock()
 		switch {
 		case err != nil:
@@ -280,7 +280,7 @@
 	l.open[1], l.all[1] = b, b
 	l.happened("%s %s sent again", b.Group, b.ID)
 	l.mutex.Unlock()
-	if _, err := l.Write(standin.Frame(10, 1, fields, before.text)); err == nil {
+	if _, err := l.Write(standin.EncodeFrame(10, 1, fields, before.text)); err == nil {
 		l.mutex.Lock()
 		b.Written = p.since()
 		l.mutex.Unlock()
--- a/internal/torture/play.go
+++ b/internal/torture/play.go
@@ -52,7 +52,7 @@
 	host    string        // loopback address that the play has to itself
 	fabric  *relay.Fabric // of the links to engines and name services; nil: there are none
 	routers []*router
-	ledger  *standin.Ledger
+	ledger  *standin.Fleet
 	library string // that fails system calls; empty: none do
 
 	world   sync.Mutex // of the next four, and of what names say
@@ -93,7 +93,7 @@
 	o.Routers, o.Older = max(o.Routers, 1), cmp.Or(o.Older, o.Program)
 	o.Shares = o.Shares || o.Limits
 	o.Talk = o.Talk || o.Shares
-	p := &play{Options: o, began: time.Now(), ledger: &standin.Ledger{Memory: window, GivesUp: true, TellsMemory: true, Late: lateReads(o.Seed)}}
+	p := &play{Options: o, began: time.Now(), ledger: &standin.Fleet{MarkMemory: window, CancelsOnClose: true, ReportsMemory: true, ReadDelay: lateReads(o.Seed)}}
 	p.ledger.Script = p.act
 	n := plays.Add(1)
 	p.host = fmt.Sprintf("127.%d.%d.%d", 60+os.Getpid()%100, n/250%250, 1+n%250)
@@ -232,18 +232,18 @@
 // act is what an engine does with a batch. What it takes goes by the batch alone, so that its client can tell it, and what else
 // happens by how often its text has come too. A seed always does the same. The work once went by the text and its count: what
 // clients told was then true of one in hundreds, the smallest tellings went first, and engines got a third more than was booked.
-func (p *play) act(r standin.Run, count int) standin.Act {
+func (p *play) act(r standin.Run, count int) standin.Step {
 	h := fnv.New64a()
 	h.Write([]byte(cmp.Or(r.ID, r.Text))) //nolint:errcheck
 	work := rand.New(rand.NewPCG(p.Seed^h.Sum64(), 0))
-	a := standin.Act{After: time.Duration(5+work.IntN(120)) * time.Millisecond, Rows: rowsOf(r.Text)}
+	a := standin.Step{After: time.Duration(5+work.IntN(120)) * time.Millisecond, Rows: rowsOf(r.Text)}
 	if work.IntN(40) == 0 {
 		a.After = time.Duration(300+work.IntN(300)) * time.Millisecond
 	}
 	chance := rand.New(rand.NewPCG(p.Seed^h.Sum64(), uint64(1+count)))
 	if chance.IntN(25) == 0 {
-		a.Deed = []standin.Deed{standin.TurnAway, standin.Fail, standin.Drop, standin.Cut, standin.Hush, standin.Half,
-			standin.Garble, standin.Overlong}[chance.IntN(8)]
+		a.Action = []standin.Action{standin.Reject, standin.Fail, standin.CloseUnanswered, standin.CloseMidAnswer, standin.SilenceConnection, standin.HalfAnswer,
+			standin.SendGarbage, standin.InvalidLength}[chance.IntN(8)]
 	}
 	return a
 }
@@ -408,7 +408,7 @@
 			continue
 		}
 		conns = append(conns, c)
-		c.Write([][]byte{nil, {200, 1, 0, 0, 10}, bytes.Repeat([]byte{255}, 40), standin.Frame(10, 1, []string{"c", "nobody"}, "x")}[i%4]) //nolint:errcheck
+		c.Write([][]byte{nil, {200, 1, 0, 0, 10}, bytes.Repeat([]byte{255}, 40), standin.EncodeFrame(10, 1, []string{"c", "nobody"}, "x")}[i%4]) //nolint:errcheck
 	}
 	if r.Talk {
 		r.rubbish(s)
--- a/internal/torture/router.go
+++ b/internal/torture/router.go
@@ -33,7 +33,7 @@
 	config  string
 	log     *os.File
 
-	names *standin.Names           // its own view of the list; the fleet's lock covers it
+	names *standin.NameService     // its own view of the list; the fleet's lock covers it
 	asks  string                   // where it finds them
 	via   map[string]string        // by which address it reaches another router that talks, by the one which that tells
 	ways  map[string]*relay.Stream // to engines, by name, where there is a fabric; the play's end closes them
@@ -78,10 +78,10 @@
 			return nil, err
 		}
 	}
-	if r.names, err = standin.NewNames(p.host + ":0"); err != nil {
+	if r.names, err = standin.NewNameService(p.host + ":0"); err != nil {
 		return nil, err
 	}
-	r.names.Old(oldAnswers, rand.New(rand.NewPCG(r.Seed, oldStream+uint64(r.number))).Float64)
+	r.names.SetStaleAnswers(oldAnswers, rand.New(rand.NewPCG(r.Seed, oldStream+uint64(r.number))).Float64)
 	return r, r.findNames()
 }
 
@@ -120,7 +120,7 @@
 // configure writes what the router is told; the change of the file is whole or not at all, as an operator's would be.
 func (r *router) configure() error {
 	told := fmt.Sprintf(settings, r.Routers, r.index)
-	text, err := rig.Configuration(told, r.name, r.address, fmt.Sprintf("%08x%08x", uint32(r.Seed), r.number+16*r.starts()), r.limits[0], r.limits[1], r.asks, r.names.Known())
+	text, err := rig.Configuration(told, r.name, r.address, fmt.Sprintf("%08x%08x", uint32(r.Seed), r.number+16*r.starts()), r.limits[0], r.limits[1], r.asks, r.names.StartupEvents())
 	if err == nil {
 		if err = os.WriteFile(r.config+".new", text, 0o600); err == nil {
 			err = os.Rename(r.config+".new", r.config)
@@ -140,12 +140,12 @@
 
 // moveNames puts its name service at another address and tells it by SIGHUP. The old one falls silent. The fleet is locked.
 func (r *router) moveNames() error {
-	names, err := standin.NewNames(r.host + ":0")
+	names, err := standin.NewNameService(r.host + ":0")
 	if err != nil {
 		return err
 	}
 	r.names.Close() // before its numbers go over: what it says later is not known here
-	names.From(r.names)
+	names.CopyFrom(r.names)
 	r.names = names
 	if err := r.findNames(); err != nil {
 		return err
@@ -164,7 +164,7 @@
 // start starts the process and waits until it is ready. The numbers of its lists begin anew, as on the platform.
 func (r *router) start() error {
 	if r.starts() > 0 {
-		r.names.Renumber()
+		r.names.ResetSerial()
 	}
 	if err := r.configure(); err != nil {
 		return err
@@ -202,8 +202,8 @@
 	}()
 	for end := time.Now().Add(upWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if k, err := standin.Dial(r.address); err == nil {
-			_, err := k.Write(standin.Frame(20, 1, []string{}, ""))
-			a, err2 := k.Next(time.Second)
+			_, err := k.Write(standin.EncodeFrame(20, 1, []string{}, ""))
+			a, err2 := k.ReadFrame(time.Second)
 			k.Close()
 			if err == nil && err2 == nil && a.Type == 21 && a.Code == 0 {
 				r.stopping.Store(false)
@@ -291,7 +291,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	out := Router{Name: r.party(), Lives: r.lives, Stills: r.stills, Crowds: r.crowds, Told: map[string]time.Duration{}}
-	for name, at := range r.names.Drains() {
+	for name, at := range r.names.FirstDrained() {
 		out.Told[name] = at.Sub(r.began)
 	}
 	return out
--- a/internal/torture/runs.go
+++ b/internal/torture/runs.go
@@ -110,7 +110,7 @@
 		if count[r.ID]++; count[r.ID] == mostRuns+1 {
 			c.found(2, r, "%s was sent more than %d times", r.ID, mostRuns)
 		}
-		if r.Act.Deed == standin.TurnAway {
+		if r.Step.Action == standin.Reject {
 			continue
 		}
 		origin := c.origin(r.ID)
@@ -145,11 +145,11 @@
 
 // doubtful is what leaves in doubt whether a batch still runs: no whole answer came of it.
 func doubtful(r standin.Run) bool {
-	switch r.Act.Deed {
-	case standin.Drop, standin.Cut, standin.Hush, standin.Mute, standin.Half, standin.Garble, standin.Overlong, standin.Flood:
+	switch r.Step.Action {
+	case standin.CloseUnanswered, standin.CloseMidAnswer, standin.SilenceConnection, standin.SilenceEngine, standin.HalfAnswer, standin.SendGarbage, standin.InvalidLength, standin.EndlessAnswer:
 		return true
 	}
-	return r.GivenUp
+	return r.Canceled
 }
 
 // keys run in order, one at a time for each router, and rest after doubt; for half the time at least, as a stand-in may see
@@ -161,7 +161,7 @@
 	}
 	last := map[line]standin.Run{}
 	for _, r := range c.runs {
-		if r.Key == "" || r.Act.Deed == standin.TurnAway || r.Repeat {
+		if r.Key == "" || r.Step.Action == standin.Reject || r.Duplicate {
 			continue
 		}
 		l := line{c.router(r), r.Key}
--- a/internal/torture/terms.go
+++ b/internal/torture/terms.go
@@ -26,7 +26,7 @@
 }
 
 // came is when an attempt came to its engine, which may read it later.
-func (c *runsCheck) came(r standin.Run) time.Duration { return c.at(r) - r.Late }
+func (c *runsCheck) came(r standin.Run) time.Duration { return c.at(r) - r.ReadDelay }
 
 // ended: no attempt begins once its client has cancelled it or its connection has ended.
 func (c *runsCheck) ended() {
@@ -65,7 +65,7 @@
 	before := map[string][]standin.Run{}
 	for _, r := range c.runs {
 		for _, other := range before[r.ID] {
-			if other.Act.Deed != standin.TurnAway && (other.Over.IsZero() || other.Over.After(r.Began)) {
+			if other.Step.Action != standin.Reject && (other.Settled.IsZero() || other.Settled.After(r.Began)) {
 				c.found(2, r, "%s of %s came to %s beside an attempt that was out at %s since %.3f s", r.ID, c.Routers[c.router(r)].Name, r.Engine,
 					other.Engine, c.at(other).Seconds())
 				break
--- a/internal/torture/torture_test.go
+++ b/internal/torture/torture_test.go
@@ -131,12 +131,12 @@
 			Answers: []Answer{{At: 2 * second, Body: "e-1\tlookup\trow 0\n"}}}
 	}
 	run := func(id, group, key string, from, to time.Duration) standin.Run {
-		return standin.Run{ID: id, Group: group, Key: key, Began: began.Add(from), Ended: began.Add(to), Over: began.Add(to)}
+		return standin.Run{ID: id, Group: group, Key: key, Began: began.Add(from), Ended: began.Add(to), Settled: began.Add(to)}
 	}
 	budget := func(left time.Duration, r standin.Run) standin.Run { r.Budget = left; return r }
-	out := func(r standin.Run) standin.Run { r.Over = time.Time{}; return r }
+	out := func(r standin.Run) standin.Run { r.Settled = time.Time{}; return r }
 	at := func(engine string, r standin.Run) standin.Run { r.Engine = engine; return r }
-	work := func(long time.Duration, r standin.Run) standin.Run { r.Act.After = long; return r }
+	work := func(long time.Duration, r standin.Run) standin.Run { r.Step.After = long; return r }
 	var many []standin.Run
 	for i := range 30 {
 		began := 2*second + time.Duration(i%2)*second + time.Duration(i) // the further one after the first has ended
@@ -169,7 +169,7 @@
 		"sent four times":      {rule: 2, runs: []standin.Run{run("b", "lookup", "", 0, 1), run("b", "lookup", "", 2, 3), run("b", "lookup", "", 4, 5), run("b", "lookup", "", 6, 7)}},
 		"two of a key at once": {rule: 5, runs: []standin.Run{run("b", "upload", "k", 0, 2*second), run("c", "upload", "k", second, 3*second)}},
 		"a key did not rest": {rule: 5, runs: []standin.Run{{ID: "b", Group: "upload", Key: "k", Began: began, Ended: began.Add(second),
-			Act: standin.Act{Deed: standin.Drop}}, run("c", "upload", "k", second+100*time.Millisecond, 3*second)}},
+			Step: standin.Step{Action: standin.CloseUnanswered}}, run("c", "upload", "k", second+100*time.Millisecond, 3*second)}},
 		"mark forgotten":        {rule: 2, runs: []standin.Run{run("b", "upload", "", 0, second), run("b", "upload", "", 4*second, 5*second)}},
 		"to one that drains":    {rule: 3, runs: []standin.Run{at("drains", run("b", "lookup", "", 4*second, 5*second))}},
 		"a cold one pushed":     {rule: 4, runs: []standin.Run{at("cold", work(10*second, run("b", "lookup", "", 0, second)))}},
