--- a/internal/standin/act.go
+++ b/internal/standin/act.go
@@ -15,73 +15,87 @@
 // Action is what a scripted engine does with a batch.
 type Action uint8
 
-// The deeds; each protocol's stand-in does them in its own bytes.
+// The actions; each protocol's server carries them out in its own encoding.
 const (
-	Serve             Action = iota
-	Reject                   // says that it has not run
-	Fail                     // runs, and ends in an error
-	CloseUnanswered          // runs, and closes without an answer
-	CloseMidAnswer           // runs, and closes within the answer
-	SilenceConnection        // runs, and says nothing at all any more on this connection
-	SilenceEngine            // as Hush, but on all its connections, for muteTime
-	HalfAnswer               // runs, sends half an answer, and says nothing more
-	SendGarbage              // runs, and sends what is no message
-	InvalidLength            // runs, and sends a length that can't be
-	EndlessAnswer            // runs, and sends an answer without end, until the connection closes
+	Serve Action = iota
+	// Reject answers that the batch did not run.
+	Reject
+	// Fail runs the batch and answers with an error.
+	Fail
+	// CloseUnanswered runs the batch and closes the connection without an answer.
+	CloseUnanswered
+	// CloseMidAnswer runs the batch and closes the connection in the middle of the answer.
+	CloseMidAnswer
+	// SilenceConnection runs the batch and sends nothing more on its connection.
+	SilenceConnection
+	// SilenceEngine runs the batch and sends nothing on any of the engine's connections for engineSilence.
+	SilenceEngine
+	// HalfAnswer runs the batch, sends half of the answer and nothing more.
+	HalfAnswer
+	// SendGarbage runs the batch and sends bytes that are not a message of the protocol.
+	SendGarbage
+	// InvalidLength runs the batch and sends a message with an impossible length.
+	InvalidLength
+	// EndlessAnswer runs the batch and sends an answer without end, until the connection closes.
+	EndlessAnswer
 )
 
 var actionNames = []string{"serve", "turn away", "fail", "drop", "cut", "hush", "mute", "half", "garble", "overlong", "flood"}
 
-func (d Action) String() string { return actionNames[d] }
+func (a Action) String() string { return actionNames[a] }
 
-// Step is a deed with what it takes.
+// Step is an action with its parameters.
 type Step struct {
 	Action
-	After time.Duration // of work
-	Rows  int           // of the result; 0: one
+	After time.Duration // how long the batch runs
+	Rows  int           // rows of the result; 0 means 1
 }
 
-// Run is one batch as an engine met it.
+// Run is the execution of one batch by an engine, as the engine saw it.
 type Run struct {
-	Engine, ID, Group, Mark, Key, Text string
-	Began, Ended                       time.Time     // Ended is zero while it runs: what is written of it comes after that
-	Answered                           time.Time     // zero while its answer is being written
-	Settled                            time.Time     // its whole answer was written, or it was known to be given up; zero: it is out
-	ReadDelay                          time.Duration // by which its connection is read late
-	Step                               Step
-	Duplicate                          bool // the engine remembered its mark, and ran nothing
-	Canceled                           bool // before it had ended
-
-	Budget time.Duration // for which the router will wait, as it told; 0: it told none
-
-	stop chan struct{} // closed when it is given up
+	Engine, ID, Group, Mark, Key, Text string    // Mark lets an engine recognize a batch that it has run before
+	Began, Ended                       time.Time // Ended is zero while the batch runs; bytes of its answer may be written after Ended
+	Answered                           time.Time // zero until the action on the batch is complete, its writes included
+	// Settled is when the batch was no longer outstanding: its whole answer was about to be written, the router canceled
+	// it, or its connection ended. Zero before that. A TDS engine sets it only when the batch is canceled.
+	Settled   time.Time
+	ReadDelay time.Duration // how late the engine reads the batch's connection
+	Step      Step
+	Duplicate bool // the engine remembered the mark and did not run the batch again
+	Canceled  bool // before it had ended
+
+	Budget time.Duration // how long the router said that it waits; 0: it did not say
+
+	stop chan struct{} // closed when the run is canceled
 }
 
-// cancel stops what still runs: it has ended when this returns.
-func (fleet *Fleet) cancel(r *Run) {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
+// cancel stops a run that has not ended. The run counts as ended when cancel returns.
+func (f *Fleet) cancel(r *Run) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	if r.Ended.IsZero() {
 		r.Ended, r.Canceled = time.Now(), true
 		close(r.stop)
 	}
-	fleet.settleLocked(r)
+	f.settleLocked(r)
 }
 
-// settle notes that nothing of a batch is out any more.
-func (fleet *Fleet) settle(r *Run) {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	fleet.settleLocked(r)
+// settle records that the batch is no longer outstanding.
+func (f *Fleet) settle(r *Run) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.settleLocked(r)
 }
 
-func (fleet *Fleet) settleLocked(r *Run) {
+// settleLocked is settle for callers that hold the mutex. Only the first call for a run sets the time.
+func (f *Fleet) settleLocked(r *Run) {
 	if r.Settled.IsZero() {
 		r.Settled = time.Now()
 	}
 }
 
-// simulateWork takes its time; false: it was given up meanwhile.
+// simulateWork waits for the duration of the step. It returns false if the run was canceled meanwhile. A duplicate
+// returns at once.
 func (r *Run) simulateWork() bool {
 	if r.Duplicate {
 		return true
@@ -94,17 +108,20 @@
 	}
 }
 
-// Fleet is what a fleet of scripted engines has run, and what it does next. It remembers marks, as engines that are
-// given marks do, for Memory.
+// Fleet records what a fleet of scripted engines ran and decides what the engines do with each batch. Its methods are
+// safe for concurrent use; its exported fields are not guarded by the mutex.
 type Fleet struct {
+	// MarkMemory is how long engines remember the mark of a batch, so that they do not run the batch twice.
 	MarkMemory time.Duration
-	// Script gives the act for a batch; the count tells how often its text has come.
+	// Script returns the step for a batch; count is how many batches with the same text came before. Nil means Serve.
 	Script func(r Run, count int) Step
-	// TellsMemory: engines tell the memory that runs hold, as answers tell it of each; else a fixed tenth.
+	// ReportsMemory makes engines report the memory that their runs use, as answers report it for each batch. Otherwise
+	// they report a constant tenth.
 	ReportsMemory bool
-	// GivesUp: what runs for a connection ends with it, as the protocol's page says of real engines.
+	// CancelsOnClose makes engines cancel the runs of a connection when it ends, as the protocol's page says of real
+	// engines.
 	CancelsOnClose bool
-	// Late tells by how much an engine reads a new connection late; nil: none does.
+	// ReadDelay returns how late an engine reads a new connection; nil means without delay.
 	ReadDelay func() time.Duration
 
 	mutex      sync.Mutex
@@ -113,38 +130,38 @@
 	probes     []Probe
 }
 
-// Probe is one question for an engine's load.
+// Probe is one query for the load of an engine.
 type Probe struct {
 	Engine string
 	At     time.Time
 }
 
-// recordProbe notes a probe and tells how many batches run there, turned away ones aside.
-func (fleet *Fleet) recordProbe(engine string) (running int) {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	fleet.probes = append(fleet.probes, Probe{engine, time.Now()})
-	for i := len(fleet.runs) - 1; i >= max(len(fleet.runs)-maxRecentRuns, 0); i-- {
-		if r := fleet.runs[i]; r.Engine == engine && r.Ended.IsZero() {
+// recordProbe records a probe and returns how many batches run on the engine, rejected ones excluded.
+func (f *Fleet) recordProbe(engine string) (running int) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.probes = append(f.probes, Probe{engine, time.Now()})
+	for i := len(f.runs) - 1; i >= max(len(f.runs)-maxRecentRuns, 0); i-- {
+		if r := f.runs[i]; r.Engine == engine && r.Ended.IsZero() {
 			running++
 		}
 	}
 	return running
 }
 
-const maxRecentRuns = 2000 // runs; none goes on for longer
+const maxRecentRuns = 2000 // newest runs that recordProbe looks at; no run is still active after 2000 later ones
 
-// Probes gives all so far, in order.
-func (fleet *Fleet) Probes() []Probe {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	return slices.Clone(fleet.probes)
+// Probes returns all probes so far, in order.
+func (f *Fleet) Probes() []Probe {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return slices.Clone(f.probes)
 }
 
 var commentField = regexp.MustCompile(`\b(id|key|group|mark)=([^ ,*]+)`)
 
-// recordStart notes a batch; the deed says what to do with it.
-func (fleet *Fleet) recordStart(r Run) *Run {
+// recordStart records the start of a run and fills in its step and the fields that comments in its text hold.
+func (f *Fleet) recordStart(r Run) *Run {
 	head, _, _ := strings.Cut(r.Text, "*/")
 	for _, m := range commentField.FindAllStringSubmatch(head, -1) {
 		switch {
@@ -158,59 +175,60 @@
 			r.Group = m[2]
 		}
 	}
-	// The router's own comment stands before the client's: what the batch is called is the rest.
+	// The router puts its own comment in front of the client's text; Text is what follows it.
 	for strings.HasPrefix(r.Text, "/* pitchfield id=") {
 		_, r.Text, _ = strings.Cut(r.Text, "*/ ")
 	}
 	if m := keyPattern.FindStringSubmatch(r.Text); m != nil && r.Key == "" {
 		r.Key = m[1]
 	}
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	if fleet.textCounts == nil {
-		fleet.textCounts = map[string]int{}
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.textCounts == nil {
+		f.textCounts = map[string]int{}
 	}
-	count := fleet.textCounts[r.Text]
-	fleet.textCounts[r.Text]++
+	count := f.textCounts[r.Text]
+	f.textCounts[r.Text]++
 	r.Began = time.Now()
-	if fleet.Script != nil {
-		r.Step = fleet.Script(r, count)
+	if f.Script != nil {
+		r.Step = f.Script(r, count)
 	}
 	if r.Mark != "" {
-		for _, old := range fleet.runs {
-			if old.Mark == r.Mark && old.Step.Action != Reject && !old.Duplicate && time.Since(old.Began) < fleet.MarkMemory {
+		for _, old := range f.runs {
+			if old.Mark == r.Mark && old.Step.Action != Reject && !old.Duplicate && time.Since(old.Began) < f.MarkMemory {
 				r.Duplicate = true
 			}
 		}
 	}
 	r.stop = make(chan struct{})
 	run := &r
-	fleet.runs = append(fleet.runs, run)
+	f.runs = append(f.runs, run)
 	return run
 }
 
 var keyPattern = regexp.MustCompile(`(?:/\* pitchfield [^*]*|--)key=([^ ,*\n]+)`)
 
-// recordEnd notes that a batch runs no more, before anything of that can be known elsewhere.
-func (fleet *Fleet) recordEnd(r *Run) {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
+// recordEnd records that a batch has ended. It is called before any byte that shows the end is sent.
+func (f *Fleet) recordEnd(r *Run) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	if r.Ended.IsZero() {
 		r.Ended = time.Now()
 	}
 }
 
-func (fleet *Fleet) recordAnswered(r *Run) {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
+// recordAnswered records that the action on a batch is complete.
+func (f *Fleet) recordAnswered(r *Run) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
 	r.Answered = time.Now()
 }
 
-// Runs gives all so far, in order.
-func (fleet *Fleet) Runs() (out []Run) {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	for _, r := range fleet.runs {
+// Runs returns copies of all runs so far, in order of their start.
+func (f *Fleet) Runs() (out []Run) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for _, r := range f.runs {
 		out = append(out, *r)
 	}
 	return out
@@ -221,22 +239,23 @@
 	net.Listener
 	Name, Protocol string
 
-	silentUntil  atomic.Int64 // until then, in Unix milliseconds, nothing is said
+	silentUntil  atomic.Int64 // the engine sends nothing before this time (Unix milliseconds)
 	fleet        *Fleet
 	serve        func(*Server, net.Conn)
 	mutex        sync.Mutex
 	conns        []net.Conn
-	endCallbacks map[net.Conn]func() // notes that nothing is out on a connection any more
+	endCallbacks map[net.Conn]func() // settles the runs of a connection
 	done         sync.WaitGroup
 }
 
-// onConnectionEnd has the end of a connection noted by a function.
-func (s *Server) onConnectionEnd(c net.Conn, ended func()) {
+// onConnectionEnd registers a function that Stop calls before it closes the connection.
+func (s *Server) onConnectionEnd(c net.Conn, callback func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.endCallbacks[c] = ended
+	s.endCallbacks[c] = callback
 }
 
+// newServer listens on an address and calls serve for each connection, in a goroutine of its own.
 func newServer(name, protocol, address string, fleet *Fleet, serve func(*Server, net.Conn)) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -271,23 +290,26 @@
 	}
 }
 
+// engineSilence is how long SilenceEngine lasts.
 const engineSilence = 2 * time.Second
 
 func (s *Server) silenceBriefly() { s.Silence(engineSilence) }
 
-// Silence has it say nothing for a while, on all its connections.
-func (s *Server) Silence(long time.Duration) { s.silentUntil.Store(time.Now().Add(long).UnixMilli()) }
+// Silence makes the engine send nothing on all its connections for a duration.
+func (s *Server) Silence(duration time.Duration) {
+	s.silentUntil.Store(time.Now().Add(duration).UnixMilli())
+}
 
 func (s *Server) silent() bool { return time.Now().UnixMilli() < s.silentUntil.Load() }
 
-// Stop closes all of it and waits.
+// Stop closes the listener and all connections and waits until their goroutines have ended.
 func (s *Server) Stop() {
 	s.Close()
 	s.mutex.Lock()
-	conns, ended := slices.Clone(s.conns), slices.Collect(maps.Values(s.endCallbacks))
+	conns, callbacks := slices.Clone(s.conns), slices.Collect(maps.Values(s.endCallbacks))
 	s.mutex.Unlock()
-	for _, end := range ended { // before it can be known elsewhere
-		end()
+	for _, settle := range callbacks { // before the clients can notice the close
+		settle()
 	}
 	for _, c := range conns {
 		c.Close()
@@ -295,17 +317,17 @@
 	s.done.Wait()
 }
 
-// Connections tells how many are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.conns)
 }
 
-// Host is its line in the name service's list.
+// Host returns the engine's entry for the name service's list.
 func (s *Server) Host() Host {
 	return Host{ID: s.Name, Zone: "hall", Kind: "std", Address: s.Addr().String()}
 }
 
-// resultRow gives a row of a result.
+// resultRow returns row i of the result of a run, with tabs between its values.
 func resultRow(r *Run, i int) string { return fmt.Sprintf("%s\t%s\trow %d", r.Engine, r.Group, i) }
