--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin plays what a router talks to, by the protocol's page: engines, the name service and a client. It is
-// for the example and the integration tests; it neither decides nor measures anything.
+// Package standin has test doubles for the peers of a router, as the protocol's page describes them: engines, the name
+// service and clients. The examples and the integration tests use it; it neither decides nor measures anything.
 package standin
 
 import (
@@ -16,21 +16,21 @@
 	"time"
 )
 
-// Request is one command as it came to an engine.
+// Request is one command that an engine received, as its words.
 type Request []string
 
-// Engine is a toy engine: it answers what Answer gives, in RESP.
+// Engine is a minimal engine that speaks RESP and sends the messages that Answer returns.
 type Engine struct {
 	net.Listener
-	Answer    func(r Request) [][]string         // may be nil: a result of one row, on two pages
-	ReadDelay func(connection int) time.Duration // by how much it reads a connection late, counted from 0; nil: no one
+	Answer    func(r Request) [][]string         // messages that answer a request; nil means ToyAnswer
+	ReadDelay func(connection int) time.Duration // how late it reads a connection, by its number from 0; nil: no delay
 
 	mutex    sync.Mutex
 	requests []Request
 	conns    []net.Conn
 }
 
-// NewEngine listens on an address.
+// NewEngine starts an engine that listens on an address.
 func NewEngine(address string, answer func(Request) [][]string) (*Engine, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,14 +39,14 @@
 	return NewEngineFromListener(l, answer), nil
 }
 
-// NewEngineFromListener takes connections from a listener that is there.
+// NewEngineFromListener starts an engine that accepts connections from an existing listener.
 func NewEngineFromListener(l net.Listener, answer func(Request) [][]string) *Engine {
 	e := &Engine{Listener: l, Answer: answer}
 	e.Start()
 	return e
 }
 
-// Start has it take connections. Its fields are set before.
+// Start begins to accept connections, in the background. The exported fields are set before it is called.
 func (e *Engine) Start() {
 	if e.Answer == nil {
 		e.Answer = ToyAnswer
@@ -66,7 +66,7 @@
 	}()
 }
 
-// ToyAnswer answers each fetch with a result of two pages after some milliseconds.
+// ToyAnswer answers each fetch after 20 ms with the first of two pages, and serves further pages and health checks.
 func ToyAnswer(r Request) [][]string {
 	switch r[0] {
 	case "fetch":
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Requests gives the commands so far that begin with a word.
+// Requests returns the requests received so far that begin with a word.
 func (e *Engine) Requests(word string) (out []Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -92,20 +92,20 @@
 	return out
 }
 
-// Connections tells how many connections it has taken so far.
+// Connections returns the number of connections accepted so far, closed ones included.
 func (e *Engine) Connections() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.conns)
 }
 
-// Shutdown closes all its connections, and it takes no more.
+// Shutdown closes the listener and all connections.
 func (e *Engine) Shutdown() {
 	e.Close()
 	e.CloseConnections()
 }
 
-// CloseConnections closes all its connections.
+// CloseConnections closes all connections; the listener stays open.
 func (e *Engine) CloseConnections() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -114,12 +114,13 @@
 	}
 }
 
+// serve answers the requests of one connection, each in a goroutine of its own.
 func (e *Engine) serve(c net.Conn, number int) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	if e.ReadDelay != nil {
-		if by := e.ReadDelay(number); by > 0 {
-			in = bufio.NewReader(newDelayedReader(c, by))
+		if delay := e.ReadDelay(number); delay > 0 {
+			in = bufio.NewReader(newDelayedReader(c, delay))
 		}
 	}
 	var writing sync.Mutex
@@ -144,14 +145,15 @@
 	}
 }
 
+// readArray reads a RESP array of bulk strings.
 func readArray(in *bufio.Reader) (Request, error) {
-	number := func(mark byte) (int, error) {
+	number := func(prefix byte) (int, error) {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return 0, err
 		}
-		if len(line) < 3 || line[0] != mark {
-			return 0, fmt.Errorf("%q", line)
+		if len(line) < 3 || line[0] != prefix {
+			return 0, fmt.Errorf("malformed RESP length line %q", line)
 		}
 		return strconv.Atoi(strings.TrimSpace(line[1:]))
 	}
@@ -174,45 +176,45 @@
 	return out, nil
 }
 
-// Host is one line of the name service's list.
+// Host is an engine in the name service's list.
 type Host struct {
 	ID, Zone, Kind string
 	Address        string // an IPv4 address and a port
 	Draining       bool
-	Started        int64 // Unix milliseconds of a late start; 0: long ago
+	Started        int64 // start time in Unix milliseconds; 0: long ago
 }
 
-// NameService is the name service: it answers each query with the whole list.
+// NameService answers each DNS query with the whole list of engines. Its methods are safe for concurrent use.
 type NameService struct {
 	net.PacketConn
 
 	mutex        sync.Mutex
 	hosts        []Host
 	serial       uint32
-	firstDrained map[string]time.Time // when an answer first said so, by id
+	firstDrained map[string]time.Time // when an answer first listed an engine as draining, by engine id
 	pending      []pendingQuery       // not answered yet, the oldest first
-	lag          int                  // each waits until so many more have come
-	withheld     bool                 // none is answered
-	nextList     *EngineList          // answers the next query, unless nil
-	earlierLists []EngineList         // lists that were in force, the oldest first
-	staleChance  float64              // that one of those answers a query
-	random       func() float64       // of chance
-	answerCount  int                  // sent so far
+	lag          int                  // a query is answered after this many later ones have arrived
+	withheld     bool                 // no query is answered
+	nextList     *EngineList          // the answer to the next query, if not nil
+	earlierLists []EngineList         // lists that were replaced, the oldest first
+	staleChance  float64              // probability that one of earlierLists answers a query
+	random       func() float64       // returns values from 0 to below 1, for staleChance
+	answerCount  int                  // answers sent so far
 }
 
-// EngineList is a list of engines as the name service had it at some time.
+// EngineList is a list of engines that the name service had at some time, with its serial number.
 type EngineList struct {
 	hosts  []Host
 	serial uint32
 }
 
-// pendingQuery is a query and who asked it.
+// pendingQuery is a query and the address to answer.
 type pendingQuery struct {
 	query []byte
 	from  net.Addr
 }
 
-// NewNameService listens on an address.
+// NewNameService starts a name service that listens on a UDP address.
 func NewNameService(address string) (*NameService, error) {
 	c, err := net.ListenPacket("udp", address)
 	if err != nil {
@@ -234,14 +236,14 @@
 	return n, nil
 }
 
-// CurrentList gives the list as it is.
+// CurrentList returns the current list.
 func (n *NameService) CurrentList() EngineList {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return EngineList{n.hosts, n.serial}
 }
 
-// ResetSerial begins the numbers anew with 1, as for a router that has started again.
+// ResetSerial restarts the serial numbers at 1, as after a restart of a router.
 func (n *NameService) ResetSerial() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -249,21 +251,22 @@
 	n.serial = 1
 }
 
-// AnswerNextWith has the next query answered with a list of before, under its number of then.
-func (n *NameService) AnswerNextWith(before EngineList) {
+// AnswerNextWith answers the next query with an earlier list, under the serial number of that list.
+func (n *NameService) AnswerNextWith(earlier EngineList) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.nextList = &before
+	n.nextList = &earlier
 }
 
-// AnswerCount tells how many answers were sent.
+// AnswerCount returns the number of answers sent so far.
 func (n *NameService) AnswerCount() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.answerCount
 }
 
-// SetLag makes the service slow: from now on a query is answered once so many more have come, with the list as it is then.
+// SetLag makes the service slow: each query is answered after the given number of later queries has arrived, with the
+// list that is current by then.
 func (n *NameService) SetLag(queries int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -271,7 +274,7 @@
 	n.answerPending()
 }
 
-// SetWithheld keeps all answers back, or sends those that wait, with the list as it is then.
+// SetWithheld holds back all answers, or sends the pending ones, with the list that is current by then.
 func (n *NameService) SetWithheld(withhold bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -279,13 +282,14 @@
 	n.answerPending()
 }
 
-// PendingQueries tells how many queries are not answered yet.
+// PendingQueries returns the number of queries that are not answered yet.
 func (n *NameService) PendingQueries() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return len(n.pending)
 }
 
+// enqueue adds a query and answers what is due.
 func (n *NameService) enqueue(q pendingQuery) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -293,6 +297,7 @@
 	n.answerPending()
 }
 
+// answerPending answers the pending queries that are due. The caller holds the mutex.
 func (n *NameService) answerPending() {
 	for !n.withheld && len(n.pending) > n.lag {
 		q := n.pending[0]
@@ -309,7 +314,7 @@
 	}
 }
 
-// Set makes a new list, which is the next event.
+// Set replaces the list, under the next serial number.
 func (n *NameService) Set(hosts ...Host) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -317,35 +322,38 @@
 	n.hosts, n.serial = hosts, n.serial+1
 }
 
-const maxEarlierLists = 8 // lists that are kept for old answers
+const maxEarlierLists = 8 // replaced lists that are kept for stale answers
 
+// archiveList adds the current list to the earlier ones. The caller holds the mutex.
 func (n *NameService) archiveList() {
 	if n.earlierLists = append(n.earlierLists, EngineList{n.hosts, n.serial}); len(n.earlierLists) > maxEarlierLists {
 		n.earlierLists = n.earlierLists[1:]
 	}
 }
 
-// SetStaleAnswers has a part of the queries, by chance, answered with a list of before: as it was, under its number of then, be it of
-// before the router's start. The chances are drawn by draw, between 0 and 1.
-func (n *NameService) SetStaleAnswers(chance float64, draw func() float64) {
+// SetStaleAnswers answers queries, with the given probability, with an earlier list under the serial number of that list,
+// even one from before the router's start. random returns values from 0 to below 1.
+func (n *NameService) SetStaleAnswers(chance float64, random func() float64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.staleChance, n.random = chance, draw
+	n.staleChance, n.random = chance, random
 }
 
-// CopyFrom goes on with the numbers of another: the same service, at another address.
+// CopyFrom takes over the list, serial number and settings of stale answers from another name service, as if the same
+// service had moved to another address.
 func (n *NameService) CopyFrom(other *NameService) {
 	other.mutex.Lock()
-	hosts, serial, drains := other.hosts, other.serial, maps.Clone(other.firstDrained)
-	before, chance, draw := slices.Clone(other.earlierLists), other.staleChance, other.random
+	hosts, serial, firstDrained := other.hosts, other.serial, maps.Clone(other.firstDrained)
+	earlierLists, chance, random := slices.Clone(other.earlierLists), other.staleChance, other.random
 	other.mutex.Unlock()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.hosts, n.serial, n.firstDrained = hosts, serial, drains
-	n.earlierLists, n.staleChance, n.random = before, chance, draw
+	n.hosts, n.serial, n.firstDrained = hosts, serial, firstDrained
+	n.earlierLists, n.staleChance, n.random = earlierLists, chance, random
 }
 
-// StartupEvents gives the list as a router's configuration tells it at a start: one event that holds all of it.
+// StartupEvents returns the list in the form in which a router's configuration has it at startup: one event with all
+// engines.
 func (n *NameService) StartupEvents() any {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -362,13 +370,15 @@
 		"hosts": map[string]any{"generation": 1, "reset": true, "instances": instances}}}}
 }
 
-// FirstDrained gives when a router was first told that an engine drains, by the engine's id.
+// FirstDrained returns, by engine id, when an answer first listed the engine as draining.
 func (n *NameService) FirstDrained() map[string]time.Time {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return maps.Clone(n.firstDrained)
 }
 
+// encodeAnswer encodes a list as the DNS answer to a query: an SRV record per engine, the SOA record with the serial
+// number, and an A and a TXT record per engine. The caller holds the mutex.
 func (n *NameService) encodeAnswer(query []byte, list EngineList) []byte {
 	u16 := binary.BigEndian.AppendUint16
 	name := func(out []byte, s string) []byte {
@@ -385,7 +395,7 @@
 	binary.BigEndian.PutUint16(out[6:], uint16(len(list.hosts)))
 	binary.BigEndian.PutUint16(out[10:], uint16(2*len(list.hosts)))
 	out = append(out, query[12:]...)
-	var more []byte
+	var additional []byte
 	for _, h := range list.hosts {
 		target := h.ID + "." + h.Zone + ".hosts"
 		ip, port, _ := net.SplitHostPort(h.Address)
@@ -393,24 +403,24 @@
 		state := uint16(0)
 		if h.Draining {
 			state = 1
-			if _, told := n.firstDrained[h.ID]; !told {
+			if _, known := n.firstDrained[h.ID]; !known {
 				n.firstDrained[h.ID] = time.Now()
 			}
 		}
 		out = record(out, "_rpc._tcp.mesh.local", 33, name(u16(u16(u16(nil, state), 10), uint16(p)), target))
-		more = record(more, target, 1, net.ParseIP(ip).To4())
+		additional = record(additional, target, 1, net.ParseIP(ip).To4())
 		var text []byte
 		for _, s := range []string{"kind=" + h.Kind, "cell=0", fmt.Sprint("started=", h.Started)} {
 			text = append(append(text, byte(len(s))), s...)
 		}
-		more = record(more, target, 16, text)
+		additional = record(additional, target, 16, text)
 	}
 	soa := binary.BigEndian.AppendUint32([]byte{0, 0}, list.serial)
 	out = record(out, "mesh.local", 6, append(soa, make([]byte, 16)...))
-	return append(out, more...)
+	return append(out, additional...)
 }
 
-// ResponseFrame is one frame from the router.
+// ResponseFrame is one frame from the router, decoded.
 type ResponseFrame struct {
 	Type   uint8
 	Stream uint32
@@ -419,7 +429,7 @@
 	Body   string
 }
 
-// Client speaks frames on one connection.
+// Client speaks the frame protocol on one connection to a router.
 type Client struct{ net.Conn }
 
 // Dial connects to a router.
@@ -431,7 +441,7 @@
 	return &Client{c}, nil
 }
 
-// EncodeFrame makes a frame; fields are names and values in turn, and none at all leaves out their count.
+// EncodeFrame encodes a frame. fields alternates names and values; nil leaves out the field count.
 func EncodeFrame(kind uint8, stream uint32, fields []string, body string) []byte {
 	var payload []byte
 	if fields != nil {
@@ -448,14 +458,14 @@
 	return append(out, payload...)
 }
 
-// SendBatch sends a batch.
+// SendBatch sends a batch on a stream; left is the time until its deadline.
 func (c *Client) SendBatch(stream uint32, group, id string, left time.Duration, text string) error {
 	fields := []string{"c", group, "i", id, "d", strconv.Itoa(int(left.Milliseconds()))}
 	_, err := c.Write(EncodeFrame(10, stream, fields, text))
 	return err
 }
 
-// ReadFrame reads the next frame.
+// ReadFrame reads the next frame. It fails if the frame has not arrived within the duration.
 func (c *Client) ReadFrame(within time.Duration) (ResponseFrame, error) {
 	c.SetReadDeadline(time.Now().Add(within)) //nolint:errcheck
 	var head [9]byte
