--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// chunk is what came at once on a connection.
+// chunk is the result of one read from a connection.
 type chunk struct {
 	data []byte
 	err  error
-	due  time.Time
+	due  time.Time // when delayedReader passes it on
 }
 
-// delayedReader gives what comes some time after it came, in order. Once its own side has closed the connection nothing more comes.
+// delayedReader passes on, in order, what was read from a connection some time ago. Once its own side has closed the
+// connection it returns net.ErrClosed.
 type delayedReader struct {
 	chunks <-chan chunk
 	closed <-chan struct{}
 	unread []byte
 }
 
-// newDelayedReader reads a connection late, as a peer does whose receive queue is long. It reads until the connection ends.
-func newDelayedReader(from io.Reader, by time.Duration) io.Reader {
+// newDelayedReader reads a connection with a delay, as a peer with a long receive queue does. Its goroutine reads until
+// the connection ends.
+func newDelayedReader(from io.Reader, delay time.Duration) io.Reader {
 	arrivals, closed := make(chan chunk, 1024), make(chan struct{})
 	go func() {
 		for {
@@ -32,7 +34,7 @@
 				close(closed)
 				return
 			}
-			arrivals <- chunk{data[:n], err, time.Now().Add(by)}
+			arrivals <- chunk{data[:n], err, time.Now().Add(delay)}
 			if err != nil {
 				return
 			}
@@ -41,7 +43,7 @@
 	return &delayedReader{chunks: arrivals, closed: closed}
 }
 
-// Read waits until something is due.
+// Read waits until a chunk is due and returns its data, or the error that ended the connection.
 func (l *delayedReader) Read(p []byte) (int, error) {
 	for len(l.unread) == 0 {
 		var next chunk
--- a/internal/standin/resp.go
+++ b/internal/standin/resp.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	pageRows       = 100
-	batchMemoryMB  = 4        // that each batch holds,
-	engineMemoryMB = 16000    // of so many
-	maxFloodBytes  = 64 << 20 // bytes after which a flood ends by itself
+	pageRows       = 100      // rows on a page of a result
+	batchMemoryMB  = 4        // memory that a batch uses
+	engineMemoryMB = 16000    // memory of an engine
+	maxFloodBytes  = 64 << 20 // bytes after which an endless answer stops by itself
 )
 
-// NewRESP listens as a scripted engine that speaks RESP.
+// NewRESP starts a scripted engine that speaks RESP on an address.
 func NewRESP(name, address string, fleet *Fleet) (*Server, error) {
 	return newServer(name, "resp", address, fleet, serveRESP)
 }
 
-// respConn is a connection to one, on which many batches run.
+// respConn is a connection to a RESP engine. Many batches run on it at once.
 type respConn struct {
 	net.Conn
 	server    *Server
 	mutex     sync.Mutex
 	silenced  bool
-	pages     map[string][]string // by id, for later
-	runs      map[string]*Run     // by id
-	readDelay time.Duration       // by which it is read late
+	pages     map[string][]string // pages of each result, by batch id, until the router is done with them
+	runs      map[string]*Run     // by batch id
+	readDelay time.Duration       // how late the connection is read
 }
 
+// send writes a message unless the connection or the engine is silenced.
 func (c *respConn) send(parts ...string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -41,16 +42,17 @@
 	}
 }
 
-// sendRaw writes bytes as they are, and nothing after them if hush.
-func (c *respConn) sendRaw(text string, hush bool) {
+// sendRaw writes text unencoded. If silence is set, the connection sends nothing afterwards.
+func (c *respConn) sendRaw(text string, silence bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.silenced && !c.server.silent() {
 		c.Write([]byte(text))
 	}
-	c.silenced = c.silenced || hush
+	c.silenced = c.silenced || silence
 }
 
+// encodeArray encodes a RESP array of bulk strings.
 func encodeArray(parts []string) string {
 	out := fmt.Sprintf("*%d\r\n", len(parts))
 	for _, p := range parts {
@@ -59,6 +61,7 @@
 	return out
 }
 
+// serveRESP answers the requests of a connection until it ends.
 func serveRESP(s *Server, conn net.Conn) {
 	c := &respConn{Conn: conn, server: s, pages: map[string][]string{}, runs: map[string]*Run{}}
 	in := bufio.NewReader(conn)
@@ -91,11 +94,11 @@
 					run.Budget = time.Duration(ms) * time.Millisecond
 				}
 			}
-			begun := s.fleet.recordStart(run)
+			started := s.fleet.recordStart(run)
 			c.mutex.Lock()
-			c.runs[begun.ID] = begun
+			c.runs[started.ID] = started
 			c.mutex.Unlock()
-			go c.perform(s, begun)
+			go c.perform(s, started)
 		case "more":
 			c.mutex.Lock()
 			pages := c.pages[r[1]]
@@ -127,7 +130,7 @@
 	}
 }
 
-// settleRuns: nothing is out on the connection any more, and where engines give up what runs for one, it stops.
+// settleRuns settles all runs of the connection when it ends, and cancels them if the fleet has CancelsOnClose.
 func (c *respConn) settleRuns() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -139,16 +142,17 @@
 	}
 }
 
-// sendAnswer says how a batch has ended, in a whole answer.
+// sendAnswer settles a run and writes its whole answer, unless the connection or the engine is silenced.
 func (c *respConn) sendAnswer(r *Run, answer string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.silenced && !c.server.silent() {
-		c.server.fleet.settle(r) // before it can be known elsewhere
+		c.server.fleet.settle(r) // before the router can know the answer
 		fmt.Fprint(c, answer)
 	}
 }
 
+// perform carries out the step of a run.
 func (c *respConn) perform(s *Server, r *Run) {
 	defer s.fleet.recordAnswered(r)
 	if r.Step.Action == Reject {
@@ -156,9 +160,9 @@
 		c.sendAnswer(r, encodeArray([]string{r.ID, "WAIT", "-", ""}))
 		return
 	}
-	whole := r.simulateWork()
+	completed := r.simulateWork()
 	s.fleet.recordEnd(r)
-	if !whole {
+	if !completed {
 		return
 	}
 	var pages []string
@@ -201,7 +205,7 @@
 	}
 }
 
-// flood writes the same until the other side has had enough.
+// flood writes the same piece until the peer closes the connection or maxFloodBytes were written.
 func flood(c net.Conn, piece []byte) {
 	for sent := 0; sent < maxFloodBytes; sent += len(piece) {
 		if _, err := c.Write(piece); err != nil {
