--- a/internal/standin/tds.go
+++ b/internal/standin/tds.go
@@ -14,19 +14,19 @@
 	"pitchfield/internal/traffic"
 )
 
-// The login that scripted TDS engines take.
+// Credentials that scripted TDS engines accept.
 const (
 	EngineUser     = "router"
 	EnginePassword = "between us"
 )
 
-// NewTDS listens as a scripted engine that speaks TDS.
+// NewTDS starts a scripted engine that speaks TDS on an address.
 func NewTDS(name, address string, fleet *Fleet) (*Server, error) {
 	return newServer(name, "tds", address, fleet, serveTDS)
 }
 
-// tdsConn is a connection to one: one batch at a time. Its own lock keeps the session, which the answers of a batch and
-// what is read share.
+// tdsConn is a connection to a TDS engine, with one batch at a time. Its mutex guards the session, which the reading
+// goroutine and the answers of a batch share.
 type tdsConn struct {
 	net.Conn
 	server   *Server
@@ -38,6 +38,7 @@
 	silenced bool
 }
 
+// serveTDS reads the requests of a connection until it ends.
 func serveTDS(s *Server, conn net.Conn) {
 	pool := &buffers.Pool{}
 	c := &tdsConn{Conn: conn, server: s, pool: pool}
@@ -45,42 +46,42 @@
 	front := &tds.Front{Pool: pool, Name: s.Name,
 		Admit: func(user, password string) (string, error) {
 			if user != EngineUser || password != EnginePassword {
-				return "", fmt.Errorf("not %s", user)
+				return "", fmt.Errorf("unknown user or wrong password: %s", user)
 			}
 			return "", nil
 		},
 		Rules: func() *assign.Rules { return rules }}
 	c.session = front.Session()
-	in, owed, piece := pool.Chain(), pool.Chain(), make([]byte, 16<<10)
+	in, out, buffer := pool.Chain(), pool.Chain(), make([]byte, 16<<10)
 	for {
-		n, err := conn.Read(piece)
+		n, err := conn.Read(buffer)
 		if err != nil {
 			return
 		}
 		c.mutex.Lock()
-		in.Write(piece[:n])
+		in.Write(buffer[:n])
 		for {
-			said, err := c.session.Read(in, owed)
-			if v, is := said.(*traffic.Verify); is {
-				said, err = v.Done(v.Run(), owed)
+			event, err := c.session.Read(in, out)
+			if verify, ok := event.(*traffic.Verify); ok {
+				event, err = verify.Done(verify.Run(), out)
 			}
-			c.flush(owed)
+			c.flush(out)
 			if err != nil {
 				c.mutex.Unlock()
 				return
 			}
-			if said == nil {
+			if event == nil {
 				break
 			}
-			switch w := said.(type) {
+			switch event := event.(type) {
 			case *traffic.Ask:
-				run := Run{Engine: s.Name, Text: w.Batch.Text.String(), Group: w.Batch.Group, Mark: w.Batch.Mark}
-				if len(w.Batch.Parameters) > 0 {
-					run.Text, _ = rows.Inline(run.Text, w.Batch.Parameters)
+				run := Run{Engine: s.Name, Text: event.Batch.Text.String(), Group: event.Batch.Group, Mark: event.Batch.Mark}
+				if len(event.Batch.Parameters) > 0 {
+					run.Text, _ = rows.Inline(run.Text, event.Batch.Parameters)
 				}
-				w.Batch.Text.Release()
-				c.stream = w.Stream
-				go c.perform(s, run, w.Stream)
+				event.Batch.Text.Release()
+				c.stream = event.Stream
+				go c.perform(s, run, event.Stream)
 			case traffic.Cancel:
 				c.stream = 0
 				if c.run != nil {
@@ -92,6 +93,7 @@
 	}
 }
 
+// flush writes and releases a chain unless the connection or the engine is silenced. The caller holds the mutex.
 func (c *tdsConn) flush(out *buffers.Chain) {
 	if out.Len() > 0 && !c.silenced && !c.server.silent() {
 		c.Write(out.Bytes())
@@ -99,29 +101,31 @@
 	out.Release()
 }
 
-// send answers the batch that runs, if it still does.
-func (c *tdsConn) send(stream uint32, raw func([]byte) (keep []byte, hush bool), what ...traffic.Tell) {
+// send encodes and writes messages for the batch on a stream, unless it no longer runs. transform, if not nil, replaces
+// the encoded bytes and says whether the connection sends nothing afterwards.
+func (c *tdsConn) send(stream uint32, transform func([]byte) (replaced []byte, silence bool), messages ...traffic.Tell) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.stream != stream {
 		return
 	}
 	out := c.pool.Chain()
-	for _, w := range what {
-		c.session.Tell(out, w)
+	for _, message := range messages {
+		c.session.Tell(out, message)
 	}
 	b := out.Bytes()
 	out.Release()
-	hush := false
-	if raw != nil {
-		b, hush = raw(b)
+	silence := false
+	if transform != nil {
+		b, silence = transform(b)
 	}
 	if !c.silenced && !c.server.silent() {
 		c.Write(b)
 	}
-	c.silenced = c.silenced || hush
+	c.silenced = c.silenced || silence
 }
 
+// perform runs a batch and carries out its step.
 func (c *tdsConn) perform(s *Server, run Run, stream uint32) {
 	r := s.fleet.recordStart(run)
 	defer s.fleet.recordAnswered(r)
@@ -135,15 +139,15 @@
 		s.fleet.cancel(r)
 	}
 	c.mutex.Unlock()
-	done := r.simulateWork()
+	completed := r.simulateWork()
 	s.fleet.recordEnd(r)
-	if !done {
+	if !completed {
 		return
 	}
 	columns := []rows.Column{{Name: "engine", Type: rows.Type{Kind: rows.Text, Size: 64}},
 		{Name: "queue", Type: rows.Type{Kind: rows.Text, Size: 64}}, {Name: "line", Type: rows.Type{Kind: rows.Text}}}
 	count := max(r.Step.Rows, 1)
-	piece := func(from int) traffic.Tell { // made as it is sent, as an engine does that has begun to answer
+	page := func(from int) traffic.Tell { // encoded when it is sent, as by an engine that streams its answer
 		part := rows.Part{Form: rows.Values, Data: (&buffers.Pool{}).Chain()}
 		if from == 0 {
 			part.Columns = columns
@@ -155,9 +159,9 @@
 		}
 		return &traffic.Rows{Stream: stream, Part: part}
 	}
-	whole := func() (out []traffic.Tell) {
+	wholeAnswer := func() (out []traffic.Tell) {
 		for from := 0; from < count; from += pageRows {
-			out = append(out, piece(from))
+			out = append(out, page(from))
 		}
 		return append(out, &traffic.Answer{Stream: stream})
 	}
@@ -169,7 +173,7 @@
 	switch r.Step.Action {
 	case Serve:
 		for from := 0; from < count; from += pageRows {
-			c.send(stream, nil, piece(from))
+			c.send(stream, nil, page(from))
 		}
 		c.send(stream, nil, &traffic.Answer{Stream: stream})
 	case Fail:
@@ -177,20 +181,20 @@
 	case CloseUnanswered:
 		c.Close()
 	case CloseMidAnswer:
-		c.send(stream, half, whole()...)
+		c.send(stream, half, wholeAnswer()...)
 		c.Close()
 	case SilenceEngine:
 		s.silenceBriefly()
 	case SilenceConnection:
 		c.send(stream, func([]byte) ([]byte, bool) { return nil, true })
 	case HalfAnswer:
-		c.send(stream, half, whole()...)
+		c.send(stream, half, wholeAnswer()...)
 	case SendGarbage:
 		c.send(stream, func([]byte) ([]byte, bool) { return []byte("HTTP/1.1 200 OK\r\n\r\n"), false })
 	case InvalidLength:
 		c.send(stream, func([]byte) ([]byte, bool) { return []byte{4, 0, 0, 3, 0, 0, 1, 0}, false })
 	case EndlessAnswer:
-		// A packet that is never the last, of a row that never ends: a value in pieces.
+		// Packets without the end-of-message bit, with one row whose chunked value never ends.
 		endless := make([]byte, 8+4096)
 		copy(endless, []byte{4, 0, byte(len(endless) >> 8), byte(len(endless) & 0xFF), 0, 0, 1, 0})
 		head := []byte{4, 0, 0, 8 + 30, 0, 0, 1, 0, 0x81, 1, 0, 0, 0, 0, 0, 1, 0, 0xA5, 0xFF, 0xFF, 1, 'b', 0,
@@ -200,7 +204,7 @@
 	}
 }
 
-// TDSClient is a client that speaks TDS: one request at a time.
+// TDSClient is a client that speaks TDS, with one request at a time. It is not safe for concurrent use.
 type TDSClient struct {
 	net.Conn
 	pool           *buffers.Pool
@@ -209,16 +213,16 @@
 	statementCount int
 }
 
-// DialTDS connects and logs in.
+// DialTDS connects to a router and logs in. Connecting and the login may each take the given time.
 func DialTDS(address, user, password, database string, within time.Duration) (*TDSClient, error) {
 	conn, err := net.DialTimeout("tcp", address, within)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	pool := &buffers.Pool{}
-	access := &tds.Access{Pool: pool, User: user, Password: password, Database: database, Program: "standin",
+	config := &tds.Access{Pool: pool, User: user, Password: password, Database: database, Program: "standin",
 		Packet: 4096, TurnedAway: []int32{tds.NumberPushedBack}}
-	c := &TDSClient{Conn: conn, pool: pool, received: pool.Chain(), session: access.Engine()}
+	c := &TDSClient{Conn: conn, pool: pool, received: pool.Chain(), session: config.Engine()}
 	out := pool.Chain()
 	c.session.Open(out)
 	c.flush(out)
@@ -235,14 +239,14 @@
 	return err
 }
 
-// Reply is how a batch ended, with what came of its result.
+// Reply is how a batch ended, with the rows received until then.
 type Reply struct {
 	Word  traffic.Word
 	Why   string
-	Lines []string // its rows, values with tabs between them
+	Lines []string // rows, with tabs between their values
 }
 
-// Send sends a statement.
+// Send sends a statement. The reply is read by ReadReply.
 func (c *TDSClient) Send(text string, parameters ...rows.Parameter) error {
 	out := c.pool.Chain()
 	c.statementCount++
@@ -261,30 +265,31 @@
 	return err
 }
 
-// ReadReply waits for the end of what was asked.
+// ReadReply waits for the end of the statement that was sent last.
 func (c *TDSClient) ReadReply(within time.Duration) (Reply, error) {
 	return c.readUntil(within, traffic.Whole, traffic.Broke, traffic.Full)
 }
 
-func (c *TDSClient) readUntil(within time.Duration, until ...traffic.Word) (out Reply, err error) {
+// readUntil reads until a reply with one of the given words, and collects the rows before it.
+func (c *TDSClient) readUntil(within time.Duration, until ...traffic.Word) (result Reply, err error) {
 	c.SetReadDeadline(time.Now().Add(within)) //nolint:errcheck
 	var columns []rows.Column
-	piece := make([]byte, 16<<10)
+	buffer := make([]byte, 16<<10)
 	for {
-		owed := c.pool.Chain()
-		reply, err := c.session.Read(c.received, owed)
-		if owed.Len() > 0 {
-			c.flush(owed) //nolint:errcheck
+		outgoing := c.pool.Chain()
+		reply, err := c.session.Read(c.received, outgoing)
+		if outgoing.Len() > 0 {
+			c.flush(outgoing) //nolint:errcheck
 		}
 		if err != nil {
-			return out, err
+			return result, err
 		}
 		if reply == nil {
-			n, err := c.Read(piece)
+			n, err := c.Read(buffer)
 			if err != nil {
-				return out, err
+				return result, err
 			}
-			c.received.Write(piece[:n])
+			c.received.Write(buffer[:n])
 			continue
 		}
 		if p := reply.Rows; reply.Word == traffic.Some {
@@ -300,24 +305,24 @@
 						}
 					}
 				}
-				out.Lines = append(out.Lines, strings.Join(texts, "\t"))
+				result.Lines = append(result.Lines, strings.Join(texts, "\t"))
 				return nil
 			})
 			p.Release()
 			if err != nil {
-				return out, err
+				return result, err
 			}
 		}
 		for _, w := range until {
 			if reply.Word == w {
-				out.Word, out.Why = reply.Word, reply.Why
-				return out, nil
+				result.Word, result.Why = reply.Word, reply.Why
+				return result, nil
 			}
 		}
 	}
 }
 
-// TypedRows is a result of one row with the types that reporting tools meet, and one of which all is missing.
+// TypedRows returns a result with the types that reporting tools use: one row with values and one with only NULLs.
 func TypedRows() rows.Part {
 	values := []struct {
 		rows.Column
