--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -94,24 +94,24 @@
 	same := func(e router.Effect) []router.Effect { return []router.Effect{e} }
 	for name, one := range map[string]tamper{
 		"an answer is dropped": {rule: 1, out: func(_ int, e router.Effect) []router.Effect {
-			if a, is := e.(router.TellClient); is {
-				if w, is := a.What.(*traffic.Answer); is && w.Stream == 50 {
+			if a, is := e.(router.SendToClient); is {
+				if w, is := a.Message.(*traffic.Answer); is && w.Stream == 50 {
 					return nil
 				}
 			}
 			return same(e)
 		}},
 		"an answer is doubled": {rule: 1, out: func(_ int, e router.Effect) []router.Effect {
-			if a, is := e.(router.TellClient); is {
-				if w, is := a.What.(*traffic.Answer); is && w.Stream == 50 {
+			if a, is := e.(router.SendToClient); is {
+				if w, is := a.Message.(*traffic.Answer); is && w.Stream == 50 {
 					return []router.Effect{e, e}
 				}
 			}
 			return same(e)
 		}},
 		"a dispatch is sent twice": {rule: 2, change: func(w *World) { w.Groups[0].Effect = "once-only" }, out: func(_ int, e router.Effect) []router.Effect {
-			if o, is := e.(router.OrderEngine); is {
-				if _, is := o.What.(*traffic.Dispatch); is {
+			if o, is := e.(router.SendToEngine); is {
+				if _, is := o.Order.(*traffic.Dispatch); is {
 					if dispatches++; dispatches == 30 {
 						return []router.Effect{e, e}
 					}
@@ -130,32 +130,32 @@
 			return e
 		}},
 		"a cold engine is pushed over": {rule: 4, days: []Trouble{{Kind: "cold", At: 10, Share: 1}}, out: func(_ int, e router.Effect) []router.Effect {
-			if o, is := e.(router.OrderEngine); is {
-				if _, is := o.What.(*traffic.Dispatch); is {
+			if o, is := e.(router.SendToEngine); is {
+				if _, is := o.Order.(*traffic.Dispatch); is {
 					return slices.Repeat([]router.Effect{e}, 30)
 				}
 			}
 			return same(e)
 		}},
 		"keys are not seen": {rule: 5, change: keyed, in: func(_ int, e router.Event) router.Event {
-			if c, is := e.(router.ClientSaid); is {
-				if a, is := c.Said.(*traffic.Ask); is {
+			if c, is := e.(router.ClientMessage); is {
+				if a, is := c.Message.(*traffic.Ask); is {
 					a.Batch.Key = 0
 				}
 			}
 			return e
 		}},
 		"kinds are mixed up": {rule: 6, change: func(w *World) { w.Groups[0].Kinds = []int{0} }, out: func(_ int, e router.Effect) []router.Effect {
-			o, is := e.(router.OrderEngine)
+			o, is := e.(router.SendToEngine)
 			if !is {
 				return same(e)
 			}
 			if !slices.Contains(engines, o.Connection) {
 				engines = append(engines, o.Connection)
 			}
-			if d, is := o.What.(*traffic.Dispatch); is && d.Group == "lookup" && len(engines) > 1 {
+			if d, is := o.Order.(*traffic.Dispatch); is && d.Group == "lookup" && len(engines) > 1 {
 				o.Connection = engines[len(engines)-1]
-				if o.Connection == e.(router.OrderEngine).Connection {
+				if o.Connection == e.(router.SendToEngine).Connection {
 					o.Connection = engines[0]
 				}
 				return same(o)
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -365,14 +365,14 @@
 		n.tell(s.talkSet(n))
 	}
 	if s.options.Levels != nil {
-		n.tell(router.LevelsSet{Levels: *s.options.Levels, Over: s.options.Over})
+		n.tell(router.LevelsSet{Levels: *s.options.Levels, DecayTime: s.options.Over})
 	}
 	if o := &s.options; o.Routes != nil || o.Adaptive.Kind != "" || o.All != nil || o.Engine != nil {
 		routes := limits.NewTable(nil)
 		if s.options.Routes != nil {
 			routes = s.options.Routes()
 		}
-		n.tell(router.RoutesSet{Routes: routes, Adaptive: s.options.Adaptive, All: s.options.All, Engine: s.options.Engine})
+		n.tell(router.RoutesSet{Routes: routes, Adaptive: s.options.Adaptive, RetryBudget: s.options.All, EngineRetryBudget: s.options.Engine})
 	}
 }
 
@@ -447,8 +447,8 @@
 func (n *node) do(what router.Effect) {
 	s := n.sim
 	switch w := what.(type) {
-	case router.TellClient:
-		a, is := w.What.(*traffic.Answer)
+	case router.SendToClient:
+		a, is := w.Message.(*traffic.Answer)
 		if !is {
 			return
 		}
@@ -468,19 +468,19 @@
 		}
 	case router.Dial:
 		n.dial(w)
-	case router.OrderEngine:
+	case router.SendToEngine:
 		if c := n.conns[w.Connection]; c != nil {
-			c.order(w.What)
+			c.order(w.Order)
 		}
 	case router.CloseEngine:
 		if c := n.conns[w.Connection]; c != nil {
 			c.drop()
 		}
-	case router.AskList:
+	case router.QueryList:
 		n.later(2*s.way(), func() {
 			list := s.names.list(s.now - s.world.ListDelay*s.factor("list"))
 			s.check.listed(n, list)
-			n.tell(router.ListAnswered{Query: w.Query, List: list})
+			n.tell(router.ListAnswered{QueryID: w.QueryID, List: list})
 		})
 	case router.SetTimer:
 		n.timer++
@@ -492,9 +492,9 @@
 		})
 	case router.Release:
 		w.Chain.Release()
-	case router.Talk:
+	case router.SendToPeer:
 		n.talk(w)
-	case router.Tell:
+	case router.ReportStatus:
 		n.status = w.Status
 	case router.Log:
 		if w.Text == "level of service" {
@@ -525,7 +525,7 @@
 			if !e.up {
 				break
 			}
-			if !n.router.Wants(d.Connection) {
+			if !n.router.WantsConnection(d.Connection) {
 				return
 			}
 			s.connNo++
@@ -582,7 +582,7 @@
 	c.back = max(c.back+1e-9, s.now+s.way())
 	s.at(c.back, func() {
 		if n.life == life && !c.closed && n.conns[c.number] == c {
-			n.tell(router.EngineSaid{Connection: c.number, Reply: r})
+			n.tell(router.EngineReplied{Connection: c.number, Reply: r})
 		}
 	})
 }
@@ -733,7 +733,7 @@
 		if n.client == 0 {
 			n.clients++
 			n.client = n.clients
-			n.tell(router.ClientOpened{Client: n.client, Speaks: clientProtocol})
+			n.tell(router.ClientOpened{Client: n.client, Protocol: clientProtocol})
 		}
 		n.stream++
 		b.stream, b.client = n.stream, n.client
@@ -746,13 +746,13 @@
 		}
 		ask.Batch.Text = n.pool.Chain()
 		ask.Batch.Text.WriteString("SELECT 1 FROM d_" + strconv.Itoa(b.data) + ".t")
-		n.tell(router.ClientSaid{Client: n.client, Said: ask})
+		n.tell(router.ClientMessage{Client: n.client, Message: ask})
 	})
 	s.at(b.limitAt, func() {
 		if !b.over && b.node == n && n.life == life {
 			s.check.gone(b)
 			s.finish(b)
-			n.tell(router.ClientSaid{Client: b.client, Said: traffic.Cancel{Stream: b.stream}})
+			n.tell(router.ClientMessage{Client: b.client, Message: traffic.Cancel{Stream: b.stream}})
 			delete(n.open, b.stream)
 		}
 	})
--- a/internal/emulator/talk.go
+++ b/internal/emulator/talk.go
@@ -16,11 +16,11 @@
 func talkAddress(index int) string { return fmt.Sprintf("10.1.%d.%d:7500", index/250, index%250+1) }
 
 // talkSet is what a router is told of the others, where they talk.
-func (s *sim) talkSet(n *node) router.TalkSet {
+func (s *sim) talkSet(n *node) router.PeerMessagingSet {
 	m := membership.Defaults()
 	m.Self = membership.ID{Name: fmt.Sprintf("n%d", n.index+1), Start: uint64(s.now*1e3)<<16 + uint64(n.life)}
 	m.Listen, m.Seeds = talkAddress(n.index), []string{talkAddress(0), talkAddress(s.world.Routers / 2)}
-	set := router.TalkSet{Settings: m}
+	set := router.PeerMessagingSet{Settings: m}
 	if s.options.Shares != nil {
 		own := *s.options.Shares
 		own.Listen = m.Listen
@@ -29,18 +29,18 @@
 		for i := range keepers {
 			own.Replicas = append(own.Replicas, talkAddress(i*all/keepers))
 		}
-		set.Shares = &own
+		set.Quotas = &own
 	}
 	if s.options.Load > 0 {
 		own := news.Defaults()
 		own.Every, own.Stale = s.options.Load, own.Stale*s.options.Load/own.Every
-		set.News = &own
+		set.LoadReports = &own
 	}
 	return set
 }
 
 // talk brings a datagram to whoever has the address.
-func (n *node) talk(w router.Talk) {
+func (n *node) talk(w router.SendToPeer) {
 	s := n.sim
 	s.result.Talked++
 	to := s.talkers[w.To]
@@ -51,11 +51,11 @@
 		if to.up {
 			said := w.Message
 			var shared *shares.Message
-			if w.Shares != nil {
-				one := *w.Shares
+			if w.Quotas != nil {
+				one := *w.Quotas
 				shared = &one
 			}
-			to.tell(router.TalkCame{Message: &said, Shares: shared, News: w.News})
+			to.tell(router.PeerMessageReceived{Message: &said, Quotas: shared, LoadReports: w.LoadReports})
 		}
 	})
 }
--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -15,14 +15,14 @@
 // observe tells the guard of an event before the router is told.
 func (l *Loop) observe(e router.Event) {
 	switch e := e.(type) {
-	case router.ClientSaid:
-		switch said := e.Said.(type) {
+	case router.ClientMessage:
+		switch said := e.Message.(type) {
 		case *traffic.Ask:
 			l.guard.Taken(guard.Request{Client: e.Client, Stream: said.Stream})
 		case traffic.Cancel:
 			l.guard.Cancelled(guard.Request{Client: e.Client, Stream: said.Stream})
 		}
-	case router.EngineSaid:
+	case router.EngineReplied:
 		switch e.Reply.Word {
 		case traffic.Full, traffic.Late:
 			l.guard.NeverRan(e.Reply.ID, e.Connection)
@@ -48,9 +48,9 @@
 }
 
 // mayTell asks before a client is told something. What it is not told is given back.
-func (l *Loop) mayTell(e router.TellClient) bool {
+func (l *Loop) mayTell(e router.SendToClient) bool {
 	var err error
-	switch what := e.What.(type) {
+	switch what := e.Message.(type) {
 	case *traffic.Answer:
 		err = l.guard.Answer(guard.Request{Client: e.Client, Stream: what.Stream})
 	case traffic.Ready:
@@ -62,7 +62,7 @@
 		return true
 	}
 	l.prevented(err)
-	l.tell(nil, e.What)
+	l.tell(nil, e.Message)
 	return false
 }
 
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -55,7 +55,7 @@
 // World is what the loop is wired to: a protocol for each listener, and for each engine.
 type World struct {
 	Listeners []Listener
-	Speaks    router.Speaks
+	Speaks    router.ProtocolFunc
 	Pool      *buffers.Pool
 	Levels    *router.LevelsSet   // of reduced service; nil: off
 	Routes    *router.RoutesSet   // limits of routes; nil: none
@@ -228,7 +228,7 @@
 	l.clients[p.number] = p
 	l.guard.ClientOpened(p.number)
 	p.opening = true
-	l.post(router.ClientOpened{Client: p.number, Speaks: speaks})
+	l.post(router.ClientOpened{Client: p.number, Protocol: speaks})
 	p.opening = false
 	if !l.here(p) {
 		l.drop(p)
@@ -239,7 +239,7 @@
 
 // engineThere begins to speak on a new connection to an engine.
 func (l *Loop) engineThere(s *reactor.Stream, e router.Dial) {
-	p := &peer{loop: l, kind: toEngine, number: e.Connection, stream: s, in: l.pool.Chain(), speaks: e.Speaks, engine: e.Speaks.New()}
+	p := &peer{loop: l, kind: toEngine, number: e.Connection, stream: s, in: l.pool.Chain(), speaks: e.Protocol, engine: e.Protocol.New()}
 	s.Handle(p)
 	l.engines[p.number] = p
 	l.guard.EngineUp(p.number)
@@ -360,9 +360,9 @@
 	if l.here(p) && !p.half && (p.in.Len() > 0 || p.client != nil && p.client.Half()) {
 		p.half = true
 		if p.kind == toClient {
-			l.post(router.ClientBegan{Client: p.number})
+			l.post(router.ClientMessageStarted{Client: p.number})
 		} else {
-			l.post(router.EngineBegan{Connection: p.number})
+			l.post(router.EngineReplyStarted{Connection: p.number})
 		}
 	}
 	if l.here(p) && p.in.Len() > buffers.Size && l.pool.Used()*buffers.Size > l.mostHeld {
@@ -381,7 +381,7 @@
 		if reply.Word == traffic.Up {
 			return router.EngineOpened{Connection: p.number}, nil
 		}
-		return router.EngineSaid{Connection: p.number, Reply: reply}, nil
+		return router.EngineReplied{Connection: p.number, Reply: reply}, nil
 	}
 	said, err := p.client.Read(p.in, l.owed)
 	if said == nil {
@@ -391,7 +391,7 @@
 		go l.verify(p, v)
 		return nil, nil
 	}
-	return router.ClientSaid{Client: p.number, Said: said}, nil
+	return router.ClientMessage{Client: p.number, Message: said}, nil
 }
 
 // verify runs beside the loop what takes long, a few at a time, and goes on with the connection afterwards.
@@ -411,7 +411,7 @@
 			l.log.Warn("not let in", zap.Uint64("connection", p.number), zap.Error(err))
 			l.broken(p, router.LoginRefused)
 		default:
-			l.post(router.ClientSaid{Client: p.number, Said: said})
+			l.post(router.ClientMessage{Client: p.number, Message: said})
 			if l.here(p) {
 				l.came(p, nil)
 			}
@@ -429,7 +429,7 @@
 		return
 	}
 	if p.kind == toClient && end == router.BadInput {
-		l.post(router.ClientSpoilt{Client: p.number})
+		l.post(router.ClientInvalid{Client: p.number})
 		return
 	}
 	l.log.Warn("connection ended", zap.Uint64("connection", p.number), zap.Stringer("kind", p.kind),
@@ -498,17 +498,17 @@
 
 func (l *Loop) do(what router.Effect) {
 	switch e := what.(type) {
-	case router.TellClient:
+	case router.SendToClient:
 		if l.mayTell(e) {
-			l.tell(l.clients[e.Client], e.What)
+			l.tell(l.clients[e.Client], e.Message)
 		}
-	case router.OrderEngine:
+	case router.SendToEngine:
 		if p := l.engines[e.Connection]; p != nil {
 			l.order(p, e)
 		}
-	case router.HoldEngine:
+	case router.PauseReading:
 		if p := l.engines[e.Connection]; p != nil {
-			p.stream.Pause(e.Hold)
+			p.stream.Pause(e.Pause)
 		}
 	case router.Release:
 		e.Chain.Release()
@@ -526,28 +526,28 @@
 		}
 	case router.Dial:
 		l.dial(e)
-	case router.AskList:
-		l.askNames(e.Query)
-	case router.AskAt:
+	case router.QueryList:
+		l.askNames(e.QueryID)
+	case router.SetResolver:
 		l.askAt(e.Resolver)
-	case router.Bound:
+	case router.SetLimits:
 		l.config.MemoryMB, l.config.Descriptors = e.MemoryMB, e.Descriptors
 		l.bound()
 	case router.SetTimer:
 		l.setTimer(e.At)
-	case router.Tell:
+	case router.ReportStatus:
 		if l.status != nil {
 			l.status(e.Status)
 		}
-	case router.Talk:
+	case router.SendToPeer:
 		l.say(e)
-	case router.TellMembers:
+	case router.ReportMembers:
 		l.tellMembers(e.Members)
 	case router.Log:
 		l.print(e)
 	case router.Exit:
 		l.answerBeforeEnd()
-		l.ended, l.endBy = true, time.Now().Add(max(time.Duration((e.By-clock())*float64(time.Second)), flushTime))
+		l.ended, l.endBy = true, time.Now().Add(max(time.Duration((e.Deadline-clock())*float64(time.Second)), flushTime))
 		for _, p := range l.clients {
 			delete(l.clients, p.number)
 			p.refuses = true
@@ -675,7 +675,7 @@
 
 // dial makes a connection to an engine.
 func (l *Loop) dial(e router.Dial) {
-	within := time.Duration(e.Within * float64(time.Second))
+	within := time.Duration(e.Timeout * float64(time.Second))
 	l.dials[e.Connection] = l.reactor.Dial(e.Address, within, func(s *reactor.Stream, err error) {
 		delete(l.dials, e.Connection)
 		if err == nil {
--- a/internal/loop/names.go
+++ b/internal/loop/names.go
@@ -101,11 +101,11 @@
 	id, list, err := directory.Parse(data)
 	if err != nil {
 		l.log.Warn("answer of the name service can't be read", zap.Error(err), zap.Int("bytes", len(data)))
-		l.post(router.ListUnusable{Query: id})
+		l.post(router.ListUnusable{QueryID: id})
 		return
 	}
 	if socket == l.names.present { // it is heard by this one, so the former ones are not needed
 		l.closeFormer(0)
 	}
-	l.post(router.ListAnswered{Query: id, List: list})
+	l.post(router.ListAnswered{QueryID: id, List: list})
 }
--- a/internal/loop/orders.go
+++ b/internal/loop/orders.go
@@ -14,18 +14,18 @@
 // long after it was decided, nor behind bytes that the engine has not read. Else it is given back, and never was sent. What
 // was written and waits here could be taken back by nobody: it would leave whenever the engine reads, after a drain, after
 // its client has gone, or after the engines have forgotten its first attempt.
-func (l *Loop) order(p *peer, e router.OrderEngine) {
-	request, is := e.What.(*traffic.Dispatch)
+func (l *Loop) order(p *peer, e router.SendToEngine) {
+	request, is := e.Order.(*traffic.Dispatch)
 	if !is {
-		if word, is := e.What.(traffic.GiveUp); is {
+		if word, is := e.Order.(traffic.GiveUp); is {
 			l.guard.GivesUp(word.ID, e.Connection)
 		}
-		p.engine.Order(l.out, e.What)
+		p.engine.Order(l.out, e.Order)
 		l.write(p, l.out)
 		return
 	}
 	switch {
-	case clock() >= e.By:
+	case clock() >= e.WriteBy:
 		l.post(router.OrderRefused{Connection: e.Connection, ID: request.ID, Why: router.OrderLate})
 		return
 	case p.stream.Unsent() > 0:
@@ -37,12 +37,12 @@
 		why := router.OrderInvalid
 		var gone *guard.GoneError
 		if errors.As(err, &gone) {
-			why = router.OrderGone
+			why = router.OrderClientGone
 		}
 		l.post(router.OrderRefused{Connection: e.Connection, ID: request.ID, Why: why})
 		return
 	}
-	p.engine.Order(l.out, e.What)
+	p.engine.Order(l.out, e.Order)
 	size := l.out.Len()
 	l.write(p, l.out)
 	if l.here(p) && p.stream.Unsent() >= size {
@@ -53,14 +53,14 @@
 }
 
 // maySend asks the guard whether an attempt may leave.
-func (l *Loop) maySend(e router.OrderEngine, id string) error {
-	request := guard.Request{Client: e.For.Client, Stream: e.For.Stream}
-	if e.For.Single {
+func (l *Loop) maySend(e router.SendToEngine, id string) error {
+	request := guard.Request{Client: e.Origin.Client, Stream: e.Origin.Stream}
+	if e.Origin.Single {
 		if err := l.guard.SendAlone(request); err != nil {
 			return err
 		}
 	}
-	return l.guard.Send(request, id, e.Connection, e.For.OnceOnly)
+	return l.guard.Send(request, id, e.Connection, e.Origin.OnceOnly)
 }
 
 // refuseUnread gives a request back whose engine does not read, and looks after the engine until it does.
@@ -89,7 +89,7 @@
 			continue
 		}
 		delete(l.behind, p)
-		l.post(router.EngineRead{Connection: p.number})
+		l.post(router.EngineWritable{Connection: p.number})
 	}
 	return more
 }
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -55,7 +55,7 @@
 		return
 	}
 	t.begun = true
-	l.post(router.TalkSet{Settings: t.Settings, Shares: t.Shares, News: t.News})
+	l.post(router.PeerMessagingSet{Settings: t.Settings, Quotas: t.Shares, LoadReports: t.News})
 }
 
 // talkCame takes a datagram in. It is checked whole; what is dropped is counted.
@@ -80,7 +80,7 @@
 		t.talked.Unreadable++
 		l.dropped("can't be read", from, err)
 	default:
-		l.post(router.TalkCame{Message: &message.Message, Shares: message.Shares, News: message.News})
+		l.post(router.PeerMessageReceived{Message: &message.Message, Quotas: message.Shares, LoadReports: message.News})
 	}
 }
 
@@ -103,9 +103,9 @@
 }
 
 // say sends a datagram. One that can't be sent at once is lost: whoever waits for it asks again.
-func (l *Loop) say(e router.Talk) {
+func (l *Loop) say(e router.SendToPeer) {
 	t := l.talk
-	data, err := talk.Encode(t.Fleet, &talk.Message{Message: e.Message, Shares: e.Shares, News: e.News})
+	data, err := talk.Encode(t.Fleet, &talk.Message{Message: e.Message, Shares: e.Quotas, News: e.LoadReports})
 	if err == nil {
 		err = t.send(e.To, data)
 	}
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// spread is how many connections to an engine are opened before batches share them. One spoilt or lost answer
+	// defaultConnectionsPerEngine is how many connections to an engine are opened before batches share them. One spoilt or lost answer
 	// takes all with it that is open on its connection; each costs a handshake and descriptors.
-	spread = 8
-	// wholeReply is how long a reply that has begun may take to become whole; it comes in one piece.
-	wholeReply = 0.5
+	defaultConnectionsPerEngine = 8
+	// replyTimeout is how long a reply that has begun may take to become whole; it comes in one piece.
+	replyTimeout = 0.5
 )
 
-// halfReply is due when a reply that began at a time must be whole.
-type halfReply struct {
-	line *line
-	at   float64
+// partialReply is due when a reply that began at a time must be whole.
+type partialReply struct {
+	conn  *engineConn
+	since float64
 }
 
-// settling holds a connection on which a batch was given up, where only one at a time is there, until the engine says
+// freeWait holds a connection on which a batch was given up, where only one at a time is there, until the engine says
 // that it is over. What is written before might be taken for a part of it.
-type settling struct{ line *line }
+type freeWait struct{ conn *engineConn }
 
 const (
-	settleName = "settling"
-	settleTime = 1.0
+	freeWaitID  = "settling"
+	freeTimeout = 1.0
 )
 
-func (r *Router) settle(l *line) {
-	s := &settling{l}
-	l.Open(settleName, s)
-	r.timers.add(r.now+settleTime, s)
+func (r *Router) awaitFree(l *engineConn) {
+	s := &freeWait{l}
+	l.Open(freeWaitID, s)
+	r.timers.add(r.now+freeTimeout, s)
 }
 
-// settleDue: silence ends the connection.
-func (r *Router) settleDue(s *settling) {
-	if l := s.line; r.connections[l.Number] == l && l.Get(settleName) == any(s) {
-		r.closeLine(l, CancelTimedOut)
+// freeOverdue: silence ends the connection.
+func (r *Router) freeOverdue(s *freeWait) {
+	if l := s.conn; r.connections[l.Number] == l && l.Get(freeWaitID) == any(s) {
+		r.closeConnection(l, CancelTimedOut)
 	}
 }
 
-func (r *Router) settled(l *line) {
-	l.Close(settleName, false, r.now)
+func (r *Router) connectionFree(l *engineConn) {
+	l.Close(freeWaitID, false, r.now)
 	r.confirmCancellations(l)
-	r.rest(l)
+	r.closeIfUnneeded(l)
 }
 
-func (r *Router) multiplex(e *engine) int {
-	if e.speaks.Alone {
+func (r *Router) multiplexLimit(e *engine) int {
+	if e.protocol.Alone {
 		return 1
 	}
-	return r.settings.Settings.Multiplex
+	return r.config.Settings.Multiplex
 }
 
-// pick finds a connection for one more, or begins one.
-func (r *Router) pick(e *engine, id string) (*line, CloseReason) {
-	c := e.pool.Pick(id, r.multiplex(e))
-	room := len(r.connections)+r.dialing+2 <= r.most
-	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.spread, r.most/(2*max(len(r.engines), 1)))) {
+// pickConnection finds a connection for one more, or begins one.
+func (r *Router) pickConnection(e *engine, id string) (*engineConn, CloseReason) {
+	c := e.pool.Pick(id, r.multiplexLimit(e))
+	room := len(r.connections)+r.dialing+2 <= r.maxConnections
+	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
 		return r.connections[c.Number], 0
 	}
 	if e.address == "" {
@@ -70,23 +70,23 @@
 		return nil, NoDescriptors
 	}
 	r.dialing++
-	l := &line{Connection: e.pool.Add(r.number(), r.now), engine: e}
+	l := &engineConn{Connection: e.pool.Add(r.nextNumber(), r.now), engine: e}
 	r.connections[l.Number] = l
-	within := r.settings.Settings.DialTime
+	within := r.config.Settings.DialTime
 	l.timer = r.timers.add(r.now+within, l)
 	r.log(Debug, "dial", "engine", e.name, "address", e.address, "connection", l.Number)
-	r.do(Dial{l.Number, e.address, within, e.speaks})
+	r.emit(Dial{l.Number, e.address, within, e.protocol})
 	return l, 0
 }
 
-// Wants tells whether a connection that was asked for is still wanted.
-func (r *Router) Wants(number uint64) bool { return r.connections[number] != nil }
+// WantsConnection tells whether a connection that was asked for is still wanted.
+func (r *Router) WantsConnection(number uint64) bool { return r.connections[number] != nil }
 
 func (r *Router) engineOpened(number uint64) {
 	l := r.connections[number]
 	if l == nil {
 		r.log(Debug, "connection came up that nobody waits for", "connection", number)
-		r.do(CloseEngine{number, ClosedIdle})
+		r.emit(CloseEngine{number, ClosedIdle})
 		return
 	}
 	r.log(Debug, "connected", "engine", l.engine.name, "connection", number, "waiting", len(l.queue))
@@ -96,7 +96,7 @@
 	r.writable = append(r.writable, l)
 }
 
-func (r *Router) engineRead(number uint64) {
+func (r *Router) engineWritable(number uint64) {
 	if l := r.connections[number]; l != nil {
 		l.Unread = false
 		r.writable = append(r.writable, l)
@@ -111,100 +111,100 @@
 	for _, l := range lines {
 		if r.connections[l.Number] == l {
 			r.sendQueue(l)
-			r.rest(l)
+			r.closeIfUnneeded(l)
 		}
 	}
 }
 
-func (r *Router) sendQueue(l *line) {
+func (r *Router) sendQueue(l *engineConn) {
 	queue := l.queue
 	l.queue = nil
 	for _, what := range queue {
 		if d, is := what.(*dispatch); is && d.batch.client == nil { // nobody waits, and its text is gone
-			r.giveUp(d, brain.Canceled)
+			r.abortDispatch(d, brain.Canceled)
 		} else {
 			r.send(l, what)
 		}
 	}
 }
 
-// suspect: what should have come did not, and nothing else came either. A connection on which an answer was lost may
+// suspectConnection: what should have come did not, and nothing else came either. A connection on which an answer was lost may
 // stay open and of no use, as where a machine is cut off: an answer to a check tells, and so does none.
-func (r *Router) suspect(l *line) {
+func (r *Router) suspectConnection(l *engineConn) {
 	l.Suspect = true
-	if l.Idle() || l.check != nil || !r.settings.Settings.MayProbe || l.engine.speaks.Alone {
+	if l.Idle() || l.healthCheck != nil || !r.config.Settings.MayProbe || l.engine.protocol.Alone {
 		return
 	}
-	l.check = &probe{engine: l.engine, conn: l, tag: tag(r.number())}
-	l.Open(l.check.tag, l.check)
-	r.timers.add(r.now+r.settings.Settings.DialTime, l.check)
-	r.send(l, l.check)
+	l.healthCheck = &probe{engine: l.engine, conn: l, tag: probeTag(r.nextNumber())}
+	l.Open(l.healthCheck.tag, l.healthCheck)
+	r.timers.add(r.now+r.config.Settings.DialTime, l.healthCheck)
+	r.send(l, l.healthCheck)
 }
 
-// halfDue: the rest of a reply never came, and nothing after it can be read.
-func (r *Router) halfDue(h halfReply) {
-	l := h.line
-	if r.connections[l.Number] != l || l.half != h.at {
+// partialReplyOverdue: the rest of a reply never came, and nothing after it can be read.
+func (r *Router) partialReplyOverdue(h partialReply) {
+	l := h.conn
+	if r.connections[l.Number] != l || l.partialSince != h.since {
 		return
 	}
 	held := false
 	for _, what := range l.Opens() {
-		if d, is := what.(*dispatch); is && d.held {
+		if d, is := what.(*dispatch); is && d.readingPaused {
 			held = true
 		}
 	}
 	if held { // it is we who don't read
-		r.timers.add(r.now+wholeReply, h)
+		r.timers.add(r.now+replyTimeout, h)
 	} else {
 		r.log(Warn, "reply stops short", "engine", l.engine.name)
-		r.closeLine(l, BadInput)
+		r.closeConnection(l, BadInput)
 	}
 }
 
-// rest looks after a connection on which nothing is open any more.
-func (r *Router) rest(l *line) {
+// closeIfUnneeded looks after a connection on which nothing is open any more.
+func (r *Router) closeIfUnneeded(l *engineConn) {
 	if !l.Idle() || r.connections[l.Number] != l {
 		return
 	}
 	switch {
 	case l.Left:
-		r.closeLine(l, StaleAddress)
+		r.closeConnection(l, StaleAddress)
 		return
 	case l.Suspect:
-		r.closeLine(l, ClosedSuspect)
+		r.closeConnection(l, ClosedSuspect)
 		return
 	}
-	if idle := r.settings.Settings.IdleTime; idle > 0 && (l.timer == nil || l.timer.index < 0) {
-		l.timer = r.timers.add(r.now+idle*idleEarly, l)
+	if idle := r.config.Settings.IdleTime; idle > 0 && (l.timer == nil || l.timer.index < 0) {
+		l.timer = r.timers.add(r.now+idle*idleCloseFraction, l)
 	}
 }
 
-// lineDue: it did not come up in time, or it may have been idle for long enough.
-func (r *Router) lineDue(l *line) {
+// connectionDue: it did not come up in time, or it may have been idle for long enough.
+func (r *Router) connectionDue(l *engineConn) {
 	if r.connections[l.Number] != l {
 		return
 	}
 	if !l.Up {
-		r.closeLine(l, DialTimedOut)
+		r.closeConnection(l, DialTimedOut)
 		return
 	}
 	if !l.Idle() {
 		return
 	}
-	if at := l.IdleAt + r.settings.Settings.IdleTime*idleEarly; r.now < at {
+	if at := l.IdleAt + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
 		l.timer = r.timers.add(at, l)
 		return
 	}
-	r.closeLine(l, ClosedIdle)
+	r.closeConnection(l, ClosedIdle)
 }
 
-func (r *Router) closeLine(l *line, end CloseReason) {
-	r.do(CloseEngine{l.Number, end})
-	r.lineEnded(l, end)
+func (r *Router) closeConnection(l *engineConn, end CloseReason) {
+	r.emit(CloseEngine{l.Number, end})
+	r.connectionEnded(l, end)
 }
 
-// lineEnded ends all that was open on a connection, in the order it was sent.
-func (r *Router) lineEnded(l *line, end CloseReason) {
+// connectionEnded ends all that was open on a connection, in the order it was sent.
+func (r *Router) connectionEnded(l *engineConn, end CloseReason) {
 	delete(r.connections, l.Number)
 	r.timers.stop(l.timer)
 	if !l.Up {
@@ -230,6 +230,6 @@
 		if d.written {
 			how = r.endingAfterClose(d, end)
 		}
-		r.ended(d, how, nil)
+		r.endDispatch(d, how, nil)
 	}
 }
--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -93,7 +93,7 @@
 	assert.Contains(t, h.written[connections[0]], "abort\r\n$16\r\n"+id)
 
 	h, stream, id, connections = newHostWithHedge(t)
-	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.deliver(ClientMessage{1, traffic.Cancel{Stream: stream}})
 	h.engineReply(connections[0], id, "DONE", "sheets=1", "x\t2\t3\n")
 	assert.NotContains(t, h.answers, stream)
 	h.engineReply(connections[1], id, "DONE", "sheets=1", "x\t2\t3\n")
@@ -103,11 +103,11 @@
 // Once rows of one dispatch are sent to the client, the other dispatch is cancelled: its rows can't be mixed with them.
 func TestStreamingHedgedDispatchCancelsTheOther(t *testing.T) {
 	h, _, id, _ := newHostWithHedge(t)
-	b := h.open[id]
-	h.stream(b.dispatches[1])
+	b := h.openByID[id]
+	h.startStreaming(b.dispatches[1])
 	assert.True(t, b.dispatches[0].ended)
 	assert.True(t, b.Streaming)
-	assert.Same(t, b.dispatches[1], b.streaming())
-	h.deliver(EngineEnded{b.dispatches[1].line.Number, ResetByPeer})
+	assert.Same(t, b.dispatches[1], b.streamingDispatch())
+	h.deliver(EngineEnded{b.dispatches[1].conn.Number, ResetByPeer})
 	assert.Empty(t, h.batches, "the result is cut off, and the batch is not retried")
 }
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -95,7 +95,7 @@
 	h := newHost(t, eastEngine("s-1"))
 	h.deliver(StopAsked{})
 	h.advance(0.6)
-	h.deliver(ClientBegan{1})
+	h.deliver(ClientMessageStarted{1})
 	h.advance(1)
 	assert.False(t, h.exited(), "a client is in the middle of a frame")
 	stream, id := h.sendBatch("lookup", 1000)
@@ -107,7 +107,7 @@
 func TestStopDoesNotWaitForeverForPartialFrame(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	h.deliver(StopAsked{})
-	h.deliver(ClientBegan{1})
+	h.deliver(ClientMessageStarted{1})
 	h.advance(2.3)
 	assert.True(t, h.exited())
 }
@@ -166,11 +166,11 @@
 	_, cancelled := h.sendBatch("upload", 5000)
 	require.Equal(t, 1, h.fetchCount(id), "refused: the event loop has not written it")
 	require.Zero(t, h.fetchCount(cancelled), "it waits for the same connection")
-	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream + 1}})
+	h.deliver(ClientMessage{1, traffic.Cancel{Stream: stream + 1}})
 	draining := eastEngine("s-1")
 	draining.Draining = true
 	h.adoptList(2, draining, eastEngine("s-2"))
-	h.deliver(EngineRead{c})
+	h.deliver(EngineWritable{c})
 	h.advance(0.05)
 	h.engineReply(h.connectLast(), id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream], "it never ran there")
@@ -185,7 +185,7 @@
 	before := h.fetchCount(id)
 	h.advance(0.2)
 	require.Equal(t, before, h.fetchCount(id))
-	h.deliver(EngineRead{c})
+	h.deliver(EngineWritable{c})
 	require.Equal(t, before+1, h.fetchCount(id))
 	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
@@ -237,7 +237,7 @@
 	c := h.connectLast()
 	h.engineReply(c, id, "DONE", "sheets=3", "a\t2\t3\n")
 	require.Equal(t, 2, strings.Count(h.written[c], "more\r\n"))
-	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.deliver(ClientMessage{1, traffic.Cancel{Stream: stream}})
 	assert.Contains(t, h.written[c], "done\r\n$16\r\n"+id)
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	h.advance(2)
@@ -250,10 +250,10 @@
 	h := newHost(t)
 	ready := func() bool {
 		h.emitted = nil
-		h.deliver(ClientSaid{1, traffic.AskReady{Stream: 7}})
+		h.deliver(ClientMessage{1, traffic.AskReady{Stream: 7}})
 		return h.countEffects(func(e Effect) bool {
-			sent, is := e.(TellClient)
-			return is && sent.What == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
+			sent, is := e.(SendToClient)
+			return is && sent.Message == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
 		}) == 1
 	}
 	assert.False(t, ready(), "without engines every batch would be rejected")
@@ -267,7 +267,7 @@
 // answer, which is an error and never a result: such a client is not served.
 func TestMalformedInputAfterBatchStillAnswersBatch(t *testing.T) {
 	for name, malformed := range map[string]func(h *host) Event{
-		"bytes that are no frame":  func(*host) Event { return ClientSpoilt{2} },
+		"bytes that are no frame":  func(*host) Event { return ClientInvalid{2} },
 		"a frame of no known type": func(h *host) Event { return h.clientFrame(2, standin.EncodeFrame(77, 5, nil, "")) },
 		"a stream that is taken": func(h *host) Event {
 			return h.clientFrame(2, standin.EncodeFrame(clients.Ask, 1, []string{"c", "upload", "i", "00000000000000bb", "d", "900"}, "SELECT 1"))
@@ -292,7 +292,7 @@
 func TestSilentNameServiceIsQueriedFromAnotherPort(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	portChanges := func() int {
-		return h.countEffects(func(e Effect) bool { at, is := e.(AskAt); return is && at.Resolver == "127.0.0.1:2" })
+		return h.countEffects(func(e Effect) bool { at, is := e.(SetResolver); return is && at.Resolver == "127.0.0.1:2" })
 	}
 	lines := func(text string) int {
 		return h.countEffects(func(e Effect) bool { l, is := e.(Log); return is && strings.Contains(l.Text, text) })
@@ -316,9 +316,9 @@
 func TestDispatchWaitingForConnectionIsReleasedWhenClientLeaves(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	_, id := h.sendBatch("upload", 5000)
-	require.Equal(t, 1, h.engines["s-1"].out)
+	require.Equal(t, 1, h.engines["s-1"].outstanding)
 	h.deliver(ClientEnded{1, ClosedByPeer})
-	assert.Zero(t, h.engines["s-1"].out, "its capacity is free at once")
+	assert.Zero(t, h.engines["s-1"].outstanding, "its capacity is free at once")
 	assert.Empty(t, h.batches)
 	h.connectLast()
 	assert.Zero(t, h.fetchCount(id))
@@ -333,8 +333,8 @@
 	h.advance(1)
 	for _, effect := range h.emitted {
 		if e, is := effect.(Exit); is {
-			assert.Greater(t, e.By, stoppedAt+3.5)
-			assert.Less(t, e.By, stoppedAt+3.7, "before the process may be killed")
+			assert.Greater(t, e.Deadline, stoppedAt+3.5)
+			assert.Less(t, e.Deadline, stoppedAt+3.7, "before the process may be killed")
 			return
 		}
 	}
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -18,16 +18,16 @@
 // The events. A connection of a client has a number from whoever accepted it, one to an engine from the router.
 type (
 	ClientOpened struct {
-		Client uint64
-		Speaks *traffic.ClientProtocol
+		Client   uint64
+		Protocol *traffic.ClientProtocol
 	}
-	ClientSaid struct {
-		Client uint64
-		Said   traffic.Said
+	ClientMessage struct {
+		Client  uint64
+		Message traffic.Said
 	}
-	ClientBegan  struct{ Client uint64 } // part of a message is there, after whole ones or none
-	ClientSpoilt struct{ Client uint64 } // nothing after what it has sent can be read
-	ClientUnread struct {                // what it has not read has passed a bound, or is below it again
+	ClientMessageStarted struct{ Client uint64 } // part of a message is there, after whole ones or none
+	ClientInvalid        struct{ Client uint64 } // nothing after what it has sent can be read
+	ClientUnread         struct {                // what it has not read has passed a bound, or is below it again
 		Client uint64
 		Full   bool
 	}
@@ -35,41 +35,41 @@
 		Client uint64
 		End    CloseReason
 	}
-	EngineOpened struct{ Connection uint64 }
-	EngineSaid   struct {
+	EngineOpened  struct{ Connection uint64 }
+	EngineReplied struct {
 		Connection uint64
 		Reply      *traffic.Reply
 	}
-	EngineRead  struct{ Connection uint64 } // all that was written there has left, after a request was refused as unread
-	EngineBegan struct{ Connection uint64 } // part of a reply is there, after whole ones or none
-	EngineEnded struct {
+	EngineWritable     struct{ Connection uint64 } // all that was written there has left, after a request was refused as unread
+	EngineReplyStarted struct{ Connection uint64 } // part of a reply is there, after whole ones or none
+	EngineEnded        struct {
 		Connection uint64
 		End        CloseReason
 	}
 	ListAnswered struct {
-		Query uint16
-		List  directory.List
+		QueryID uint16
+		List    directory.List
 	}
-	ListUnusable struct{ Query uint16 } // an answer of the name service that can't be read
+	ListUnusable struct{ QueryID uint16 } // an answer of the name service that can't be read
 	TimerFired   struct{}
 	TurnEnded    struct{} // all that came in together has been told
 	StopAsked    struct{}
 	Reloaded     struct{ Config config.Config } // the file was read again, and it can be used
 	RoutesSet    struct {
-		Routes   *limits.Table           // the limits of what is taken from now on
-		Adaptive limits.AdaptiveSettings // of what is out at each engine
-		All      *limits.RetryBudget     // of further dispatches of all batches, and
-		Engine   *limits.RetryBudget     // to each engine; nil: none
+		Routes            *limits.Table           // the limits of what is taken from now on
+		Adaptive          limits.AdaptiveSettings // of what is out at each engine
+		RetryBudget       *limits.RetryBudget     // of further dispatches of all batches, and
+		EngineRetryBudget *limits.RetryBudget     // to each engine; nil: none
 	}
-	TalkSet struct { // other routers may be talked to
-		Settings membership.Settings
-		Shares   *shares.Settings // and budgets divided with them; nil: not
-		News     *news.Settings   // and told what is out; nil: not
+	PeerMessagingSet struct { // other routers may be talked to
+		Settings    membership.Settings
+		Quotas      *shares.Settings // and budgets divided with them; nil: not
+		LoadReports *news.Settings   // and told what is out; nil: not
 	}
-	TalkCame struct { // one of this fleet has said something; it has been checked whole
-		Message *membership.Message
-		Shares  *shares.Message // that came with it; nil: nothing
-		News    *news.Message   // the same
+	PeerMessageReceived struct { // one of this fleet has said something; it has been checked whole
+		Message     *membership.Message
+		Quotas      *shares.Message // that came with it; nil: nothing
+		LoadReports *news.Message   // the same
 	}
 	OrderRefused struct { // a request was not written, not a byte of it
 		Connection uint64
@@ -77,33 +77,33 @@
 		Why        Refusal
 	}
 	LevelsSet struct { // the levels of reduced service that there are from now on
-		Levels levels.Settings
-		Over   float64 // seconds over which measures fade
+		Levels    levels.Settings
+		DecayTime float64 // seconds over which measures fade
 	}
 )
 
-func (ClientOpened) event() {}
-func (ClientSaid) event()   {}
-func (ClientBegan) event()  {}
-func (ClientSpoilt) event() {}
-func (ClientUnread) event() {}
-func (ClientEnded) event()  {}
-func (EngineOpened) event() {}
-func (EngineSaid) event()   {}
-func (EngineBegan) event()  {}
-func (EngineRead) event()   {}
-func (EngineEnded) event()  {}
-func (ListAnswered) event() {}
-func (ListUnusable) event() {}
-func (TimerFired) event()   {}
-func (TurnEnded) event()    {}
-func (StopAsked) event()    {}
-func (Reloaded) event()     {}
-func (LevelsSet) event()    {}
-func (RoutesSet) event()    {}
-func (TalkSet) event()      {}
-func (TalkCame) event()     {}
-func (OrderRefused) event() {}
+func (ClientOpened) event()         {}
+func (ClientMessage) event()        {}
+func (ClientMessageStarted) event() {}
+func (ClientInvalid) event()        {}
+func (ClientUnread) event()         {}
+func (ClientEnded) event()          {}
+func (EngineOpened) event()         {}
+func (EngineReplied) event()        {}
+func (EngineReplyStarted) event()   {}
+func (EngineWritable) event()       {}
+func (EngineEnded) event()          {}
+func (ListAnswered) event()         {}
+func (ListUnusable) event()         {}
+func (TimerFired) event()           {}
+func (TurnEnded) event()            {}
+func (StopAsked) event()            {}
+func (Reloaded) event()             {}
+func (LevelsSet) event()            {}
+func (RoutesSet) event()            {}
+func (PeerMessagingSet) event()     {}
+func (PeerMessageReceived) event()  {}
+func (OrderRefused) event()         {}
 
 // Origin is the request that an attempt is made for.
 type Origin struct {
@@ -118,10 +118,10 @@
 
 // The refusals.
 const (
-	OrderLate    Refusal = iota // the time until which it was allowed has passed: the process stood still
-	OrderUnread                 // bytes before it have not been read by the engine; EngineRead tells when they have
-	OrderGone                   // its client has just gone
-	OrderInvalid                // it would have broken an invariant
+	OrderLate       Refusal = iota // the time until which it was allowed has passed: the process stood still
+	OrderUnread                    // bytes before it have not been read by the engine; EngineRead tells when they have
+	OrderClientGone                // its client has just gone
+	OrderInvalid                   // it would have broken an invariant
 )
 
 // Effect is one thing that the router asks for, in its order. Rows and chains in it are the doer's from then on, but
@@ -130,9 +130,9 @@
 
 // The effects.
 type (
-	TellClient struct {
-		Client uint64
-		What   traffic.Tell
+	SendToClient struct {
+		Client  uint64
+		Message traffic.Tell
 	}
 	CloseClient struct {
 		Client uint64
@@ -141,42 +141,42 @@
 	Dial struct {
 		Connection uint64
 		Address    string
-		Within     float64 // seconds
-		Speaks     *traffic.EngineProtocol
+		Timeout    float64 // seconds
+		Protocol   *traffic.EngineProtocol
 	}
-	OrderEngine struct {
+	SendToEngine struct {
 		Connection uint64
-		What       traffic.Order
-		By         float64 // once this time has come a request is not written any more, but told by OrderRefused
-		For        Origin  // whose attempt it is, of a dispatch
+		Order      traffic.Order
+		WriteBy    float64 // once this time has come a request is not written any more, but told by OrderRefused
+		Origin     Origin  // whose attempt it is, of a dispatch
 	}
-	HoldEngine struct { // read no more of it, or go on
+	PauseReading struct { // read no more of it, or go on
 		Connection uint64
-		Hold       bool
+		Pause      bool
 	}
 	Release     struct{ *buffers.Chain } // what was ordered before has been written
 	CloseEngine struct {
 		Connection uint64
 		End        CloseReason
 	}
-	AskList  struct{ Query uint16 }
-	AskAt    struct{ Resolver string }           // from now on, there and nowhere else
-	Bound    struct{ MemoryMB, Descriptors int } // the limits that now hold
-	SetTimer struct{ At float64 }                // in place of the one before
-	Tell     struct{ Status Status }             // how it stands, for whoever asks
-	Talk     struct {                            // a datagram to another router
-		To      string
-		Message membership.Message
-		Shares  *shares.Message // nil: nothing of that
-		News    *news.Message   // the same
-	}
-	TellMembers struct{ Members FleetStatus } // how the fleet stands, for whoever asks
-	Log         struct {
+	QueryList    struct{ QueryID uint16 }
+	SetResolver  struct{ Resolver string }           // from now on, there and nowhere else
+	SetLimits    struct{ MemoryMB, Descriptors int } // the limits that now hold
+	SetTimer     struct{ At float64 }                // in place of the one before
+	ReportStatus struct{ Status Status }             // how it stands, for whoever asks
+	SendToPeer   struct {                            // a datagram to another router
+		To          string
+		Message     membership.Message
+		Quotas      *shares.Message // nil: nothing of that
+		LoadReports *news.Message   // the same
+	}
+	ReportMembers struct{ Members FleetStatus } // how the fleet stands, for whoever asks
+	Log           struct {
 		Level  Level
 		Text   string
 		Fields []any // names and values in turn
 	}
-	Exit struct{ By float64 } // once all that was told is written, or this time has come
+	Exit struct{ Deadline float64 } // once all that was told is written, or this time has come
 )
 
 // Level is how much a line of the log matters.
@@ -189,19 +189,19 @@
 	Warn
 )
 
-func (TellClient) effect()  {}
-func (CloseClient) effect() {}
-func (Dial) effect()        {}
-func (OrderEngine) effect() {}
-func (HoldEngine) effect()  {}
-func (Release) effect()     {}
-func (CloseEngine) effect() {}
-func (AskList) effect()     {}
-func (AskAt) effect()       {}
-func (Bound) effect()       {}
-func (SetTimer) effect()    {}
-func (Tell) effect()        {}
-func (Log) effect()         {}
-func (Talk) effect()        {}
-func (TellMembers) effect() {}
-func (Exit) effect()        {}
+func (SendToClient) effect()  {}
+func (CloseClient) effect()   {}
+func (Dial) effect()          {}
+func (SendToEngine) effect()  {}
+func (PauseReading) effect()  {}
+func (Release) effect()       {}
+func (CloseEngine) effect()   {}
+func (QueryList) effect()     {}
+func (SetResolver) effect()   {}
+func (SetLimits) effect()     {}
+func (SetTimer) effect()      {}
+func (ReportStatus) effect()  {}
+func (Log) effect()           {}
+func (SendToPeer) effect()    {}
+func (ReportMembers) effect() {}
+func (Exit) effect()          {}
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -63,7 +63,7 @@
 	h.clientProtocol = clients.Protocol(h.pool)
 	h.clientSession = h.clientProtocol.New()
 	h.Router = New(c, func(directory.Engine) *traffic.EngineProtocol { return resp }, h.pool, h.now)
-	h.spread = 1
+	h.connectionsPerEngine = 1
 	h.deliver(h.clientOpenedEvent(1))
 	return h
 }
@@ -81,22 +81,22 @@
 			switch w := effect.(type) {
 			case Dial:
 				h.dials = append(h.dials, w)
-				h.sessions[w.Connection] = w.Speaks.New()
+				h.sessions[w.Connection] = w.Protocol.New()
 			case SetTimer:
 				h.nextTimer = w.At
-			case AskList:
-				h.queries = append(h.queries, w.Query)
-			case OrderEngine:
+			case QueryList:
+				h.queries = append(h.queries, w.QueryID)
+			case SendToEngine:
 				out := h.pool.Chain()
-				h.sessions[w.Connection].Order(out, w.What)
+				h.sessions[w.Connection].Order(out, w.Order)
 				h.written[w.Connection] += out.String()
 				out.Release()
-			case TellClient:
+			case SendToClient:
 				out := h.pool.Chain()
-				h.clientSession.Tell(out, w.What)
+				h.clientSession.Tell(out, w.Message)
 				h.readAnswers(out.String())
 				out.Release()
-				if a, is := w.What.(*traffic.Answer); is {
+				if a, is := w.Message.(*traffic.Answer); is {
 					rows.Release(a.Rows)
 				}
 			case Release:
@@ -120,13 +120,13 @@
 		}
 	}
 	for _, e := range h.engines {
-		assert.Equal(h.t, open[e], e.out, e.name)
+		assert.Equal(h.t, open[e], e.outstanding, e.name)
 	}
 	waiting := 0
 	for _, c := range h.clients {
 		waiting += len(c.open)
 	}
-	assert.Len(h.t, h.open, waiting)
+	assert.Len(h.t, h.openByID, waiting)
 }
 
 // readAnswers parses frames that were sent to a client and records the answers in them.
@@ -178,7 +178,7 @@
 	in.Write(frame)
 	message, err := h.clientSession.Read(in, nil)
 	require.NoError(h.t, err)
-	return ClientSaid{client, message}
+	return ClientMessage{client, message}
 }
 
 // engineReply delivers a reply of an engine: its command word, fields and body.
@@ -197,7 +197,7 @@
 	}
 	reply, err := h.sessions[connection].Read(in, nil)
 	require.NoError(h.t, err)
-	return EngineSaid{connection, reply}
+	return EngineReplied{connection, reply}
 }
 
 // fetchCount returns how many times a batch was written to engines.
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -41,7 +41,7 @@
 	}
 	l.gauge.Advance(now)
 	goal := b.Group.Goal + b.Group.GoalStretch*b.work/max(b.Group.Threads, 1)
-	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Returned && now-b.takenAt <= goal, code == traffic.PushedBack)
+	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Returned && now-b.receivedAt <= goal, code == traffic.PushedBack)
 }
 
 // workFinished counts work that an engine has finished, in thread-seconds.
@@ -72,11 +72,11 @@
 // level that is in force where they still define it.
 func (r *Router) setLevels(e LevelsSet) {
 	if r.level.machine == nil {
-		r.level.gauge = levels.NewGauge(e.Over, r.now)
+		r.level.gauge = levels.NewGauge(e.DecayTime, r.now)
 		// A router whose index is not configured draws its place among the routers at random.
-		seat := rand.New(rand.NewPCG(r.settings.Seed, 3)).Float64()
-		if n := r.settings.Settings.Routers; n > 1 && r.settings.Settings.Index >= 0 {
-			seat = float64(r.settings.Settings.Index) / float64(n-1)
+		seat := rand.New(rand.NewPCG(r.config.Seed, 3)).Float64()
+		if n := r.config.Settings.Routers; n > 1 && r.config.Settings.Index >= 0 {
+			seat = float64(r.config.Settings.Index) / float64(n-1)
 		}
 		r.level.machine = levels.New(e.Levels, seat, r.now)
 		r.timers.add(r.now+levelInterval, levelCheck{})
@@ -105,7 +105,7 @@
 	if r.stopAt > 0 {
 		stopping = 1
 	}
-	r.do(Tell{Status{Name: r.settings.Name, Now: r.now, Level: state.Name, Reason: state.Reason, Since: state.Since,
+	r.emit(ReportStatus{Status{Name: r.config.Name, Now: r.now, Level: state.Name, Reason: state.Reason, Since: state.Since,
 		Step: state.Step, Shed: r.level.shed, Measures: measures, Batches: len(r.batches), Clients: len(r.clients),
 		Stopping: stopping, Decisions: decisions}})
 }
@@ -129,7 +129,7 @@
 		if reduced.KeepShare == nil {
 			reduced.KeepShare = map[*brain.ServiceGroup]float64{}
 		}
-		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarked[name]} {
+		for _, g := range []*brain.ServiceGroup{r.groups[name], r.unmarkedGroups[name]} {
 			if g != nil {
 				reduced.KeepShare[g] = keep
 			}
--- a/internal/router/levels_test.go
+++ b/internal/router/levels_test.go
@@ -12,7 +12,7 @@
 
 // shedLookups returns settings with one level, "no lookups", that rejects all lookup batches. hold names a level to stay in, if any.
 func shedLookups(hold string) LevelsSet {
-	return LevelsSet{Over: 2, Levels: levels.Settings{TrialSteps: 1, TrialStepTime: 1, ForcedLevel: hold, Levels: []levels.Level{{Name: "no lookups", MinDuration: 5,
+	return LevelsSet{DecayTime: 2, Levels: levels.Settings{TrialSteps: 1, TrialStepTime: 1, ForcedLevel: hold, Levels: []levels.Level{{Name: "no lookups", MinDuration: 5,
 		Enter:   []levels.Condition{{Measure: levels.Rejected, Threshold: 0.5, MinDuration: 1}},
 		Exit:    []levels.Condition{{Measure: levels.Rejected, Below: true, Threshold: 0.1, MinDuration: 1}},
 		Actions: levels.Actions{AdmitRatio: map[string]float64{"lookup": 0}}}}}}
@@ -65,7 +65,7 @@
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
 	var last Status
 	for _, effect := range h.emitted {
-		if s, is := effect.(Tell); is {
+		if s, is := effect.(ReportStatus); is {
 			last = s.Status
 		}
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -27,36 +27,36 @@
 
 // startPeerMessaging starts membership and, where configured, quotas and load reports. Later calls, as after a reload, change nothing:
 // the identity and the listening address of a router are fixed when it starts.
-func (r *Router) startPeerMessaging(e TalkSet) {
+func (r *Router) startPeerMessaging(e PeerMessagingSet) {
 	if r.members != nil {
 		return
 	}
-	configured := r.settings.Settings.Routers
-	r.members = &fleet{machine: membership.New(e.Settings, r.settings.Seed, r.now), settledCount: configured, reportedCount: configured}
+	configured := r.config.Settings.Routers
+	r.members = &fleet{machine: membership.New(e.Settings, r.config.Seed, r.now), settledCount: configured, reportedCount: configured}
 	r.log(Info, "talk", "listen", e.Settings.Listen, "seeds", e.Settings.Seeds, "start", e.Settings.Self.Start)
 	r.flushMembership()
 	r.timers.add(r.now, fleetReportDue{})
-	if e.Shares != nil {
-		r.startQuotas(e.Shares, shares.ID{Name: e.Settings.Self.Name, Start: e.Settings.Self.Start})
+	if e.Quotas != nil {
+		r.startQuotas(e.Quotas, shares.ID{Name: e.Settings.Self.Name, Start: e.Settings.Self.Start})
 	}
-	if e.News != nil {
-		r.startLoadReports(e.News, e.Settings.Self.Name)
+	if e.LoadReports != nil {
+		r.startLoadReports(e.LoadReports, e.Settings.Self.Name)
 	}
 }
 
 // receivePeerMessage processes a message from another router of the fleet, with the quota message and the load report in it.
-func (r *Router) receivePeerMessage(e TalkCame) {
+func (r *Router) receivePeerMessage(e PeerMessageReceived) {
 	if r.members == nil {
 		return
 	}
 	r.members.received++
 	r.members.machine.Heard(r.now, e.Message)
 	r.flushMembership()
-	if e.Shares != nil {
-		r.receiveQuotaMessage(e.Shares)
+	if e.Quotas != nil {
+		r.receiveQuotaMessage(e.Quotas)
 	}
-	if e.News != nil && r.news != nil {
-		r.receiveLoadReport(e.Message.From.Address, e.News)
+	if e.LoadReports != nil && r.loadReports != nil {
+		r.receiveLoadReport(e.Message.From.Address, e.LoadReports)
 	}
 }
 
@@ -71,7 +71,7 @@
 	m := r.members
 	for _, send := range m.machine.Sends() {
 		m.sent++
-		r.do(Talk{send.To, send.Message, nil, nil})
+		r.emit(SendToPeer{send.To, send.Message, nil, nil})
 	}
 	for _, note := range m.machine.Notes() {
 		level := Info
@@ -102,12 +102,12 @@
 	case membership.Settled:
 		m.settledCount = n
 	case membership.Alone:
-		m.settledCount = r.settings.Settings.Routers
+		m.settledCount = r.config.Settings.Routers
 	default:
 		m.settledCount = max(m.settledCount, n)
 	}
-	if r.parts != nil {
-		r.parts.machine.ObserveFleetSize(m.machine.Count())
+	if r.quotas != nil {
+		r.quotas.machine.ObserveFleetSize(m.machine.Count())
 	}
 	if m.settledCount != m.reportedCount {
 		m.reportedCount = m.settledCount
@@ -119,17 +119,17 @@
 func (r *Router) reportFleet() {
 	m := r.members
 	r.timers.add(r.now+fleetReportInterval, fleetReportDue{})
-	status := FleetStatus{Name: r.settings.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Sent: m.sent, Received: m.received}
-	if r.parts != nil {
-		status.Shares = r.parts.machine.State(r.now)
+	status := FleetStatus{Name: r.config.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Sent: m.sent, Received: m.received}
+	if r.quotas != nil {
+		status.Shares = r.quotas.machine.State(r.now)
 	}
-	r.do(TellMembers{status})
+	r.emit(ReportMembers{status})
 }
 
 // leaveFleet tells the other routers that this one is leaving. It is called when the router exits.
 func (r *Router) leaveFleet() {
-	if r.parts != nil {
-		r.parts.machine.Leave(r.now)
+	if r.quotas != nil {
+		r.quotas.machine.Leave(r.now)
 		r.flushQuotas()
 	}
 	if r.members != nil {
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -21,14 +21,14 @@
 
 // startLoadReports begins to exchange load reports with the other routers.
 func (r *Router) startLoadReports(s *news.Settings, name string) {
-	r.news = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
+	r.loadReports = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
 	r.log(Info, "news", "every", s.Every)
 	r.timers.add(r.now+s.Every, loadReportDue{})
 }
 
 // sendLoadReport reports the load that this router has outstanding at each engine, and schedules the next report.
 func (r *Router) sendLoadReport() {
-	n := r.news
+	n := r.loadReports
 	r.updateReportMembers()
 	var loads []news.Load
 	for _, e := range r.engines {
@@ -45,7 +45,7 @@
 // updateReportMembers gives the machine the current members. While this router is cut off, or another router has its name, reports
 // cover only a part of the fleet, so the machine gets no members and ignores all reports.
 func (r *Router) updateReportMembers() {
-	n, m := r.news, r.members.machine
+	n, m := r.loadReports, r.members.machine
 	switch c := m.Certainty(); {
 	case c == membership.Alone || c == membership.CutOff:
 		n.viewHash = 0
@@ -62,7 +62,7 @@
 
 // receiveLoadReport processes a load report that another router has sent from an address.
 func (r *Router) receiveLoadReport(from string, m *news.Message) {
-	if r.news.machine.Heard(r.now, from, m) {
+	if r.loadReports.machine.Heard(r.now, from, m) {
 		r.applyReportedLoads()
 	}
 	r.flushLoadReports()
@@ -70,24 +70,24 @@
 
 // applyReportedLoads gives the decision module the load that the other routers have outstanding at each engine.
 func (r *Router) applyReportedLoads() {
-	loads, age, known := r.news.machine.Others(r.now)
+	loads, age, known := r.loadReports.machine.Others(r.now)
 	if !known {
 		return
 	}
 	for _, e := range r.engines {
 		if e.Phase == brain.Ready {
 			load := loads[engineInstance(e)]
-			r.brain.SetOthersLoad(&e.Engine, load.Threads, load.Memory, r.now+r.news.staleAfter-age)
+			r.brain.SetOthersLoad(&e.Engine, load.Threads, load.Memory, r.now+r.loadReports.staleAfter-age)
 		}
 	}
 }
 
 // flushLoadReports sends the messages that the load report machine has produced.
 func (r *Router) flushLoadReports() {
-	for _, send := range r.news.machine.Sends() {
+	for _, send := range r.loadReports.machine.Sends() {
 		r.members.sent++
 		message := send.Message
-		r.do(Talk{send.To, r.members.machine.Envelope(), nil, &message})
+		r.emit(SendToPeer{send.To, r.members.machine.Envelope(), nil, &message})
 	}
 }
 
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -14,8 +14,8 @@
 // lastLoadReport returns the load report of a kind that was sent last; nil: none.
 func (h *host) lastLoadReport(kind news.Kind) (report *news.Message) {
 	for _, effect := range h.emitted {
-		if w, is := effect.(Talk); is && w.News != nil && w.News.Kind == kind {
-			report = w.News
+		if w, is := effect.(SendToPeer); is && w.LoadReports != nil && w.LoadReports.Kind == kind {
+			report = w.LoadReports
 		}
 	}
 	return report
@@ -28,10 +28,10 @@
 	h := newHost(t, eastEngine("s-1"), other)
 	m, n := membership.Defaults(), news.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{"10.9.0.2:7500"}
-	h.deliver(TalkSet{Settings: m, News: &n})
+	h.deliver(PeerMessagingSet{Settings: m, LoadReports: &n})
 	peer := membership.Member{ID: membership.ID{Name: "a", Start: 1}, Address: "10.9.0.2:7500"}
 	receive := func(m *news.Message) {
-		h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: peer}, News: m})
+		h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: peer}, LoadReports: m})
 	}
 	loadAt := func(name string) *news.Message {
 		e := h.engines[name]
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -56,7 +56,7 @@
 	engineProtocol, clientProtocol := back(p.pool), front(p.pool)
 	p.engineProtocol, p.client = engineProtocol, clientProtocol.New()
 	p.Router = router.New(c, func(directory.Engine) *traffic.EngineProtocol { return engineProtocol }, p.pool, p.now)
-	p.deliver(router.ClientOpened{Client: 1, Speaks: clientProtocol})
+	p.deliver(router.ClientOpened{Client: 1, Protocol: clientProtocol})
 	return p
 }
 
@@ -64,21 +64,21 @@
 func (p *path) deliver(e router.Event) {
 	for _, effect := range p.Reduce(p.now, e) {
 		switch w := effect.(type) {
-		case router.TellClient:
-			p.client.Tell(p.output, w.What)
-			if a, is := w.What.(*traffic.Answer); is {
+		case router.SendToClient:
+			p.client.Tell(p.output, w.Message)
+			if a, is := w.Message.(*traffic.Answer); is {
 				require.Equal(p.t, traffic.Returned, a.Code, a.Why)
 				p.answers++
 				rows.Release(a.Rows)
 			}
 			p.output.Release()
-		case router.OrderEngine:
-			p.engine.Order(p.output, w.What)
+		case router.SendToEngine:
+			p.engine.Order(p.output, w.Order)
 			p.output.Release()
 		case router.Release:
 			w.Chain.Release()
-		case router.Talk:
-			_, err := talk.Encode("fleet", &talk.Message{Message: w.Message, Shares: w.Shares})
+		case router.SendToPeer:
+			_, err := talk.Encode("fleet", &talk.Message{Message: w.Message, Shares: w.Quotas})
 			require.NoError(p.t, err)
 		case router.Dial:
 			if p.engine == nil {
@@ -109,7 +109,7 @@
 		if said == nil {
 			break
 		}
-		p.deliver(router.ClientSaid{Client: 1, Said: said})
+		p.deliver(router.ClientMessage{Client: 1, Message: said})
 	}
 	p.output.Release()
 	p.deliver(router.TurnEnded{})
@@ -127,7 +127,7 @@
 		if reply.Word == traffic.Up {
 			p.deliver(router.EngineOpened{Connection: 1})
 		} else {
-			p.deliver(router.EngineSaid{Connection: 1, Reply: reply})
+			p.deliver(router.EngineReplied{Connection: 1, Reply: reply})
 		}
 	}
 	p.output.Release()
@@ -257,15 +257,15 @@
 			if messaging {
 				s := membership.Defaults()
 				s.Self, s.Listen, s.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{"10.0.0.1:7500"}
-				event := router.TalkSet{Settings: s}
+				event := router.PeerMessagingSet{Settings: s}
 				if name == "shares" {
 					quotas := shares.Defaults()
 					quotas.Listen, quotas.Replicas = s.Listen, []string{s.Listen, "10.0.0.1:7500", "10.0.0.2:7500"}
-					event.Shares = &quotas
+					event.Quotas = &quotas
 				}
 				p.deliver(event)
 				for i := range 300 {
-					p.deliver(router.TalkCame{Message: &membership.Message{Kind: membership.Tell, From: member(i)}})
+					p.deliver(router.PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: member(i)}})
 				}
 			}
 			b.ReportAllocs()
@@ -277,7 +277,7 @@
 					require.NoError(b, err)
 					message, err := talk.Decode("fleet", data)
 					require.NoError(b, err)
-					p.deliver(router.TalkCame{Message: &message.Message})
+					p.deliver(router.PeerMessageReceived{Message: &message.Message})
 					p.deliver(router.TimerFired{})
 				}
 			}
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -10,19 +10,19 @@
 // probe is a health check of an engine, or of one connection to it, that is due an answer.
 type probe struct {
 	engine *engine
-	conn   *line
+	conn   *engineConn
 	tag    string // identifies the probe on its connection
 	ended  bool
 }
 
 // sendProbe sends a probe to an engine for the decision module.
 func (r *Router) sendProbe(e *engine) {
-	p := &probe{engine: e, tag: tag(r.number())}
-	var l *line
-	if c := e.pool.Quiet(r.multiplex(e)); c != nil { // the answer also shows that this connection works
+	p := &probe{engine: e, tag: probeTag(r.nextNumber())}
+	var l *engineConn
+	if c := e.pool.Quiet(r.multiplexLimit(e)); c != nil { // the answer also shows that this connection works
 		l = r.connections[c.Number]
 	} else {
-		l, _ = r.pick(e, p.tag)
+		l, _ = r.pickConnection(e, p.tag)
 	}
 	if l == nil {
 		p.ended = true
@@ -31,7 +31,7 @@
 	}
 	p.conn = l
 	l.Open(p.tag, p)
-	r.timers.add(r.now+r.settings.Settings.DialTime, p)
+	r.timers.add(r.now+r.config.Settings.DialTime, p)
 	r.send(l, p)
 }
 
@@ -47,16 +47,16 @@
 		load = nil
 	}
 	r.log(Debug, "probed", "engine", p.engine.name, "ok", ok, "load", load)
-	if p.conn.check != p { // the decision module asked for it; a connection's check is the router's own
+	if p.conn.healthCheck != p { // the decision module asked for it; a connection's check is the router's own
 		r.brain.ProbeEnded(&p.engine.Engine, ok, load)
 	} else {
-		p.conn.check = nil
+		p.conn.healthCheck = nil
 	}
-	if l := p.conn; late && l.engine.speaks.Alone && l.Up && r.connections[l.Number] == l {
-		r.order(l, traffic.GiveUp{ID: p.tag})
-		r.settle(l)
+	if l := p.conn; late && l.engine.protocol.Alone && l.Up && r.connections[l.Number] == l {
+		r.sendOrder(l, traffic.GiveUp{ID: p.tag})
+		r.awaitFree(l)
 		late = false
 	}
 	p.conn.Close(p.tag, late, r.now)
-	r.rest(p.conn)
+	r.closeIfUnneeded(p.conn)
 }
--- a/internal/router/purses_test.go
+++ b/internal/router/purses_test.go
@@ -20,7 +20,7 @@
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
 	s.Listen, s.Replicas, s.FixedFraction = m.Listen, []string{coordinatorAddress}, 0
-	h.deliver(TalkSet{Settings: m, Shares: &s})
+	h.deliver(PeerMessagingSet{Settings: m, Quotas: &s})
 	route.Name, route.Pattern = "r", limits.Fields{Group: "lookup"}
 	h.deliver(RoutesSet{Routes: limits.NewTable([]*limits.Route{&route})})
 	h.advance(1)
@@ -32,8 +32,8 @@
 func (h *host) returnedAmount(number uint64) (amount float64) {
 	amount = -1
 	for _, effect := range h.emitted {
-		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.GrantRequest {
-			for _, i := range w.Shares.Items {
+		if w, is := effect.(SendToPeer); is && w.Quotas != nil && w.Quotas.Kind == shares.GrantRequest {
+			for _, i := range w.Quotas.Items {
 				if i.Done && i.Number == number {
 					amount = i.Amount
 				}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -20,135 +20,135 @@
 
 // Facts of the protocol and the platform; seconds. Nothing here decides about a batch.
 const (
-	keepGone  = 60.0 // what is known of an engine that has left the list is kept for so long
-	idleEarly = 0.8  // of the time after which engines close what is idle, lest a dispatch meets that close
-	quietStop = 0.75 // after a stop is asked for, batches still come for so long
-	killAfter = 0.7  // the process may be killed so long after the longest time limit,
-	killLimit = 3.0  // which counts for no more than this
-	killEarly = 0.3  // and all must be answered before,
-	lastBytes = 0.1  // and written
-	lateTimer = 0.02 // worth a line: the process or its machine stood still
+	goneEngineRetention = 60.0 // what is known of an engine that has left the list is kept for so long
+	idleCloseFraction   = 0.8  // of the time after which engines close what is idle, lest a dispatch meets that close
+	stopGracePeriod     = 0.75 // after a stop is asked for, batches still come for so long
+	killDelay           = 0.7  // the process may be killed so long after the longest time limit,
+	maxKillWait         = 3.0  // which counts for no more than this
+	killMargin          = 0.3  // and all must be answered before,
+	flushTime           = 0.1  // and written
+	lateTimerThreshold  = 0.02 // worth a line: the process or its machine stood still
 )
 
 // Router is the state. It changes in Reduce alone.
 type Router struct {
-	brain    *brain.Router
-	settings config.Config
-	speaks   Speaks
-	groups   map[string]*brain.ServiceGroup
-	unmarked map[string]*brain.ServiceGroup // of the same name, once-only: for referenced batches without a mark
-	pool     *buffers.Pool
-	out      []Effect
-	now      float64
-	begun    bool
-
-	engines     map[string]*engine // forgetEngine deletes, from byBrain too
-	byBrain     map[*brain.Engine]*engine
-	connections map[uint64]*line // lineEnded deletes
-	numbers     uint64           // of connections to engines and of probes
-	most        int              // descriptors for connections to engines
-	spread      int              // connections to one engine before batches share them
-	writable    []*line          // connections that have come up, or been read, in this turn
-	dialing     int              // connections that are not up yet; each takes a second descriptor for a moment
-
-	clients     map[uint64]*client      // clientEnded deletes
-	crowd       crowd                   // what was done about too many of them, since the last line on it
-	mostClients int                     // connections
-	looking     bool                    // at them, by a timer,
-	lookAt      float64                 // that is due then,
-	putOff      int                     // how often in a row, as it came late
-	batches     map[*brain.Batch]*batch // forget deletes
-	open        map[string]*batch       // by id, while the client waits; unwait deletes
-	ids         uint64
-	idsDrawn    *rand.Rand // of batches whose protocol has none
+	brain          *brain.Router
+	config         config.Config
+	protocolOf     ProtocolFunc
+	groups         map[string]*brain.ServiceGroup
+	unmarkedGroups map[string]*brain.ServiceGroup // of the same name, once-only: for referenced batches without a mark
+	pool           *buffers.Pool
+	effects        []Effect
+	now            float64
+	started        bool
+
+	engines              map[string]*engine // forgetEngine deletes, from byBrain too
+	byBrainEngine        map[*brain.Engine]*engine
+	connections          map[uint64]*engineConn // lineEnded deletes
+	lastNumber           uint64                 // of connections to engines and of probes
+	maxConnections       int                    // descriptors for connections to engines
+	connectionsPerEngine int                    // connections to one engine before batches share them
+	writable             []*engineConn          // connections that have come up, or been read, in this turn
+	dialing              int                    // connections that are not up yet; each takes a second descriptor for a moment
+
+	clients           map[uint64]*client      // clientEnded deletes
+	closedClients     closedClientCounts      // what was done about too many of them, since the last line on it
+	maxClients        int                     // connections
+	clientCheckSet    bool                    // at them, by a timer,
+	clientCheckAt     float64                 // that is due then,
+	clientCheckDelays int                     // how often in a row, as it came late
+	batches           map[*brain.Batch]*batch // forget deletes
+	openByID          map[string]*batch       // by id, while the client waits; unwait deletes
+	lastBatchID       uint64
+	idSource          *rand.Rand // of batches whose protocol has none
 
 	timers  timers
 	timerAt float64
 	wakeAt  float64
 
-	follower *directory.Follower // of the list of engines
-	asks     asking              // the timer that counts
-	silent   bool                // the name service
-	spell    bool                // answers that could not be used were told of
+	follower           *directory.Follower // of the list of engines
+	currentQuery       queryTimer          // the timer that counts
+	nameServiceSilent  bool                // the name service
+	unusedAnswerLogged bool                // answers that could not be used were told of
 
-	level          serviceLevel  // of reduced service
-	routes         *limits.Table // the operator's limits; nil: none
-	adaptive       limits.AdaptiveSettings
-	ofAll, further *limits.RetryBudget // of further dispatches: of all batches, and to each engine
+	level                          serviceLevel  // of reduced service
+	routes                         *limits.Table // the operator's limits; nil: none
+	adaptive                       limits.AdaptiveSettings
+	retryBudget, engineRetryBudget *limits.RetryBudget // of further dispatches: of all batches, and to each engine
 
-	members *fleet       // of its fleet; nil: there is no talk
-	parts   *quotas      // of what the fleet divides; nil: the division is fixed
-	news    *loadReports // of what the others have out; nil: nobody tells
+	members     *fleet       // of its fleet; nil: there is no talk
+	quotas      *quotas      // of what the fleet divides; nil: the division is fixed
+	loadReports *loadReports // of what the others have out; nil: nobody tells
 
-	stopAt, killAt float64 // 0: not stopping
-	exited         bool
+	stopAt, answerDeadline float64 // 0: not stopping
+	exited                 bool
 }
 
 type engine struct {
 	brain.Engine
 	name, address string
-	speaks        *traffic.EngineProtocol
+	protocol      *traffic.EngineProtocol
 	gone          bool
 	pool          engines.Pool
-	out           int // dispatches without an outcome
+	outstanding   int // dispatches without an outcome
 }
 
-// line is a connection to an engine with what has to go out once it is up.
-type line struct {
+// engineConn is a connection to an engine with what has to go out once it is up.
+type engineConn struct {
 	*engines.Connection
-	engine *engine
-	queue  []any   // dispatches and probes, in order
-	timer  *timer  // to come up, or to close when idle
-	check  *probe  // whether it is of use, once that is in doubt
-	half   float64 // a reply has begun and is not whole since; 0: none
+	engine       *engine
+	queue        []any   // dispatches and probes, in order
+	timer        *timer  // to come up, or to close when idle
+	healthCheck  *probe  // whether it is of use, once that is in doubt
+	partialSince float64 // a reply has begun and is not whole since; 0: none
 }
 
-// Speaks gives the protocol of an engine; the same for it always.
-type Speaks func(directory.Engine) *traffic.EngineProtocol
+// ProtocolFunc gives the protocol of an engine; the same for it always.
+type ProtocolFunc func(directory.Engine) *traffic.EngineProtocol
 
 // New starts a router; its first effects come with the first event.
-func New(c config.Config, speaks Speaks, pool *buffers.Pool, now float64) *Router {
-	r := &Router{brain: brain.New(c.Settings.Settings, c.Seed, now), settings: c, speaks: speaks, pool: pool, now: now,
-		groups: map[string]*brain.ServiceGroup{}, unmarked: map[string]*brain.ServiceGroup{}, engines: map[string]*engine{},
-		byBrain: map[*brain.Engine]*engine{}, connections: map[uint64]*line{}, clients: map[uint64]*client{},
-		batches: map[*brain.Batch]*batch{}, open: map[string]*batch{}, timerAt: math.Inf(1), wakeAt: math.Inf(1), follower: directory.NewFollower(c.Known, c.Seed, now),
-		idsDrawn: rand.New(rand.NewPCG(c.Seed, 64))}
+func New(c config.Config, speaks ProtocolFunc, pool *buffers.Pool, now float64) *Router {
+	r := &Router{brain: brain.New(c.Settings.Settings, c.Seed, now), config: c, protocolOf: speaks, pool: pool, now: now,
+		groups: map[string]*brain.ServiceGroup{}, unmarkedGroups: map[string]*brain.ServiceGroup{}, engines: map[string]*engine{},
+		byBrainEngine: map[*brain.Engine]*engine{}, connections: map[uint64]*engineConn{}, clients: map[uint64]*client{},
+		batches: map[*brain.Batch]*batch{}, openByID: map[string]*batch{}, timerAt: math.Inf(1), wakeAt: math.Inf(1), follower: directory.NewFollower(c.Known, c.Seed, now),
+		idSource: rand.New(rand.NewPCG(c.Seed, 64))}
 	for _, g := range c.Settings.Groups {
 		if r.groups[g.Name] != nil {
-			r.unmarked[g.Name] = g
+			r.unmarkedGroups[g.Name] = g
 		} else {
 			r.groups[g.Name] = g
 		}
 	}
-	s := &r.settings.Settings
+	s := &r.config.Settings
 	s.Multiplex = max(s.Multiplex, 1)
 	if s.DialTime <= 0 {
 		s.DialTime = 0.25
 	}
-	r.spread = spread
-	r.bound()
+	r.connectionsPerEngine = defaultConnectionsPerEngine
+	r.setDescriptorLimits()
 	r.brain.SetTime(now)
-	r.listed(r.follower.List())
-	r.ask()
+	r.applyEngineList(r.follower.List())
+	r.queryList()
 	return r
 }
 
 const (
 	spareDescriptors = 48
-	textShare        = 0.25 // of the memory limit: what batches may hold of it before more are pushed back
+	batchMemoryShare = 0.25 // of the memory limit: what batches may hold of it before more are pushed back
 )
 
-func (r *Router) bound() {
+func (r *Router) setDescriptorLimits() {
 	// Clients are let in up to half of the descriptors, though they should hold a third; the runtime needs some.
-	n := r.settings.Descriptors
-	r.most, r.mostClients = max(n-n/2-spareDescriptors, 4), n/2
+	n := r.config.Descriptors
+	r.maxConnections, r.maxClients = max(n-n/2-spareDescriptors, 4), n/2
 }
 
 // reload takes what may change while the router runs: the name service's address, the limits, and a list that is
 // newer than ours. The list's number goes on. What decisions are made by is kept until the next start: batches that
 // are held or out were taken by it.
 func (r *Router) reload(c config.Config) {
-	old := &r.settings
+	old := &r.config
 	r.log(Info, "configuration read again", "resolver", c.Resolver, "memory_mb", c.MemoryMB,
 		"descriptors", c.Descriptors, "serial", r.follower.Serial())
 	if c.Listen != old.Listen || c.SettingsText != old.SettingsText {
@@ -156,68 +156,68 @@
 	}
 	if c.MemoryMB != old.MemoryMB || c.Descriptors != old.Descriptors {
 		old.MemoryMB, old.Descriptors = c.MemoryMB, c.Descriptors
-		r.bound()
-		r.do(Bound{c.MemoryMB, c.Descriptors})
+		r.setDescriptorLimits()
+		r.emit(SetLimits{c.MemoryMB, c.Descriptors})
 	}
 	if r.follower.Configured(c.Known, r.now) {
-		r.listed(r.follower.List())
+		r.applyEngineList(r.follower.List())
 	}
 	if c.Resolver != old.Resolver {
 		old.Resolver = c.Resolver
 		r.follower.Moved(r.now) // the old address may still answer, with what it last knew
-		r.do(AskAt{c.Resolver})
+		r.emit(SetResolver{c.Resolver})
 	}
-	r.ask()
+	r.queryList()
 }
 
 // Reduce takes one event and gives what is to be done. The list is used again by the next call.
 func (r *Router) Reduce(now float64, what Event) []Effect {
-	if r.begun {
-		r.out = r.out[:0]
+	if r.started {
+		r.effects = r.effects[:0]
 	}
-	r.begun = true
+	r.started = true
 	r.now = max(r.now, now)
 	if r.exited { // all is answered: what comes while the last bytes are written is neither taken nor sent on
-		return r.out[:0]
+		return r.effects[:0]
 	}
 	r.brain.SetTime(r.now)
 	switch e := what.(type) {
 	case ClientOpened:
-		r.clientOpened(e.Client, e.Speaks)
-	case ClientSaid:
-		r.clientSaid(e.Client, e.Said)
-	case ClientBegan:
+		r.clientOpened(e.Client, e.Protocol)
+	case ClientMessage:
+		r.handleClientMessage(e.Client, e.Message)
+	case ClientMessageStarted:
 		if c := r.clients[e.Client]; c != nil {
-			c.half = r.now
+			c.partialSince = r.now
 		}
-	case ClientSpoilt:
+	case ClientInvalid:
 		if c := r.clients[e.Client]; c != nil {
 			r.log(Warn, "client sent what can't be read", "client", e.Client, "open", len(c.open))
-			r.refuseClient(c, BadInput)
+			r.rejectClient(c, BadInput)
 		}
 	case ClientUnread:
-		r.unread(e.Client, e.Full)
+		r.clientUnread(e.Client, e.Full)
 	case ClientEnded:
 		r.clientEnded(e.Client, e.End)
 	case EngineOpened:
 		r.engineOpened(e.Connection)
-	case EngineSaid:
-		r.engineSaid(e.Connection, e.Reply)
-	case EngineRead:
-		r.engineRead(e.Connection)
-	case EngineBegan:
+	case EngineReplied:
+		r.engineReplied(e.Connection, e.Reply)
+	case EngineWritable:
+		r.engineWritable(e.Connection)
+	case EngineReplyStarted:
 		if l := r.connections[e.Connection]; l != nil {
-			l.half = r.now
-			r.timers.add(r.now+wholeReply, halfReply{l, r.now})
+			l.partialSince = r.now
+			r.timers.add(r.now+replyTimeout, partialReply{l, r.now})
 		}
 	case EngineEnded:
 		if l := r.connections[e.Connection]; l != nil {
-			r.lineEnded(l, e.End)
+			r.connectionEnded(l, e.End)
 		}
 	case ListAnswered:
-		r.listAnswered(e.Query, e.List)
+		r.listAnswered(e.QueryID, e.List)
 	case ListUnusable:
-		r.listUnusable(e.Query)
+		r.listUnusable(e.QueryID)
 	case StopAsked:
 		r.stop()
 	case Reloaded:
@@ -226,26 +226,26 @@
 		r.setRoutes(e)
 	case LevelsSet:
 		r.setLevels(e)
-	case TalkSet:
+	case PeerMessagingSet:
 		r.startPeerMessaging(e)
-	case TalkCame:
+	case PeerMessageReceived:
 		r.receivePeerMessage(e)
 	case OrderRefused:
 		r.orderRefused(e)
 	case TimerFired:
-		if late := r.now - r.timerAt; late > lateTimer {
+		if late := r.now - r.timerAt; late > lateTimerThreshold {
 			r.log(Warn, "woken late", "by", late)
 		}
 		r.timerAt = math.Inf(1)
 	case TurnEnded:
-		r.turn()
+		r.endTurn()
 	}
-	return r.out
+	return r.effects
 }
 
 // setRoutes brings limits for what is taken from now on. What the old ones have spent and have out counts on.
 func (r *Router) setRoutes(e RoutesSet) {
-	e.Routes.ResolveEngineKinds(r.settings.Settings.Kinds)
+	e.Routes.ResolveEngineKinds(r.config.Settings.Kinds)
 	e.Routes.CarryOver(r.routes)
 	r.routes = e.Routes
 	if e.Adaptive != r.adaptive {
@@ -254,77 +254,77 @@
 			known.ConcurrencyLimit = e.Adaptive.New()
 		}
 	}
-	all := e.All.CopyUnspent()
-	all.CarryOver(r.ofAll)
-	r.ofAll, r.further = all, e.Engine
+	all := e.RetryBudget.CopyUnspent()
+	all.CarryOver(r.retryBudget)
+	r.retryBudget, r.engineRetryBudget = all, e.EngineRetryBudget
 	r.brain.SetRetryBudget(all)
 	r.setQuotaLeases()
 	for _, known := range r.engines {
-		next := e.Engine.CopyUnspent()
+		next := e.EngineRetryBudget.CopyUnspent()
 		next.CarryOver(known.RetryBudget)
 		known.RetryBudget = next
 	}
 	r.log(Info, "routes", "count", len(e.Routes.Routes), "adaptive", e.Adaptive.Kind)
 }
 
-func (r *Router) do(e Effect) { r.out = append(r.out, e) }
+func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
 func (r *Router) log(level Level, text string, fields ...any) {
-	r.do(Log{level, text, fields})
+	r.emit(Log{level, text, fields})
 }
 
-// turn is the end of a loop turn: what is due, then the module's decisions, then the next timer.
-func (r *Router) turn() {
+// endTurn is the end of a loop turn: what is due, then the module's decisions, then the next timer.
+func (r *Router) endTurn() {
 	for {
-		what := r.timers.due(r.now)
+		what := r.timers.popDue(r.now)
 		if what == nil {
 			break
 		}
-		r.due(what)
+		r.handleTimer(what)
 	}
 	if r.now >= r.wakeAt {
 		r.wakeAt = math.Inf(1)
 		r.brain.TimerFired()
 	}
 	r.sendQueues()
-	r.pull()
-	if r.parts != nil {
+	r.runDecisions()
+	if r.quotas != nil {
 		r.updateQuotas()
 	}
 	r.finishStop()
 	if at := min(r.timers.next(), r.wakeAt); at < r.timerAt {
 		r.timerAt = at
-		r.do(SetTimer{at})
+		r.emit(SetTimer{at})
 	}
 }
 
-func (r *Router) due(what any) {
+func (r *Router) handleTimer(what any) {
 	switch what := what.(type) {
 	case *dispatch:
-		r.giveUp(what, brain.TimedOut)
+		r.abortDispatch(what, brain.TimedOut)
 	case *probe:
-		if l := what.conn; !what.ended && l.check == what {
-			r.closeLine(l, ClosedSuspect)
+		if l := what.conn; !what.ended && l.healthCheck == what {
+			r.closeConnection(l, ClosedSuspect)
 		}
 		r.finishProbe(what, false, nil, true)
 	case cancelConfirmDue:
 		r.cancelConfirmExpired(what.dispatch)
-	case missingPages:
-		r.pagesDue(what.dispatch)
-	case halfReply:
-		r.halfDue(what)
-	case *settling:
-		r.settleDue(what)
-	case *line:
-		r.lineDue(what)
-	case asking:
-		if what == r.asks {
-			r.ask()
+	case pageTimeout:
+		r.pagesOverdue(what.dispatch)
+	case partialReply:
+		r.partialReplyOverdue(what)
+	case *freeWait:
+		r.freeOverdue(what)
+	case *engineConn:
+		r.connectionDue(what)
+	case queryTimer:
+		if what == r.currentQuery {
+			r.queryList()
 		}
 	case *engine:
 		r.forgetEngine(what)
 	case clientCheck:
-		r.lookAtClients()
+		r.checkClients()
 	case levelCheck:
 		r.updateLevel()
 	case membershipDue:
@@ -338,8 +338,8 @@
 	}
 }
 
-// pull does the module's decisions as they come.
-func (r *Router) pull() {
+// runDecisions does the module's decisions as they come.
+func (r *Router) runDecisions() {
 	for {
 		d := r.brain.Next()
 		switch d.Kind {
@@ -351,18 +351,18 @@
 			}
 		case brain.Dispatch:
 			if b := r.batches[d.Batch]; b != nil {
-				r.dispatch(b, r.byBrain[d.Engine], d)
+				r.startDispatch(b, r.byBrainEngine[d.Engine], d)
 			}
 		case brain.Reject:
-			r.answer(r.batches[d.Batch], traffic.PushedBack, d.Wait)
+			r.answerBatch(r.batches[d.Batch], traffic.PushedBack, d.Wait)
 		case brain.Fail:
-			r.answer(r.batches[d.Batch], traffic.Errored, 0)
+			r.answerBatch(r.batches[d.Batch], traffic.Errored, 0)
 		case brain.Cancel:
 			if b := r.batches[d.Batch]; b != nil && d.Number < len(b.dispatches) {
-				r.giveUp(b.dispatches[d.Number], brain.Canceled)
+				r.abortDispatch(b.dispatches[d.Number], brain.Canceled)
 			}
 		case brain.Probe:
-			r.sendProbe(r.byBrain[d.Engine])
+			r.sendProbe(r.byBrainEngine[d.Engine])
 		case brain.WakeAt:
 			r.wakeAt = min(r.wakeAt, d.At)
 		case brain.Subscribe: // the list is asked for all the time
@@ -374,90 +374,90 @@
 
 // The list of engines.
 
-// asking is due at the next question. The count tells which of them is void.
-type asking uint64
+// queryTimer is due at the next question. The count tells which of them is void.
+type queryTimer uint64
 
-// ask sends the next question.
-func (r *Router) ask() {
+// queryList sends the next question.
+func (r *Router) queryList() {
 	counts := r.follower.Counts(r.now)
 	q := r.follower.Ask(r.now)
 	if q.Elsewhere {
-		if !r.silent {
-			r.silent = true
-			r.log(Warn, "name service is silent, asked from another port", r.followed(counts)...)
+		if !r.nameServiceSilent {
+			r.nameServiceSilent = true
+			r.log(Warn, "name service is silent, asked from another port", r.followFields(counts)...)
 		}
-		r.do(AskAt{r.settings.Resolver})
+		r.emit(SetResolver{r.config.Resolver})
 	}
-	r.do(AskList{q.ID})
-	r.askDue()
+	r.emit(QueryList{q.ID})
+	r.scheduleQuery()
 }
 
-// askDue sets the timer for the next question; the ones before are void.
-func (r *Router) askDue() {
-	r.asks++
-	r.timers.add(r.follower.Due(), r.asks)
+// scheduleQuery sets the timer for the next question; the ones before are void.
+func (r *Router) scheduleQuery() {
+	r.currentQuery++
+	r.timers.add(r.follower.Due(), r.currentQuery)
 }
 
 // listAnswered takes an answer of the name service. Lost, failed and cut ones never get here.
 func (r *Router) listAnswered(query uint16, list directory.List) {
 	counts := r.follower.Counts(r.now)
 	verdict, changed := r.follower.Answer(query, list, r.now)
-	fields := append(r.followed(counts), "told", list.Serial, "engines", len(list.Engines))
+	fields := append(r.followFields(counts), "told", list.Serial, "engines", len(list.Engines))
 	switch verdict {
 	case directory.Same:
-		r.spell = false
+		r.unusedAnswerLogged = false
 	case directory.Adopted:
-		r.spell = false
+		r.unusedAnswerLogged = false
 		r.log(Info, "list of engines taken", fields...)
 	default:
 		level := Info
 		if verdict == directory.Unconfirmed && list.Serial > r.follower.Serial() { // as with every change
 			level = Debug
 		}
-		if !r.spell || level == Debug { // the first of a spell
-			r.spell = r.spell || level == Info
+		if !r.unusedAnswerLogged || level == Debug { // the first of a spell
+			r.unusedAnswerLogged = r.unusedAnswerLogged || level == Info
 			r.log(level, "answer of the name service is not taken as it is", append(fields, "verdict", verdict.String())...)
 		}
 	}
-	if verdict != directory.Unmatched && r.silent {
-		r.silent = false
+	if verdict != directory.Unmatched && r.nameServiceSilent {
+		r.nameServiceSilent = false
 		r.log(Info, "name service is heard again", fields...)
 	}
 	if changed {
-		r.listed(r.follower.List())
+		r.applyEngineList(r.follower.List())
 	}
-	r.askDue()
+	r.scheduleQuery()
 }
 
 // listUnusable notes an answer that can't be read.
 func (r *Router) listUnusable(query uint16) {
 	r.follower.Unusable(query, r.now)
-	r.askDue()
+	r.scheduleQuery()
 }
 
-// followed gives names and values for a line of the log: how the list was followed since one was last confirmed.
-func (r *Router) followed(c directory.Counts) []any {
+// followFields gives names and values for a line of the log: how the list was followed since one was last confirmed.
+func (r *Router) followFields(c directory.Counts) []any {
 	return []any{"serial", r.follower.Serial(), "age", c.Age, "asked", c.Asked, "unusable", c.Unusable, "unmatched", c.Unmatched,
 		"overtaken", c.Overtaken, "unconfirmed", c.Unconfirmed}
 }
 
-// listed takes the engines as they are to be used from now on.
-func (r *Router) listed(list directory.List) {
+// applyEngineList takes the engines as they are to be used from now on.
+func (r *Router) applyEngineList(list directory.List) {
 	var whole []*brain.Engine
 	there := map[*engine]bool{}
 	for _, e := range list.Engines {
 		known := r.engines[e.ID]
 		if known == nil {
-			known = &engine{name: e.ID, speaks: r.speaks(e), Engine: brain.Engine{ID: hash(e.ID)}}
-			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.speaks.Alone
+			known = &engine{name: e.ID, protocol: r.protocolOf(e), Engine: brain.Engine{ID: engineNumber(e.ID)}}
+			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.protocol.Alone
 			r.engines[e.ID] = known
-			r.byBrain[&known.Engine] = known
+			r.byBrainEngine[&known.Engine] = known
 		}
 		if known.ConcurrencyLimit == nil || known.StartedAt != e.StartedAt { // what was learned of the process before is void
 			known.ConcurrencyLimit = r.adaptive.New()
 		}
 		if known.RetryBudget == nil {
-			known.RetryBudget = r.further.CopyUnspent()
+			known.RetryBudget = r.engineRetryBudget.CopyUnspent()
 		}
 		if e.Address != "" && e.Address != known.address {
 			// What listens at the old address is another one's, or will be.
@@ -470,10 +470,10 @@
 		}
 		if known.gone || known.Phase != phase || known.StartedAt != e.StartedAt {
 			r.log(Info, "engine listed", "engine", e.ID, "number", known.ID, "address", known.address,
-				"draining", e.Draining, "started", e.StartedAt, "serial", list.Serial, "out", known.out,
+				"draining", e.Draining, "started", e.StartedAt, "serial", list.Serial, "out", known.outstanding,
 				"connections", len(known.pool.Connections))
 		}
-		s := &r.settings.Settings
+		s := &r.config.Settings
 		known.gone = false
 		known.Phase, known.StartedAt, known.Size, known.Cell = phase, e.StartedAt, e.Weight, e.Cell
 		known.Zone, known.Kind = slices.Index(s.Zones, e.Zone), max(slices.Index(s.Kinds, e.Kind), 0)
@@ -485,44 +485,44 @@
 		e := r.engines[name]
 		if there[e] || e.gone {
 			if e.Phase == brain.Draining {
-				r.takeBack(e)
+				r.withdrawUnsent(e)
 			}
 			continue
 		}
-		r.log(Info, "engine gone", "engine", name, "number", e.ID, "serial", list.Serial, "out", e.out,
+		r.log(Info, "engine gone", "engine", name, "number", e.ID, "serial", list.Serial, "out", e.outstanding,
 			"connections", len(e.pool.Connections))
 		e.gone, e.Phase = true, brain.Gone
 		r.leaveAddress(e)
-		r.timers.add(r.now+keepGone, e)
+		r.timers.add(r.now+goneEngineRetention, e)
 	}
 }
 
 // leaveAddress: what has left an address, or the list, gets nothing more there. A connection that is not up yet might
 // come up at its successor; what is open on one that is up may still be answered, and then it closes.
 func (r *Router) leaveAddress(e *engine) {
-	r.takeBack(e)
+	r.withdrawUnsent(e)
 	for _, c := range slices.Clone(e.pool.Connections) {
 		c.Left = true
-		r.rest(r.connections[c.Number])
+		r.closeIfUnneeded(r.connections[c.Number])
 	}
 }
 
-// takeBack takes what was decided for an engine and is not sent: what waits for a connection, which may take longer to come
+// withdrawUnsent takes what was decided for an engine and is not sent: what waits for a connection, which may take longer to come
 // up than a drain may still be sent to, and what waits for the engine to read. It never ran and goes elsewhere at once.
-func (r *Router) takeBack(e *engine) {
+func (r *Router) withdrawUnsent(e *engine) {
 	for _, c := range slices.Clone(e.pool.Connections) {
 		l := r.connections[c.Number]
 		if !c.Up {
-			r.closeLine(l, StaleAddress)
+			r.closeConnection(l, StaleAddress)
 			continue
 		}
 		for _, what := range slices.Clone(l.queue) {
 			if d, is := what.(*dispatch); is {
-				r.ended(d, outcomesByReason[StaleAddress].unwritten, nil)
+				r.endDispatch(d, outcomesByReason[StaleAddress].unwritten, nil)
 				l.Close(d.batch.id, false, r.now)
 			}
 		}
-		r.rest(l)
+		r.closeIfUnneeded(l)
 	}
 }
 
@@ -531,16 +531,16 @@
 func (r *Router) forgetEngine(e *engine) {
 	switch {
 	case !e.gone:
-	case e.out > 0 || len(e.pool.Connections) > 0:
-		r.timers.add(r.now+keepGone, e)
+	case e.outstanding > 0 || len(e.pool.Connections) > 0:
+		r.timers.add(r.now+goneEngineRetention, e)
 	default:
 		delete(r.engines, e.name)
-		delete(r.byBrain, &e.Engine)
+		delete(r.byBrainEngine, &e.Engine)
 	}
 }
 
-// hash gives an engine's number from its name, alike at every router.
-func hash(name string) uint32 {
+// engineNumber gives an engine's number from its name, alike at every router.
+func engineNumber(name string) uint32 {
 	h := uint32(2166136261)
 	for _, c := range []byte(name) {
 		h = (h ^ uint32(c)) * 16777619
@@ -548,9 +548,9 @@
 	return h
 }
 
-func (r *Router) number() uint64 {
-	r.numbers++
-	return r.numbers
+func (r *Router) nextNumber() uint64 {
+	r.lastNumber++
+	return r.lastNumber
 }
 
-func tag(n uint64) string { return "p" + strconv.FormatUint(n, 36) }
+func probeTag(n uint64) string { return "p" + strconv.FormatUint(n, 36) }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -142,7 +142,7 @@
 	stream, id := h.sendBatch("lookup", 2000)
 	_, other := h.sendBatch("lookup", 2000)
 	c := h.connectLast()
-	h.deliver(ClientSaid{1, traffic.Cancel{Stream: stream}})
+	h.deliver(ClientMessage{1, traffic.Cancel{Stream: stream}})
 	h.engineReply(c, id, "DONE", "sheets=4", "a\t2\t3\n")
 	assert.Contains(t, h.written[c], "done\r\n$16\r\n00000000000000f1", "the remaining pages are declined")
 	h.deliver(ClientEnded{1, ClosedByPeer})
@@ -211,7 +211,7 @@
 	c := h.connectLast()
 	page := strings.Repeat("a\tb\tc\n", 1000)
 	h.engineReply(c, id, "DONE", "sheets=9", page)
-	for n := 1; n <= mostResult/len(page); n++ {
+	for n := 1; n <= maxResultBytes/len(page); n++ {
 		assert.Empty(t, h.engineCloseReasons())
 		h.engineReply(c, id, "MORE", "sheet="+strconv.Itoa(n), page)
 	}
@@ -223,12 +223,12 @@
 	h := newHost(t, eastEngine("s-1"))
 	stream, id := h.sendBatch("upload", 9000)
 	c := h.connectLast()
-	h.deliver(EngineBegan{c})
+	h.deliver(EngineReplyStarted{c})
 	h.advance(0.4)
 	h.engineReply(c, id, "TELL", "detail=done,val=0.5", "")
 	h.advance(0.4)
 	assert.Empty(t, h.engineCloseReasons(), "the reply was completed")
-	h.deliver(EngineBegan{c})
+	h.deliver(EngineReplyStarted{c})
 	h.advance(0.6)
 	assert.Equal(t, []CloseReason{BadInput}, h.engineCloseReasons())
 	assert.Equal(t, answerFailed, h.answers[stream])
@@ -253,14 +253,14 @@
 // A connection on which an answer was lost may stay open: a probe on it shows whether it still works.
 func TestSilentConnectionIsProbedAndClosed(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
-	h.settings.Settings.MayProbe = true
+	h.config.Settings.MayProbe = true
 	uploadStream, uploadID := h.sendBatch("upload", 9000)
 	_, id := h.sendBatch("lookup", 3000)
 	c := h.connectLast()
 	h.engineReply(c, id, "DONE", "sheets=2", "a\t2\t3\n")
 	h.advance(0.15)
-	require.NotNil(t, h.connections[c].check)
-	h.engineReply(c, h.connections[c].check.tag, "FIT", "-", "")
+	require.NotNil(t, h.connections[c].healthCheck)
+	h.engineReply(c, h.connections[c].healthCheck.tag, "FIT", "-", "")
 	assert.False(t, h.connections[c].Suspect)
 	h.advance(0.25)
 	assert.Contains(t, h.connections, c)
@@ -272,7 +272,7 @@
 
 func TestBatchesShareConnectionsOnlyAtLimit(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
-	h.spread = 3
+	h.connectionsPerEngine = 3
 	for range 5 {
 		_, id := h.sendBatch("lookup", 2000)
 		if len(h.dials) == 1 && h.fetchCount(id) == 0 {
@@ -281,7 +281,7 @@
 	}
 	assert.Len(t, h.dials, 3)
 	h = newHost(t, eastEngine("s-1"))
-	h.spread, h.most = 3, 3
+	h.connectionsPerEngine, h.maxConnections = 3, 3
 	for range 4 {
 		h.sendBatch("lookup", 2000)
 	}
@@ -330,7 +330,7 @@
 	assert.Equal(t, 1, h.fetchCount(id))
 	assert.Zero(t, h.fetchCount("00000000000000cd"))
 	assert.NotContains(t, h.answers, open)
-	assert.Len(t, h.open, 1)
+	assert.Len(t, h.openByID, 1)
 }
 
 // clientCloseReasons returns why the router closed connections to clients, by client.
@@ -349,7 +349,7 @@
 	h := newHost(t, eastEngine("s-1"))
 	stream, id := h.sendBatch("upload", 9000)
 	l := h.connectLast()
-	h.deliver(ClientBegan{1})
+	h.deliver(ClientMessageStarted{1})
 	h.advance(2.6)
 	assert.Empty(t, h.clientCloseReasons(), "a batch is open on the connection")
 	h.engineReply(l, id, "DONE", "sheets=1", "a\t2\t3\n")
@@ -363,7 +363,7 @@
 func TestInputFromProcessPauseIsReadBeforeSilentClientsAreClosed(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
 	h.advance(0.3)
-	h.deliver(ClientBegan{1})
+	h.deliver(ClientMessageStarted{1})
 	h.now += 3 // the process was paused
 	h.deliver(TimerFired{})
 	assert.Empty(t, h.clientCloseReasons(), "its socket has not been read since the pause")
@@ -372,8 +372,8 @@
 	assert.Empty(t, h.clientCloseReasons())
 	h = newHost(t, eastEngine("s-1"))
 	h.advance(0.3)
-	h.deliver(ClientBegan{1})
-	for range mostPutOff {
+	h.deliver(ClientMessageStarted{1})
+	for range maxCheckDelays {
 		h.now += 3
 		h.deliver(TimerFired{})
 		assert.Empty(t, h.clientCloseReasons(), "paused again before it could read")
@@ -385,7 +385,7 @@
 
 func TestClientsInUseAreKeptOverSilentOnes(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
-	h.mostClients = 4
+	h.maxClients = 4
 	stream, id := h.sendBatch("upload", 9000)
 	h.deliver(h.clientOpenedEvent(2), h.clientOpenedEvent(3))
 	h.sendRequest(2, 101, "00000000000000bb")
@@ -395,7 +395,7 @@
 	assert.Equal(t, map[uint64]CloseReason{3: Crowded}, h.clientCloseReasons(), "it has sent nothing")
 	h.deliver(h.clientOpenedEvent(6))
 	assert.Equal(t, map[uint64]CloseReason{3: Crowded, 2: Crowded}, h.clientCloseReasons(), "idle: its client can open another connection")
-	h.deliver(ClientBegan{4})
+	h.deliver(ClientMessageStarted{4})
 	h.advance(2.6)
 	assert.Equal(t, map[uint64]CloseReason{3: Crowded, 2: Crowded, 4: FrameTimedOut, 5: FrameTimedOut, 6: FrameTimedOut}, h.clientCloseReasons())
 	assert.Equal(t, answerFailed, h.answers[0], "partial frame")
@@ -408,7 +408,7 @@
 	for n := range uint64(4) {
 		h.deliver(h.clientOpenedEvent(n + 10))
 	}
-	next := h.settings
+	next := h.config
 	next.Descriptors = 4
 	h.deliver(Reloaded{next})
 	h.advance(0.5)
@@ -493,7 +493,7 @@
 
 func TestBatchesBeyondMemoryLimitAreRejected(t *testing.T) {
 	h := newHost(t)
-	h.settings.MemoryMB = 1
+	h.config.MemoryMB = 1
 	refused, n := 0, 0
 	for ; n < 100; n++ {
 		if n%h.clientProtocol.Open == 0 {
@@ -516,7 +516,7 @@
 	c := h.connectLast()
 	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
 	for _, timer := range h.timers {
-		_, left := timer.what.(*dispatch)
+		_, left := timer.value.(*dispatch)
 		assert.False(t, left)
 	}
 }
@@ -548,9 +548,9 @@
 	}
 	assert.Len(t, h.engines, 51, "an engine that was listed before is not added again")
 	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
-	h.advance(keepGone + 1)
+	h.advance(goneEngineRetention + 1)
 	assert.Len(t, h.engines, 1)
-	assert.Len(t, h.byBrain, 1)
+	assert.Len(t, h.byBrainEngine, 1)
 	assert.Less(t, len(h.timers), 5)
 }
 
@@ -561,12 +561,12 @@
 	stream, id := h.sendBatch("lookup", 3000)
 	c := h.connectLast()
 	before := h.queries[len(h.queries)-1]
-	next := h.settings
+	next := h.config
 	next.Resolver, next.Descriptors, next.Known = "127.0.0.1:3", 256, directory.List{Serial: 1}
 	h.deliver(Reloaded{next})
-	assert.Contains(t, h.emitted, AskAt{"127.0.0.1:3"})
-	assert.Contains(t, h.emitted, Bound{0, 256})
-	assert.Equal(t, 256/2-spareDescriptors, h.most)
+	assert.Contains(t, h.emitted, SetResolver{"127.0.0.1:3"})
+	assert.Contains(t, h.emitted, SetLimits{0, 256})
+	assert.Equal(t, 256/2-spareDescriptors, h.maxConnections)
 	after := h.queries[len(h.queries)-1]
 	assert.NotEqual(t, before, after, "the new address is queried at once")
 	h.deliver(ListAnswered{before, directory.List{Serial: 7}})
@@ -582,7 +582,7 @@
 
 func TestBatchesAreAnsweredAtDescriptorLimit(t *testing.T) {
 	h := newHost(t, eastEngine("s-1"))
-	h.most = 2
+	h.maxConnections = 2
 	h.sendBatch("lookup", 2000)
 	h.sendBatch("lookup", 2000)
 	stream, _ := h.sendBatch("lookup", 2000)
@@ -596,7 +596,7 @@
 	earlyStream, id := h.sendBatch("lookup", 2000)
 	c := h.connectLast()
 	h.deliver(StopAsked{})
-	h.deliver(ClientSaid{1, traffic.AskReady{Stream: 99}})
+	h.deliver(ClientMessage{1, traffic.AskReady{Stream: 99}})
 	h.advance(0.5)
 	lateStream, _ := h.sendBatch("lookup", 2000)
 	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
@@ -624,7 +624,7 @@
 	h.deliver()
 	p := func() *probe {
 		h.sendProbe(h.engines["s-1"])
-		return h.connections[h.numbers].Opens()[0].(*probe)
+		return h.connections[h.lastNumber].Opens()[0].(*probe)
 	}()
 	h.sessions[p.conn.Number] = engines.Session{}
 	h.deliver(EngineOpened{p.conn.Number})
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -21,8 +21,8 @@
 
 // startQuotas replaces the fixed division of the fleet's budgets by one that follows demand.
 func (r *Router) startQuotas(s *shares.Settings, self shares.ID) {
-	r.parts = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
-	r.brain.SetQuota(r.parts.machine)
+	r.quotas = &quotas{machine: shares.New(*s, self, r.brain.FixedQuota(), r.now)}
+	r.brain.SetQuota(r.quotas.machine)
 	r.setQuotaLeases()
 	r.log(Info, "shares", "keepers", s.Replicas, "firm", s.FixedFraction)
 }
@@ -30,20 +30,20 @@
 // setQuotaLeases gives each fleet-wide limit its quota lease. A batch counts against a concurrency limit for at most the longest
 // time limit of all service groups, so that is how long its credit may stay in use.
 func (r *Router) setQuotaLeases() {
-	if r.parts == nil || r.routes == nil {
+	if r.quotas == nil || r.routes == nil {
 		return
 	}
 	longest := 0.0
-	for _, g := range r.settings.Settings.Groups {
+	for _, g := range r.config.Settings.Groups {
 		longest = max(longest, g.Limit)
 	}
-	m := r.parts.machine
+	m := r.quotas.machine
 	setRetryLease := func(b *limits.RetryBudget, name string) {
 		if b != nil && b.FleetWide {
 			b.Quota = m.QuotaLease(shares.Budget{Key: shares.NamedKey(shares.ExtraDispatches, name), Name: name, Total: b.FreeRetries, CountedFor: b.Window})
 		}
 	}
-	setRetryLease(r.ofAll, "further.all")
+	setRetryLease(r.retryBudget, "further.all")
 	for _, route := range r.routes.Routes {
 		if b := route.Budget; b != nil {
 			setRetryLease(b, "budget "+b.Name)
@@ -57,7 +57,7 @@
 // updateQuotas requests the credits that the decision module has asked for, and lets it decide again when credits arrive. Messages
 // to this router itself are delivered at once, so several rounds may be needed; four at most are run in one turn.
 func (r *Router) updateQuotas() {
-	q := r.parts
+	q := r.quotas
 	for range 4 {
 		if !q.machine.DemandPending() && r.now < q.machine.NextWake() {
 			break
@@ -67,18 +67,18 @@
 			break
 		}
 		r.brain.QuotaGranted()
-		r.pull()
+		r.runDecisions()
 	}
 	r.flushQuotas()
 }
 
 // flushQuotas sends the messages and logs the notes that the quota machine has produced, and sets its next timer.
 func (r *Router) flushQuotas() {
-	q := r.parts
+	q := r.quotas
 	for _, send := range q.machine.TakeOutgoing() {
 		r.members.sent++
 		message := send.Message
-		r.do(Talk{send.Destination, r.members.machine.Envelope(), &message, nil})
+		r.emit(SendToPeer{send.Destination, r.members.machine.Envelope(), &message, nil})
 	}
 	for _, note := range q.machine.TakeNotes() {
 		level := Info
@@ -98,7 +98,7 @@
 
 // receiveQuotaMessage processes a quota message of another router, and lets the decision module decide again if credits came with it.
 func (r *Router) receiveQuotaMessage(message *shares.Message) {
-	q := r.parts
+	q := r.quotas
 	if q == nil {
 		return
 	}
@@ -112,15 +112,15 @@
 // writeDeadline returns the time by which the dispatch that the decision module has just decided must be written: when the credits
 // it spends end. It is infinite where nothing that ends was spent.
 func (r *Router) writeDeadline() float64 {
-	if r.parts == nil {
+	if r.quotas == nil {
 		return math.Inf(1)
 	}
-	return r.parts.machine.SendDeadline()
+	return r.quotas.machine.SendDeadline()
 }
 
 // request returns the dispatch as it is sent to its engine. The engine may take the time that is left until the dispatch ends, but
 // at least 1 ms.
 func (d *dispatch) request(now float64) *traffic.Dispatch {
 	b := d.batch
-	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.endAt-now, 0.001), Memory: b.memory, Statement: *b.said}
+	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.deadline-now, 0.001), Memory: b.memory, Statement: *b.statement}
 }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -28,7 +28,7 @@
 	m, s := membership.Defaults(), shares.Defaults()
 	m.Self, m.Listen, m.Seeds = membership.ID{Name: "me", Start: 1}, "10.9.0.1:7500", []string{coordinatorAddress}
 	s.Listen, s.Replicas = m.Listen, []string{coordinatorAddress}
-	h.deliver(TalkSet{Settings: m, Shares: &s})
+	h.deliver(PeerMessagingSet{Settings: m, Quotas: &s})
 	h.advance(2)
 	return h
 }
@@ -44,8 +44,8 @@
 // lastCreditRequest returns the last request for a credit that was sent to the coordinator; nil: none.
 func (h *host) lastCreditRequest() (request *shares.Item) {
 	for _, effect := range h.emitted {
-		if w, is := effect.(Talk); is && w.Shares != nil && w.Shares.Kind == shares.GrantRequest && w.To == coordinatorAddress {
-			for _, i := range w.Shares.Items {
+		if w, is := effect.(SendToPeer); is && w.Quotas != nil && w.Quotas.Kind == shares.GrantRequest && w.To == coordinatorAddress {
+			for _, i := range w.Quotas.Items {
 				if !i.Done {
 					request = &i
 				}
@@ -59,12 +59,12 @@
 func (h *host) grantCredit(request *shares.Item, lease float64) {
 	roll := uint32(0)
 	for _, effect := range h.emitted {
-		if w, is := effect.(Talk); is && w.Shares != nil {
-			roll = w.Shares.ReplicaSetHash
+		if w, is := effect.(SendToPeer); is && w.Quotas != nil {
+			roll = w.Quotas.ReplicaSetHash
 		}
 	}
 	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: coordinatorAddress}
-	h.deliver(TalkCame{Message: &membership.Message{Kind: membership.Tell, From: from}, Shares: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
+	h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: from}, Quotas: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
 		ToStart: 1, From: shares.ID{Name: "other", Start: 1}, FromAddress: coordinatorAddress, Coordinator: coordinatorAddress, Items: []shares.Item{{Number: request.Number, Attempt: request.Attempt, Key: request.Key, Amount: request.Amount, Lease: lease}}}})
 }
 
@@ -79,8 +79,8 @@
 	connection := h.connectLast()
 	assert.Equal(t, 1, h.fetchCount(id))
 	for _, effect := range h.emitted {
-		if w, is := effect.(OrderEngine); is {
-			assert.Less(t, w.By, h.now+1, "a dispatch that spends a credit must be written before the credit ends")
+		if w, is := effect.(SendToEngine); is {
+			assert.Less(t, w.WriteBy, h.now+1, "a dispatch that spends a credit must be written before the credit ends")
 		}
 	}
 	h.engineReply(connection, id, "DONE", "sheets=1,toil=2000", "a\t2\t3\n")
@@ -125,7 +125,7 @@
 	wakeups := func(messaging bool) (n int) {
 		h := newHost(t, eastEngine("s-1"))
 		if messaging {
-			h.deliver(TalkSet{Settings: membership.Defaults()})
+			h.deliver(PeerMessagingSet{Settings: membership.Defaults()})
 		}
 		h.emitted = nil
 		for end := h.now + 20; h.now < end; n++ {
@@ -134,11 +134,11 @@
 		}
 		if !messaging {
 			assert.Nil(t, h.members)
-			assert.Nil(t, h.parts)
+			assert.Nil(t, h.quotas)
 			assert.LessOrEqual(t, n, 2*len(h.queries)+2)
 			for _, effect := range h.emitted {
-				if w, is := effect.(OrderEngine); is {
-					assert.True(t, math.IsInf(w.By, 1))
+				if w, is := effect.(SendToEngine); is {
+					assert.True(t, math.IsInf(w.WriteBy, 1))
 				}
 			}
 		}
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -20,21 +20,21 @@
 	r.stopAt = r.now
 	r.brain.PrepareShutdown()
 	r.log(Info, "stopping", "open", len(r.batches), "clients", len(r.clients))
-	for _, c := range r.inOrder() {
-		r.do(TellClient{c.number, traffic.NoMore{}})
+	for _, c := range r.sortedClients() {
+		r.emit(SendToClient{c.number, traffic.NoMore{}})
 	}
-	r.timers.add(r.now+quietStop, stopCheck{})
+	r.timers.add(r.now+stopGracePeriod, stopCheck{})
 	longest := 0.0
-	for _, g := range r.settings.Settings.Groups {
+	for _, g := range r.config.Settings.Groups {
 		longest = max(longest, g.Limit)
 	}
-	r.killAt = r.now + max(min(longest, killLimit)+killAfter-killEarly, quietStop)
-	r.timers.add(r.killAt, stopCheck{})
+	r.answerDeadline = r.now + max(min(longest, maxKillWait)+killDelay-killMargin, stopGracePeriod)
+	r.timers.add(r.answerDeadline, stopCheck{})
 }
 
 // finishStop exits once every batch is answered and no client is in the middle of a frame, or at the latest at killAt.
 func (r *Router) finishStop() {
-	if r.stopAt == 0 || r.exited || r.now < r.stopAt+quietStop {
+	if r.stopAt == 0 || r.exited || r.now < r.stopAt+stopGracePeriod {
 		return
 	}
 	waiting, partial := 0, 0
@@ -46,11 +46,11 @@
 	for _, c := range r.clients {
 		// The rest of the frame is probably on its way, and a complete frame must be answered. This covers slow writers and
 		// frames that arrive in pieces. The cost: a client that never completes its frame delays the stop by two seconds.
-		if c.half > 0 && r.now-c.half < silentTime {
+		if c.partialSince > 0 && r.now-c.partialSince < silentTimeout {
 			partial++
 		}
 	}
-	if waiting+partial > 0 && r.now < r.killAt {
+	if waiting+partial > 0 && r.now < r.answerDeadline {
 		return
 	}
 	// Batches that are unanswered when the process is killed would be lost, so they are answered now: a batch that is safe to
@@ -61,14 +61,14 @@
 			continue
 		}
 		if d := r.brain.FinalDecision(b.Batch); d.Kind == brain.Reject {
-			r.answer(b, traffic.PushedBack, d.Wait)
+			r.answerBatch(b, traffic.PushedBack, d.Wait)
 		} else {
-			b.why = "the router has stopped"
-			r.answer(b, traffic.Errored, 0)
+			b.lastError = "the router has stopped"
+			r.answerBatch(b, traffic.Errored, 0)
 		}
 	}
 	r.exited = true
 	r.log(Info, "stopped", "unanswered", waiting)
 	r.leaveFleet()
-	r.do(Exit{By: r.killAt + killEarly - lastBytes})
+	r.emit(Exit{Deadline: r.answerDeadline + killMargin - flushTime})
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -9,7 +9,7 @@
 // limit, and thousands a second would be kept until then.
 type timer struct {
 	at    float64
-	what  any
+	value any
 	index int // below 0: not waiting
 }
 
@@ -40,7 +40,7 @@
 }
 
 func (t *timers) add(at float64, what any) *timer {
-	one := &timer{at: at, what: what}
+	one := &timer{at: at, value: what}
 	heap.Push(t, one)
 	return one
 }
@@ -58,9 +58,9 @@
 	return (*t)[0].at
 }
 
-func (t *timers) due(now float64) any {
+func (t *timers) popDue(now float64) any {
 	if t.next() > now {
 		return nil
 	}
-	return heap.Pop(t).(*timer).what
+	return heap.Pop(t).(*timer).value
 }
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -31,28 +31,28 @@
 // needsCancelConfirmation reports whether the end of a dispatch has to be proven before it is reported to the decision module. Where
 // the batch is never sent again, whatever the outcome, its final answer need not wait for the proof.
 func (r *Router) needsCancelConfirmation(d *dispatch) bool {
-	return !r.settings.Settings.MayHedge && d.batch.client != nil && d.batch.Group.Idempotency != brain.AtMostOnce && !d.streams
+	return !r.config.Settings.MayHedge && d.batch.client != nil && d.batch.Group.Idempotency != brain.AtMostOnce && !d.streaming
 }
 
 // cancelAttempt sends a cancellation and keeps the dispatch open until the engine has shown that it has read it; the dispatch then
 // ends with the given ending. It returns false, having done nothing, if the connection is not up or there is no time left to wait.
 func (r *Router) cancelAttempt(d *dispatch, ending brain.Outcome) bool {
 	by := min(r.now+cancelConfirmTimeout, d.batch.Deadline())
-	if by <= r.now || !d.line.Up {
+	if by <= r.now || !d.conn.Up {
 		return false
 	}
-	l := d.line
-	d.withdrawn, d.withdrawnAs = true, ending
+	l := d.conn
+	d.cancelled, d.cancelledAs = true, ending
 	r.timers.stop(d.timer)
-	r.timers.stop(d.paging)
+	r.timers.stop(d.pageTimer)
 	d.timer = r.timers.add(by, cancelConfirmDue{d})
-	r.order(l, traffic.GiveUp{ID: d.batch.id})
-	if l.engine.speaks.Alone {
-		r.settle(l)
+	r.sendOrder(l, traffic.GiveUp{ID: d.batch.id})
+	if l.engine.protocol.Alone {
+		r.awaitFree(l)
 		return true
 	}
-	r.order(l, traffic.AskPage{ID: d.batch.id, Page: confirmationPage})
-	l.Suspect = l.Suspect || l.Heard <= d.wroteAt
+	r.sendOrder(l, traffic.AskPage{ID: d.batch.id, Page: confirmationPage})
+	l.Suspect = l.Suspect || l.Heard <= d.writtenAt
 	return true
 }
 
@@ -62,7 +62,7 @@
 	switch {
 	case reply.Word == traffic.Broke, reply.Word == traffic.More && d.pages == nil:
 		reply.Rows.Release()
-		r.finishCancellation(d, d.withdrawnAs)
+		r.finishCancellation(d, d.cancelledAs)
 		return true
 	}
 	return false
@@ -70,10 +70,10 @@
 
 // confirmCancellations ends the cancelled dispatches of a connection that carries one batch at a time, after its engine has shown
 // that it has ended them.
-func (r *Router) confirmCancellations(l *line) {
+func (r *Router) confirmCancellations(l *engineConn) {
 	for _, open := range l.Opens() {
-		if d, is := open.(*dispatch); is && d.withdrawn {
-			r.finishCancellation(d, d.withdrawnAs)
+		if d, is := open.(*dispatch); is && d.cancelled {
+			r.finishCancellation(d, d.cancelledAs)
 		}
 	}
 }
@@ -83,27 +83,27 @@
 	if d.ended {
 		return
 	}
-	r.log(Info, "engine has not shown that an attempt is given up", "id", d.batch.id, "no", d.no, "engine", d.engine.name,
-		"connection", d.line.Number)
-	l := d.line
-	silent := l.Heard <= d.wroteAt
+	r.log(Info, "engine has not shown that an attempt is given up", "id", d.batch.id, "no", d.number, "engine", d.engine.name,
+		"connection", d.conn.Number)
+	l := d.conn
+	silent := l.Heard <= d.writtenAt
 	r.finishCancellation(d, brain.Unconfirmed)
 	if silent && r.connections[l.Number] == l {
-		r.suspect(l)
+		r.suspectConnection(l)
 	}
 }
 
 // finishCancellation reports the end of a cancelled dispatch to the decision module and closes it on its connection.
 func (r *Router) finishCancellation(d *dispatch, ending brain.Outcome) {
-	l := d.line
-	r.ended(d, ending, d.report)
+	l := d.conn
+	r.endDispatch(d, ending, d.report)
 	l.Close(d.batch.id, true, r.now)
-	r.rest(l)
+	r.closeIfUnneeded(l)
 }
 
 // endingAfterClose returns the ending of a dispatch whose connection has ended after some of its bytes may have left.
 func (r *Router) endingAfterClose(d *dispatch, reason CloseReason) brain.Outcome {
-	if r.needsCancelConfirmation(d) && !d.answered && !reason.ByPeer() {
+	if r.needsCancelConfirmation(d) && !d.endedByEngine && !reason.ByPeer() {
 		return brain.Unconfirmed
 	}
 	return outcomesByReason[reason].written
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -132,9 +132,9 @@
 	case own == nil || own.Levels == nil && own.Status == "":
 		return nil
 	case own.Levels == nil:
-		return &router.LevelsSet{Over: 5}
+		return &router.LevelsSet{DecayTime: 5}
 	}
-	return &router.LevelsSet{Levels: *own.Levels, Over: own.LevelsOver}
+	return &router.LevelsSet{Levels: *own.Levels, DecayTime: own.LevelsOver}
 }
 
 // talkOf gives what the loop is told of other routers. A start is known by when it was, so that a newer one of the same name
@@ -150,7 +150,7 @@
 	if own == nil {
 		return nil
 	}
-	return &router.RoutesSet{Routes: own.Routes, Adaptive: own.Limits.Adaptive, All: own.Limits.AllRetries, Engine: own.Limits.EngineRetries}
+	return &router.RoutesSet{Routes: own.Routes, Adaptive: own.Limits.Adaptive, RetryBudget: own.Limits.AllRetries, EngineRetryBudget: own.Limits.EngineRetries}
 }
 
 // speaks gives each engine's protocol: one object for each line of the settings, since connections are alike there.
