--- a/internal/assign/assign.go
+++ b/internal/assign/assign.go
@@ -81,7 +81,7 @@
 	if terms.Client != "" {
 		into.Client = terms.Client
 	}
-	into.Key = clients.Key(key)
+	into.Key = clients.HashOrderKey(key)
 	return nil
 }
 
@@ -156,8 +156,8 @@
 				err = fmt.Errorf("key is longer than %d bytes", mostKey)
 			}
 		case "mark":
-			if mark = value; !clients.Hex(value, clients.MarkDigits) {
-				err = fmt.Errorf("mark is not %d hex digits in lower case", clients.MarkDigits)
+			if mark = value; !clients.IsHex(value, clients.IdempotencyKeyDigits) {
+				err = fmt.Errorf("mark is not %d hex digits in lower case", clients.IdempotencyKeyDigits)
 			}
 		case "id": // of the router before this one
 		case "limit", "wait":
--- a/internal/clients/frames.go
+++ b/internal/clients/frames.go
@@ -16,42 +16,42 @@
 
 // The types of frames.
 const (
-	Ask      = 10 // a batch
-	Answer   = 11
-	Cancel   = 12 // the client has stopped waiting
-	AskReady = 20
-	Ready    = 21
-	NoMore   = 30 // no new batch on this connection
+	FrameBatch          = 10 // a batch
+	FrameAnswer         = 11
+	FrameCancel         = 12 // the client has stopped waiting
+	FrameReadinessQuery = 20
+	FrameReadiness      = 21
+	FrameGoAway         = 30 // no new batch on this connection
 )
 
 // Codes of an answer.
 const (
-	Served  = 0
-	Refused = 11
-	Failed  = 5
+	CodeSucceeded = 0
+	CodeRejected  = 11
+	CodeFailed    = 5
 )
 
 const (
-	headSize            = 9 // length, type, stream
-	leastSize, mostSize = 5, 262144
-	mostFields          = 64
-	lengthSize          = 4
+	headerBytes                    = 9 // length, type, stream
+	minFrameLength, maxFrameLength = 5, 262144
+	maxFields                      = 64
+	lengthBytes                    = 4
 
-	idDigits, mostKey    = 16, 64
-	mostCost, mostMemory = 1e7, 1e7 // milliseconds and MB: no engine has so much
-	mostResult           = 48000    // bytes
+	idDigits, maxOrderKeyBytes = 16, 64
+	maxCostMillis, maxMemoryMB = 1e7, 1e7 // milliseconds and MB: no engine has so much
+	maxResultBytes             = 48000    // bytes
 
-	// MarkDigits is how long a mark is.
-	MarkDigits = 32
+	// IdempotencyKeyDigits is how long a mark is.
+	IdempotencyKeyDigits = 32
 )
 
-// ErrFrame says that a connection's bytes are no frames: nothing after them can be read.
-var ErrFrame = errors.New("not a frame")
+// ErrMalformedFrame says that a connection's bytes are no frames: nothing after them can be read.
+var ErrMalformedFrame = errors.New("not a frame")
 
 // Protocol is what the core must know of frames. Idle: clients close what is idle for 4 s themselves, so who keeps it
 // longer keeps it for good.
 func Protocol(pool *buffers.Pool) *traffic.ClientProtocol {
-	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: mostResult,
+	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: maxResultBytes,
 		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
 		New:     func() traffic.Client { return Session{} }}
 }
@@ -64,42 +64,42 @@
 
 // Read reads a frame off the stream; nothing while it is not whole.
 func (Session) Read(in, _ *buffers.Chain) (traffic.Said, error) {
-	var head [headSize]byte
-	if in.Peek(0, head[:]) < lengthSize {
+	var head [headerBytes]byte
+	if in.Peek(0, head[:]) < lengthBytes {
 		return nil, nil
 	}
 	size := int(binary.LittleEndian.Uint32(head[:]))
-	if size < leastSize || size > mostSize {
-		return nil, fmt.Errorf("%w: length %d", ErrFrame, size)
+	if size < minFrameLength || size > maxFrameLength {
+		return nil, fmt.Errorf("%w: length %d", ErrMalformedFrame, size)
 	}
-	if in.Len() < lengthSize+size {
+	if in.Len() < lengthBytes+size {
 		return nil, nil
 	}
 	stream := binary.LittleEndian.Uint32(head[5:])
-	in.Discard(headSize)
-	if head[4] == Ask {
+	in.Discard(headerBytes)
+	if head[4] == FrameBatch {
 		ask := &traffic.Ask{Stream: stream}
-		ask.Batch.Text = in.Cut(size - leastSize)
+		ask.Batch.Text = in.Cut(size - minFrameLength)
 		var f fields
 		if ask.Bad = f.read(ask.Batch.Text); ask.Bad == nil {
-			ask.Bad = f.batch(&ask.Batch)
+			ask.Bad = f.decode(&ask.Batch)
 		}
 		return ask, nil
 	}
-	in.Discard(size - leastSize)
+	in.Discard(size - minFrameLength)
 	switch head[4] {
-	case Cancel:
+	case FrameCancel:
 		return traffic.Cancel{Stream: stream}, nil
-	case AskReady:
+	case FrameReadinessQuery:
 		return traffic.AskReady{Stream: stream}, nil
 	}
 	return traffic.Unusable{Stream: stream}, nil
 }
 
 // fields are the values that a batch is made of.
-type fields struct{ id, group, client, mark, key, left, cost, memory string }
+type fields struct{ id, group, client, idempotencyKey, orderKey, timeLeft, cost, memory string }
 
-func (f *fields) named(name []byte) (into *string, bit uint) {
+func (f *fields) lookup(name []byte) (into *string, bit uint) {
 	switch string(name) {
 	case "i":
 		return &f.id, 1
@@ -108,11 +108,11 @@
 	case "t":
 		return &f.client, 4
 	case "k":
-		return &f.mark, 8
+		return &f.idempotencyKey, 8
 	case "o":
-		return &f.key, 16
+		return &f.orderKey, 16
 	case "d":
-		return &f.left, 32
+		return &f.timeLeft, 32
 	case "h":
 		return &f.cost, 64
 	case "mb":
@@ -121,15 +121,15 @@
 	return nil, 0
 }
 
-// usualFields is how many bytes fields take at most, usually: so many are read without an allocation.
-const usualFields = 512
+// typicalFieldBytes is how many bytes fields take at most, usually: so many are read without an allocation.
+const typicalFieldBytes = 512
 
 // read takes the fields off the front of a body. Names that nobody knows count too: none may stand twice.
 func (f *fields) read(in *buffers.Chain) error {
-	var usual [usualFields]byte
+	var usual [typicalFieldBytes]byte
 	b := usual[:in.Peek(0, usual[:])]
 	used, err := f.parse(b)
-	if err != nil && len(b) == usualFields { // there may be more of them
+	if err != nil && len(b) == typicalFieldBytes { // there may be more of them
 		*f = fields{}
 		used, err = f.parse(in.Bytes())
 	}
@@ -157,7 +157,7 @@
 		return 0, nil
 	}
 	count := int(b[0])
-	if b = b[1:]; count > mostFields {
+	if b = b[1:]; count > maxFields {
 		return 1, fmt.Errorf("%d fields", count)
 	}
 	var known uint
@@ -167,7 +167,7 @@
 		if !ok {
 			return all, errors.New("fields are cut short")
 		}
-		into, bit := f.named(name)
+		into, bit := f.lookup(name)
 		twice := known&bit != 0
 		if known |= bit; into == nil {
 			twice = slices.Contains(others, string(name))
@@ -187,22 +187,22 @@
 	return all - len(b), nil
 }
 
-// batch reads what the fields say.
-func (f *fields) batch(b *traffic.Batch) error {
-	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.mark
-	if !Hex(b.ID, idDigits) {
+// decode reads what the fields say.
+func (f *fields) decode(b *traffic.Batch) error {
+	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.idempotencyKey
+	if !IsHex(b.ID, idDigits) {
 		return errors.New("field i is not an id")
 	}
-	if b.Mark != "" && !Hex(b.Mark, MarkDigits) {
+	if b.Mark != "" && !IsHex(b.Mark, IdempotencyKeyDigits) {
 		return errors.New("field k is no mark")
 	}
-	left, err := strconv.ParseUint(f.left, 10, 31)
+	left, err := strconv.ParseUint(f.timeLeft, 10, 31)
 	if err != nil || left == 0 {
 		return errors.New("field d is no time")
 	}
 	b.Left = float64(left) / 1000
-	cost, ok := Figure(f.cost, mostCost)
-	memory, ok2 := Figure(f.memory, mostMemory)
+	cost, ok := ParseNonNegative(f.cost, maxCostMillis)
+	memory, ok2 := ParseNonNegative(f.memory, maxMemoryMB)
 	if !ok || !ok2 {
 		return errors.New("fields h or mb are no figures")
 	}
@@ -210,15 +210,15 @@
 		return errors.New("no statement")
 	}
 	b.Cost, b.Memory = cost/1000, memory
-	if len(f.key) > mostKey {
+	if len(f.orderKey) > maxOrderKeyBytes {
 		return errors.New("field o is too long")
 	}
-	b.Key = Key(f.key)
+	b.Key = HashOrderKey(f.orderKey)
 	return nil
 }
 
-// Key gives the number of a key, alike for every protocol; 0: there is none.
-func Key(text string) uint64 {
+// HashOrderKey gives the number of a key, alike for every protocol; 0: there is none.
+func HashOrderKey(text string) uint64 {
 	if text == "" {
 		return 0
 	}
@@ -229,8 +229,8 @@
 	return max(h, 1)
 }
 
-// Hex: it is so many digits, and can stand in an engine's fields without changing their meaning.
-func Hex(s string, digits int) bool {
+// IsHex: it is so many digits, and can stand in an engine's fields without changing their meaning.
+func IsHex(s string, digits int) bool {
 	for _, c := range []byte(s) {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 			return false
@@ -239,8 +239,8 @@
 	return len(s) == digits
 }
 
-// Figure reads a plain figure from 0 to the most; none at all is 0.
-func Figure(s string, most float64) (float64, bool) {
+// ParseNonNegative reads a plain figure from 0 to the most; none at all is 0.
+func ParseNonNegative(s string, most float64) (float64, bool) {
 	if s == "" {
 		return 0, true
 	}
@@ -253,48 +253,48 @@
 	return v, err == nil && v <= most
 }
 
-func head(out *buffers.Chain, kind uint8, stream uint32, payload int) {
-	var h [headSize]byte
-	binary.LittleEndian.PutUint32(h[:], uint32(leastSize+payload))
+func writeHeader(out *buffers.Chain, kind uint8, stream uint32, payload int) {
+	var h [headerBytes]byte
+	binary.LittleEndian.PutUint32(h[:], uint32(minFrameLength+payload))
 	h[4] = kind
 	binary.LittleEndian.PutUint32(h[5:], stream)
 	out.Write(h[:])
 }
 
-// codes gives the code that stands for an ending.
-var codes = [...]byte{traffic.Returned: Served, traffic.PushedBack: Refused, traffic.Errored: Failed}
+// answerCodes gives the code that stands for an ending.
+var answerCodes = [...]byte{traffic.Returned: CodeSucceeded, traffic.PushedBack: CodeRejected, traffic.Errored: CodeFailed}
 
 // Tell frames what a client is told. An error that belongs to no batch is an answer to stream 0.
 func (Session) Tell(out *buffers.Chain, what traffic.Tell) {
 	switch w := what.(type) {
 	case *traffic.Answer:
-		answer(out, w)
+		writeAnswer(out, w)
 	case traffic.Ready:
-		code := byte(Served)
+		code := byte(CodeSucceeded)
 		if !w.Yes {
-			code = Refused
+			code = CodeRejected
 		}
-		head(out, Ready, w.Stream, 2)
+		writeHeader(out, FrameReadiness, w.Stream, 2)
 		out.Write([]byte{code, 0})
 	case traffic.NoMore:
-		head(out, NoMore, 0, 0)
+		writeHeader(out, FrameGoAway, 0, 0)
 	case traffic.Complaint:
-		answer(out, &traffic.Answer{Code: traffic.Errored})
+		writeAnswer(out, &traffic.Answer{Code: traffic.Errored})
 	}
 }
 
-// answer frames the answer to a batch; parts of the body follow each other. The wait is told in milliseconds.
-func answer(out *buffers.Chain, a *traffic.Answer) {
-	fields := []byte{codes[a.Code], 0}
+// writeAnswer frames the answer to a batch; parts of the body follow each other. The wait is told in milliseconds.
+func writeAnswer(out *buffers.Chain, a *traffic.Answer) {
+	fields := []byte{answerCodes[a.Code], 0}
 	if a.Wait > 0 {
 		v := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
-		fields = append([]byte{codes[a.Code], 1, 1, 'w', byte(len(v)), 0}, v...)
+		fields = append([]byte{answerCodes[a.Code], 1, 1, 'w', byte(len(v)), 0}, v...)
 	}
 	size := len(fields)
 	for _, p := range a.Rows {
 		size += p.Len()
 	}
-	head(out, Answer, a.Stream, size)
+	writeHeader(out, FrameAnswer, a.Stream, size)
 	out.Write(fields)
 	for _, p := range a.Rows {
 		out.Append(p.Data)
--- a/internal/clients/frames_test.go
+++ b/internal/clients/frames_test.go
@@ -19,13 +19,13 @@
 	return string(out) + payload
 }
 
-const ask = "\x04\x01c\x06\x00lookup\x01i\x10\x0000000000000000f1\x01d\x04\x001500\x02mb\x02\x0096SELECT 1"
+const batchPayload = "\x04\x01c\x06\x00lookup\x01i\x10\x0000000000000000f1\x01d\x04\x001500\x02mb\x02\x0096SELECT 1"
 
-func TestFramesComeInPiecesAndTogether(t *testing.T) {
+func TestReadPartialAndConsecutiveFrames(t *testing.T) {
 	pool := &buffers.Pool{}
 	in := pool.Chain()
 	var got []traffic.Said
-	all := frame(Ask, 7, ask) + frame(Cancel, 7, "") + frame(AskReady, 8, "\x00") + frame(99, 4, "?")
+	all := frame(FrameBatch, 7, batchPayload) + frame(FrameCancel, 7, "") + frame(FrameReadinessQuery, 8, "\x00") + frame(99, 4, "?")
 	for i := range len(all) {
 		in.WriteString(all[i : i+1])
 		f, err := Session{}.Read(in, nil)
@@ -52,17 +52,17 @@
 	assert.Zero(t, pool.Used(), "all buffers are back")
 }
 
-func TestWhatIsNoFrameIsAnError(t *testing.T) {
+func TestMalformedFrameIsAnError(t *testing.T) {
 	for _, text := range []string{"\x04\x00\x00\x00", "\x01\x00\x04\x00", "GET / HTTP/1.1\r\n"} {
 		in := (&buffers.Pool{}).Chain()
 		in.WriteString(text)
 		_, err := Session{}.Read(in, nil)
-		require.ErrorIs(t, err, ErrFrame, "%q", text)
+		require.ErrorIs(t, err, ErrMalformedFrame, "%q", text)
 	}
 }
 
 // One field that an engine can't use would close a connection that other batches share.
-func TestAWholeFrameWithBadFieldsKeepsTheConnection(t *testing.T) {
+func TestInvalidFieldsKeepTheConnection(t *testing.T) {
 	field := func(name, value string) string {
 		return string(byte(len(name))) + name + string(byte(len(value))) + "\x00" + value
 	}
@@ -87,20 +87,20 @@
 	}
 	for _, text := range append(bad, payload(good...)) {
 		in := (&buffers.Pool{}).Chain()
-		in.WriteString(frame(Ask, 1, text))
+		in.WriteString(frame(FrameBatch, 1, text))
 		f, err := Session{}.Read(in, nil)
 		require.NoError(t, err)
 		assert.Equal(t, text != payload(good...), f.(*traffic.Ask).Bad != nil, "%q", text)
 	}
 }
 
-func TestKeysThatDifferHaveOtherNumbers(t *testing.T) {
-	assert.Equal(t, Key("7f3a"), Key("7f3a"))
-	assert.NotEqual(t, Key("7f3a"), Key("7f3b"))
-	assert.Zero(t, Key(""))
+func TestDistinctOrderKeysHaveDistinctHashes(t *testing.T) {
+	assert.Equal(t, HashOrderKey("7f3a"), HashOrderKey("7f3a"))
+	assert.NotEqual(t, HashOrderKey("7f3a"), HashOrderKey("7f3b"))
+	assert.Zero(t, HashOrderKey(""))
 }
 
-func TestAnswerHoldsCodeWaitAndAllPages(t *testing.T) {
+func TestEncodeAnswerWithCodeRetryDelayAndAllPages(t *testing.T) {
 	pool := &buffers.Pool{}
 	out, one, two := pool.Chain(), pool.Chain(), pool.Chain()
 	one.WriteString("a\tb\tc\n")
@@ -108,12 +108,12 @@
 	Session{}.Tell(out, &traffic.Answer{Stream: 3, Rows: []rows.Part{{Data: one}, {}, {Data: two}}})
 	Session{}.Tell(out, &traffic.Answer{Stream: 4, Code: traffic.PushedBack, Wait: 0.25})
 	Session{}.Tell(out, traffic.NoMore{})
-	want := frame(Answer, 3, "\x00\x00a\tb\tc\nd\te\tf\n") + frame(Answer, 4, "\x0b\x01\x01w\x03\x00250") + frame(NoMore, 0, "")
+	want := frame(FrameAnswer, 3, "\x00\x00a\tb\tc\nd\te\tf\n") + frame(FrameAnswer, 4, "\x0b\x01\x01w\x03\x00250") + frame(FrameGoAway, 0, "")
 	assert.Equal(t, want, out.String())
 }
 
-func FuzzNext(f *testing.F) {
-	f.Add([]byte(frame(Ask, 7, ask)))
+func FuzzRead(f *testing.F) {
+	f.Add([]byte(frame(FrameBatch, 7, batchPayload)))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		pool := &buffers.Pool{}
 		in := pool.Chain()
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -12,13 +12,13 @@
 	"pitchfield/internal/traffic"
 )
 
-const done = "*4\r\n$2\r\nf1\r\n$4\r\nDONE\r\n$44\r\nsheets=2,toil=120,room=5,use=queue:3;x0:0.25\r\n$6\r\na\tb\r\n\n\r\n"
+const firstPageReply = "*4\r\n$2\r\nf1\r\n$4\r\nDONE\r\n$44\r\nsheets=2,toil=120,room=5,use=queue:3;x0:0.25\r\n$6\r\na\tb\r\n\n\r\n"
 
-func TestRepliesComeInPiecesAndTogether(t *testing.T) {
+func TestReadPartialAndConsecutiveReplies(t *testing.T) {
 	pool := &buffers.Pool{}
 	in := pool.Chain()
 	var got []*traffic.Reply
-	all := done + "*3\r\n$2\r\nf2\r\n$4\r\nWAIT\r\n$1\r\n-\r\n"
+	all := firstPageReply + "*3\r\n$2\r\nf2\r\n$4\r\nWAIT\r\n$1\r\n-\r\n"
 	for i := range len(all) {
 		in.WriteString(all[i : i+1])
 		r, err := Session{}.Read(in, nil)
@@ -38,17 +38,17 @@
 	assert.Zero(t, pool.Used())
 }
 
-func TestWhatIsNoReplyIsAnError(t *testing.T) {
+func TestMalformedReplyIsAnError(t *testing.T) {
 	for _, text := range []string{"+OK\r\n", "*-1\r\n", "*99\r\n", "*1\r\n$1\r\na\r\n", "*2\r\n$9999999\r\n",
 		"*2\r\n$1\r\nabc", "*2\r\n$x\r\n", strings.Repeat("*", 30)} {
 		in := (&buffers.Pool{}).Chain()
 		in.WriteString(text)
 		_, err := Session{}.Read(in, nil)
-		assert.ErrorIs(t, err, ErrReply, "%q", text)
+		assert.ErrorIs(t, err, ErrMalformedReply, "%q", text)
 	}
 }
 
-func TestFetchCarriesWhatTheClientSent(t *testing.T) {
+func TestEncodeFetchCommand(t *testing.T) {
 	pool := &buffers.Pool{}
 	out, text := pool.Chain(), pool.Chain()
 	text.WriteString("SELECT 1")
@@ -60,25 +60,25 @@
 	assert.Equal(t, 8, text.Len(), "the text stays for another dispatch")
 }
 
-func TestAnIDStandsOnceOnAConnection(t *testing.T) {
+func TestPickNeverReusesAnIDOnAConnection(t *testing.T) {
 	p := &Pool{}
 	first, second := p.Add(1, 0), p.Add(2, 0)
 	first.Up, second.Up = true, true
-	first.Open("a", 1)
+	first.AddPending("a", 1)
 	assert.Same(t, second, p.Pick("b", 2), "the one with least open")
-	assert.Same(t, first, p.Quiet(2))
+	assert.Same(t, first, p.LongestSilent(2))
 	assert.Same(t, second, p.Pick("a", 2))
-	first.Close("a", true, 5)
+	first.RemovePending("a", true, 5)
 	assert.Same(t, second, p.Pick("a", 2), "a late answer may still come on the first")
-	first.Open("c", 1)
-	first.Open("d", 1)
+	first.AddPending("c", 1)
+	first.AddPending("d", 1)
 	assert.Same(t, second, p.Pick("e", 2), "the first is full")
 	second.Suspect = true
 	assert.Nil(t, p.Pick("e", 2))
 }
 
-func FuzzNext(f *testing.F) {
-	f.Add([]byte(done))
+func FuzzRead(f *testing.F) {
+	f.Add([]byte(firstPageReply))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		pool := &buffers.Pool{}
 		in := pool.Chain()
--- a/internal/engines/resp.go
+++ b/internal/engines/resp.go
@@ -15,10 +15,10 @@
 	"pitchfield/internal/traffic"
 )
 
-var words = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
+var replyKinds = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
 	"PAST": traffic.Late, "TELL": traffic.News, "MORE": traffic.More, "FIT": traffic.Fit, "UNFIT": traffic.Unfit}
 
-var notes = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
+var updateKinds = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
 
 // Protocol is what the core must know of the engines' RESP.
 func Protocol() *traffic.EngineProtocol {
@@ -31,28 +31,28 @@
 // Open says nothing.
 func (Session) Open(*buffers.Chain) bool { return true }
 
-// ErrReply says that a connection's bytes are no answers: nothing after them can be read.
-var ErrReply = errors.New("not an answer")
+// ErrMalformedReply says that a connection's bytes are no answers: nothing after them can be read.
+var ErrMalformedReply = errors.New("not an answer")
 
 const (
-	mostParts = 16
-	mostBulk  = 8 << 10 // a page holds 6,000 bytes
-	columns   = 3
-	mostLine  = 24
-	mostPages = 64  // far more than the largest result has
-	shown     = 512 // bytes of id, word and fields that count
+	maxElements    = 16
+	maxBulkBytes   = 8 << 10 // a page holds 6,000 bytes
+	rowColumns     = 3
+	maxHeaderBytes = 24
+	maxPages       = 64  // far more than the largest result has
+	maxTextBytes   = 512 // bytes of id, word and fields that count
 )
 
 // Read reads an answer off the stream; none while it is not whole.
 func (Session) Read(in, _ *buffers.Chain) (*traffic.Reply, error) {
 	at := 0
-	count, ok, err := header(in, &at, '*', mostParts)
+	count, ok, err := readHeader(in, &at, '*', maxElements)
 	if !ok {
 		return nil, err
 	}
-	var starts, sizes [mostParts]int
+	var starts, sizes [maxElements]int
 	for i := range count {
-		if sizes[i], ok, err = header(in, &at, '$', mostBulk); !ok {
+		if sizes[i], ok, err = readHeader(in, &at, '$', maxBulkBytes); !ok {
 			return nil, err
 		}
 		starts[i] = at
@@ -61,23 +61,23 @@
 		}
 		var end [2]byte
 		if in.Peek(at-2, end[:]); end != [2]byte{'\r', '\n'} {
-			return nil, fmt.Errorf("%w: bulk string %d does not end", ErrReply, i)
+			return nil, fmt.Errorf("%w: bulk string %d does not end", ErrMalformedReply, i)
 		}
 	}
 	if count < 2 {
-		return nil, fmt.Errorf("%w: %d parts", ErrReply, count)
+		return nil, fmt.Errorf("%w: %d parts", ErrMalformedReply, count)
 	}
 	text := func(i int) string {
 		if i >= count {
 			return ""
 		}
-		out := make([]byte, min(sizes[i], shown))
+		out := make([]byte, min(sizes[i], maxTextBytes))
 		in.Peek(starts[i], out)
 		return string(out)
 	}
-	r := &traffic.Reply{ID: text(0), Word: words[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
+	r := &traffic.Reply{ID: text(0), Word: replyKinds[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
 	fields := text(2)
-	read(r, fields)
+	parseFields(r, fields)
 	if count > 3 {
 		in.Discard(starts[3])
 		r.Rows.Data = in.Cut(sizes[3])
@@ -85,33 +85,33 @@
 	} else {
 		in.Discard(at)
 	}
-	check(r, fields)
+	validate(r, fields)
 	return r, nil
 }
 
-func header(in *buffers.Chain, at *int, mark byte, most int) (n int, ok bool, err error) {
-	end := in.Index(*at, '\n', mostLine)
+func readHeader(in *buffers.Chain, at *int, mark byte, most int) (n int, ok bool, err error) {
+	end := in.Index(*at, '\n', maxHeaderBytes)
 	if end < 0 {
-		if in.Len()-*at >= mostLine {
-			return 0, false, fmt.Errorf("%w: a length without end", ErrReply)
+		if in.Len()-*at >= maxHeaderBytes {
+			return 0, false, fmt.Errorf("%w: a length without end", ErrMalformedReply)
 		}
 		return 0, false, nil
 	}
-	var line [mostLine]byte
+	var line [maxHeaderBytes]byte
 	l := line[:in.Peek(*at, line[:end-*at])]
 	if len(l) < 3 || l[0] != mark || l[len(l)-1] != '\r' {
-		return 0, false, fmt.Errorf("%w: %q where a length belongs", ErrReply, l)
+		return 0, false, fmt.Errorf("%w: %q where a length belongs", ErrMalformedReply, l)
 	}
 	n, err = strconv.Atoi(string(l[1 : len(l)-1]))
 	if err != nil || n < 0 || n > most {
-		return 0, false, fmt.Errorf("%w: length %q", ErrReply, l)
+		return 0, false, fmt.Errorf("%w: length %q", ErrMalformedReply, l)
 	}
 	*at = end + 1
 	return n, true, nil
 }
 
-// Rows tells whether a page holds whole rows of three text columns. Noise shows where a byte is none of text.
-func Rows(page *buffers.Chain) bool {
+// ValidRows tells whether a page holds whole rows of three text columns. Noise shows where a byte is none of text.
+func ValidRows(page *buffers.Chain) bool {
 	var b byte
 	if page.Len() == 0 {
 		return false
@@ -126,7 +126,7 @@
 		case c == '\t':
 			tabs++
 		case c == '\n':
-			if tabs != columns-1 {
+			if tabs != rowColumns-1 {
 				return false
 			}
 			tabs = 0
@@ -136,8 +136,8 @@
 	}
 }
 
-// Each goes through the fields of a list such as "name=value,name=value".
-func Each(list string, separator, equals byte, take func(name, value string)) {
+// EachField goes through the fields of a list such as "name=value,name=value".
+func EachField(list string, separator, equals byte, take func(name, value string)) {
 	if list == "-" {
 		return
 	}
@@ -154,44 +154,44 @@
 	}
 }
 
-// read takes what the fields tell.
-func read(r *traffic.Reply, list string) {
-	Each(list, ',', '=', func(name, value string) {
+// parseFields takes what the fields tell.
+func parseFields(r *traffic.Reply, list string) {
+	EachField(list, ',', '=', func(name, value string) {
 		switch name {
 		case "sheets":
-			r.Pages = whole(value)
+			r.Pages = parseCount(value)
 		case "sheet":
-			r.Page = whole(value)
+			r.Page = parseCount(value)
 		case "toil":
-			r.Work = Number(value) / 1000
+			r.Work = ParseNumber(value) / 1000
 		case "room":
-			r.Memory = Number(value)
+			r.Memory = ParseNumber(value)
 		case "use":
-			r.Load = report(value)
+			r.Load = parseLoad(value)
 		case "detail":
-			r.Note = notes[value]
+			r.Note = updateKinds[value]
 		case "val":
-			r.Level = Number(value)
+			r.Level = ParseNumber(value)
 		}
 	})
 }
 
-// check says why an answer can't be passed on, if it can't.
-func check(r *traffic.Reply, fields string) {
+// validate says why an answer can't be passed on, if it can't.
+func validate(r *traffic.Reply, fields string) {
 	why := ""
 	switch r.Word {
 	case traffic.Done:
-		if r.Pages < 1 || r.Pages > mostPages {
+		if r.Pages < 1 || r.Pages > maxPages {
 			why = "number of pages"
 		} else if r.Rows.Len() == 0 && r.Pages == 1 {
 			return
-		} else if !Rows(r.Rows.Data) {
+		} else if !ValidRows(r.Rows.Data) {
 			why = "rows"
 		}
 	case traffic.More:
-		if r.Page < 1 || r.Page >= mostPages {
+		if r.Page < 1 || r.Page >= maxPages {
 			why = "number of a page"
-		} else if !Rows(r.Rows.Data) {
+		} else if !ValidRows(r.Rows.Data) {
 			why = "rows"
 		}
 	case traffic.Unknown:
@@ -202,16 +202,16 @@
 	}
 }
 
-func report(text string) *brain.Report {
+func parseLoad(text string) *brain.Report {
 	if text == "" {
 		return nil
 	}
 	rep := settings.NoReport()
-	Each(text, ';', ':', func(name, value string) { settings.Report(rep, name, Number(value)) })
+	EachField(text, ';', ':', func(name, value string) { settings.Report(rep, name, ParseNumber(value)) })
 	return rep
 }
 
-func whole(s string) int {
+func parseCount(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 0 {
 		return -1
@@ -219,8 +219,8 @@
 	return n
 }
 
-// Number reads a figure; one that is none is below 0.
-func Number(s string) float64 {
+// ParseNumber reads a figure; one that is none is below 0.
+func ParseNumber(s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 		return -1
@@ -232,23 +232,23 @@
 func (Session) Order(out *buffers.Chain, what traffic.Order) {
 	switch o := what.(type) {
 	case *traffic.Dispatch:
-		fetch(out, o)
+		writeFetch(out, o)
 	case traffic.GiveUp:
-		open(out, "abort", o.ID)
+		writeCommand(out, "abort", o.ID)
 	case traffic.AskPage:
-		open(out, "more", o.ID, strconv.Itoa(o.Page))
+		writeCommand(out, "more", o.ID, strconv.Itoa(o.Page))
 	case traffic.Enough:
-		open(out, "done", o.ID)
+		writeCommand(out, "done", o.ID)
 	case traffic.Probe:
 		if o.Load {
-			open(out, "stats", o.Tag)
+			writeCommand(out, "stats", o.Tag)
 		} else {
-			open(out, "alive", o.Tag)
+			writeCommand(out, "alive", o.Tag)
 		}
 	}
 }
 
-func fetch(out *buffers.Chain, d *traffic.Dispatch) {
+func writeFetch(out *buffers.Chain, d *traffic.Dispatch) {
 	fields := "queue=" + d.Group + ",budget=" + strconv.Itoa(max(int(math.Ceil(d.Wait*1000)), 1))
 	if d.Mark != "" {
 		fields += ",uniq=" + d.Mark
@@ -256,7 +256,7 @@
 	if d.Memory > 0 {
 		fields += ",allot=" + strconv.Itoa(int(math.Ceil(d.Memory)))
 	}
-	open(out, "fetch", d.ID, fields)
+	writeCommand(out, "fetch", d.ID, fields)
 	if d.Ahead == "" && len(d.Parameters) == 0 {
 		out.WriteString("$" + strconv.Itoa(d.Text.Len()) + "\r\n")
 		out.Append(d.Text)
@@ -268,7 +268,7 @@
 	out.WriteString("\r\n")
 }
 
-func open(out *buffers.Chain, parts ...string) {
+func writeCommand(out *buffers.Chain, parts ...string) {
 	n := len(parts)
 	if parts[0] == "fetch" {
 		n++ // the text follows
--- a/internal/engines/section.go
+++ b/internal/engines/section.go
@@ -28,12 +28,12 @@
 
 // Settings say how those that match are spoken to. The first that matches decides; none: RESP.
 type Settings struct {
-	ID, Kind, Zone           string // patterns
-	Protocol                 string // resp or tds
-	User, Password, Database string
-	Packet                   int
-	Probe, Load              string
-	TurnedAway               []int32
+	ID, Kind, Zone                string // patterns
+	Protocol                      string // resp or tds
+	User, Password, Database      string
+	PacketSize                    int
+	ProbeStatement, LoadStatement string
+	RejectionCodes                []int32
 }
 
 // Matches tells whether these are an engine's settings.
@@ -41,14 +41,14 @@
 	return assign.Match(e.ID, one.ID) && assign.Match(e.Kind, one.Kind) && assign.Match(e.Zone, one.Zone)
 }
 
-const usualProbe = "SELECT 1"
+const defaultProbeStatement = "SELECT 1"
 
-// Prove gives how engines are spoken to.
-func (f *EngineSections) Prove(c findings.To) (out []Settings) {
+// Validate gives how engines are spoken to.
+func (f *EngineSections) Validate(c findings.To) (out []Settings) {
 	for i, e := range f.Engine {
 		at := fmt.Sprintf("engine[%d]", i)
 		one := Settings{ID: e.ID, Kind: e.Kind, Zone: e.Zone, Protocol: e.Protocol, User: e.User, Password: e.Password,
-			Database: e.Database, Packet: e.Packet, Probe: e.Probe, Load: e.Load, TurnedAway: e.TurnedAway}
+			Database: e.Database, PacketSize: e.Packet, ProbeStatement: e.Probe, LoadStatement: e.Load, RejectionCodes: e.TurnedAway}
 		switch e.Protocol {
 		case "resp":
 			if e.User != "" || e.Password != "" || e.FromEnv != "" || e.Load != "" || e.Probe != "" {
@@ -66,15 +66,15 @@
 		default:
 			c.Found(at+".protocol", "%q is neither resp nor tds", e.Protocol)
 		}
-		if one.Probe == "" {
-			one.Probe = usualProbe
+		if one.ProbeStatement == "" {
+			one.ProbeStatement = defaultProbeStatement
 		}
-		if one.TurnedAway == nil {
-			one.TurnedAway = []int32{40501, 10928, 10929}
+		if one.RejectionCodes == nil {
+			one.RejectionCodes = []int32{40501, 10928, 10929}
 		}
-		if one.Packet == 0 {
-			one.Packet = 4096
-		} else if one.Packet < 512 || one.Packet > 32767 {
+		if one.PacketSize == 0 {
+			one.PacketSize = 4096
+		} else if one.PacketSize < 512 || one.PacketSize > 32767 {
 			c.Found(at+".packet", "%d is not from 512 to 32767 bytes", e.Packet)
 		}
 		out = append(out, one)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -17,37 +17,37 @@
 
 // The violations.
 const (
-	SendAfterEnd    Violation = iota // an attempt of a request that has its final answer, or was cancelled
-	SendNowhere                      // an attempt on a connection that is not up
-	RepeatOnceOnly                   // a second attempt of a once-only request whose first may have run
-	SecondAttempt                    // a further attempt beside one that may be out, where that is forbidden
-	SecondAnswer                     // an answer for a request that has ended, or that nobody asked
-	CloseUnanswered                  // a client's connection closed by us with requests open on it
-	EndUnanswered                    // the router's end with requests open
-	StartAfterEnd                    // 'ready' told after the end was decided
-	Violations                       // how many kinds there are
+	SendAfterEnd           Violation = iota // an attempt of a request that has its final answer, or was cancelled
+	SendOnClosedConnection                  // an attempt on a connection that is not up
+	RetryAtMostOnce                         // a second attempt of a once-only request whose first may have run
+	ConcurrentAttempt                       // a further attempt beside one that may be out, where that is forbidden
+	DuplicateAnswer                         // an answer for a request that has ended, or that nobody asked
+	CloseUnanswered                         // a client's connection closed by us with requests open on it
+	ExitUnanswered                          // the router's end with requests open
+	ReadyAfterExit                          // 'ready' told after the end was decided
+	violationKinds                          // how many kinds there are
 )
 
-var violationNames = [Violations]string{"send after end", "send on a connection that is not up", "repeat of a once-only request",
+var violationNames = [violationKinds]string{"send after end", "send on a connection that is not up", "repeat of a once-only request",
 	"second attempt beside one that may be out", "second answer", "close with open requests", "end with open requests", "ready after the end"}
 
 func (v Violation) String() string { return violationNames[v] }
 
-// Error is a violation that was prevented.
-type Error struct {
+// ViolationError is a violation that was prevented.
+type ViolationError struct {
 	Violation Violation
 	Request   Request
 }
 
-func (e *Error) Error() string {
+func (e *ViolationError) Error() string {
 	return fmt.Sprintf("%s: client %d, stream %d", e.Violation, e.Request.Client, e.Request.Stream)
 }
 
-// GoneError says that a request's client has gone just now, so that an attempt of it must not begin. It is no violation: the
+// ClientGoneError says that a request's client has gone just now, so that an attempt of it must not begin. It is no violation: the
 // router has not heard of it yet.
-type GoneError struct{ Request Request }
+type ClientGoneError struct{ Request Request }
 
-func (e *GoneError) Error() string {
+func (e *ClientGoneError) Error() string {
 	return fmt.Sprintf("the client has gone: client %d, stream %d", e.Request.Client, e.Request.Stream)
 }
 
@@ -64,24 +64,24 @@
 
 // client is a connection of one.
 type client struct {
-	open map[uint32]*request // by stream
-	last uint32              // the highest stream taken: streams count up
+	open       map[uint32]*request // by stream
+	lastStream uint32              // the highest stream taken: streams count up
 }
 
 // engine is a connection to one.
 type engine struct {
-	out     map[string]*request // whose attempts are out there, by id
-	givenUp map[string]bool     // ids that the engine is told to give up, and has not shown to have
+	inFlight  map[string]*request // whose attempts are out there, by id
+	cancelled map[string]bool     // ids that the engine is told to give up, and has not shown to have
 }
 
 // Counts is what has become of requests since the start.
 type Counts struct {
-	Taken, Answered, Cancelled, Gone int
-	Violations                       [Violations]int
+	Accepted, Answered, Cancelled, Abandoned int
+	Violations                               [violationKinds]int
 }
 
-// Broken is how many violations of any kind there were.
-func (c *Counts) Broken() (n int) {
+// TotalViolations is how many violations of any kind there were.
+func (c *Counts) TotalViolations() (n int) {
 	for _, v := range c.Violations {
 		n += v
 	}
@@ -92,7 +92,7 @@
 type Guard struct {
 	clients map[uint64]*client
 	engines map[uint64]*engine // by connection that is up
-	ended   bool
+	exited  bool
 	counts  Counts
 }
 
@@ -104,17 +104,17 @@
 // Counts tells what has become of requests since the start.
 func (g *Guard) Counts() Counts { return g.counts }
 
-// Open tells how many requests have been taken and not ended.
-func (g *Guard) Open() (n int) {
+// OpenRequests tells how many requests have been taken and not ended.
+func (g *Guard) OpenRequests() (n int) {
 	for _, c := range g.clients {
 		n += len(c.open)
 	}
 	return n
 }
 
-func (g *Guard) broken(v Violation, r Request) error {
+func (g *Guard) recordViolation(v Violation, r Request) error {
 	g.counts.Violations[v]++
-	return &Error{v, r}
+	return &ViolationError{v, r}
 }
 
 // ClientOpened notes a connection of a client.
@@ -122,79 +122,79 @@
 	g.clients[number] = &client{open: map[uint32]*request{}}
 }
 
-// Taken notes a request that has been read whole. A stream that does not count up is no request: its client is refused.
-func (g *Guard) Taken(r Request) {
+// RequestAccepted notes a request that has been read whole. A stream that does not count up is no request: its client is refused.
+func (g *Guard) RequestAccepted(r Request) {
 	c := g.clients[r.Client]
-	if c == nil || r.Stream <= c.last {
+	if c == nil || r.Stream <= c.lastStream {
 		return
 	}
-	c.last = r.Stream
+	c.lastStream = r.Stream
 	c.open[r.Stream] = &request{attempts: map[attempt]bool{}}
-	g.counts.Taken++
+	g.counts.Accepted++
 }
 
-// Cancelled notes that nobody waits for a request any more.
-func (g *Guard) Cancelled(r Request) {
+// RequestCancelled notes that nobody waits for a request any more.
+func (g *Guard) RequestCancelled(r Request) {
 	if c := g.clients[r.Client]; c != nil && c.open[r.Stream] != nil {
 		delete(c.open, r.Stream)
 		g.counts.Cancelled++
 	}
 }
 
-// ClientGone notes that a client has ended its connection, or that its protocol was broken: what was open has no one to answer.
-func (g *Guard) ClientGone(number uint64) {
+// ClientClosed notes that a client has ended its connection, or that its protocol was broken: what was open has no one to answer.
+func (g *Guard) ClientClosed(number uint64) {
 	if c := g.clients[number]; c != nil {
-		g.counts.Gone += len(c.open)
+		g.counts.Abandoned += len(c.open)
 		delete(g.clients, number)
 	}
 }
 
-// EngineUp notes a connection to an engine.
-func (g *Guard) EngineUp(connection uint64) {
-	g.engines[connection] = &engine{out: map[string]*request{}, givenUp: map[string]bool{}}
+// EngineConnected notes a connection to an engine.
+func (g *Guard) EngineConnected(connection uint64) {
+	g.engines[connection] = &engine{inFlight: map[string]*request{}, cancelled: map[string]bool{}}
 }
 
-// EngineGone notes its end. What was out there may have run, and may still be out.
-func (g *Guard) EngineGone(connection uint64) { delete(g.engines, connection) }
+// EngineDisconnected notes its end. What was out there may have run, and may still be out.
+func (g *Guard) EngineDisconnected(connection uint64) { delete(g.engines, connection) }
 
-// EngineEnded notes that an engine has ended a connection: it has given up all that was out there, which may have run.
-func (g *Guard) EngineEnded(connection uint64) {
+// EngineClosedConnection notes that an engine has ended a connection: it has given up all that was out there, which may have run.
+func (g *Guard) EngineClosedConnection(connection uint64) {
 	if e := g.engines[connection]; e != nil {
-		for id := range e.out {
-			g.Over(id, connection)
+		for id := range e.inFlight {
+			g.AttemptEnded(id, connection)
 		}
 	}
 }
 
-// GivesUp notes that an engine is told to give an attempt up.
-func (g *Guard) GivesUp(id string, connection uint64) {
-	if e := g.engines[connection]; e != nil && e.out[id] != nil {
-		e.givenUp[id] = true
+// CancelSent notes that an engine is told to give an attempt up.
+func (g *Guard) CancelSent(id string, connection uint64) {
+	if e := g.engines[connection]; e != nil && e.inFlight[id] != nil {
+		e.cancelled[id] = true
 	}
 }
 
-// Paged notes a page of a result. The engine has read what was written before it was asked for that.
-func (g *Guard) Paged(id string, connection uint64) {
-	if e := g.engines[connection]; e != nil && e.givenUp[id] {
-		g.Over(id, connection)
+// PageReceived notes a page of a result. The engine has read what was written before it was asked for that.
+func (g *Guard) PageReceived(id string, connection uint64) {
+	if e := g.engines[connection]; e != nil && e.cancelled[id] {
+		g.AttemptEnded(id, connection)
 	}
 }
 
-// Settled notes that an engine has ended all that it was told to give up on a connection.
-func (g *Guard) Settled(connection uint64) {
+// CancellationsConfirmed notes that an engine has ended all that it was told to give up on a connection.
+func (g *Guard) CancellationsConfirmed(connection uint64) {
 	if e := g.engines[connection]; e != nil {
-		for id := range e.givenUp {
-			g.Over(id, connection)
+		for id := range e.cancelled {
+			g.AttemptEnded(id, connection)
 		}
 	}
 }
 
-// SendAlone asks whether an attempt may leave of a request that must not have two out. Send is asked after it.
-func (g *Guard) SendAlone(r Request) error {
+// CheckNoneInFlight asks whether an attempt may leave of a request that must not have two out. Send is asked after it.
+func (g *Guard) CheckNoneInFlight(r Request) error {
 	if c := g.clients[r.Client]; c != nil && c.open[r.Stream] != nil {
 		for _, out := range c.open[r.Stream].attempts {
 			if out {
-				return g.broken(SecondAttempt, r)
+				return g.recordViolation(ConcurrentAttempt, r)
 			}
 		}
 	}
@@ -206,42 +206,42 @@
 func (g *Guard) Send(r Request, id string, connection uint64, onceOnly bool) error {
 	c := g.clients[r.Client]
 	if c == nil {
-		return &GoneError{r}
+		return &ClientGoneError{r}
 	}
 	open := c.open[r.Stream]
 	switch {
-	case g.ended || open == nil:
-		return g.broken(SendAfterEnd, r)
+	case g.exited || open == nil:
+		return g.recordViolation(SendAfterEnd, r)
 	case g.engines[connection] == nil:
-		return g.broken(SendNowhere, r)
+		return g.recordViolation(SendOnClosedConnection, r)
 	case onceOnly && len(open.attempts) > 0:
-		return g.broken(RepeatOnceOnly, r)
+		return g.recordViolation(RetryAtMostOnce, r)
 	}
 	open.attempts[attempt{connection, id}] = true
-	g.engines[connection].out[id] = open
+	g.engines[connection].inFlight[id] = open
 	return nil
 }
 
-// NeverRan notes that an attempt surely did not run: it was not written, or its engine has turned it away.
-func (g *Guard) NeverRan(id string, connection uint64) {
+// AttemptNotRun notes that an attempt surely did not run: it was not written, or its engine has turned it away.
+func (g *Guard) AttemptNotRun(id string, connection uint64) {
 	e := g.engines[connection]
-	if e == nil || e.out[id] == nil {
+	if e == nil || e.inFlight[id] == nil {
 		return
 	}
-	delete(e.out[id].attempts, attempt{connection, id})
-	delete(e.out, id)
-	delete(e.givenUp, id)
+	delete(e.inFlight[id].attempts, attempt{connection, id})
+	delete(e.inFlight, id)
+	delete(e.cancelled, id)
 }
 
-// Over notes that an attempt has ended at its engine.
-func (g *Guard) Over(id string, connection uint64) {
+// AttemptEnded notes that an attempt has ended at its engine.
+func (g *Guard) AttemptEnded(id string, connection uint64) {
 	e := g.engines[connection]
-	if e == nil || e.out[id] == nil {
+	if e == nil || e.inFlight[id] == nil {
 		return
 	}
-	e.out[id].attempts[attempt{connection, id}] = false
-	delete(e.out, id)
-	delete(e.givenUp, id)
+	e.inFlight[id].attempts[attempt{connection, id}] = false
+	delete(e.inFlight, id)
+	delete(e.cancelled, id)
 }
 
 // Answer asks whether a final answer may be told, and notes it. An answer for a client that has gone goes nowhere, and is
@@ -252,29 +252,29 @@
 		return nil
 	}
 	if c.open[r.Stream] == nil {
-		return g.broken(SecondAnswer, r)
+		return g.recordViolation(DuplicateAnswer, r)
 	}
 	delete(c.open, r.Stream)
 	g.counts.Answered++
 	return nil
 }
 
-// Close asks for the end of a client's connection by us. It gives the requests that are open there: each has to get its
+// CloseClient asks for the end of a client's connection by us. It gives the requests that are open there: each has to get its
 // answer first.
-func (g *Guard) Close(number uint64) []Request {
-	return g.unanswered(number, CloseUnanswered)
+func (g *Guard) CloseClient(number uint64) []Request {
+	return g.openRequestsOf(number, CloseUnanswered)
 }
 
-// End asks for the router's end. It gives the requests that are open: each has to get its answer first.
-func (g *Guard) End() (unanswered []Request) {
+// Exit asks for the router's end. It gives the requests that are open: each has to get its answer first.
+func (g *Guard) Exit() (unanswered []Request) {
 	for number := range g.clients {
-		unanswered = append(unanswered, g.unanswered(number, EndUnanswered)...)
+		unanswered = append(unanswered, g.openRequestsOf(number, ExitUnanswered)...)
 	}
-	g.ended = true
+	g.exited = true
 	return unanswered
 }
 
-func (g *Guard) unanswered(number uint64, v Violation) (out []Request) {
+func (g *Guard) openRequestsOf(number uint64, v Violation) (out []Request) {
 	c := g.clients[number]
 	if c == nil {
 		return nil
@@ -288,8 +288,8 @@
 
 // Ready asks whether a client may be told that the router is ready.
 func (g *Guard) Ready(r Request) error {
-	if g.ended {
-		return g.broken(StartAfterEnd, r)
+	if g.exited {
+		return g.recordViolation(ReadyAfterExit, r)
 	}
 	return nil
 }
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, 300.0, i.TDS.Idle)
 	assert.Equal(t, "farm", i.TDS.Users["ann"].Client)
 	assert.Equal(t, []float64{9, 96}, []float64{i.Rules.List[0].Limit, i.Rules.List[0].Memory})
-	assert.Equal(t, []string{"s", "SELECT 1"}, []string{i.Engines[0].Password, i.Engines[0].Probe})
+	assert.Equal(t, []string{"s", "SELECT 1"}, []string{i.Engines[0].Password, i.Engines[0].ProbeStatement})
 	assert.NoError(t, i.Groups("x.toml", []string{"report"}))
 	assert.ErrorContains(t, i.Groups("x.toml", []string{"lookup"}), `no service group "report"`)
 }
--- a/internal/loop/crossings_test.go
+++ b/internal/loop/crossings_test.go
@@ -260,7 +260,7 @@
 func (p *place) answer(c *standin.Client) standin.ResponseFrame {
 	p.t.Helper()
 	for {
-		if a := p.next(c); a.Type == clients.Answer {
+		if a := p.next(c); a.Type == clients.FrameAnswer {
 			return a
 		}
 	}
@@ -405,7 +405,7 @@
 	p.answered(3)
 	for range 3 {
 		c := p.client()
-		c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 		p.next(c)
 	}
 	crossed := make(chan bool, 1)
@@ -415,11 +415,11 @@
 	})
 	p.mutex.Unlock()
 	other := p.client() // one too many
-	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served, 3: clients.Served}, p.codes(idle, 3))
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.codes(idle, 3))
 	p.ends(idle)
 	require.True(t, <-crossed)
 	require.NoError(t, other.SendBatch(1, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
-	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
 	assert.Len(t, e.Requests("fetch"), 4, "sent again on another connection, and sent on once")
 }
 
@@ -440,7 +440,7 @@
 	<-there
 	require.NoError(t, slow.SendBatch(4, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
 	goOn()
-	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served, 3: clients.Served}, p.codes(slow, 3))
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.codes(slow, 3))
 	p.ends(slow)
 	assert.Equal(t, uint32(1), p.answer(other).Stream)
 	p.ends(other)
@@ -454,17 +454,17 @@
 	p := begin(t, 1024, nil, listed("s-0", e))
 	p.names.Set(host("s-0", e))
 	c := p.client()
-	frame := standin.EncodeFrame(clients.Ask, 1, []string{"c", "once", "i", "00000000000000f1", "d", "6000"}, "SELECT 1")
+	frame := standin.EncodeFrame(clients.FrameBatch, 1, []string{"c", "once", "i", "00000000000000f1", "d", "6000"}, "SELECT 1")
 	c.Write(frame[:20]) //nolint:errcheck
 	whole := p.client()
-	whole.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
-	p.next(whole)                                                         // so the half has been read
+	whole.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
+	p.next(whole)                                                                    // so the half has been read
 	p.cancel()
-	assert.Equal(t, uint8(clients.NoMore), p.next(c).Type)
+	assert.Equal(t, uint8(clients.FrameGoAway), p.next(c).Type)
 	_, err := c.ReadFrame(time.Second)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is waited for")
 	c.Write(frame[20:]) //nolint:errcheck
-	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
 	p.ends(c)
 	p.end()
 }
@@ -481,7 +481,7 @@
 	p.names.Set(draining(slow.host("s-late")), host("s-other", other))
 	p.said.await(t, "engine listed", "draining:true", "s-late")
 	up := slow.release(nil)
-	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
 	assert.Empty(t, up.Requests("fetch"), "nothing new for an engine that drains")
 	assert.Len(t, other.Requests("fetch"), 1)
 }
@@ -493,8 +493,8 @@
 	p := begin(t, 1024, nil, listed("s-first", first))
 	p.names.Set(host("s-first", first))
 	c := p.client()
-	fields := []string{"c", "load", "i", "00000000000000f1", "d", "6000", "k", strings.Repeat("a", clients.MarkDigits)}
-	_, err := c.Write(standin.EncodeFrame(clients.Ask, 1, fields, "SELECT 1"))
+	fields := []string{"c", "load", "i", "00000000000000f1", "d", "6000", "k", strings.Repeat("a", clients.IdempotencyKeyDigits)}
+	_, err := c.Write(standin.EncodeFrame(clients.FrameBatch, 1, fields, "SELECT 1"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return len(first.Requests("fetch")) == 1 }, patience, time.Millisecond)
 	p.names.Set(draining(host("s-first", first)), slow.host("s-late"))
@@ -503,7 +503,7 @@
 	close(hold)
 	slow.asked()
 	up := slow.release(nil)
-	assert.Equal(t, uint8(clients.Failed), p.answer(c).Code, "it may have run")
+	assert.Equal(t, uint8(clients.CodeFailed), p.answer(c).Code, "it may have run")
 	assert.Empty(t, up.Requests("fetch"), "the engines have forgotten it")
 }
 
@@ -520,7 +520,7 @@
 	slow.asked()
 	up := slow.release(nil)
 	require.NoError(t, other.SendBatch(1, "lookup", "00000000000000f2", left, "SELECT 2"))
-	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
 	for _, r := range up.Requests("fetch") {
 		assert.Equal(t, "00000000000000f2", r[1], "nothing is sent for who has gone")
 	}
@@ -555,13 +555,13 @@
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) //nolint:errcheck
 	for stream := range uint32(2) {
 		a := p.next(c)
-		assert.Equal(t, []any{uint8(clients.Answer), 1 - stream, uint8(clients.Failed)}, []any{a.Type, a.Stream, a.Code})
+		assert.Equal(t, []any{uint8(clients.FrameAnswer), 1 - stream, uint8(clients.CodeFailed)}, []any{a.Type, a.Stream, a.Code})
 	}
 	p.ends(c)
 	close(hold)
 	whole := p.client()
 	require.NoError(t, whole.SendBatch(1, "once", "00000000000000f2", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.answer(whole).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(whole).Code)
 }
 
 // deaf passes questions on to the name service, but none from those that it has fallen out with.
@@ -638,7 +638,7 @@
 	p.said.await(t, "engine listed", "s-new")
 	c := p.client()
 	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
 	assert.Empty(t, old.Requests("fetch"))
 }
 
@@ -674,14 +674,14 @@
 			}
 		}
 	}
-	assert.Equal(t, uint8(clients.Served), ask("00000000000000f1"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), ask("00000000000000f1"))
 	p.said.await(t, "name service is silent")
 	p.names.Set() // the number of the start
 	p.names.Set(draining(host("s-old", old)), host("s-new", fresh))
 	d.fallSilent(false)
 	p.said.await(t, "engine listed", "s-new")
 	before := len(old.Requests("fetch"))
-	assert.Equal(t, uint8(clients.Served), ask("00000000000000f2"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), ask("00000000000000f2"))
 	assert.Len(t, old.Requests("fetch"), before)
 }
 
@@ -692,13 +692,13 @@
 	ready := func() uint8 {
 		c := p.client()
 		defer c.Close()
-		c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 		return p.next(c).Code
 	}
-	assert.Equal(t, uint8(clients.Refused), ready())
+	assert.Equal(t, uint8(clients.CodeRejected), ready())
 	p.names.Set(host("s-0", e))
 	p.said.await(t, "engine listed", "s-0")
-	assert.Equal(t, uint8(clients.Served), ready())
+	assert.Equal(t, uint8(clients.CodeSucceeded), ready())
 }
 
 // A batch waits in the queue of connections that are not accepted yet as the router is told to stop.
@@ -713,7 +713,7 @@
 	c := p.client()
 	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
 	goOn()
-	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
 	p.ends(c)
 	p.end()
 }
@@ -733,7 +733,7 @@
 	p.cancel()
 	got := p.codes(c, 2)
 	assert.Less(t, time.Since(at), 3700*time.Millisecond, "the kill")
-	assert.Equal(t, map[uint32]uint8{1: clients.Failed, 2: clients.Refused}, got)
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeFailed, 2: clients.CodeRejected}, got)
 	p.ends(c)
 	p.end()
 }
@@ -753,10 +753,10 @@
 	}
 	c.Close()
 	goOn()
-	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
 	p.said.await(t, "client gone with open batches", "open:4")
 	require.NoError(t, other.SendBatch(2, "lookup", "00000000000000fa", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.answer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
 	for _, r := range e.Requests("fetch") {
 		assert.Contains(t, []string{"00000000000000f9", "00000000000000fa"}, r[1], "nothing is sent for who has gone")
 	}
@@ -769,7 +769,7 @@
 	p.names.Set(host("s-0", e))
 	c, other := p.client(), p.client()
 	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
-	require.Equal(t, uint8(clients.Served), p.answer(c).Code)
+	require.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
 	there, goOn := p.said.hold("batch can't be used")
 	defer goOn()
 	require.NoError(t, other.SendBatch(1, "nobody's", "00000000000000f9", left, "SELECT 1"))
@@ -777,7 +777,7 @@
 	e.CloseConnections()
 	require.NoError(t, c.SendBatch(2, "once", "00000000000000f2", left, "SELECT 1"))
 	goOn()
-	assert.Equal(t, uint8(clients.Served), p.answer(c).Code, "all that has come is known before a batch is sent")
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code, "all that has come is known before a batch is sent")
 }
 
 // A batch comes in pieces of one byte, with another's answer between them.
@@ -787,11 +787,11 @@
 	p.names.Set(host("s-0", e))
 	c := p.client()
 	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
-	for _, b := range standin.EncodeFrame(clients.Ask, 2, []string{"c", "once", "i", "00000000000000f2", "d", "6000"}, "SELECT 1") {
+	for _, b := range standin.EncodeFrame(clients.FrameBatch, 2, []string{"c", "once", "i", "00000000000000f2", "d", "6000"}, "SELECT 1") {
 		_, err := c.Write([]byte{b})
 		require.NoError(t, err)
 	}
-	assert.Equal(t, map[uint32]uint8{1: clients.Served, 2: clients.Served}, p.codes(c, 2))
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded}, p.codes(c, 2))
 }
 
 // Nobody listens where the name service should be, from the start on: the list of the start serves, and a stop ends as ever.
@@ -804,14 +804,14 @@
 		return nobody.LocalAddr().String()
 	}, listed("s-0", e))
 	c := p.client()
-	c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
-	assert.Equal(t, uint8(clients.Served), p.next(c).Code, "ready")
+	c.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.next(c).Code, "ready")
 	require.NoError(t, c.SendBatch(2, "once", "00000000000000f1", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), p.answer(c).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
 	p.said.await(t, "name service is silent")
 	assert.Less(t, strings.Count(p.said.String(), "stood still"), 3, "waiting for the next event is no standstill")
 	p.cancel()
-	assert.Equal(t, uint8(clients.NoMore), p.next(c).Type)
+	assert.Equal(t, uint8(clients.FrameGoAway), p.next(c).Type)
 	p.ends(c)
 	p.end()
 }
@@ -824,10 +824,10 @@
 	p.names.Set(host("s-0", e))
 	idle := p.client()
 	require.NoError(t, idle.SendBatch(1, "lookup", "0000000000000001", left, "SELECT 1 FROM a_3.b"))
-	require.Equal(t, uint8(clients.Served), p.answer(idle).Code)
+	require.Equal(t, uint8(clients.CodeSucceeded), p.answer(idle).Code)
 	for range 3 {
 		c := p.client()
-		c.Write(standin.EncodeFrame(clients.AskReady, 1, []string{}, "")) //nolint:errcheck
+		c.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 		p.next(c)
 	}
 	p.mutex.Lock()
@@ -838,7 +838,7 @@
 	})
 	p.mutex.Unlock()
 	p.client() // one too many
-	assert.Equal(t, map[uint32]uint8{2: clients.Refused, 3: clients.Refused, 4: clients.Refused}, p.codes(idle, 3))
+	assert.Equal(t, map[uint32]uint8{2: clients.CodeRejected, 3: clients.CodeRejected, 4: clients.CodeRejected}, p.codes(idle, 3))
 	p.ends(idle)
 	assert.Len(t, e.Requests("fetch"), 1)
 }
@@ -862,7 +862,7 @@
 	s := &standstill{place: p, first: p.client(), second: p.client()}
 	for i, c := range []*standin.Client{s.first, s.second} {
 		require.NoError(t, c.SendBatch(1, "lookup", fmt.Sprintf("%016x", 0xf0+i), left, "SELECT 1"))
-		require.Equal(t, uint8(clients.Served), p.answer(c).Code)
+		require.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
 	}
 	p.names.SetWithheld(true)
 	require.Eventually(t, func() bool { return p.names.PendingQueries() > 0 }, patience, time.Millisecond)
@@ -924,8 +924,8 @@
 	limit := s.names.FirstDrained()["s-0"].Add(grace + slack)
 	s.wait(limit)
 	s.goOn()
-	assert.Equal(t, uint8(clients.Served), s.answer(s.first).Code)
-	assert.Equal(t, uint8(clients.Served), s.answer(s.second).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.first).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.second).Code)
 	assert.Empty(t, old.after(limit), "after the grace")
 	assert.Contains(t, fresh.after(time.Time{}), "0000000000000003")
 }
@@ -937,8 +937,8 @@
 	require.NoError(t, s.first.Close())
 	s.wait(time.Now().Add(100*time.Millisecond + slack))
 	s.goOn()
-	assert.Equal(t, uint8(clients.Served), s.answer(s.second).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.second).Code)
 	require.NoError(t, s.second.SendBatch(3, "lookup", "0000000000000004", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.Served), s.answer(s.second).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.second).Code)
 	assert.NotContains(t, arrived.after(time.Time{}), "0000000000000002", "an attempt long after its client closed")
 }
--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -18,33 +18,33 @@
 	case router.ClientMessage:
 		switch said := e.Message.(type) {
 		case *traffic.Ask:
-			l.guard.Taken(guard.Request{Client: e.Client, Stream: said.Stream})
+			l.guard.RequestAccepted(guard.Request{Client: e.Client, Stream: said.Stream})
 		case traffic.Cancel:
-			l.guard.Cancelled(guard.Request{Client: e.Client, Stream: said.Stream})
+			l.guard.RequestCancelled(guard.Request{Client: e.Client, Stream: said.Stream})
 		}
 	case router.EngineReplied:
 		switch e.Reply.Word {
 		case traffic.Full, traffic.Late:
-			l.guard.NeverRan(e.Reply.ID, e.Connection)
+			l.guard.AttemptNotRun(e.Reply.ID, e.Connection)
 		case traffic.Broke, traffic.Whole, traffic.Done:
-			l.guard.Over(e.Reply.ID, e.Connection)
+			l.guard.AttemptEnded(e.Reply.ID, e.Connection)
 		case traffic.More:
-			l.guard.Paged(e.Reply.ID, e.Connection)
+			l.guard.PageReceived(e.Reply.ID, e.Connection)
 		case traffic.Free:
-			l.guard.Settled(e.Connection)
+			l.guard.CancellationsConfirmed(e.Connection)
 		}
 	}
 }
 
 // prevented tells of what the guard has withheld.
 func (l *Loop) prevented(err error, fields ...zap.Field) {
-	var gone *guard.GoneError
+	var gone *guard.ClientGoneError
 	if errors.As(err, &gone) {
 		l.log.Info("request is not sent, its client has just gone", fields...)
 		return
 	}
 	counts := l.guard.Counts()
-	l.log.Error("invariant violated, it is withheld", append(fields, zap.Error(err), zap.Int("violations", counts.Broken()))...)
+	l.log.Error("invariant violated, it is withheld", append(fields, zap.Error(err), zap.Int("violations", counts.TotalViolations()))...)
 }
 
 // mayTell asks before a client is told something. What it is not told is given back.
@@ -73,18 +73,18 @@
 	case router.PeerNotReading, router.BufferLimitExceeded, router.BadInput, router.LoginRefused:
 		return
 	}
-	l.answerAll(l.guard.Close(p.number), guard.CloseUnanswered)
+	l.answerAll(l.guard.CloseClient(p.number), guard.CloseUnanswered)
 }
 
 // answerBeforeEnd does so for all clients before the router ends.
 func (l *Loop) answerBeforeEnd() {
-	l.answerAll(l.guard.End(), guard.EndUnanswered)
+	l.answerAll(l.guard.Exit(), guard.ExitUnanswered)
 	l.reportRequests()
 }
 
 func (l *Loop) answerAll(open []guard.Request, v guard.Violation) {
 	for _, r := range open {
-		l.prevented(&guard.Error{Violation: v, Request: r})
+		l.prevented(&guard.ViolationError{Violation: v, Request: r})
 		answer := &traffic.Answer{Stream: r.Stream, Code: traffic.Errored, Why: "the connection ends"}
 		if l.guard.Answer(r) == nil {
 			l.tell(l.clients[r.Client], answer)
@@ -95,7 +95,7 @@
 // reportRequests logs what has become of requests since the start.
 func (l *Loop) reportRequests() {
 	c := l.guard.Counts()
-	l.log.Info("requests", zap.Int("taken", c.Taken), zap.Int("answered", c.Answered), zap.Int("cancelled", c.Cancelled),
-		zap.Int("gone with their client", c.Gone), zap.Int("open", l.guard.Open()), zap.Int("violations", c.Broken()),
+	l.log.Info("requests", zap.Int("taken", c.Accepted), zap.Int("answered", c.Answered), zap.Int("cancelled", c.Cancelled),
+		zap.Int("gone with their client", c.Abandoned), zap.Int("open", l.guard.OpenRequests()), zap.Int("violations", c.TotalViolations()),
 		zap.Int("failed system calls", l.reactor.Failures()))
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -242,7 +242,7 @@
 	p := &peer{loop: l, kind: toEngine, number: e.Connection, stream: s, in: l.pool.Chain(), speaks: e.Protocol, engine: e.Protocol.New()}
 	s.Handle(p)
 	l.engines[p.number] = p
-	l.guard.EngineUp(p.number)
+	l.guard.EngineConnected(p.number)
 	up := p.engine.Open(l.owed)
 	l.write(p, l.owed)
 	if up && l.here(p) {
@@ -254,7 +254,7 @@
 func (l *Loop) gone(p *peer, err error) {
 	end := endOf(err)
 	if p.kind == toEngine && end.ByPeer() {
-		l.guard.EngineEnded(p.number)
+		l.guard.EngineClosedConnection(p.number)
 	}
 	l.drop(p)
 	if p.lingers {
@@ -287,9 +287,9 @@
 
 func (l *Loop) drop(p *peer) {
 	if p.kind == toClient {
-		l.guard.ClientGone(p.number)
+		l.guard.ClientClosed(p.number)
 	} else {
-		l.guard.EngineGone(p.number)
+		l.guard.EngineDisconnected(p.number)
 	}
 	p.in.Release()
 	l.unread -= p.unread
@@ -306,7 +306,7 @@
 		delete(l.engines, p.number)
 	case toClient:
 		delete(l.clients, p.number)
-		l.guard.ClientGone(p.number)
+		l.guard.ClientClosed(p.number)
 		if !p.opening && why != router.PeerNotReading && why != router.BufferLimitExceeded {
 			p.refuses = why != router.BadInput && why != router.LoginRefused
 			l.linger(p, time.Now().Add(flushTime))
--- a/internal/loop/orders.go
+++ b/internal/loop/orders.go
@@ -18,7 +18,7 @@
 	request, is := e.Order.(*traffic.Dispatch)
 	if !is {
 		if word, is := e.Order.(traffic.GiveUp); is {
-			l.guard.GivesUp(word.ID, e.Connection)
+			l.guard.CancelSent(word.ID, e.Connection)
 		}
 		p.engine.Order(l.out, e.Order)
 		l.write(p, l.out)
@@ -35,7 +35,7 @@
 	if err := l.maySend(e, request.ID); err != nil {
 		l.prevented(err, zap.String("id", request.ID), zap.Uint64("connection", e.Connection))
 		why := router.OrderInvalid
-		var gone *guard.GoneError
+		var gone *guard.ClientGoneError
 		if errors.As(err, &gone) {
 			why = router.OrderClientGone
 		}
@@ -56,7 +56,7 @@
 func (l *Loop) maySend(e router.SendToEngine, id string) error {
 	request := guard.Request{Client: e.Origin.Client, Stream: e.Origin.Stream}
 	if e.Origin.Single {
-		if err := l.guard.SendAlone(request); err != nil {
+		if err := l.guard.CheckNoneInFlight(request); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 
 // takeBack: not one byte of a request has left, and what the connection holds back can be taken from it by its end alone.
 func (l *Loop) takeBack(p *peer, request *traffic.Dispatch) {
-	l.guard.NeverRan(request.ID, p.number)
+	l.guard.AttemptNotRun(request.ID, p.number)
 	l.post(router.OrderRefused{Connection: p.number, ID: request.ID, Why: router.OrderLate})
 	l.broken(p, router.PeerNotReading)
 }
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -32,19 +32,19 @@
 
 func (r *Router) awaitFree(l *engineConn) {
 	s := &freeWait{l}
-	l.Open(freeWaitID, s)
+	l.AddPending(freeWaitID, s)
 	r.timers.add(r.now+freeTimeout, s)
 }
 
 // freeOverdue: silence ends the connection.
 func (r *Router) freeOverdue(s *freeWait) {
-	if l := s.conn; r.connections[l.Number] == l && l.Get(freeWaitID) == any(s) {
+	if l := s.conn; r.connections[l.Number] == l && l.Pending(freeWaitID) == any(s) {
 		r.closeConnection(l, CancelTimedOut)
 	}
 }
 
 func (r *Router) connectionFree(l *engineConn) {
-	l.Close(freeWaitID, false, r.now)
+	l.RemovePending(freeWaitID, false, r.now)
 	r.confirmCancellations(l)
 	r.closeIfUnneeded(l)
 }
@@ -60,7 +60,7 @@
 func (r *Router) pickConnection(e *engine, id string) (*engineConn, CloseReason) {
 	c := e.pool.Pick(id, r.multiplexLimit(e))
 	room := len(r.connections)+r.dialing+2 <= r.maxConnections
-	if c != nil && (c.Opened() == 0 && !c.Unread || !room || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
+	if c != nil && (c.PendingCount() == 0 && !c.PeerNotReading || !room || len(e.pool.Connections) >= min(r.connectionsPerEngine, r.maxConnections/(2*max(len(r.engines), 1)))) {
 		return r.connections[c.Number], 0
 	}
 	if e.address == "" {
@@ -92,13 +92,13 @@
 	r.log(Debug, "connected", "engine", l.engine.name, "connection", number, "waiting", len(l.queue))
 	r.dialing--
 	r.timers.stop(l.timer)
-	l.Up, l.Heard = true, r.now
+	l.Up, l.LastReceivedAt = true, r.now
 	r.writable = append(r.writable, l)
 }
 
 func (r *Router) engineWritable(number uint64) {
 	if l := r.connections[number]; l != nil {
-		l.Unread = false
+		l.PeerNotReading = false
 		r.writable = append(r.writable, l)
 	}
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	l.healthCheck = &probe{engine: l.engine, conn: l, tag: probeTag(r.nextNumber())}
-	l.Open(l.healthCheck.tag, l.healthCheck)
+	l.AddPending(l.healthCheck.tag, l.healthCheck)
 	r.timers.add(r.now+r.config.Settings.DialTime, l.healthCheck)
 	r.send(l, l.healthCheck)
 }
@@ -148,7 +148,7 @@
 		return
 	}
 	held := false
-	for _, what := range l.Opens() {
+	for _, what := range l.AllPending() {
 		if d, is := what.(*dispatch); is && d.readingPaused {
 			held = true
 		}
@@ -167,7 +167,7 @@
 		return
 	}
 	switch {
-	case l.Left:
+	case l.StaleAddress:
 		r.closeConnection(l, StaleAddress)
 		return
 	case l.Suspect:
@@ -191,7 +191,7 @@
 	if !l.Idle() {
 		return
 	}
-	if at := l.IdleAt + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
+	if at := l.IdleSince + r.config.Settings.IdleTime*idleCloseFraction; r.now < at {
 		l.timer = r.timers.add(at, l)
 		return
 	}
@@ -211,7 +211,7 @@
 		r.dialing--
 	}
 	l.engine.pool.Remove(l.Connection)
-	open := l.Opens()
+	open := l.AllPending()
 	r.log(Debug, "connection ended", "engine", l.engine.name, "connection", l.Number, "end", end.String(), "open", len(open))
 	var dispatches []*dispatch
 	for _, what := range open {
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -270,7 +270,7 @@
 		"bytes that are no frame":  func(*host) Event { return ClientInvalid{2} },
 		"a frame of no known type": func(h *host) Event { return h.clientFrame(2, standin.EncodeFrame(77, 5, nil, "")) },
 		"a stream that is taken": func(h *host) Event {
-			return h.clientFrame(2, standin.EncodeFrame(clients.Ask, 1, []string{"c", "upload", "i", "00000000000000bb", "d", "900"}, "SELECT 1"))
+			return h.clientFrame(2, standin.EncodeFrame(clients.FrameBatch, 1, []string{"c", "upload", "i", "00000000000000bb", "d", "900"}, "SELECT 1"))
 		},
 	} {
 		h := newHost(t, eastEngine("s-1"))
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -68,14 +68,14 @@
 		return
 	}
 	d.conn = l
-	l.Open(b.id, d)
+	l.AddPending(b.id, d)
 	r.send(l, d)
 }
 
 // send orders what waits for the connection, or lines it up until the connection is there and its engine reads. What is
 // lined up is still ours: it can be taken back, and never ran.
 func (r *Router) send(l *engineConn, what any) {
-	if _, request := what.(*dispatch); !l.Up || request && l.Unread {
+	if _, request := what.(*dispatch); !l.Up || request && l.PeerNotReading {
 		l.queue = append(l.queue, what)
 		return
 	}
@@ -110,7 +110,7 @@
 	if l == nil {
 		return
 	}
-	d, is := l.Get(e.ID).(*dispatch)
+	d, is := l.Pending(e.ID).(*dispatch)
 	if !is || d.ended {
 		return
 	}
@@ -121,7 +121,7 @@
 	case e.Why == OrderInvalid:
 		r.failInvalid(d)
 	case e.Why == OrderUnread:
-		l.Unread = true
+		l.PeerNotReading = true
 		l.queue = append(l.queue, d)
 	default:
 		r.returnUnwritten(d)
@@ -145,7 +145,7 @@
 	d.written = false
 	id, l := d.batch.id, d.conn
 	r.endDispatch(d, outcomesByReason[RouterStopped].unwritten, nil)
-	l.Close(id, false, r.now)
+	l.RemovePending(id, false, r.now)
 	r.closeIfUnneeded(l)
 }
 
@@ -221,12 +221,12 @@
 		if d.written {
 			r.awaitFree(l) // before the close, lest it counts as free
 		}
-		l.Close(id, false, r.now)
+		l.RemovePending(id, false, r.now)
 		r.closeIfUnneeded(l)
 		return
 	}
-	l.Close(id, d.written, r.now)
-	if d.written && l.Heard <= d.writtenAt {
+	l.RemovePending(id, d.written, r.now)
+	if d.written && l.LastReceivedAt <= d.writtenAt {
 		// Nothing came since the fetch was written: what is written next might lie in the same hole for long, as
 		// where a machine is cut off. What comes after goes on a new connection, which proves at once whether the
 		// engine can be reached. It costs a handshake where one was only slow and has no notes to tell.
@@ -244,12 +244,12 @@
 		reply.Rows.Release()
 		return
 	}
-	l.Heard, l.Suspect, l.partialSince = r.now, false, 0
+	l.LastReceivedAt, l.Suspect, l.partialSince = r.now, false, 0
 	if reply.Word == traffic.Free {
 		r.connectionFree(l)
 		return
 	}
-	switch what := l.Get(reply.ID).(type) {
+	switch what := l.Pending(reply.ID).(type) {
 	case *dispatch:
 		r.handleReply(what, reply)
 	case *probe:
@@ -265,7 +265,7 @@
 	l := d.conn
 	r.endDispatch(d, how, d.report)
 	// A second copy may follow: it must not end another dispatch of the batch, were that on this connection.
-	l.Close(d.batch.id, how != brain.Completed && d.batch.client != nil && !l.engine.protocol.Alone, r.now)
+	l.RemovePending(d.batch.id, how != brain.Completed && d.batch.client != nil && !l.engine.protocol.Alone, r.now)
 	r.closeIfUnneeded(l)
 }
 
@@ -383,7 +383,7 @@
 	if d.ended || d.missingPages == 0 {
 		return
 	}
-	if d.conn.Heard <= d.pagesRequestedAt {
+	if d.conn.LastReceivedAt <= d.pagesRequestedAt {
 		r.suspectConnection(d.conn)
 	}
 	d.pageRetryDelay *= 2
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -112,7 +112,7 @@
 func (h *host) checkCounts() {
 	open := map[*engine]int{}
 	for _, l := range h.connections {
-		for _, what := range l.Opens() {
+		for _, what := range l.AllPending() {
 			if d, is := what.(*dispatch); is {
 				open[l.engine]++
 				assert.False(h.t, d.ended)
@@ -133,7 +133,7 @@
 func (h *host) readAnswers(text string) {
 	for len(text) > 0 {
 		size := int(binary.LittleEndian.Uint32([]byte(text)))
-		if stream := binary.LittleEndian.Uint32([]byte(text[5:])); text[4] == clients.Answer {
+		if stream := binary.LittleEndian.Uint32([]byte(text[5:])); text[4] == clients.FrameAnswer {
 			assert.NotContains(h.t, h.answers, stream, "stream answered twice")
 			h.answers[stream] = text[9 : 4+size]
 		}
@@ -156,7 +156,7 @@
 func (h *host) sendBatch(group string, limit int) (uint32, string) {
 	h.lastID++
 	id := fmt.Sprintf("%016x", 240+h.lastID)
-	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.Ask, uint32(h.lastID), []string{"c", group, "i", id, "d", strconv.Itoa(limit)},
+	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.FrameBatch, uint32(h.lastID), []string{"c", group, "i", id, "d", strconv.Itoa(limit)},
 		"SELECT 1 FROM a_3.b")))
 	return uint32(h.lastID), id
 }
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -147,7 +147,7 @@
 	page := strings.Repeat(pathLine, pathRows)
 	return p, func(n int) {
 		id := fmt.Sprintf("%016x", n)
-		p.fromClient(standin.EncodeFrame(clients.Ask, uint32(n+1), []string{"c", "lookup", "i", id, "d", "2000"}, "SELECT a FROM x_3.b"))
+		p.fromClient(standin.EncodeFrame(clients.FrameBatch, uint32(n+1), []string{"c", "lookup", "i", id, "d", "2000"}, "SELECT a FROM x_3.b"))
 		p.fromEngine(fmt.Appendf(nil, "*4\r\n$16\r\n%s\r\n$4\r\nDONE\r\n$23\r\nsheets=1,toil=20,room=8\r\n$%d\r\n%s\r\n", id, len(page), page))
 	}
 }
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -19,7 +19,7 @@
 func (r *Router) sendProbe(e *engine) {
 	p := &probe{engine: e, tag: probeTag(r.nextNumber())}
 	var l *engineConn
-	if c := e.pool.Quiet(r.multiplexLimit(e)); c != nil { // the answer also shows that this connection works
+	if c := e.pool.LongestSilent(r.multiplexLimit(e)); c != nil { // the answer also shows that this connection works
 		l = r.connections[c.Number]
 	} else {
 		l, _ = r.pickConnection(e, p.tag)
@@ -30,7 +30,7 @@
 		return
 	}
 	p.conn = l
-	l.Open(p.tag, p)
+	l.AddPending(p.tag, p)
 	r.timers.add(r.now+r.config.Settings.DialTime, p)
 	r.send(l, p)
 }
@@ -57,6 +57,6 @@
 		r.awaitFree(l)
 		late = false
 	}
-	p.conn.Close(p.tag, late, r.now)
+	p.conn.RemovePending(p.tag, late, r.now)
 	r.closeIfUnneeded(p.conn)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -502,7 +502,7 @@
 func (r *Router) leaveAddress(e *engine) {
 	r.withdrawUnsent(e)
 	for _, c := range slices.Clone(e.pool.Connections) {
-		c.Left = true
+		c.StaleAddress = true
 		r.closeIfUnneeded(r.connections[c.Number])
 	}
 }
@@ -519,7 +519,7 @@
 		for _, what := range slices.Clone(l.queue) {
 			if d, is := what.(*dispatch); is {
 				r.endDispatch(d, outcomesByReason[StaleAddress].unwritten, nil)
-				l.Close(d.batch.id, false, r.now)
+				l.RemovePending(d.batch.id, false, r.now)
 			}
 		}
 		r.closeIfUnneeded(l)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -160,7 +160,7 @@
 	h.deliver(h.clientFrame(2, standin.EncodeFrame(77, 5, nil, "")))
 	assert.Equal(t, answerFailed, h.answers[0])
 	h.deliver(h.clientOpenedEvent(3))
-	frame := standin.EncodeFrame(clients.Ask, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
+	frame := standin.EncodeFrame(clients.FrameBatch, 9, []string{"c", "upload", "i", "00000000000000aa", "d", "900"}, "SELECT 1")
 	h.deliver(h.clientFrame(3, frame))
 	delete(h.answers, 0)
 	h.deliver(h.clientFrame(3, frame))
@@ -298,7 +298,7 @@
 	for name, value := range values {
 		all = append(all, name, value)
 	}
-	h.deliver(h.clientFrame(client, standin.EncodeFrame(clients.Ask, stream, all, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(client, standin.EncodeFrame(clients.FrameBatch, stream, all, "SELECT 1 FROM a_3.b")))
 }
 
 // A client that sends an invalid request gets an error or its connection is closed, and nothing of the request reaches an engine.
@@ -624,7 +624,7 @@
 	h.deliver()
 	p := func() *probe {
 		h.sendProbe(h.engines["s-1"])
-		return h.connections[h.lastNumber].Opens()[0].(*probe)
+		return h.connections[h.lastNumber].AllPending()[0].(*probe)
 	}()
 	h.sessions[p.conn.Number] = engines.Session{}
 	h.deliver(EngineOpened{p.conn.Number})
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -37,7 +37,7 @@
 func (h *host) sendHeavyBatch() (uint32, string) {
 	h.lastID++
 	id := strconv.Itoa(1000000000000000 + h.lastID)
-	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.Ask, uint32(h.lastID), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.FrameBatch, uint32(h.lastID), []string{"c", "upload", "i", id, "d", "9000", "h", "2000"}, "SELECT 1 FROM a_3.b")))
 	return uint32(h.lastID), id
 }
 
@@ -94,7 +94,7 @@
 	number := h.dials[0].Connection
 	h.deliver(EngineOpened{number}, OrderRefused{Connection: number, ID: id, Why: OrderLate}) // the event loop found that its write deadline had passed
 	require.NotContains(t, h.answers, stream)
-	assert.Zero(t, h.connections[number].Opened())
+	assert.Zero(t, h.connections[number].PendingCount())
 	first := h.lastCreditRequest().Number
 	h.advance(0.2)
 	again := h.lastCreditRequest()
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -52,7 +52,7 @@
 		return true
 	}
 	r.sendOrder(l, traffic.AskPage{ID: d.batch.id, Page: confirmationPage})
-	l.Suspect = l.Suspect || l.Heard <= d.writtenAt
+	l.Suspect = l.Suspect || l.LastReceivedAt <= d.writtenAt
 	return true
 }
 
@@ -71,7 +71,7 @@
 // confirmCancellations ends the cancelled dispatches of a connection that carries one batch at a time, after its engine has shown
 // that it has ended them.
 func (r *Router) confirmCancellations(l *engineConn) {
-	for _, open := range l.Opens() {
+	for _, open := range l.AllPending() {
 		if d, is := open.(*dispatch); is && d.cancelled {
 			r.finishCancellation(d, d.cancelledAs)
 		}
@@ -86,7 +86,7 @@
 	r.log(Info, "engine has not shown that an attempt is given up", "id", d.batch.id, "no", d.number, "engine", d.engine.name,
 		"connection", d.conn.Number)
 	l := d.conn
-	silent := l.Heard <= d.writtenAt
+	silent := l.LastReceivedAt <= d.writtenAt
 	r.finishCancellation(d, brain.Unconfirmed)
 	if silent && r.connections[l.Number] == l {
 		r.suspectConnection(l)
@@ -97,7 +97,7 @@
 func (r *Router) finishCancellation(d *dispatch, ending brain.Outcome) {
 	l := d.conn
 	r.endDispatch(d, ending, d.report)
-	l.Close(d.batch.id, true, r.now)
+	l.RemovePending(d.batch.id, true, r.now)
 	r.closeIfUnneeded(l)
 }
 
--- a/internal/router/withdrawal_test.go
+++ b/internal/router/withdrawal_test.go
@@ -20,7 +20,7 @@
 	h = newHostWith(t, strings.Replace(patient, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-probe":true,`, 1), eastEngine("s-1"), other)
 	stream, id = 1, "00000000000000f1"
 	fields := []string{"c", "lookup", "i", id, "d", "4000", "h", "20"} // so little work that the attempt is soon overdue
-	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.Ask, stream, fields, "SELECT 1 FROM a_3.b")))
+	h.deliver(h.clientFrame(1, standin.EncodeFrame(clients.FrameBatch, stream, fields, "SELECT 1 FROM a_3.b")))
 	connection = h.connectLast()
 	for !strings.Contains(h.written[connection], "abort\r\n$16\r\n"+id) {
 		require.Less(t, h.now, 104.0, "the attempt is never cancelled")
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -164,7 +164,7 @@
 		protocols[i] = resp
 		if e.Protocol == "tds" {
 			protocols[i] = (&tds.Access{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
-				Program: "pitchfield", Packet: e.Packet, Probe: e.Probe, Load: e.Load, TurnedAway: e.TurnedAway}).Protocol()
+				Program: "pitchfield", Packet: e.PacketSize, Probe: e.ProbeStatement, Load: e.LoadStatement, TurnedAway: e.RejectionCodes}).Protocol()
 		}
 	}
 	return func(e directory.Engine) *traffic.EngineProtocol {
