--- a/cmd/pitchfield/syscalls_test.go
+++ b/cmd/pitchfield/syscalls_test.go
@@ -108,7 +108,7 @@
 		syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscallfault.ShortTransfer),
 	few("epoll add", anywhere, syscallfault.Rule{Call: syscallfault.EpollCtl, Target: syscallfault.Stream, Operation: unix.EPOLL_CTL_ADD},
 		syscall.ENOMEM, syscall.ENOSPC),
-	few("wake", anywhere, syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NoSocket}, syscall.EINTR),
+	few("wake", anywhere, syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NonSocket}, syscall.EINTR),
 	few("poll", anywhere, syscallfault.Rule{Call: syscallfault.EpollPwait}, syscall.EINTR),
 	few("socket", anywhere, syscallfault.Rule{Call: syscallfault.Socket}, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM),
 	few("connect", anywhere, syscallfault.Rule{Call: syscallfault.Connect}, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS),
--- a/internal/buffers/buffers.go
+++ b/internal/buffers/buffers.go
@@ -8,17 +8,17 @@
 
 // Pool hands out buffers and takes them back. It belongs to one event loop.
 type Pool struct {
-	Keep int // buffers that wait to be used again, at most
+	MaxFree int // buffers that wait to be used again, at most
 
-	free [][]byte
-	used int
+	free  [][]byte
+	inUse int
 }
 
-// Used tells how many buffers are out.
-func (p *Pool) Used() int { return p.used }
+// InUse tells how many buffers are out.
+func (p *Pool) InUse() int { return p.inUse }
 
 func (p *Pool) get() []byte {
-	p.used++
+	p.inUse++
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -28,18 +28,18 @@
 }
 
 func (p *Pool) put(b []byte) {
-	p.used--
-	if len(p.free) < p.Keep { // what a burst needed beyond that goes back to the collector
+	p.inUse--
+	if len(p.free) < p.MaxFree { // what a burst needed beyond that goes back to the collector
 		p.free = append(p.free, b[:0])
 	}
 }
 
 // Chain is a message or a stream of any length in pooled buffers. Whoever holds it releases it.
 type Chain struct {
-	pool  *Pool
-	parts [][]byte // the whole buffers
-	from  int      // bytes of the first that are read already
-	size  int
+	pool       *Pool
+	parts      [][]byte // the whole buffers
+	readOffset int      // bytes of the first that are read already
+	size       int
 }
 
 // Chain gives an empty chain.
@@ -79,7 +79,7 @@
 	out := make([][]byte, 0, len(c.parts))
 	for i, b := range c.parts {
 		if i == 0 {
-			b = b[c.from:]
+			b = b[c.readOffset:]
 		}
 		if len(b) > 0 {
 			out = append(out, b)
@@ -95,7 +95,7 @@
 	}
 	for i, b := range o.parts {
 		if i == 0 {
-			b = b[o.from:]
+			b = b[o.readOffset:]
 		}
 		c.Write(b)
 	}
@@ -103,7 +103,7 @@
 
 // Peek copies bytes from an offset on, without reading them; it tells how many there were.
 func (c *Chain) Peek(at int, into []byte) int {
-	at += c.from
+	at += c.readOffset
 	n := 0
 	for i := at / Size; i < len(c.parts) && n < len(into); i++ { // only the last part may be short
 		b := c.parts[i]
@@ -134,14 +134,14 @@
 func (c *Chain) Discard(n int) {
 	n = min(n, c.size)
 	c.size -= n
-	c.from += n
-	for len(c.parts) > 0 && (c.from >= Size || c.size == 0) {
-		c.from = max(c.from-Size, 0)
+	c.readOffset += n
+	for len(c.parts) > 0 && (c.readOffset >= Size || c.size == 0) {
+		c.readOffset = max(c.readOffset-Size, 0)
 		c.pool.put(c.parts[0])
 		c.parts = c.parts[1:]
 	}
 	if c.size == 0 {
-		c.from, c.parts = 0, nil
+		c.readOffset, c.parts = 0, nil
 	}
 }
 
@@ -152,7 +152,7 @@
 	for left, i := n, 0; left > 0; i++ {
 		b := c.parts[i]
 		if i == 0 {
-			b = b[c.from:]
+			b = b[c.readOffset:]
 		}
 		took := min(left, len(b))
 		out.Write(b[:took])
@@ -177,22 +177,22 @@
 }
 
 // Reader reads the chain byte by byte and leaves it as it is.
-func (c *Chain) Reader() *Reader { return &Reader{c: c, at: c.from} }
+func (c *Chain) Reader() *Reader { return &Reader{chain: c, offset: c.readOffset} }
 
 // Reader reads a chain.
 type Reader struct {
-	c        *Chain
-	part, at int
+	chain        *Chain
+	part, offset int
 }
 
 // ReadByte gives the next byte.
 func (r *Reader) ReadByte() (byte, error) {
-	for r.part < len(r.c.parts) {
-		if b := r.c.parts[r.part]; r.at < len(b) {
-			r.at++
-			return b[r.at-1], nil
+	for r.part < len(r.chain.parts) {
+		if b := r.chain.parts[r.part]; r.offset < len(b) {
+			r.offset++
+			return b[r.offset-1], nil
 		}
-		r.part, r.at = r.part+1, 0
+		r.part, r.offset = r.part+1, 0
 	}
 	return 0, io.EOF
 }
@@ -217,7 +217,7 @@
 		b := c.parts[last]
 		start := 0
 		if last == 0 {
-			start = c.from
+			start = c.readOffset
 		}
 		took := min(over, len(b)-start)
 		c.parts[last] = b[:len(b)-took]
--- a/internal/buffers/buffers_test.go
+++ b/internal/buffers/buffers_test.go
@@ -11,7 +11,7 @@
 )
 
 // A chain does what one long slice would, across the edges of its buffers.
-func TestAChainIsOneLongText(t *testing.T) {
+func TestChainBehavesLikeOneSlice(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	pool := &Pool{}
 	c, want := pool.Chain(), []byte{}
@@ -54,7 +54,7 @@
 	assert.True(t, bytes.Equal(want, read))
 	c.Release()
 	c.Release()
-	assert.Zero(t, pool.Used())
+	assert.Zero(t, pool.InUse())
 }
 
 type readAll struct{ io.ByteReader }
--- a/internal/clients/frames_test.go
+++ b/internal/clients/frames_test.go
@@ -49,7 +49,7 @@
 		assert.Equal(t, traffic.Batch{ID: "00000000000000f1", Group: "lookup", Left: 1.5, Memory: 96}, a.Batch)
 		assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: 7}, traffic.AskReady{Stream: 8}, traffic.Unusable{Stream: 4}}, four[1:])
 	}
-	assert.Zero(t, pool.Used(), "all buffers are back")
+	assert.Zero(t, pool.InUse(), "all buffers are back")
 }
 
 func TestMalformedFrameIsAnError(t *testing.T) {
@@ -128,6 +128,6 @@
 			}
 		}
 		in.Release()
-		assert.Zero(t, pool.Used())
+		assert.Zero(t, pool.InUse())
 	})
 }
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -355,7 +355,7 @@
 	s := n.sim
 	n.life++
 	n.up, n.open, n.conns, n.armed, n.stream, n.client = true, map[uint32]*batch{}, map[uint64]*conn{}, false, 0, 0
-	n.pool = &buffers.Pool{Keep: 16}
+	n.pool = &buffers.Pool{MaxFree: 16}
 	c := config.Config{Name: fmt.Sprintf("n%d", n.index+1), Seed: s.options.Seed<<16 ^ uint64(n.index)<<8 ^ uint64(n.life),
 		Descriptors: 1 << 14, KnownEngines: s.names.list(s.now - s.world.ListDelay), Settings: s.told(n.index)}
 	n.router = router.New(c, func(directory.Engine) *traffic.EngineProtocol { return engineProtocol }, n.pool, s.now)
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -35,7 +35,7 @@
 	load := &brain.Report{InFlight: -1, Waiting: 3, CPU: -1, Memory: 0.25, Disks: -1}
 	assert.Equal(t, &traffic.Reply{ID: "f1", Word: traffic.Done, Pages: 2, Page: -1, Work: 0.12, Memory: 5, Load: load}, got[0])
 	assert.Equal(t, traffic.Full, got[1].Word)
-	assert.Zero(t, pool.Used())
+	assert.Zero(t, pool.InUse())
 }
 
 func TestMalformedReplyIsAnError(t *testing.T) {
@@ -91,6 +91,6 @@
 			r.Rows.Release()
 		}
 		in.Release()
-		assert.Zero(t, pool.Used())
+		assert.Zero(t, pool.InUse())
 	})
 }
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	mostWaiting = 4 << 20 // bytes of lines that wait; what comes beyond is dropped and counted
-	tryAgain    = 20 * time.Millisecond
+	maxPendingBytes = 4 << 20 // bytes of lines that wait; what comes beyond is dropped and counted
+	retryInterval   = 20 * time.Millisecond
 )
 
 // Writer is a zapcore.WriteSyncer.
 type Writer struct {
-	to   io.Writer
-	most int
-	more chan struct{} // there is something to write, or an end
-	idle chan struct{} // closed once Close was called and all is written
+	output     io.Writer
+	maxPending int
+	wakeup     chan struct{} // there is something to write, or an end
+	done       chan struct{} // closed once Close was called and all is written
 
 	mutex   sync.Mutex // of what follows
-	waiting []byte
+	pending []byte
 	dropped int // lines, since that was last told
 	closed  bool
 }
 
 // New begins to write to a file, mostly standard error. Whoever writes to a pipe has to ignore SIGPIPE.
-func New(to io.Writer) *Writer { return newWriter(to, mostWaiting) }
+func New(to io.Writer) *Writer { return newWriter(to, maxPendingBytes) }
 
 func newWriter(to io.Writer, most int) *Writer {
-	w := &Writer{to: to, most: most, more: make(chan struct{}, 1), idle: make(chan struct{})}
+	w := &Writer{output: to, maxPending: most, wakeup: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -41,10 +41,10 @@
 // Write takes a line. It never waits and never fails; a line that has no room is dropped whole.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mutex.Lock()
-	if len(w.waiting)+len(line) > w.most || w.closed {
+	if len(w.pending)+len(line) > w.maxPending || w.closed {
 		w.dropped++
 	} else {
-		w.waiting = append(w.waiting, line...)
+		w.pending = append(w.pending, line...)
 	}
 	w.mutex.Unlock()
 	w.signal()
@@ -61,33 +61,33 @@
 	w.mutex.Unlock()
 	w.signal()
 	select {
-	case <-w.idle:
+	case <-w.done:
 	case <-time.After(within):
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return len(w.waiting)
+	return len(w.pending)
 }
 
 func (w *Writer) signal() {
 	select {
-	case w.more <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func (w *Writer) run() {
 	var lines []byte
-	for range w.more {
+	for range w.wakeup {
 		for {
-			lines = w.take(lines[:0])
+			lines = w.takePending(lines[:0])
 			if len(lines) == 0 {
 				break
 			}
 			w.write(lines)
 		}
 		if w.finished() {
-			close(w.idle)
+			close(w.done)
 			return
 		}
 	}
@@ -96,15 +96,15 @@
 func (w *Writer) finished() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.closed && len(w.waiting) == 0
+	return w.closed && len(w.pending) == 0
 }
 
-// take gives the lines that wait, with one behind them that tells how many were dropped since.
-func (w *Writer) take(into []byte) []byte {
+// takePending gives the lines that wait, with one behind them that tells how many were dropped since.
+func (w *Writer) takePending(into []byte) []byte {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	into = append(into, w.waiting...)
-	w.waiting = w.waiting[:0]
+	into = append(into, w.pending...)
+	w.pending = w.pending[:0]
 	if w.dropped > 0 {
 		into = fmt.Appendf(into, "{\"level\":\"warn\",\"ts\":%.3f,\"msg\":\"lines of the log were dropped, it could not be written\",\"lines\":%d}\n",
 			float64(time.Now().UnixMilli())/1e3, w.dropped)
@@ -116,7 +116,7 @@
 // write writes lines, whatever it takes; lines that come meanwhile wait. Where nobody reads any more they are dropped.
 func (w *Writer) write(lines []byte) {
 	for len(lines) > 0 {
-		n, err := w.to.Write(lines)
+		n, err := w.output.Write(lines)
 		lines = lines[n:]
 		switch {
 		case err == nil:
@@ -126,7 +126,7 @@
 			if w.isClosed() {
 				return
 			}
-			time.Sleep(tryAgain)
+			time.Sleep(retryInterval)
 		}
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -223,8 +223,8 @@
 		return l.acceptedLate(s, speaks)
 	}
 	p := &peer{loop: l, kind: toClient, number: l.numbers, stream: s, in: l.pool.Chain(), client: speaks.New()}
-	s.Handle(p)
-	s.Drain() // one that has gone must be known to have gone before anything is decided
+	s.SetHandler(p)
+	s.EnableDrain() // one that has gone must be known to have gone before anything is decided
 	l.clients[p.number] = p
 	l.guard.ClientOpened(p.number)
 	p.opening = true
@@ -240,7 +240,7 @@
 // engineThere begins to speak on a new connection to an engine.
 func (l *Loop) engineThere(s *reactor.Stream, e router.Dial) {
 	p := &peer{loop: l, kind: toEngine, number: e.Connection, stream: s, in: l.pool.Chain(), speaks: e.Protocol, engine: e.Protocol.New()}
-	s.Handle(p)
+	s.SetHandler(p)
 	l.engines[p.number] = p
 	l.guard.EngineConnected(p.number)
 	up := p.engine.Open(l.owed)
@@ -365,7 +365,7 @@
 			l.post(router.EngineReplyStarted{Connection: p.number})
 		}
 	}
-	if l.here(p) && p.in.Len() > buffers.Size && l.pool.Used()*buffers.Size > l.mostHeld {
+	if l.here(p) && p.in.Len() > buffers.Size && l.pool.InUse()*buffers.Size > l.mostHeld {
 		l.broken(p, router.BufferLimitExceeded)
 	}
 }
@@ -433,7 +433,7 @@
 		return
 	}
 	l.log.Warn("connection ended", zap.Uint64("connection", p.number), zap.Stringer("kind", p.kind),
-		zap.Stringer("end", end), zap.Int("unread", p.unread), zap.Int("held", l.pool.Used()*buffers.Size))
+		zap.Stringer("end", end), zap.Int("unread", p.unread), zap.Int("held", l.pool.InUse()*buffers.Size))
 	l.end(p, end)
 	if p.kind == toEngine {
 		l.post(router.EngineEnded{Connection: p.number, End: end})
@@ -476,7 +476,7 @@
 func (l *Loop) decideSoon() {
 	if !l.armed {
 		l.armed = true
-		l.reactor.Soon(l.turnEnded)
+		l.reactor.Defer(l.turnEnded)
 	}
 }
 
@@ -560,7 +560,7 @@
 func (l *Loop) bound() {
 	l.mostUnread, l.mostHeld = share(unreadShare, l.config), share(wholeShare, l.config)
 	l.peerUnread = min(peerUnread, share(peerShare, l.config))
-	l.pool.Keep = share(freeShare, l.config) / buffers.Size
+	l.pool.MaxFree = share(freeShare, l.config) / buffers.Size
 }
 
 // flushed ends the loop once no client lingers any more, or nobody reads what waits for them.
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -13,7 +13,7 @@
 func TestBoundsAreSharesOfTheSmallestLimit(t *testing.T) {
 	l := &Loop{pool: &buffers.Pool{}, config: config.Config{MemoryMB: 32}}
 	l.bound()
-	assert.Less(t, l.mostHeld+l.mostUnread+l.pool.Keep*buffers.Size, 20<<20)
+	assert.Less(t, l.mostHeld+l.mostUnread+l.pool.MaxFree*buffers.Size, 20<<20)
 	assert.Less(t, l.peerUnread, l.mostUnread)
 	l.config.MemoryMB = 192
 	l.bound()
--- a/internal/loop/names.go
+++ b/internal/loop/names.go
@@ -20,11 +20,11 @@
 // nameSockets are the sockets to the name service. Questions go out by the present one. An answer may still come to one
 // before it: a slow service would never be heard if each socket that was silent for a second were closed.
 type nameSockets struct {
-	present *reactor.Datagrams
-	former  []*reactor.Datagrams // the oldest first
+	present *reactor.DatagramSocket
+	former  []*reactor.DatagramSocket // the oldest first
 }
 
-func (n *nameSockets) all() []*reactor.Datagrams {
+func (n *nameSockets) all() []*reactor.DatagramSocket {
 	if n.present == nil {
 		return slices.Clone(n.former)
 	}
@@ -36,7 +36,7 @@
 	if l.moves != number {
 		return
 	}
-	var socket *reactor.Datagrams
+	var socket *reactor.DatagramSocket
 	socket, err := l.reactor.ConnectDatagrams(resolver, func(data []byte, _ netip.AddrPort) { l.namesSaid(socket, data) })
 	if err != nil {
 		l.log.Warn("no socket to the name service", zap.Error(err))
@@ -62,7 +62,7 @@
 }
 
 // useNames sends questions by another socket from now on.
-func (l *Loop) useNames(socket *reactor.Datagrams) {
+func (l *Loop) useNames(socket *reactor.DatagramSocket) {
 	if old := l.names.present; old != nil {
 		l.names.former = append(l.names.former, old)
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-func (l *Loop) namesSaid(socket *reactor.Datagrams, data []byte) {
+func (l *Loop) namesSaid(socket *reactor.DatagramSocket, data []byte) {
 	id, list, err := directory.ParseResponse(data)
 	if err != nil {
 		l.log.Warn("answer of the name service can't be read", zap.Error(err), zap.Int("bytes", len(data)))
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -38,7 +38,7 @@
 
 type talker struct {
 	Talk
-	socket *reactor.Datagrams
+	socket *reactor.DatagramSocket
 	begun  bool
 	talked Talked
 	told   time.Time // when a line last said that something was dropped
--- a/internal/reactor/dial.go
+++ b/internal/reactor/dial.go
@@ -13,55 +13,55 @@
 	"pitchfield/internal/transient"
 )
 
-const tries = 3 // of a call that sets an option, which may fail for a moment
+const maxAttempts = 3 // of a call that sets an option, which may fail for a moment
 
 // Dialing is a connection that is being made.
 type Dialing struct {
 	registration
-	reactor *Reactor
-	to      unix.Sockaddr
-	by      time.Time
-	done    func(*Stream, error)
-	timer   *time.Timer
-	lastErr error // of the try before
-	over    bool
+	reactor  *Reactor
+	target   unix.Sockaddr
+	deadline time.Time
+	done     func(*Stream, error)
+	timer    *time.Timer
+	lastErr  error // of the try before
+	finished bool
 }
 
 // Dial makes a connection to an IP address and port. Done is called on the loop, once: with the stream, which has no handler
 // yet, or with an error; os.ErrDeadlineExceeded where it did not come up in time. What the system is short of is tried again
 // until then.
 func (r *Reactor) Dial(address string, within time.Duration, done func(*Stream, error)) *Dialing {
-	d := &Dialing{registration: registration{fd: -1}, reactor: r, by: time.Now().Add(within), done: done}
+	d := &Dialing{registration: registration{fd: -1}, reactor: r, deadline: time.Now().Add(within), done: done}
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		resolved, err := net.ResolveTCPAddr("tcp", address)
 		if err != nil {
-			r.Soon(func() { d.finish(nil, fmt.Errorf("dial: %w", err)) })
+			r.Defer(func() { d.finish(nil, fmt.Errorf("dial: %w", err)) })
 			return d
 		}
 		to = resolved.AddrPort()
 	}
-	d.to = socketAddress(to)
+	d.target = socketAddress(to)
 	d.timer = time.AfterFunc(within, func() { r.Post(d.timedOut) })
-	r.Soon(d.begin)
+	r.Defer(d.start)
 	return d
 }
 
 // Cancel gives it up. Done is not called any more.
 func (d *Dialing) Cancel() {
-	if d.over {
+	if d.finished {
 		return
 	}
-	d.over = true
+	d.finished = true
 	if d.timer != nil {
 		d.timer.Stop()
 	}
-	d.drop()
+	d.closeSocket()
 }
 
-func (d *Dialing) drop() {
+func (d *Dialing) closeSocket() {
 	if d.fd >= 0 {
-		d.reactor.forget(d)
+		d.reactor.closeDescriptor(d)
 	}
 }
 
@@ -74,68 +74,68 @@
 }
 
 func (d *Dialing) finish(s *Stream, err error) {
-	if d.over {
+	if d.finished {
 		return
 	}
 	if s == nil {
-		d.drop()
+		d.closeSocket()
 	}
-	d.over = true
+	d.finished = true
 	if d.timer != nil {
 		d.timer.Stop()
 	}
 	d.done(s, err)
 }
 
-// later begins again with a new socket.
-func (d *Dialing) later(call string, err error) {
-	d.reactor.failed(call, err)
+// retryLater begins again with a new socket.
+func (d *Dialing) retryLater(call string, err error) {
+	d.reactor.reportFailure(call, err)
 	d.lastErr = err
-	d.drop()
-	time.AfterFunc(retryEvery, func() { d.reactor.Post(d.begin) })
+	d.closeSocket()
+	time.AfterFunc(retryInterval, func() { d.reactor.Post(d.start) })
 }
 
-func (d *Dialing) begin() {
-	if d.over {
+func (d *Dialing) start() {
+	if d.finished {
 		return
 	}
-	fd, err := newSocket(unix.SOCK_STREAM, d.to)
+	fd, err := newSocket(unix.SOCK_STREAM, d.target)
 	if err != nil {
-		d.later("socket", err)
+		d.retryLater("socket", err)
 		return
 	}
-	d.registration = registration{fd: fd, wanted: allEvents}
-	noDelay(fd)
-	keepUnsent(fd)
+	d.registration = registration{fd: fd, interest: allEvents}
+	setNoDelay(fd)
+	setNotSentLowWatermark(fd)
 	d.connect()
 }
 
 func (d *Dialing) connect() {
-	err := unix.Connect(d.fd, d.to)
+	err := unix.Connect(d.fd, d.target)
 	switch {
 	case err == nil, errors.Is(err, unix.EINPROGRESS), errors.Is(err, unix.EALREADY), errors.Is(err, unix.EINTR), errors.Is(err, unix.EISCONN):
 		d.lastErr = nil
 		d.reactor.add(d) // whether it is connected is seen there
 	case transient.Is(err):
-		d.later("connect", err)
+		d.retryLater("connect", err)
 	default:
 		d.finish(nil, err)
 	}
 }
 
-func (d *Dialing) ready(uint32) { d.again() }
+func (d *Dialing) handleEvents(uint32) { d.tryIO() }
 
-// again looks whether the connection is up.
-func (d *Dialing) again() {
+// tryIO looks whether the connection is up.
+func (d *Dialing) tryIO() {
 	d.reactor.progress = true
 	number, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
-		d.reactor.failed("getsockopt", err) // epoll tells it again
+		d.reactor.reportFailure("getsockopt", err) // epoll tells it again
 		return
 	}
 	if refused := unix.Errno(number); number != 0 {
 		if transient.Is(refused) {
-			d.later("connect", refused)
+			d.retryLater("connect", refused)
 		} else {
 			d.finish(nil, refused)
 		}
@@ -145,17 +145,17 @@
 		if !d.added { // epoll could not be told, and this is a mere look
 			return
 		}
-		d.later("connect", err) // the system call was interrupted before it began
+		d.retryLater("connect", err) // the system call was interrupted before it began
 		return
 	}
-	d.up()
+	d.handOver()
 }
 
-// up hands the descriptor over to a stream.
-func (d *Dialing) up() {
+// handOver hands the descriptor over to a stream.
+func (d *Dialing) handOver() {
 	s := &Stream{registration: d.registration, reactor: d.reactor}
-	s.wanted = readEvents
-	delete(d.reactor.unsettled, d)
+	s.interest = readEvents
+	delete(d.reactor.pendingRetry, d)
 	d.closed = true // it is the stream's now
 	d.finish(s, nil)
 	if !s.closed {
@@ -187,14 +187,14 @@
 	return &unix.SockaddrInet6{Port: int(to.Port()), Addr: to.Addr().As16()}
 }
 
-func noDelay(fd int) { option(fd, unix.TCP_NODELAY) }
+func setNoDelay(fd int) { setTCPOption(fd, unix.TCP_NODELAY) }
 
-// keepUnsent has the system take no more bytes for a connection than it can send: what a peer's window does not let out stays
+// setNotSentLowWatermark has the system take no more bytes for a connection than it can send: what a peer's window does not let out stays
 // with us. Where the option is missing the system holds back some, and all else is as with it.
-func keepUnsent(fd int) { option(fd, unix.TCP_NOTSENT_LOWAT) }
+func setNotSentLowWatermark(fd int) { setTCPOption(fd, unix.TCP_NOTSENT_LOWAT) }
 
-func option(fd, name int) {
-	for range tries {
+func setTCPOption(fd, name int) {
+	for range maxAttempts {
 		if unix.SetsockoptInt(fd, unix.IPPROTO_TCP, name, 1) == nil {
 			return
 		}
--- a/internal/reactor/errors.go
+++ b/internal/reactor/errors.go
@@ -16,21 +16,21 @@
 	unix.ESHUTDOWN: true, unix.EBADF: true, unix.ENOTSOCK: true,
 }
 
-// over tells whether an error says that the connection has ended. Else the call can be done again.
-func over(err error) bool {
+// endsConnection tells whether an error says that the connection has ended. Else the call can be done again.
+func endsConnection(err error) bool {
 	var number syscall.Errno
 	return !errors.As(err, &number) || connectionErrors[number]
 }
 
-// failed reports an error of a system call that is not the ordinary 'not ready'. The call is done again.
-func (r *Reactor) failed(call string, err error) {
+// reportFailure reports an error of a system call that is not the ordinary 'not ready'. The call is done again.
+func (r *Reactor) reportFailure(call string, err error) {
 	if errors.Is(err, unix.EAGAIN) {
 		return
 	}
 	r.failures++
-	r.stuck = true
-	if r.observe != nil {
-		r.observe(Failure{Call: call, Err: err})
+	r.callFailed = true
+	if r.onFailure != nil {
+		r.onFailure(Failure{Call: call, Err: err})
 	}
 }
 
--- a/internal/reactor/listener.go
+++ b/internal/reactor/listener.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	backlog     = 4096 // the system cuts it to its own bound
-	mostAccepts = 16   // in a row: the others wait
+	listenBacklog     = 4096 // the system cuts it to its own bound
+	maxAcceptsPerCall = 16   // in a row: the others wait
 )
 
 // listener is a TCP listener.
 type listener struct {
 	registration
 	reactor  *Reactor
-	accepted func(*Stream) StreamHandler
+	onAccept func(*Stream) StreamHandler
 	closing  bool // once nothing waits to be accepted
 }
 
@@ -31,16 +31,16 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	fd, err := bound(unix.SOCK_STREAM, socketAddress(to.AddrPort()))
+	fd, err := bindSocket(unix.SOCK_STREAM, socketAddress(to.AddrPort()))
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) //nolint:errcheck // accepted ones are set again
-	if err := transient.Retry(startWithin, func() error { return unix.Listen(fd, backlog) }); err != nil {
+	if err := transient.Retry(startTimeout, func() error { return unix.Listen(fd, listenBacklog) }); err != nil {
 		unix.Close(fd)
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
-	l := &listener{registration: registration{fd: fd, wanted: unix.EPOLLIN}, reactor: r, accepted: accepted}
+	l := &listener{registration: registration{fd: fd, interest: unix.EPOLLIN}, reactor: r, onAccept: accepted}
 	r.listeners = append(r.listeners, l)
 	r.add(l)
 	return nil
@@ -51,7 +51,7 @@
 func (r *Reactor) StopListening() {
 	for _, l := range r.listeners {
 		l.closing = true
-		l.again()
+		l.tryIO()
 	}
 }
 
@@ -65,9 +65,9 @@
 	return false
 }
 
-// bound gives a socket at a local address, which other sockets may share.
-func bound(kind int, address unix.Sockaddr) (fd int, err error) {
-	err = transient.Retry(startWithin, func() error {
+// bindSocket gives a socket at a local address, which other sockets may share.
+func bindSocket(kind int, address unix.Sockaddr) (fd int, err error) {
+	err = transient.Retry(startTimeout, func() error {
 		fd, err = newSocket(kind, address)
 		if err != nil {
 			return err
@@ -82,11 +82,11 @@
 	return fd, err
 }
 
-func (l *listener) ready(uint32) { l.again() }
+func (l *listener) handleEvents(uint32) { l.tryIO() }
 
-// again accepts what is there. An error of accept is of one connection that has gone, or of this moment: the next try tells.
-func (l *listener) again() {
-	for range mostAccepts {
+// tryIO accepts what is there. An error of accept is of one connection that has gone, or of this moment: the next try tells.
+func (l *listener) tryIO() {
+	for range maxAcceptsPerCall {
 		if l.closed {
 			return
 		}
@@ -94,26 +94,26 @@
 		switch {
 		case err == nil:
 			l.reactor.progress = true
-			l.open(fd)
+			l.handleAccepted(fd)
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 		case errors.Is(err, unix.EAGAIN):
 			if l.closing {
-				l.reactor.forget(l)
+				l.reactor.closeDescriptor(l)
 			}
 			return
 		default:
-			l.reactor.failed("accept4", err)
-			l.later()
+			l.reactor.reportFailure("accept4", err)
+			l.retryClosing()
 			return
 		}
 	}
-	l.later()
+	l.retryClosing()
 }
 
-// later has a listener that closes try again, also where epoll has nothing to tell.
-func (l *listener) later() {
+// retryClosing has a listener that closes try again, also where epoll has nothing to tell.
+func (l *listener) retryClosing() {
 	if l.closing {
-		time.AfterFunc(retryEvery, func() { l.reactor.Post(l.again) })
+		time.AfterFunc(retryInterval, func() { l.reactor.Post(l.tryIO) })
 	}
 }
 
@@ -127,10 +127,10 @@
 	return int(fd), nil
 }
 
-func (l *listener) open(fd int) {
-	noDelay(fd)
+func (l *listener) handleAccepted(fd int) {
+	setNoDelay(fd)
 	s := l.reactor.newStream(fd, nil)
-	if s.handler = l.accepted(s); s.handler == nil {
+	if s.handler = l.onAccept(s); s.handler == nil {
 		s.Close()
 		return
 	}
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -18,66 +18,66 @@
 )
 
 const (
-	mostEvents  = 256
-	startWithin = 3 * time.Second      // for a call at a start that fails for a moment
-	retryEvery  = 2 * time.Millisecond // how soon a call that could not be done is done again
-	readEvents  = unix.EPOLLIN | unix.EPOLLRDHUP
-	allEvents   = readEvents | unix.EPOLLOUT
-	endEvents   = unix.EPOLLERR | unix.EPOLLHUP
+	maxEventsPerWait = 256
+	startTimeout     = 3 * time.Second      // for a call at a start that fails for a moment
+	retryInterval    = 2 * time.Millisecond // how soon a call that could not be done is done again
+	readEvents       = unix.EPOLLIN | unix.EPOLLRDHUP
+	allEvents        = readEvents | unix.EPOLLOUT
+	closeEvents      = unix.EPOLLERR | unix.EPOLLHUP
 )
 
 // pollable is a descriptor on the loop.
 type pollable interface {
 	// ready is called with the epoll events that hold.
-	ready(events uint32)
+	handleEvents(events uint32)
 	// again is called where epoll could not be told what is wanted: it tries all that may be possible.
-	again()
-	entry() *registration
+	tryIO()
+	epollRegistration() *registration
 }
 
 // registration is what epoll should know of a descriptor, and what it does know.
 type registration struct {
-	fd     int
-	wanted uint32
-	known  uint32 // 0 with added false: nothing
-	added  bool
-	closed bool
+	fd         int
+	interest   uint32
+	registered uint32 // 0 with added false: nothing
+	added      bool
+	closed     bool
 }
 
-func (g *registration) entry() *registration { return g }
+func (g *registration) epollRegistration() *registration { return g }
 
 // Reactor is the event loop.
 type Reactor struct {
 	epoll, wakeup int
 	byFD          map[int]pollable
 	listeners     []*listener
-	unsettled     map[pollable]struct{} // epoll could not be told what is wanted of them, or a call has to be done again
-	buffer        []byte                // to read into
-	observe       func(Failure)
+	pendingRetry  map[pollable]struct{} // epoll could not be told what is wanted of them, or a call has to be done again
+	readBuffer    []byte                // to read into
+	onFailure     func(Failure)
 	failures      int
 	progress      bool // something was done in this round,
-	stuck         bool // or a call failed that is done again
+	callFailed    bool // or a call failed that is done again
 	stopped       bool
 
-	soon []func() // by the loop itself
+	deferred []func() // by the loop itself
 
-	mutex  sync.Mutex // of what follows
-	posted []func()
-	woken  bool // the wakeup descriptor has been written since tasks ran last
-	over   bool // the descriptors are closed, their numbers may be somebody else's
+	mutex      sync.Mutex // of what follows
+	posted     []func()
+	wakeupSent bool // the wakeup descriptor has been written since tasks ran last
+	closed     bool // the descriptors are closed, their numbers may be somebody else's
 }
 
 // New makes a loop. Failures of system calls that are not ordinary are told to observe, on the loop; nil: to nobody.
 func New(readSize int, observe func(Failure)) (*Reactor, error) {
-	r := &Reactor{byFD: map[int]pollable{}, unsettled: map[pollable]struct{}{}, buffer: make([]byte, readSize), observe: observe}
-	err := transient.Retry(startWithin, func() (err error) {
+	r := &Reactor{byFD: map[int]pollable{}, pendingRetry: map[pollable]struct{}{}, readBuffer: make([]byte, readSize), onFailure: observe}
+	err := transient.Retry(startTimeout, func() (err error) {
 		r.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 		return err
 	})
 	if err != nil {
 		return nil, fmt.Errorf("epoll_create1: %w", err)
 	}
-	err = transient.Retry(startWithin, func() (err error) {
+	err = transient.Retry(startTimeout, func() (err error) {
 		r.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 		return err
 	})
@@ -85,7 +85,7 @@
 		unix.Close(r.epoll)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	err = transient.Retry(startWithin, func() error {
+	err = transient.Retry(startTimeout, func() error {
 		return unix.EpollCtl(r.epoll, unix.EPOLL_CTL_ADD, r.wakeup, &unix.EpollEvent{Fd: int32(r.wakeup), Events: unix.EPOLLIN})
 	})
 	if err != nil {
@@ -100,12 +100,12 @@
 func (r *Reactor) Post(what func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.over {
+	if r.closed {
 		return
 	}
 	r.posted = append(r.posted, what)
-	if !r.woken {
-		r.woken = true
+	if !r.wakeupSent {
+		r.wakeupSent = true
 		r.wake()
 	}
 }
@@ -130,8 +130,8 @@
 	return err == nil && n > 0
 }
 
-// Soon runs something on the loop once the sockets have been looked at again. Only the loop may call it.
-func (r *Reactor) Soon(what func()) { r.soon = append(r.soon, what) }
+// Defer runs something on the loop once the sockets have been looked at again. Only the loop may call it.
+func (r *Reactor) Defer(what func()) { r.deferred = append(r.deferred, what) }
 
 // Stop ends Run once what is under way has returned. Only the loop may call it.
 func (r *Reactor) Stop() { r.stopped = true }
@@ -142,10 +142,10 @@
 // Run runs the loop until Stop; then it closes all descriptors.
 func (r *Reactor) Run() {
 	defer r.close()
-	events := make([]unix.EpollEvent, mostEvents)
+	events := make([]unix.EpollEvent, maxEventsPerWait)
 	busy := false // events came in the round before, so more may be there
 	for !r.stopped {
-		due := len(r.soon) > 0
+		due := len(r.deferred) > 0
 		n, err := unix.EpollWait(r.epoll, events, r.timeout(busy, due))
 		if n <= 0 && err == nil && busy && !due {
 			busy = false
@@ -153,19 +153,19 @@
 			continue
 		}
 		if err != nil && !errors.Is(err, unix.EINTR) {
-			r.failed("epoll_wait", err)
-			time.Sleep(retryEvery)
+			r.reportFailure("epoll_wait", err)
+			time.Sleep(retryInterval)
 		}
-		r.progress, r.stuck = false, false
+		r.progress, r.callFailed = false, false
 		for i := range max(n, 0) {
 			due = r.dispatch(&events[i]) || due
 		}
-		r.retry()
+		r.retryPending()
 		if due {
 			r.runTasks()
 		}
-		if r.stuck && !r.progress && !due { // the same would fail again at once
-			time.Sleep(retryEvery)
+		if r.callFailed && !r.progress && !due { // the same would fail again at once
+			time.Sleep(retryInterval)
 		}
 		busy = n > 0
 	}
@@ -176,8 +176,8 @@
 	switch {
 	case busy || due:
 		return 0
-	case len(r.unsettled) > 0:
-		return int(retryEvery / time.Millisecond)
+	case len(r.pendingRetry) > 0:
+		return int(retryInterval / time.Millisecond)
 	}
 	return -1
 }
@@ -192,7 +192,7 @@
 		return true
 	}
 	if p := r.byFD[fd]; p != nil {
-		p.ready(e.Events)
+		p.handleEvents(e.Events)
 	}
 	return false
 }
@@ -202,10 +202,10 @@
 	for !r.stopped {
 		r.mutex.Lock()
 		tasks := r.posted
-		r.posted, r.woken = nil, false
+		r.posted, r.wakeupSent = nil, false
 		r.mutex.Unlock()
-		tasks = append(tasks, r.soon...)
-		r.soon = nil
+		tasks = append(tasks, r.deferred...)
+		r.deferred = nil
 		if len(tasks) == 0 {
 			return
 		}
@@ -217,68 +217,68 @@
 
 // add brings a descriptor to the loop.
 func (r *Reactor) add(p pollable) {
-	r.byFD[p.entry().fd] = p
-	r.settle(p)
+	r.byFD[p.epollRegistration().fd] = p
+	r.applyInterest(p)
 }
 
-// settle tells epoll what is wanted. Where that fails it is done again, and meanwhile the descriptor is tried without epoll.
-func (r *Reactor) settle(p pollable) {
-	g := p.entry()
-	if g.closed || g.added && g.wanted == g.known {
-		delete(r.unsettled, p)
+// applyInterest tells epoll what is wanted. Where that fails it is done again, and meanwhile the descriptor is tried without epoll.
+func (r *Reactor) applyInterest(p pollable) {
+	g := p.epollRegistration()
+	if g.closed || g.added && g.interest == g.registered {
+		delete(r.pendingRetry, p)
 		return
 	}
 	operation := unix.EPOLL_CTL_MOD
 	if !g.added {
 		operation = unix.EPOLL_CTL_ADD
 	}
-	err := unix.EpollCtl(r.epoll, operation, g.fd, &unix.EpollEvent{Fd: int32(g.fd), Events: g.wanted})
+	err := unix.EpollCtl(r.epoll, operation, g.fd, &unix.EpollEvent{Fd: int32(g.fd), Events: g.interest})
 	if err == nil {
-		g.added, g.known = true, g.wanted
-		delete(r.unsettled, p)
+		g.added, g.registered = true, g.interest
+		delete(r.pendingRetry, p)
 		return
 	}
-	r.failed("epoll_ctl", err)
-	r.unsettled[p] = struct{}{}
+	r.reportFailure("epoll_ctl", err)
+	r.pendingRetry[p] = struct{}{}
 }
 
-// retry does again what could not be done.
-func (r *Reactor) retry() {
-	if len(r.unsettled) == 0 {
+// retryPending does again what could not be done.
+func (r *Reactor) retryPending() {
+	if len(r.pendingRetry) == 0 {
 		return
 	}
-	for p := range r.unsettled {
-		delete(r.unsettled, p)
-		if !p.entry().closed {
-			p.again()
+	for p := range r.pendingRetry {
+		delete(r.pendingRetry, p)
+		if !p.epollRegistration().closed {
+			p.tryIO()
 		}
-		if !p.entry().closed {
-			r.settle(p)
+		if !p.epollRegistration().closed {
+			r.applyInterest(p)
 		}
 	}
 }
 
-// forget takes a descriptor off the loop and closes it. Linux closes a descriptor whatever close says, and epoll forgets it.
-func (r *Reactor) forget(p pollable) {
-	g := p.entry()
+// closeDescriptor takes a descriptor off the loop and closes it. Linux closes a descriptor whatever close says, and epoll forgets it.
+func (r *Reactor) closeDescriptor(p pollable) {
+	g := p.epollRegistration()
 	if g.closed {
 		return
 	}
 	g.closed = true
 	delete(r.byFD, g.fd)
-	delete(r.unsettled, p)
+	delete(r.pendingRetry, p)
 	if err := unix.Close(g.fd); err != nil {
-		r.failed("close", err)
+		r.reportFailure("close", err)
 	}
 }
 
 func (r *Reactor) close() {
 	for _, p := range r.byFD {
-		r.forget(p)
+		r.closeDescriptor(p)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.over = true
+	r.closed = true
 	unix.Close(r.epoll)
 	unix.Close(r.wakeup)
 }
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -15,10 +15,10 @@
 	"golang.org/x/sys/unix"
 )
 
-const patience = 10 * time.Second // no time is asserted: only that something comes at all
+const testTimeout = 10 * time.Second // no time is asserted: only that something comes at all
 
-// running is a loop that runs until the test ends.
-func running(t *testing.T) *Reactor {
+// startReactor is a loop that runs until the test ends.
+func startReactor(t *testing.T) *Reactor {
 	r, err := New(4096, nil)
 	require.NoError(t, err)
 	done := make(chan struct{})
@@ -33,8 +33,8 @@
 	return r
 }
 
-// on runs something on the loop and waits for it.
-func on(r *Reactor, what func()) {
+// runOnLoop runs something on the loop and waits for it.
+func runOnLoop(r *Reactor, what func()) {
 	done := make(chan struct{})
 	r.Post(func() {
 		defer close(done)
@@ -45,14 +45,14 @@
 
 // recorder keeps what it is told; the ends are written to a channel.
 type recorder struct {
-	mutex sync.Mutex
-	data  []byte
-	ends  chan error
-	came  chan struct{} // a token once something came
+	mutex        sync.Mutex
+	data         []byte
+	ends         chan error
+	dataReceived chan struct{} // a token once something came
 }
 
 func newRecorder() *recorder {
-	return &recorder{ends: make(chan error, 8), came: make(chan struct{}, 1)}
+	return &recorder{ends: make(chan error, 8), dataReceived: make(chan struct{}, 1)}
 }
 
 func (r *recorder) Received(data []byte) {
@@ -60,7 +60,7 @@
 	defer r.mutex.Unlock()
 	r.data = append(r.data, data...)
 	select {
-	case r.came <- struct{}{}:
+	case r.dataReceived <- struct{}{}:
 	default:
 	}
 }
@@ -73,17 +73,17 @@
 	return bytes.Clone(r.data)
 }
 
-// pair is a stream on a loop and its peer.
-func pair(t *testing.T, r *Reactor) (*Stream, *recorder, *net.TCPConn) {
+// newStreamPair is a stream on a loop and its peer.
+func newStreamPair(t *testing.T, r *Reactor) (*Stream, *recorder, *net.TCPConn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	streams := make(chan *Stream, 1)
 	seen := newRecorder()
 	r.Post(func() {
-		r.Dial(listener.Addr().String(), patience, func(s *Stream, err error) {
+		r.Dial(listener.Addr().String(), testTimeout, func(s *Stream, err error) {
 			if err == nil {
-				s.Handle(seen)
+				s.SetHandler(seen)
 			}
 			streams <- s
 		})
@@ -97,10 +97,10 @@
 }
 
 // Incident 2: an error that says something of the moment was taken for the end of a connection.
-func TestOnlyAListedErrorEndsAConnection(t *testing.T) {
+func TestOnlyListedErrorsEndConnection(t *testing.T) {
 	for number := syscall.Errno(1); number < 134; number++ {
 		err := fmt.Errorf("a call: %w", number)
-		assert.Equal(t, connectionErrors[number], over(err), "%s", number)
+		assert.Equal(t, connectionErrors[number], endsConnection(err), "%s", number)
 		r, newErr := New(16, nil)
 		require.NoError(t, newErr)
 		fds, pairErr := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -108,7 +108,7 @@
 		seen := newRecorder()
 		s := r.newStream(fds[0], seen)
 		r.add(s)
-		waits := s.waits("read", err)
+		waits := s.handleError("read", err)
 		assert.Equal(t, !connectionErrors[number], waits, "%s", number)
 		assert.Equal(t, connectionErrors[number], s.closed, "%s", number)
 		assert.Equal(t, waits && number != unix.EAGAIN, s.Failing(), "%s", number)
@@ -118,89 +118,89 @@
 		r.close()
 		unix.Close(fds[1]) //nolint:errcheck
 	}
-	assert.True(t, over(io.EOF), "what is no error of the system is the end")
+	assert.True(t, endsConnection(io.EOF), "what is no error of the system is the end")
 }
 
-func TestBytesGoThroughInOrderWhateverThePeerReads(t *testing.T) {
-	r := running(t)
-	s, _, peer := pair(t, r)
+func TestWriteKeepsOrderWithSlowPeer(t *testing.T) {
+	r := startReactor(t)
+	s, _, peer := newStreamPair(t, r)
 	var sent []byte
 	for i := range 4000 { // far more than the system takes at once
 		sent = append(sent, bytes.Repeat([]byte{byte(i)}, 1000)...)
 	}
-	on(r, func() {
+	runOnLoop(r, func() {
 		for i := 0; i < len(sent); i += 40000 {
 			s.Write([][]byte{sent[i : i+10000], sent[i+10000 : i+40000]})
 		}
 		assert.Positive(t, s.Unsent(), "it waits for the peer to read")
 	})
 	got := make([]byte, len(sent))
-	peer.SetReadDeadline(time.Now().Add(patience)) //nolint:errcheck
+	peer.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck
 	_, err := io.ReadFull(peer, got)
 	require.NoError(t, err)
 	assert.True(t, bytes.Equal(sent, got))
 	require.Eventually(t, func() bool {
 		left := 0
-		on(r, func() { left = s.Unsent() })
+		runOnLoop(r, func() { left = s.Unsent() })
 		return left == 0
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
-func TestWhatComesInPiecesIsReadInOrderAndPausedReadingWaits(t *testing.T) {
-	r := running(t)
-	s, seen, peer := pair(t, r)
-	on(r, func() { s.Pause(true) })
+func TestReadKeepsOrderAndPauseStopsReading(t *testing.T) {
+	r := startReactor(t)
+	s, seen, peer := newStreamPair(t, r)
+	runOnLoop(r, func() { s.Pause(true) })
 	for i := range 200 {
 		_, err := peer.Write([]byte{byte(i)})
 		require.NoError(t, err)
 	}
 	for range 3 { // rounds of the loop with bytes there
-		on(r, func() {})
+		runOnLoop(r, func() {})
 	}
 	assert.Empty(t, seen.bytes())
-	on(r, func() { s.Pause(false) })
-	require.Eventually(t, func() bool { return len(seen.bytes()) == 200 }, patience, time.Millisecond)
+	runOnLoop(r, func() { s.Pause(false) })
+	require.Eventually(t, func() bool { return len(seen.bytes()) == 200 }, testTimeout, time.Millisecond)
 	for i, b := range seen.bytes() {
 		require.Equal(t, byte(i), b)
 	}
 }
 
-func TestAnEndIsToldOnceWithItsCause(t *testing.T) {
-	r := running(t)
-	_, seen, peer := pair(t, r)
+func TestEndedIsCalledOnceWithCause(t *testing.T) {
+	r := startReactor(t)
+	_, seen, peer := newStreamPair(t, r)
 	_, err := peer.Write([]byte("last words"))
 	require.NoError(t, err)
 	peer.Close()
 	assert.ErrorIs(t, <-seen.ends, io.EOF)
 	assert.Equal(t, "last words", string(seen.bytes()), "what came before the end is read first")
 
-	_, seen, peer = pair(t, r)
+	_, seen, peer = newStreamPair(t, r)
 	require.NoError(t, peer.SetLinger(0))
 	peer.Close()
 	assert.ErrorIs(t, <-seen.ends, unix.ECONNRESET)
 
-	s, seen, peer := pair(t, r)
-	on(r, s.Close)
+	s, seen, peer := newStreamPair(t, r)
+	runOnLoop(r, s.Close)
 	_, err = io.ReadAll(peer)
 	require.NoError(t, err)
-	on(r, func() {})
+	runOnLoop(r, func() {})
 	assert.Empty(t, seen.ends, "an end of ours is not told")
 }
 
-func TestAClosedSideStillReads(t *testing.T) {
-	r := running(t)
-	s, seen, peer := pair(t, r)
-	on(r, func() { assert.NoError(t, s.CloseWrite()) })
+func TestReadContinuesAfterCloseWrite(t *testing.T) {
+	r := startReactor(t)
+	s, seen, peer := newStreamPair(t, r)
+	runOnLoop(r, func() { assert.NoError(t, s.CloseWrite()) })
 	_, err := io.ReadAll(peer)
 	require.NoError(t, err)
 	_, err = peer.Write([]byte("still here"))
 	require.NoError(t, err)
-	<-seen.came
+	<-seen.dataReceived
 	assert.Equal(t, "still here", string(seen.bytes()))
 }
 
-func TestTasksRunOnceInTheOrderOfWhoPosted(t *testing.T) {
-	r := running(t)
+func TestTasksRunOnceInOrderPerPoster(t *testing.T) {
+	r := startReactor(t)
 	const posters, each = 8, 500
 	var got [posters][]int
 	var wait sync.WaitGroup
@@ -214,7 +214,7 @@
 		}()
 	}
 	wait.Wait()
-	on(r, func() {})
+	runOnLoop(r, func() {})
 	for p := range posters {
 		require.Len(t, got[p], each)
 		for i, n := range got[p] {
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestWhatWaitsToBeAcceptedIsHandedOverBeforeAListenerCloses(t *testing.T) {
+func TestStopListeningAcceptsBacklogFirst(t *testing.T) {
 	r, err := New(4096, nil)
 	require.NoError(t, err)
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
@@ -244,18 +244,18 @@
 	r.close()
 }
 
-func TestADialTellsWhyItFailed(t *testing.T) {
-	r := running(t)
+func TestDialReportsError(t *testing.T) {
+	r := startReactor(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	listener.Close()
 	failed := make(chan error, 1)
-	r.Post(func() { r.Dial(address, patience, func(_ *Stream, err error) { failed <- err }) })
+	r.Post(func() { r.Dial(address, testTimeout, func(_ *Stream, err error) { failed <- err }) })
 	assert.ErrorIs(t, <-failed, unix.ECONNREFUSED)
 }
 
-func TestAPostAfterTheLoopHasEndedWritesToNoDescriptor(t *testing.T) {
+func TestPostAfterRunWritesToNoDescriptor(t *testing.T) {
 	r, err := New(4096, nil)
 	require.NoError(t, err)
 	r.Post(r.Stop)
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -114,7 +114,7 @@
 		return
 	}
 	held, memory := r.config.Settings.MaxQueued, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
-	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.Used()*buffers.Size) > memory {
+	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.InUse()*buffers.Size) > memory {
 		// Beyond what the platform lets a router hold. Nothing of it has run, so a pushback is true.
 		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.MaxRetryDelay})
 		told.Text.Release()
--- a/internal/router/copies_test.go
+++ b/internal/router/copies_test.go
@@ -68,7 +68,7 @@
 	assert.Equal(t, answerOK+"x\t2\t3\n", h.answers[stream])
 	h.advance(0.5)
 	assert.Empty(t, h.batches)
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 func TestRejectedOrBrokenHedgedDispatchLeavesTheOther(t *testing.T) {
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -243,7 +243,7 @@
 	h.advance(2)
 	assert.Equal(t, 2, strings.Count(h.written[c], "more\r\n"), "no page is requested again")
 	assert.Empty(t, h.answers)
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 func TestReadyOnceEnginesAreListed(t *testing.T) {
@@ -284,7 +284,7 @@
 		h.engineReply(c, "00000000000000aa", "DONE", "sheets=1", "a\t2\t3\n")
 		assert.Equal(t, answerFailed, h.answers[1], name)
 		assert.Empty(t, h.batches, name)
-		assert.Zero(t, h.pool.Used(), name)
+		assert.Zero(t, h.pool.InUse(), name)
 	}
 }
 
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -51,7 +51,7 @@
 	c, err := config.Parse([]byte(`{"listen":"127.0.0.1:1","resolver":"127.0.0.1:2","seed":"9","limits":{"sockets":1024},"settings":` + pathSettings + `}`))
 	require.NoError(t, err)
 	c.KnownEngines = directory.List{Serial: 1, Engines: []directory.Engine{{ID: "s-1", Address: "10.0.0.1:80", Zone: "east", Kind: "std", Weight: 1}}}
-	p := &path{t: t, pool: &buffers.Pool{Keep: 64}, now: 100}
+	p := &path{t: t, pool: &buffers.Pool{MaxFree: 64}, now: 100}
 	p.clientInput, p.engineInput, p.output = p.pool.Chain(), p.pool.Chain(), p.pool.Chain()
 	engineProtocol, clientProtocol := back(p.pool), front(p.pool)
 	p.engineProtocol, p.client = engineProtocol, clientProtocol.New()
@@ -224,7 +224,7 @@
 			runBatch(n)
 		}
 		require.Equal(t, 50, p.answers)
-		require.Zero(t, p.pool.Used(), "no buffers are kept")
+		require.Zero(t, p.pool.InUse(), "no buffers are kept")
 	}
 }
 
@@ -288,7 +288,7 @@
 // BenchmarkIdleSession measures the heap bytes that a TDS client session holds between batches.
 func BenchmarkIdleSession(b *testing.B) {
 	prelogin, login, batch, _, _, _ := tdsBytes(b)
-	pool := &buffers.Pool{Keep: 64}
+	pool := &buffers.Pool{MaxFree: 64}
 	protocol := tdsFront(pool)
 	in, out := pool.Chain(), pool.Chain()
 	sessions := make([]traffic.Client, b.N)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -29,7 +29,7 @@
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
-	assert.Zero(t, h.pool.Used(), "no buffers are kept")
+	assert.Zero(t, h.pool.InUse(), "no buffers are kept")
 	assert.Empty(t, h.batches)
 }
 
@@ -87,7 +87,7 @@
 	assert.Contains(t, h.written[c], "abort\r\n$16\r\n00000000000000f1")
 	h.engineReply(c, id, "DONE", "sheets=1", "late\t2\t3\n")
 	assert.Equal(t, answerFailed, h.answers[stream])
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 // Clients leave exactly at their time limit, so an answer that is sent in the last millisecond reaches them too late.
@@ -149,7 +149,7 @@
 	h.engineReply(c, other, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Empty(t, h.answers)
 	assert.Empty(t, h.batches)
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 func TestBadInputEndsOnlyItsConnection(t *testing.T) {
@@ -199,7 +199,7 @@
 			}
 			h.engineReply(h.connectLast(), id, "DONE", "sheets=1", row)
 			assert.Equal(t, answerOK+row, h.answers[stream])
-			assert.Zero(t, h.pool.Used())
+			assert.Zero(t, h.pool.InUse())
 		}
 	}
 }
@@ -216,7 +216,7 @@
 		h.engineReply(c, id, "MORE", "sheet="+strconv.Itoa(n), page)
 	}
 	assert.Equal(t, []CloseReason{BadInput}, h.engineCloseReasons())
-	assert.Zero(t, h.pool.Used()-1, "except the text of the batch that is retried")
+	assert.Zero(t, h.pool.InUse()-1, "except the text of the batch that is retried")
 }
 
 func TestPartialReplyClosesConnection(t *testing.T) {
@@ -247,7 +247,7 @@
 	assert.Equal(t, 1, strings.Count(h.written[c], more+"2"))
 	h.engineReply(c, id, "MORE", "sheet=1", "b\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\nb\t2\t3\nc\t2\t3\n", h.answers[stream])
-	assert.Zero(t, h.pool.Used())
+	assert.Zero(t, h.pool.InUse())
 }
 
 // A connection on which an answer was lost may stay open: a probe on it shows whether it still works.
--- a/internal/rows/rows_test.go
+++ b/internal/rows/rows_test.go
@@ -74,5 +74,5 @@
 	require.NoError(t, err)
 	assert.Equal(t, 2, out[0].Count)
 	Release(out)
-	assert.Zero(t, pool.Used())
+	assert.Zero(t, pool.InUse())
 }
--- a/internal/syscallfault/syscallfault.go
+++ b/internal/syscallfault/syscallfault.go
@@ -17,7 +17,7 @@
 )
 
 //go:embed shim/shim.c
-var source []byte
+var shimSource []byte
 
 // Call is a system call that can fail, by its number.
 type Call uint32
@@ -57,7 +57,7 @@
 	Listener
 	Stream
 	Datagram
-	NoSocket // files, and descriptors of the event loop
+	NonSocket // files, and descriptors of the event loop
 )
 
 // ShortTransfer stands in place of an error: half of the bytes are read or written.
@@ -78,8 +78,8 @@
 	After     int    // so many calls that match do not fail, before the others do
 }
 
-// Rules is how many rules can be on at a time.
-const Rules = 128
+// MaxRules is how many rules can be on at a time.
+const MaxRules = 128
 
 // slot and table are laid out as in shim.c.
 type slot struct {
@@ -95,7 +95,7 @@
 
 type table struct {
 	chance, seen, failed uint64
-	slots                [Rules]slot
+	slots                [MaxRules]slot
 }
 
 // Table is the rules of one child process.
@@ -104,13 +104,13 @@
 	*table
 }
 
-// Total tells how many calls the library has failed since the table was made.
-func (t *Table) Total() int { return int(atomic.LoadUint64(&t.failed)) }
+// FailedCalls tells how many calls the library has failed since the table was made.
+func (t *Table) FailedCalls() int { return int(atomic.LoadUint64(&t.failed)) }
 
 // Build compiles the library into a folder and gives its path.
 func Build(folder string) (string, error) {
 	from, to := filepath.Join(folder, "syscallfault.c"), filepath.Join(folder, "syscallfault.so")
-	if err := os.WriteFile(from, source, 0o600); err != nil {
+	if err := os.WriteFile(from, shimSource, 0o600); err != nil {
 		return "", fmt.Errorf("system call faults: %w", err)
 	}
 	if out, err := exec.Command("cc", "-O1", "-Wall", "-shared", "-fPIC", "-pthread", "-o", to, from).CombinedOutput(); err != nil {
--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -102,7 +102,7 @@
 			return said != nil && err == nil
 		})
 		owed.Release()
-		if k.pool.Used() != 0 {
+		if k.pool.InUse() != 0 {
 			t.Fatal("buffers are kept")
 		}
 	})
@@ -139,7 +139,7 @@
 		})
 		owed.Release()
 		k.engine.drop()
-		if k.pool.Used() != 0 {
+		if k.pool.InUse() != 0 {
 			t.Fatal("buffers are kept")
 		}
 	})
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -257,7 +257,7 @@
 			r.Rows.Release()
 		}
 		require.Equal(t, len(want), got)
-		require.Zero(t, k.pool.Used())
+		require.Zero(t, k.pool.InUse())
 	})
 }
 
--- a/internal/torture/soak.go
+++ b/internal/torture/soak.go
@@ -74,7 +74,7 @@
 	failing(syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.StandardError, PerMille: 300}, syscall.ENOSPC, syscall.EIO, syscall.EAGAIN,
 		syscallfault.ShortTransfer),
 	failing(syscallfault.Rule{Call: syscallfault.Openat, PerMille: 400}, syscall.EMFILE, syscall.EIO, syscall.EINTR),
-	failing(syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NoSocket, PerMille: 300}, syscall.EINTR),
+	failing(syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.NonSocket, PerMille: 300}, syscall.EINTR),
 	slices.Concat(failing(syscallfault.Rule{Call: syscallfault.Recvfrom, Target: syscallfault.Datagram, PerMille: 200}, syscall.ENOMEM, syscall.EINTR),
 		failing(syscallfault.Rule{Call: syscallfault.Write, Target: syscallfault.Datagram, PerMille: 300}, syscall.ENOBUFS, syscall.EPERM)),
 	slices.Concat(failing(syscallfault.Rule{Call: syscallfault.Close, PerMille: 300}, syscall.EINTR, syscall.EIO),
@@ -92,7 +92,7 @@
 }
 
 // rulesPerGroup leaves each group of rules places of its own in a table, so that groups may overlap.
-const rulesPerGroup = syscallfault.Rules / 10
+const rulesPerGroup = syscallfault.MaxRules / 10
 
 // failCalls has a group of system calls of a router fail for a while. It outlives a restart of the router.
 func (r *router) failCalls(s Step) {
@@ -213,7 +213,7 @@
 func (p *play) failedCalls() (n int) {
 	for _, r := range p.everyone() {
 		if r.faults != nil {
-			n += r.faults.Total()
+			n += r.faults.FailedCalls()
 		}
 	}
 	return n
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// every is how long Retry waits between two tries.
-const every = 10 * time.Millisecond
+// retryInterval is how long Retry waits between two tries.
+const retryInterval = 10 * time.Millisecond
 
 // Is tells whether an error says that this machine or process is short of something at this moment, or that a call was
 // interrupted. It proves nothing about a peer, a file or an address.
@@ -29,7 +29,7 @@
 // Retry does something until it succeeds, fails with an error that will not pass, or has failed for so long. It gives the
 // last error.
 func Retry(within time.Duration, what func() error) error {
-	for began := time.Now(); ; time.Sleep(every) {
+	for began := time.Now(); ; time.Sleep(retryInterval) {
 		err := what()
 		if err == nil || !Is(err) || time.Since(began) > within {
 			return err
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestWhatPassesIsDoneAgain(t *testing.T) {
+func TestRetryRepeatsTransientErrors(t *testing.T) {
 	calls := 0
 	failing := func(times int, err error) func() error {
 		calls = 0
