--- a/cmd/pitchfield/main.go
+++ b/cmd/pitchfield/main.go
@@ -107,7 +107,7 @@
 	again := make(chan os.Signal, 1) // caught before all else: its default ends the process
 	signal.Notify(again, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // it ends a process that logs to a pipe which nobody reads any more
-	var t serve.Told
+	var t serve.Configuration
 	err := transient.Retry(loadWithin, func() (err error) {
 		t, err = serve.Load(os.Getenv, path)
 		return err
@@ -160,8 +160,8 @@
 // reloads reads all that a router is told again at each signal. If any of it can't be used, that is logged, and all of
 // the old is kept; it is read again for a while, since a file may be half written or the system short of something just then,
 // and no second signal may come.
-func reloads(ctx context.Context, again <-chan os.Signal, path string, log *zap.Logger) <-chan serve.Told {
-	out := make(chan serve.Told)
+func reloads(ctx context.Context, again <-chan os.Signal, path string, log *zap.Logger) <-chan serve.Configuration {
+	out := make(chan serve.Configuration)
 	go func() {
 		var retry <-chan time.Time // to read once more; nil: not
 		var failing time.Time      // since when it could not be used; zero: it could
@@ -182,7 +182,7 @@
 			case failing.IsZero():
 				log.Error("configuration can't be used, the old one is kept", zap.Duration("read again for", reloadWithin), zap.Error(err))
 				failing = time.Now()
-				t = serve.Told{Refused: err, At: time.Now()}
+				t = serve.Configuration{Err: err, ReadAt: time.Now()}
 				retry = time.After(reloadEvery)
 			case time.Since(failing) < reloadWithin:
 				retry = time.After(reloadEvery)
--- a/cmd/pitchfield/words.go
+++ b/cmd/pitchfield/words.go
@@ -144,7 +144,7 @@
 func statusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status ADDRESS", Short: "Print how a router stands: its level of service, why, and the measures",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := serve.AskStatus(c.Context(), args[0])
+			s, err := serve.FetchStatus(c.Context(), args[0])
 			if err != nil {
 				return err
 			}
@@ -155,13 +155,13 @@
 // membersCommand asks a router what it knows of its fleet.
 func membersCommand() *cobra.Command {
 	return pageCommand("members", "Print whom a router of a fleet knows, how sure it is, and who differs",
-		func(ctx context.Context, address string) (page, error) { return serve.AskMembers(ctx, address) })
+		func(ctx context.Context, address string) (page, error) { return serve.FetchMembers(ctx, address) })
 }
 
 // sharesCommand asks a router what it has of what its fleet divides.
 func sharesCommand() *cobra.Command {
 	return pageCommand("shares", "Print what a router has of budgets that its fleet divides, and what the bursar has given to whom",
-		func(ctx context.Context, address string) (page, error) { return serve.AskShares(ctx, address) })
+		func(ctx context.Context, address string) (page, error) { return serve.FetchQuotas(ctx, address) })
 }
 
 // page is what a router's page tells.
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -112,13 +112,13 @@
 func (f *fleet) show(ctx context.Context, what string, members int) error {
 	from := time.Now()
 	for time.Since(from) < patient && ctx.Err() == nil {
-		m, err := serve.AskMembers(ctx, "127.0.0.1:7600")
+		m, err := serve.FetchMembers(ctx, "127.0.0.1:7600")
 		if err == nil && m.Certainty == "settled" && m.Count == members {
 			fmt.Printf("\n%s: settled after %.1f s\n", what, time.Since(from).Seconds())
 			if err := m.Print(os.Stdout); err != nil {
 				return err
 			}
-			s, err := serve.AskShares(ctx, "127.0.0.1:7600")
+			s, err := serve.FetchQuotas(ctx, "127.0.0.1:7600")
 			if err != nil {
 				return err
 			}
--- a/internal/assign/assign.go
+++ b/internal/assign/assign.go
@@ -77,11 +77,11 @@
 	if r.Groups != nil && !r.Groups[terms.Group] {
 		return fmt.Errorf("no such service group: %.40q", terms.Group)
 	}
-	into.Group, into.Mark, into.Left, into.Cost, into.Memory = terms.Group, mark, terms.Limit, terms.Cost, terms.Memory
+	into.Group, into.IdempotencyKey, into.TimeLeft, into.Cost, into.Memory = terms.Group, mark, terms.Limit, terms.Cost, terms.Memory
 	if terms.Client != "" {
 		into.Client = terms.Client
 	}
-	into.Key = clients.HashOrderKey(key)
+	into.OrderKey = clients.HashOrderKey(key)
 	return nil
 }
 
--- a/internal/assign/assign_test.go
+++ b/internal/assign/assign_test.go
@@ -20,12 +20,12 @@
 	assert.Equal(t, "report", of(About{Login: "ann", Form: "select"}, "SELECT 1").Group)
 	assert.Equal(t, "lookup", of(About{Application: "House GRID"}, "SELECT 1").Group)
 	a, b := of(About{Login: "etl7", Database: "x", Form: "INSERT"}, ""), of(About{Login: "etl7", Database: "y", Form: "insert"}, "")
-	assert.Equal(t, []any{"upload", 9.0}, []any{a.Group, a.Left})
-	assert.NotEqual(t, a.Key, b.Key)
+	assert.Equal(t, []any{"upload", 9.0}, []any{a.Group, a.TimeLeft})
+	assert.NotEqual(t, a.OrderKey, b.OrderKey)
 	told := of(About{Login: "etl7", Form: "insert"},
 		" /* pitchfield group=lookup, key=k mark=00000000000000000000000000000001 limit=1500ms cost=2s memory=1GB client=c */ INSERT 1")
-	told.Key = 0
-	assert.Equal(t, traffic.Batch{Group: "lookup", Mark: "00000000000000000000000000000001", Left: 1.5, Cost: 2, Memory: 1024, Client: "c"}, told)
+	told.OrderKey = 0
+	assert.Equal(t, traffic.Batch{Group: "lookup", IdempotencyKey: "00000000000000000000000000000001", TimeLeft: 1.5, Cost: 2, Memory: 1024, Client: "c"}, told)
 }
 
 func TestWhatIsWrongInACommentIsToldAndNothingIsSent(t *testing.T) {
--- a/internal/clients/frames.go
+++ b/internal/clients/frames.go
@@ -51,19 +51,19 @@
 // Protocol is what the core must know of frames. Idle: clients close what is idle for 4 s themselves, so who keeps it
 // longer keeps it for good.
 func Protocol(pool *buffers.Pool) *traffic.ClientProtocol {
-	return &traffic.ClientProtocol{Name: "frames", Idle: 5, Open: 32, Most: maxResultBytes,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
-		New:     func() traffic.Client { return Session{} }}
+	return &traffic.ClientProtocol{Name: "frames", IdleTimeout: 5, MaxOpenBatches: 32, MaxResultBytes: maxResultBytes,
+		ConvertResult: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsLines(pool, parts) },
+		New:           func() traffic.Client { return Session{} }}
 }
 
 // Session is a connection of a client. It holds nothing: frames stand for themselves.
 type Session struct{}
 
-// Half is never so: what is not whole stays where it is.
-func (Session) Half() bool { return false }
+// HasPartial is never so: what is not whole stays where it is.
+func (Session) HasPartial() bool { return false }
 
 // Read reads a frame off the stream; nothing while it is not whole.
-func (Session) Read(in, _ *buffers.Chain) (traffic.Said, error) {
+func (Session) Read(in, _ *buffers.Chain) (traffic.ClientMessage, error) {
 	var head [headerBytes]byte
 	if in.Peek(0, head[:]) < lengthBytes {
 		return nil, nil
@@ -78,11 +78,11 @@
 	stream := binary.LittleEndian.Uint32(head[5:])
 	in.Discard(headerBytes)
 	if head[4] == FrameBatch {
-		ask := &traffic.Ask{Stream: stream}
+		ask := &traffic.BatchRequest{Stream: stream}
 		ask.Batch.Text = in.Cut(size - minFrameLength)
 		var f fields
-		if ask.Bad = f.read(ask.Batch.Text); ask.Bad == nil {
-			ask.Bad = f.decode(&ask.Batch)
+		if ask.Err = f.read(ask.Batch.Text); ask.Err == nil {
+			ask.Err = f.decode(&ask.Batch)
 		}
 		return ask, nil
 	}
@@ -91,9 +91,9 @@
 	case FrameCancel:
 		return traffic.Cancel{Stream: stream}, nil
 	case FrameReadinessQuery:
-		return traffic.AskReady{Stream: stream}, nil
+		return traffic.ReadinessQuery{Stream: stream}, nil
 	}
-	return traffic.Unusable{Stream: stream}, nil
+	return traffic.InvalidMessage{Stream: stream}, nil
 }
 
 // fields are the values that a batch is made of.
@@ -189,18 +189,18 @@
 
 // decode reads what the fields say.
 func (f *fields) decode(b *traffic.Batch) error {
-	b.ID, b.Group, b.Client, b.Mark = f.id, f.group, f.client, f.idempotencyKey
+	b.ID, b.Group, b.Client, b.IdempotencyKey = f.id, f.group, f.client, f.idempotencyKey
 	if !IsHex(b.ID, idDigits) {
 		return errors.New("field i is not an id")
 	}
-	if b.Mark != "" && !IsHex(b.Mark, IdempotencyKeyDigits) {
+	if b.IdempotencyKey != "" && !IsHex(b.IdempotencyKey, IdempotencyKeyDigits) {
 		return errors.New("field k is no mark")
 	}
 	left, err := strconv.ParseUint(f.timeLeft, 10, 31)
 	if err != nil || left == 0 {
 		return errors.New("field d is no time")
 	}
-	b.Left = float64(left) / 1000
+	b.TimeLeft = float64(left) / 1000
 	cost, ok := ParseNonNegative(f.cost, maxCostMillis)
 	memory, ok2 := ParseNonNegative(f.memory, maxMemoryMB)
 	if !ok || !ok2 {
@@ -213,7 +213,7 @@
 	if len(f.orderKey) > maxOrderKeyBytes {
 		return errors.New("field o is too long")
 	}
-	b.Key = HashOrderKey(f.orderKey)
+	b.OrderKey = HashOrderKey(f.orderKey)
 	return nil
 }
 
@@ -262,10 +262,10 @@
 }
 
 // answerCodes gives the code that stands for an ending.
-var answerCodes = [...]byte{traffic.Returned: CodeSucceeded, traffic.PushedBack: CodeRejected, traffic.Errored: CodeFailed}
+var answerCodes = [...]byte{traffic.Succeeded: CodeSucceeded, traffic.Rejected: CodeRejected, traffic.Failed: CodeFailed}
 
-// Tell frames what a client is told. An error that belongs to no batch is an answer to stream 0.
-func (Session) Tell(out *buffers.Chain, what traffic.Tell) {
+// Encode frames what a client is told. An error that belongs to no batch is an answer to stream 0.
+func (Session) Encode(out *buffers.Chain, what traffic.ClientReply) {
 	switch w := what.(type) {
 	case *traffic.Answer:
 		writeAnswer(out, w)
@@ -276,18 +276,18 @@
 		}
 		writeHeader(out, FrameReadiness, w.Stream, 2)
 		out.Write([]byte{code, 0})
-	case traffic.NoMore:
+	case traffic.GoAway:
 		writeHeader(out, FrameGoAway, 0, 0)
-	case traffic.Complaint:
-		writeAnswer(out, &traffic.Answer{Code: traffic.Errored})
+	case traffic.ConnectionError:
+		writeAnswer(out, &traffic.Answer{Code: traffic.Failed})
 	}
 }
 
 // writeAnswer frames the answer to a batch; parts of the body follow each other. The wait is told in milliseconds.
 func writeAnswer(out *buffers.Chain, a *traffic.Answer) {
 	fields := []byte{answerCodes[a.Code], 0}
-	if a.Wait > 0 {
-		v := strconv.Itoa(int(math.Ceil(a.Wait * 1000)))
+	if a.RetryAfter > 0 {
+		v := strconv.Itoa(int(math.Ceil(a.RetryAfter * 1000)))
 		fields = append([]byte{answerCodes[a.Code], 1, 1, 'w', byte(len(v)), 0}, v...)
 	}
 	size := len(fields)
--- a/internal/clients/frames_test.go
+++ b/internal/clients/frames_test.go
@@ -24,7 +24,7 @@
 func TestReadPartialAndConsecutiveFrames(t *testing.T) {
 	pool := &buffers.Pool{}
 	in := pool.Chain()
-	var got []traffic.Said
+	var got []traffic.ClientMessage
 	all := frame(FrameBatch, 7, batchPayload) + frame(FrameCancel, 7, "") + frame(FrameReadinessQuery, 8, "\x00") + frame(99, 4, "?")
 	for i := range len(all) {
 		in.WriteString(all[i : i+1])
@@ -40,14 +40,14 @@
 		require.NoError(t, err)
 		got = append(got, f)
 	}
-	for _, four := range [][]traffic.Said{got[:4], got[4:]} {
-		a := four[0].(*traffic.Ask)
-		require.NoError(t, a.Bad)
+	for _, four := range [][]traffic.ClientMessage{got[:4], got[4:]} {
+		a := four[0].(*traffic.BatchRequest)
+		require.NoError(t, a.Err)
 		assert.Equal(t, "SELECT 1", a.Batch.Text.String())
 		a.Batch.Text.Release()
 		a.Batch.Text = nil
-		assert.Equal(t, traffic.Batch{ID: "00000000000000f1", Group: "lookup", Left: 1.5, Memory: 96}, a.Batch)
-		assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: 7}, traffic.AskReady{Stream: 8}, traffic.Unusable{Stream: 4}}, four[1:])
+		assert.Equal(t, traffic.Batch{ID: "00000000000000f1", Group: "lookup", TimeLeft: 1.5, Memory: 96}, a.Batch)
+		assert.Equal(t, []traffic.ClientMessage{traffic.Cancel{Stream: 7}, traffic.ReadinessQuery{Stream: 8}, traffic.InvalidMessage{Stream: 4}}, four[1:])
 	}
 	assert.Zero(t, pool.InUse(), "all buffers are back")
 }
@@ -90,7 +90,7 @@
 		in.WriteString(frame(FrameBatch, 1, text))
 		f, err := Session{}.Read(in, nil)
 		require.NoError(t, err)
-		assert.Equal(t, text != payload(good...), f.(*traffic.Ask).Bad != nil, "%q", text)
+		assert.Equal(t, text != payload(good...), f.(*traffic.BatchRequest).Err != nil, "%q", text)
 	}
 }
 
@@ -105,9 +105,9 @@
 	out, one, two := pool.Chain(), pool.Chain(), pool.Chain()
 	one.WriteString("a\tb\tc\n")
 	two.WriteString("d\te\tf\n")
-	Session{}.Tell(out, &traffic.Answer{Stream: 3, Rows: []rows.Part{{Data: one}, {}, {Data: two}}})
-	Session{}.Tell(out, &traffic.Answer{Stream: 4, Code: traffic.PushedBack, Wait: 0.25})
-	Session{}.Tell(out, traffic.NoMore{})
+	Session{}.Encode(out, &traffic.Answer{Stream: 3, Rows: []rows.Part{{Data: one}, {}, {Data: two}}})
+	Session{}.Encode(out, &traffic.Answer{Stream: 4, Code: traffic.Rejected, RetryAfter: 0.25})
+	Session{}.Encode(out, traffic.GoAway{})
 	want := frame(FrameAnswer, 3, "\x00\x00a\tb\tc\nd\te\tf\n") + frame(FrameAnswer, 4, "\x0b\x01\x01w\x03\x00250") + frame(FrameGoAway, 0, "")
 	assert.Equal(t, want, out.String())
 }
@@ -123,7 +123,7 @@
 			if one == nil || err != nil {
 				break
 			}
-			if a, is := one.(*traffic.Ask); is {
+			if a, is := one.(*traffic.BatchRequest); is {
 				a.Batch.Text.Release()
 			}
 		}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -139,8 +139,8 @@
 		}},
 		"keys are not seen": {rule: 5, change: keyed, in: func(_ int, e router.Event) router.Event {
 			if c, is := e.(router.ClientMessage); is {
-				if a, is := c.Message.(*traffic.Ask); is {
-					a.Batch.Key = 0
+				if a, is := c.Message.(*traffic.BatchRequest); is {
+					a.Batch.OrderKey = 0
 				}
 			}
 			return e
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -121,7 +121,7 @@
 	r.batch.out--
 	e.sim.result.ran(r, !r.batch.over && !r.batch.done)
 	e.sim.check.ended(r)
-	r.conn.reply(&traffic.Reply{ID: r.batch.id, Word: traffic.Done, Pages: 1, Page: -1, Work: r.batch.work, Memory: r.batch.need})
+	r.conn.reply(&traffic.EngineReply{ID: r.batch.id, Kind: traffic.ReplyFirstPage, Pages: 1, Page: -1, Work: r.batch.work, Memory: r.batch.need})
 }
 
 // dispatch begins a batch.
@@ -129,7 +129,7 @@
 	s := e.sim
 	if e.failing { // before it has begun, though nobody can know that
 		b.out--
-		c.reply(&traffic.Reply{ID: b.id, Word: traffic.Broke, Pages: -1, Page: -1, Work: -1, Memory: -1})
+		c.reply(&traffic.EngineReply{ID: b.id, Kind: traffic.ReplyFailed, Pages: -1, Page: -1, Work: -1, Memory: -1})
 		return
 	}
 	e.work()
@@ -188,7 +188,7 @@
 	e.work()
 	for _, r := range e.running {
 		if r.began <= e.sim.now-notesEvery/2 {
-			r.conn.reply(&traffic.Reply{ID: r.batch.id, Word: traffic.News, Pages: -1, Page: -1, Work: -1, Memory: -1,
+			r.conn.reply(&traffic.EngineReply{ID: r.batch.id, Kind: traffic.ReplyProgress, Pages: -1, Page: -1, Work: -1, Memory: -1,
 				Note: brain.Progress, Level: min(max(1-r.left/r.whole, 0), 1)})
 		}
 	}
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -100,11 +100,11 @@
 
 func (r *Result) ended(s *sim, b *batch, code traffic.Code) {
 	switch code {
-	case traffic.PushedBack:
+	case traffic.Rejected:
 		r.PushedBack++
-	case traffic.Errored:
+	case traffic.Failed:
 		r.Errored++
-	case traffic.Returned:
+	case traffic.Succeeded:
 		r.Returned++
 		g := b.group
 		earned := g.Utility
--- a/internal/emulator/sim.go
+++ b/internal/emulator/sim.go
@@ -346,9 +346,9 @@
 
 // protocol of the emulated clients and engines: nothing is written, so there is nothing to parse.
 var (
-	clientProtocol = &traffic.ClientProtocol{Name: "emulated", Idle: 1e9, Open: 1 << 30,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return parts, nil }}
-	engineProtocol = &traffic.EngineProtocol{Name: "emulated", Bounded: true}
+	clientProtocol = &traffic.ClientProtocol{Name: "emulated", IdleTimeout: 1e9, MaxOpenBatches: 1 << 30,
+		ConvertResult: func(parts []rows.Part) ([]rows.Part, error) { return parts, nil }}
+	engineProtocol = &traffic.EngineProtocol{Name: "emulated", BoundedResult: true}
 )
 
 func (n *node) start() {
@@ -460,7 +460,7 @@
 		}
 		delete(n.open, a.Stream)
 		n.out = max(n.out+1e-9, s.now+s.way())
-		code, wait := a.Code, a.Wait
+		code, wait := a.Code, a.RetryAfter
 		s.at(n.out, func() { s.answered(b, code, wait) })
 	case router.CloseClient: // one that has long been idle; the next batch comes on another
 		if w.Client == n.client {
@@ -539,7 +539,7 @@
 }
 
 // order brings what a router asks to its engine.
-func (c *conn) order(what traffic.Order) {
+func (c *conn) order(what traffic.EngineCommand) {
 	s := c.node.sim
 	var b *batch
 	if d, is := what.(*traffic.Dispatch); is {
@@ -561,14 +561,14 @@
 		switch o := what.(type) {
 		case *traffic.Dispatch:
 			e.dispatch(c, o, b)
-		case traffic.GiveUp:
+		case traffic.CancelDispatch:
 			e.giveUp(c, o.ID)
-		case traffic.AskPage: // results have one page, and that was told
-			c.reply(&traffic.Reply{ID: o.ID, Word: traffic.Broke, Pages: -1, Page: -1, Work: -1, Memory: -1})
+		case traffic.FetchPage: // results have one page, and that was told
+			c.reply(&traffic.EngineReply{ID: o.ID, Kind: traffic.ReplyFailed, Pages: -1, Page: -1, Work: -1, Memory: -1})
 		case traffic.Probe:
 			s.after(0.0005, func() {
 				if e.up && e.life == c.life {
-					c.reply(&traffic.Reply{ID: o.Tag, Word: traffic.Fit, Pages: -1, Page: -1, Work: -1, Memory: -1, Load: e.report()})
+					c.reply(&traffic.EngineReply{ID: o.Tag, Kind: traffic.ReplyHealthy, Pages: -1, Page: -1, Work: -1, Memory: -1, Load: e.report()})
 				}
 			})
 		}
@@ -576,7 +576,7 @@
 }
 
 // reply brings what an engine says to its router.
-func (c *conn) reply(r *traffic.Reply) {
+func (c *conn) reply(r *traffic.EngineReply) {
 	s, n := c.node.sim, c.node
 	life := n.life
 	c.back = max(c.back+1e-9, s.now+s.way())
@@ -739,10 +739,10 @@
 		b.stream, b.client = n.stream, n.client
 		n.open[b.stream] = b
 		s.check.took(n, b)
-		ask := &traffic.Ask{Stream: b.stream, Batch: traffic.Batch{ID: b.id, Group: b.group.Name, Mark: b.mark, Left: left, Cost: b.told,
+		ask := &traffic.BatchRequest{Stream: b.stream, Batch: traffic.Batch{ID: b.id, Group: b.group.Name, IdempotencyKey: b.mark, TimeLeft: left, Cost: b.told,
 			Memory: b.need * math.Exp(0.3*s.bodies.NormFloat64())}}
 		if b.key != "" {
-			ask.Batch.Key = uint64(len(b.key))<<32 | uint64(atoi(b.key)+1)
+			ask.Batch.OrderKey = uint64(len(b.key))<<32 | uint64(atoi(b.key)+1)
 		}
 		ask.Batch.Text = n.pool.Chain()
 		ask.Batch.Text.WriteString("SELECT 1 FROM d_" + strconv.Itoa(b.data) + ".t")
@@ -796,7 +796,7 @@
 	s.log("answer %s %s", b.id, code)
 	s.finish(b)
 	s.result.ended(s, b, code)
-	if code == traffic.PushedBack {
+	if code == traffic.Rejected {
 		s.again(b, max(wait, 0.05)*(0.75+0.5*s.bodies.Float64()))
 	}
 }
--- a/internal/engines/engines_test.go
+++ b/internal/engines/engines_test.go
@@ -17,7 +17,7 @@
 func TestReadPartialAndConsecutiveReplies(t *testing.T) {
 	pool := &buffers.Pool{}
 	in := pool.Chain()
-	var got []*traffic.Reply
+	var got []*traffic.EngineReply
 	all := firstPageReply + "*3\r\n$2\r\nf2\r\n$4\r\nWAIT\r\n$1\r\n-\r\n"
 	for i := range len(all) {
 		in.WriteString(all[i : i+1])
@@ -29,12 +29,12 @@
 	}
 	require.Len(t, got, 2)
 	assert.Equal(t, "a\tb\r\n\n", got[0].Rows.Data.String(), "a line end inside a body ends nothing")
-	assert.Contains(t, got[0].Bad, "rows")
+	assert.Contains(t, got[0].Invalid, "rows")
 	got[0].Rows.Release()
-	got[0].Rows.Data, got[0].Bad = nil, ""
+	got[0].Rows.Data, got[0].Invalid = nil, ""
 	load := &brain.Report{InFlight: -1, Waiting: 3, CPU: -1, Memory: 0.25, Disks: -1}
-	assert.Equal(t, &traffic.Reply{ID: "f1", Word: traffic.Done, Pages: 2, Page: -1, Work: 0.12, Memory: 5, Load: load}, got[0])
-	assert.Equal(t, traffic.Full, got[1].Word)
+	assert.Equal(t, &traffic.EngineReply{ID: "f1", Kind: traffic.ReplyFirstPage, Pages: 2, Page: -1, Work: 0.12, Memory: 5, Load: load}, got[0])
+	assert.Equal(t, traffic.ReplyOverloaded, got[1].Kind)
 	assert.Zero(t, pool.InUse())
 }
 
@@ -52,9 +52,9 @@
 	pool := &buffers.Pool{}
 	out, text := pool.Chain(), pool.Chain()
 	text.WriteString("SELECT 1")
-	d := &traffic.Dispatch{ID: "f1", Group: "report", Mark: "k9", Wait: 0.2501, Memory: 95.2}
+	d := &traffic.Dispatch{ID: "f1", Group: "report", IdempotencyKey: "k9", Wait: 0.2501, Memory: 95.2}
 	d.Text = text
-	Session{}.Order(out, d)
+	Session{}.Encode(out, d)
 	assert.Equal(t, "*4\r\n$5\r\nfetch\r\n$2\r\nf1\r\n$40\r\nqueue=report,budget=251,uniq=k9,allot=96\r\n"+
 		"$8\r\nSELECT 1\r\n", out.String())
 	assert.Equal(t, 8, text.Len(), "the text stays for another dispatch")
--- a/internal/engines/resp.go
+++ b/internal/engines/resp.go
@@ -15,14 +15,14 @@
 	"pitchfield/internal/traffic"
 )
 
-var replyKinds = map[string]traffic.Word{"DONE": traffic.Done, "WAIT": traffic.Full, "BROKE": traffic.Broke,
-	"PAST": traffic.Late, "TELL": traffic.News, "MORE": traffic.More, "FIT": traffic.Fit, "UNFIT": traffic.Unfit}
+var replyKinds = map[string]traffic.ReplyKind{"DONE": traffic.ReplyFirstPage, "WAIT": traffic.ReplyOverloaded, "BROKE": traffic.ReplyFailed,
+	"PAST": traffic.ReplyTooLate, "TELL": traffic.ReplyProgress, "MORE": traffic.ReplyPage, "FIT": traffic.ReplyHealthy, "UNFIT": traffic.ReplyUnhealthy}
 
 var updateKinds = map[string]brain.Update{"done": brain.Progress, "spills": brain.Spilling, "waits": brain.Waiting}
 
 // Protocol is what the core must know of the engines' RESP.
 func Protocol() *traffic.EngineProtocol {
-	return &traffic.EngineProtocol{Name: "resp", Bounded: true, New: func() traffic.Engine { return Session{} }}
+	return &traffic.EngineProtocol{Name: "resp", BoundedResult: true, New: func() traffic.Engine { return Session{} }}
 }
 
 // Session is a connection to an engine. It holds nothing: ids tell what belongs together.
@@ -44,7 +44,7 @@
 )
 
 // Read reads an answer off the stream; none while it is not whole.
-func (Session) Read(in, _ *buffers.Chain) (*traffic.Reply, error) {
+func (Session) Read(in, _ *buffers.Chain) (*traffic.EngineReply, error) {
 	at := 0
 	count, ok, err := readHeader(in, &at, '*', maxElements)
 	if !ok {
@@ -75,7 +75,7 @@
 		in.Peek(starts[i], out)
 		return string(out)
 	}
-	r := &traffic.Reply{ID: text(0), Word: replyKinds[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
+	r := &traffic.EngineReply{ID: text(0), Kind: replyKinds[text(1)], Pages: -1, Page: -1, Work: -1, Memory: -1}
 	fields := text(2)
 	parseFields(r, fields)
 	if count > 3 {
@@ -155,7 +155,7 @@
 }
 
 // parseFields takes what the fields tell.
-func parseFields(r *traffic.Reply, list string) {
+func parseFields(r *traffic.EngineReply, list string) {
 	EachField(list, ',', '=', func(name, value string) {
 		switch name {
 		case "sheets":
@@ -177,10 +177,10 @@
 }
 
 // validate says why an answer can't be passed on, if it can't.
-func validate(r *traffic.Reply, fields string) {
+func validate(r *traffic.EngineReply, fields string) {
 	why := ""
-	switch r.Word {
-	case traffic.Done:
+	switch r.Kind {
+	case traffic.ReplyFirstPage:
 		if r.Pages < 1 || r.Pages > maxPages {
 			why = "number of pages"
 		} else if r.Rows.Len() == 0 && r.Pages == 1 {
@@ -188,17 +188,17 @@
 		} else if !ValidRows(r.Rows.Data) {
 			why = "rows"
 		}
-	case traffic.More:
+	case traffic.ReplyPage:
 		if r.Page < 1 || r.Page >= maxPages {
 			why = "number of a page"
 		} else if !ValidRows(r.Rows.Data) {
 			why = "rows"
 		}
-	case traffic.Unknown:
+	case traffic.ReplyUnknown:
 		why = "word"
 	}
 	if why != "" {
-		r.Bad = fmt.Sprintf("%s; fields %q", why, fields)
+		r.Invalid = fmt.Sprintf("%s; fields %q", why, fields)
 	}
 }
 
@@ -228,19 +228,19 @@
 	return v
 }
 
-// Order asks an engine for something. The wait is rounded up, lest the engine gives up before the router does.
-func (Session) Order(out *buffers.Chain, what traffic.Order) {
+// Encode asks an engine for something. The wait is rounded up, lest the engine gives up before the router does.
+func (Session) Encode(out *buffers.Chain, what traffic.EngineCommand) {
 	switch o := what.(type) {
 	case *traffic.Dispatch:
 		writeFetch(out, o)
-	case traffic.GiveUp:
+	case traffic.CancelDispatch:
 		writeCommand(out, "abort", o.ID)
-	case traffic.AskPage:
+	case traffic.FetchPage:
 		writeCommand(out, "more", o.ID, strconv.Itoa(o.Page))
-	case traffic.Enough:
+	case traffic.CloseResult:
 		writeCommand(out, "done", o.ID)
 	case traffic.Probe:
-		if o.Load {
+		if o.WantLoad {
 			writeCommand(out, "stats", o.Tag)
 		} else {
 			writeCommand(out, "alive", o.Tag)
@@ -250,20 +250,20 @@
 
 func writeFetch(out *buffers.Chain, d *traffic.Dispatch) {
 	fields := "queue=" + d.Group + ",budget=" + strconv.Itoa(max(int(math.Ceil(d.Wait*1000)), 1))
-	if d.Mark != "" {
-		fields += ",uniq=" + d.Mark
+	if d.IdempotencyKey != "" {
+		fields += ",uniq=" + d.IdempotencyKey
 	}
 	if d.Memory > 0 {
 		fields += ",allot=" + strconv.Itoa(int(math.Ceil(d.Memory)))
 	}
 	writeCommand(out, "fetch", d.ID, fields)
-	if d.Ahead == "" && len(d.Parameters) == 0 {
+	if d.SessionSetup == "" && len(d.Parameters) == 0 {
 		out.WriteString("$" + strconv.Itoa(d.Text.Len()) + "\r\n")
 		out.Append(d.Text)
 	} else {
 		// What can't be written as a literal was refused before it was taken.
 		text, _ := rows.Inline(d.Text.String(), d.Parameters)
-		out.WriteString("$" + strconv.Itoa(len(d.Ahead)+len(text)) + "\r\n" + d.Ahead + text)
+		out.WriteString("$" + strconv.Itoa(len(d.SessionSetup)+len(text)) + "\r\n" + d.SessionSetup + text)
 	}
 	out.WriteString("\r\n")
 }
--- a/internal/loop/crossings_test.go
+++ b/internal/loop/crossings_test.go
@@ -31,9 +31,9 @@
 // else comes. The order is forced by what the router logs or tells and by what the stand-ins hear, never by sleeping.
 
 const (
-	patience = 20 * time.Second // no time is asserted: only that it comes at all
-	left     = 6 * time.Second
-	grades   = `{"grades":[
+	waitLimit        = 20 * time.Second // no time is asserted: only that it comes at all
+	clientWait       = 6 * time.Second
+	platformSettings = `{"grades":[
 {"name":"lookup","on-time-ms":2000,"deadline-ms":8000,"idempotency":"idempotent","worth":1},
 {"name":"once","on-time-ms":2000,"deadline-ms":8000,"idempotency":"at_most_once","worth":1},
 {"name":"load","on-time-ms":2000,"deadline-ms":8000,"idempotency":"deduplicated","group":"all","window-ms":900,"worth":6}],
@@ -42,62 +42,62 @@
 "max-retry-after-ms":500},"feedback":{"how":"none"},"balancers":1,"index":0,"tick-ms":5}`
 )
 
-// place is a router on the loop, with what it talks to.
-type place struct {
-	t       *testing.T
-	address string
-	names   *standin.NameService
-	cancel  context.CancelFunc
-	ended   chan error
-	said    lines
+// testRouter is a router on the loop, with what it talks to.
+type testRouter struct {
+	t           *testing.T
+	address     string
+	nameService *standin.NameService
+	cancel      context.CancelFunc
+	ended       chan error
+	log         logLines
 
-	mutex  sync.Mutex
-	opened func() // is called on the loop before a client is let in
-	told   chan traffic.Tell
+	mutex          sync.Mutex
+	onClientOpened func() // is called on the loop before a client is let in
+	replies        chan traffic.ClientReply
 }
 
-// lines are what the router logs. A line may be held: the router stands still in it until it is let go on.
-type lines struct {
+// logLines are what the router logs. A line may be held: the router stands still in it until it is let go on.
+type logLines struct {
 	zapcore.LevelEnabler
 	fields []zapcore.Field
-	*held
+	*logState
 }
 
-type held struct {
-	mutex sync.Mutex
-	all   []string
-	more  chan struct{} // closed with each further line
-	at    string
-	there chan struct{} // closed once the router stands in it
-	goOn  chan struct{}
+type logState struct {
+	mutex     sync.Mutex
+	lines     []string
+	changed   chan struct{} // closed with each further line
+	pauseText string
+	paused    chan struct{} // closed once the router stands in it
+	resume    chan struct{}
 }
 
-func newLines() lines {
-	return lines{LevelEnabler: zap.DebugLevel, held: &held{more: make(chan struct{})}}
+func newLogLines() logLines {
+	return logLines{LevelEnabler: zap.DebugLevel, logState: &logState{changed: make(chan struct{})}}
 }
 
-func (l lines) With(f []zapcore.Field) zapcore.Core {
+func (l logLines) With(f []zapcore.Field) zapcore.Core {
 	l.fields = append(append([]zapcore.Field{}, l.fields...), f...)
 	return l
 }
 
-func (l lines) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (l logLines) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	return c.AddCore(e, l)
 }
 
-func (l lines) Write(e zapcore.Entry, f []zapcore.Field) error {
+func (l logLines) Write(e zapcore.Entry, f []zapcore.Field) error {
 	into := zapcore.NewMapObjectEncoder()
 	for _, one := range f {
 		one.AddTo(into)
 	}
 	text := fmt.Sprint(e.Message, " ", into.Fields)
 	l.mutex.Lock()
-	l.all = append(l.all, text)
-	close(l.more)
-	l.more = make(chan struct{})
+	l.lines = append(l.lines, text)
+	close(l.changed)
+	l.changed = make(chan struct{})
 	var there, goOn chan struct{}
-	if l.at != "" && strings.Contains(text, l.at) {
-		l.at, there, goOn = "", l.there, l.goOn
+	if l.pauseText != "" && strings.Contains(text, l.pauseText) {
+		l.pauseText, there, goOn = "", l.paused, l.resume
 	}
 	l.mutex.Unlock()
 	if there != nil {
@@ -107,24 +107,24 @@
 	return nil
 }
 
-func (lines) Sync() error { return nil }
+func (logLines) Sync() error { return nil }
 
-// hold has the router stand still in the next line with this text; what comes back lets it go on.
-func (l lines) hold(text string) (there <-chan struct{}, goOn func()) {
+// pauseAt has the router stand still in the next line with this text; what comes back lets it go on.
+func (l logLines) pauseAt(text string) (there <-chan struct{}, goOn func()) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	goOnAgain := make(chan struct{})
-	l.at, l.there, l.goOn = text, make(chan struct{}), goOnAgain
-	return l.there, sync.OnceFunc(func() { close(goOnAgain) })
+	l.pauseText, l.paused, l.resume = text, make(chan struct{}), goOnAgain
+	return l.paused, sync.OnceFunc(func() { close(goOnAgain) })
 }
 
-// await waits until a line has all these texts.
-func (l lines) await(t *testing.T, texts ...string) {
+// waitFor waits until a line has all these texts.
+func (l logLines) waitFor(t *testing.T, texts ...string) {
 	t.Helper()
-	end := time.After(patience)
+	end := time.After(waitLimit)
 	for {
 		l.mutex.Lock()
-		all, more := l.all, l.more
+		all, more := l.lines, l.changed
 		l.mutex.Unlock()
 		for _, line := range all {
 			has := true
@@ -143,42 +143,42 @@
 	}
 }
 
-func (l lines) String() string {
+func (l logLines) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return strings.Join(l.all, "\n")
+	return strings.Join(l.lines, "\n")
 }
 
-// watched notes what a client is told.
-type watched struct {
+// recordingClient notes what a client is told.
+type recordingClient struct {
 	traffic.Client
-	told chan<- traffic.Tell
+	replies chan<- traffic.ClientReply
 }
 
-func (w watched) Tell(out *buffers.Chain, what traffic.Tell) {
-	w.Client.Tell(out, what)
+func (w recordingClient) Encode(out *buffers.Chain, what traffic.ClientReply) {
+	w.Client.Encode(out, what)
 	select {
-	case w.told <- what:
+	case w.replies <- what:
 	default:
 	}
 }
 
-// begin starts a router. The name service is asked through via, which is told where it is, or directly without one; listed
+// startRouter starts a router. The name service is asked through via, which is told where it is, or directly without one; listed
 // engines are what the router knows from its start.
-func begin(t *testing.T, descriptors int, via func(names string) string, listed ...directory.Engine) *place {
+func startRouter(t *testing.T, descriptors int, via func(names string) string, listed ...directory.Engine) *testRouter {
 	names, err := standin.NewNameService("127.0.0.1:0")
 	require.NoError(t, err)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p := &place{t: t, address: free.Addr().String(), names: names, ended: make(chan error, 1), said: newLines(),
-		told: make(chan traffic.Tell, 1000)}
+	p := &testRouter{t: t, address: free.Addr().String(), nameService: names, ended: make(chan error, 1), log: newLogLines(),
+		replies: make(chan traffic.ClientReply, 1000)}
 	free.Close()
 	resolver := names.LocalAddr().String()
 	if via != nil {
 		resolver = via(resolver)
 	}
 	c, err := config.Parse(fmt.Appendf(nil, `{"listen":%q,"resolver":%q,"seed":"9","limits":{"memory_mb":192,"sockets":%d},"settings":%s}`,
-		p.address, resolver, descriptors, grades))
+		p.address, resolver, descriptors, platformSettings))
 	require.NoError(t, err)
 	if len(listed) > 0 {
 		c.KnownEngines = directory.List{Serial: 1, Engines: listed}
@@ -188,23 +188,23 @@
 	inner := speaks.New
 	speaks.New = func() traffic.Client {
 		p.mutex.Lock()
-		opened := p.opened
+		opened := p.onClientOpened
 		p.mutex.Unlock()
 		if opened != nil {
 			opened()
 		}
-		return watched{inner(), p.told}
+		return recordingClient{inner(), p.replies}
 	}
 	resp := engines.Protocol()
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go func() {
-		p.ended <- loop.Run(ctx, c, loop.World{Pool: pool, Listeners: []loop.Listener{{Address: p.address, Speaks: speaks}},
-			Speaks: func(directory.Engine) *traffic.EngineProtocol { return resp }}, nil, zap.New(p.said))
+		p.ended <- loop.Run(ctx, c, loop.Environment{Pool: pool, Listeners: []loop.Listener{{Address: p.address, Protocol: speaks}},
+			EngineProtocol: func(directory.Engine) *traffic.EngineProtocol { return resp }}, nil, zap.New(p.log))
 	}()
 	t.Cleanup(func() {
 		cancel()
-		p.end()
+		p.waitForEnd()
 		names.Close()
 	})
 	require.Eventually(t, func() bool {
@@ -213,22 +213,22 @@
 			c.Close()
 		}
 		return err == nil
-	}, patience, 5*time.Millisecond)
+	}, waitLimit, 5*time.Millisecond)
 	return p
 }
 
-// end waits for the router's end, and may be called again.
-func (p *place) end() {
+// waitForEnd waits for the router's end, and may be called again.
+func (p *testRouter) waitForEnd() {
 	select {
 	case err := <-p.ended:
 		assert.NoError(p.t, err)
 		p.ended <- nil
-	case <-time.After(patience):
-		assert.Fail(p.t, "the router does not end", p.said.String())
+	case <-time.After(waitLimit):
+		assert.Fail(p.t, "the router does not end", p.log.String())
 	}
 }
 
-func (p *place) client() *standin.Client {
+func (p *testRouter) client() *standin.Client {
 	p.t.Helper()
 	c, err := standin.Dial(p.address)
 	require.NoError(p.t, err)
@@ -236,8 +236,8 @@
 	return c
 }
 
-// narrow is a client that takes little at a time: what it has not read yet lies at the router's machine.
-func (p *place) narrow() *standin.Client {
+// smallBufferClient is a client that takes little at a time: what it has not read yet lies at the router's machine.
+func (p *testRouter) smallBufferClient() *standin.Client {
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) //nolint:errcheck
@@ -249,15 +249,15 @@
 	return &standin.Client{Conn: c}
 }
 
-func (p *place) next(c *standin.Client) standin.ResponseFrame {
+func (p *testRouter) next(c *standin.Client) standin.ResponseFrame {
 	p.t.Helper()
-	a, err := c.ReadFrame(patience)
+	a, err := c.ReadFrame(waitLimit)
 	require.NoError(p.t, err)
 	return a
 }
 
-// answer gives the next final answer.
-func (p *place) answer(c *standin.Client) standin.ResponseFrame {
+// nextAnswer gives the next final answer.
+func (p *testRouter) nextAnswer(c *standin.Client) standin.ResponseFrame {
 	p.t.Helper()
 	for {
 		if a := p.next(c); a.Type == clients.FrameAnswer {
@@ -266,30 +266,30 @@
 	}
 }
 
-// codes gives the codes of the next final answers, by stream.
-func (p *place) codes(c *standin.Client, n int) map[uint32]uint8 {
+// answerCodes gives the codes of the next final answers, by stream.
+func (p *testRouter) answerCodes(c *standin.Client, n int) map[uint32]uint8 {
 	p.t.Helper()
 	out := map[uint32]uint8{}
 	for range n {
-		a := p.answer(c)
+		a := p.nextAnswer(c)
 		require.NotContains(p.t, out, a.Stream, "a second answer")
 		out[a.Stream] = a.Code
 	}
 	return out
 }
 
-// answered waits until the router has told so many final answers.
-func (p *place) answered(n int) {
+// waitForAnswers waits until the router has told so many final answers.
+func (p *testRouter) waitForAnswers(n int) {
 	p.t.Helper()
-	end := time.After(patience)
+	end := time.After(waitLimit)
 	for n > 0 {
 		select {
-		case what := <-p.told:
+		case what := <-p.replies:
 			if _, is := what.(*traffic.Answer); is {
 				n--
 			}
 		case <-end:
-			require.Fail(p.t, "never answered", p.said.String())
+			require.Fail(p.t, "never answered", p.log.String())
 		}
 	}
 }
@@ -307,15 +307,15 @@
 	return directory.Engine{ID: id, Zone: "hall", Kind: "std", Address: e.Addr().String(), Weight: 1}
 }
 
-func engine(t *testing.T, answer func(standin.Request) [][]string) *standin.Engine {
+func startEngine(t *testing.T, answer func(standin.Request) [][]string) *standin.Engine {
 	e, err := standin.NewEngine("127.0.0.1:0", answer)
 	require.NoError(t, err)
 	t.Cleanup(func() { e.Close() })
 	return e
 }
 
-// wide answers with a result of the largest size there is.
-func wide(r standin.Request) [][]string {
+// largeResult answers with a result of the largest size there is.
+func largeResult(r standin.Request) [][]string {
 	page := strings.Repeat("one\ttwo\tthree 0123456789\n", 5000/25)
 	switch r[0] {
 	case "fetch":
@@ -326,53 +326,53 @@
 	return nil
 }
 
-// late is an engine whose machine takes connections only once it is told to: until then they don't come up.
-type late struct {
-	t       *testing.T
-	address string
-	file    *os.File
-	first   net.Conn // fills the machine's queue
-	engine  *standin.Engine
+// lateEngine is an engine whose machine takes connections only once it is told to: until then they don't come up.
+type lateEngine struct {
+	t         *testing.T
+	address   string
+	file      *os.File
+	firstConn net.Conn // fills the machine's queue
+	engine    *standin.Engine
 }
 
-func newLate(t *testing.T) *late {
+func newLateEngine(t *testing.T) *lateEngine {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(t, syscall.Listen(fd, 0))
 	name, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
-	l := &late{t: t, address: fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), file: os.NewFile(uintptr(fd), "late")}
-	l.first, err = net.DialTimeout("tcp", l.address, patience)
+	l := &lateEngine{t: t, address: fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), file: os.NewFile(uintptr(fd), "late")}
+	l.firstConn, err = net.DialTimeout("tcp", l.address, waitLimit)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		l.file.Close()
-		l.first.Close()
+		l.firstConn.Close()
 	})
 	return l
 }
 
-func (l *late) host(id string) standin.Host {
+func (l *lateEngine) host(id string) standin.Host {
 	return standin.Host{ID: id, Zone: "hall", Kind: "std", Address: l.address}
 }
 
-func (l *late) listed(id string) directory.Engine {
+func (l *lateEngine) listed(id string) directory.Engine {
 	return directory.Engine{ID: id, Zone: "hall", Kind: "std", Address: l.address, Weight: 1}
 }
 
-// asked waits until a connection to it is on its way: its first packet has been dropped, and the next comes a second later.
-func (l *late) asked() {
+// waitForDial waits until a connection to it is on its way: its first packet has been dropped, and the next comes a second later.
+func (l *lateEngine) waitForDial() {
 	l.t.Helper()
-	port := l.first.RemoteAddr().(*net.TCPAddr).Port
+	port := l.firstConn.RemoteAddr().(*net.TCPAddr).Port
 	synSent := fmt.Sprintf("0100007F:%04X 02", port)
 	require.Eventually(l.t, func() bool {
 		table, err := os.ReadFile("/proc/self/net/tcp")
 		return err == nil && strings.Contains(string(table), synSent)
-	}, patience, time.Millisecond)
+	}, waitLimit, time.Millisecond)
 }
 
-// release lets connections come up: the next time that the router's machine asks.
-func (l *late) release(answer func(standin.Request) [][]string) *standin.Engine {
+// acceptConnections lets connections come up: the next time that the router's machine asks.
+func (l *lateEngine) acceptConnections(answer func(standin.Request) [][]string) *standin.Engine {
 	listener, err := net.FileListener(l.file)
 	require.NoError(l.t, err)
 	l.t.Cleanup(func() { listener.Close() })
@@ -380,11 +380,11 @@
 	return l.engine
 }
 
-// ends reads a connection to its end, which must not be a reset.
-func (p *place) ends(c *standin.Client) {
+// expectCleanEnd reads a connection to its end, which must not be a reset.
+func (p *testRouter) expectCleanEnd(c *standin.Client) {
 	p.t.Helper()
 	for {
-		_, err := c.ReadFrame(patience)
+		_, err := c.ReadFrame(waitLimit)
 		if err != nil {
 			assert.ErrorIs(p.t, err, io.EOF)
 			return
@@ -394,15 +394,15 @@
 
 // A batch crosses the close of an idle connection, whose last answers are still on their way. A close over unread bytes
 // resets a connection, and what had been written with it.
-func TestAnswersOutliveAnEndThatABatchCrosses(t *testing.T) {
-	e := engine(t, wide)
-	p := begin(t, 8, nil, listed("s-0", e)) // four clients
-	p.names.Set(host("s-0", e))
-	idle := p.narrow()
+func TestWrittenAnswersArriveWhenABatchCrossesAnIdleClose(t *testing.T) {
+	e := startEngine(t, largeResult)
+	p := startRouter(t, 8, nil, listed("s-0", e)) // four clients
+	p.nameService.Set(host("s-0", e))
+	idle := p.smallBufferClient()
 	for i := range uint32(3) {
-		require.NoError(t, idle.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 FROM a_3.b"))
+		require.NoError(t, idle.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), clientWait, "SELECT 1 FROM a_3.b"))
 	}
-	p.answered(3)
+	p.waitForAnswers(3)
 	for range 3 {
 		c := p.client()
 		c.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
@@ -410,49 +410,49 @@
 	}
 	crossed := make(chan bool, 1)
 	p.mutex.Lock()
-	p.opened = sync.OnceFunc(func() {
-		crossed <- idle.SendBatch(4, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b") == nil
+	p.onClientOpened = sync.OnceFunc(func() {
+		crossed <- idle.SendBatch(4, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b") == nil
 	})
 	p.mutex.Unlock()
 	other := p.client() // one too many
-	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.codes(idle, 3))
-	p.ends(idle)
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.answerCodes(idle, 3))
+	p.expectCleanEnd(idle)
 	require.True(t, <-crossed)
-	require.NoError(t, other.SendBatch(1, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
+	require.NoError(t, other.SendBatch(1, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	assert.Len(t, e.Requests("fetch"), 4, "sent again on another connection, and sent on once")
 }
 
 // The same at the end of the process: the batch comes between the decision to end and the end.
-func TestAnswersOutliveTheEndOfTheProcess(t *testing.T) {
-	e := engine(t, wide)
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
-	slow, other := p.narrow(), p.client()
+func TestWrittenAnswersArriveWhenABatchCrossesTheStop(t *testing.T) {
+	e := startEngine(t, largeResult)
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
+	slow, other := p.smallBufferClient(), p.client()
 	for i := range uint32(3) {
-		require.NoError(t, slow.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 FROM a_3.b"))
+		require.NoError(t, slow.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), clientWait, "SELECT 1 FROM a_3.b"))
 	}
-	require.NoError(t, other.SendBatch(1, "lookup", fmt.Sprintf("%016x", 9), left, "SELECT 1 FROM a_3.b"))
-	p.answered(4)
-	there, goOn := p.said.hold("stopped")
+	require.NoError(t, other.SendBatch(1, "lookup", fmt.Sprintf("%016x", 9), clientWait, "SELECT 1 FROM a_3.b"))
+	p.waitForAnswers(4)
+	there, goOn := p.log.pauseAt("stopped")
 	defer goOn()
 	p.cancel()
 	<-there
-	require.NoError(t, slow.SendBatch(4, "lookup", fmt.Sprintf("%016x", 4), left, "SELECT 1 FROM a_3.b"))
+	require.NoError(t, slow.SendBatch(4, "lookup", fmt.Sprintf("%016x", 4), clientWait, "SELECT 1 FROM a_3.b"))
 	goOn()
-	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.codes(slow, 3))
-	p.ends(slow)
-	assert.Equal(t, uint32(1), p.answer(other).Stream)
-	p.ends(other)
-	p.end()
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded, 3: clients.CodeSucceeded}, p.answerCodes(slow, 3))
+	p.expectCleanEnd(slow)
+	assert.Equal(t, uint32(1), p.nextAnswer(other).Stream)
+	p.expectCleanEnd(other)
+	p.waitForEnd()
 	assert.Len(t, e.Requests("fetch"), 4, "what crossed the end is not sent on")
 }
 
 // Half a batch is there as the router is told to stop, and the rest comes after it would have ended.
-func TestHalfABatchAtTheStopIsWaitedFor(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
+func TestStopWaitsForAPartiallyReceivedBatch(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
 	c := p.client()
 	frame := standin.EncodeFrame(clients.FrameBatch, 1, []string{"c", "once", "i", "00000000000000f1", "d", "6000"}, "SELECT 1")
 	c.Write(frame[:20]) //nolint:errcheck
@@ -464,119 +464,119 @@
 	_, err := c.ReadFrame(time.Second)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "it is waited for")
 	c.Write(frame[20:]) //nolint:errcheck
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
-	p.ends(c)
-	p.end()
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
+	p.expectCleanEnd(c)
+	p.waitForEnd()
 }
 
 // An engine begins to drain while a batch waits for a connection to it, and the connection comes up after that.
-func TestADrainCrossesAConnectionThatComesUpLate(t *testing.T) {
-	slow, other := newLate(t), engine(t, nil)
-	p := begin(t, 1024, nil, slow.listed("s-late"))
-	p.names.Set(slow.host("s-late"))
+func TestNoDispatchToADrainingEngineWhoseConnectionOpensLate(t *testing.T) {
+	slow, other := newLateEngine(t), startEngine(t, nil)
+	p := startRouter(t, 1024, nil, slow.listed("s-late"))
+	p.nameService.Set(slow.host("s-late"))
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
-	p.said.await(t, "dispatch map", "s-late")
-	slow.asked() // before the drain, which may have the router give the connection up
-	p.names.Set(draining(slow.host("s-late")), host("s-other", other))
-	p.said.await(t, "engine listed", "draining:true", "s-late")
-	up := slow.release(nil)
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
+	p.log.waitFor(t, "dispatch map", "s-late")
+	slow.waitForDial() // before the drain, which may have the router give the connection up
+	p.nameService.Set(draining(slow.host("s-late")), host("s-other", other))
+	p.log.waitFor(t, "engine listed", "draining:true", "s-late")
+	up := slow.acceptConnections(nil)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	assert.Empty(t, up.Requests("fetch"), "nothing new for an engine that drains")
 	assert.Len(t, other.Requests("fetch"), 1)
 }
 
 // A repeat waits for its connection until the engines have forgotten its first.
-func TestTheWindowEndsWhileARepeatWaitsForItsConnection(t *testing.T) {
+func TestNoRetryAfterTheDeduplicationWindow(t *testing.T) {
 	hold := make(chan struct{})
-	first, slow := engine(t, func(standin.Request) [][]string { <-hold; return nil }), newLate(t)
-	p := begin(t, 1024, nil, listed("s-first", first))
-	p.names.Set(host("s-first", first))
+	first, slow := startEngine(t, func(standin.Request) [][]string { <-hold; return nil }), newLateEngine(t)
+	p := startRouter(t, 1024, nil, listed("s-first", first))
+	p.nameService.Set(host("s-first", first))
 	c := p.client()
 	fields := []string{"c", "load", "i", "00000000000000f1", "d", "6000", "k", strings.Repeat("a", clients.IdempotencyKeyDigits)}
 	_, err := c.Write(standin.EncodeFrame(clients.FrameBatch, 1, fields, "SELECT 1"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return len(first.Requests("fetch")) == 1 }, patience, time.Millisecond)
-	p.names.Set(draining(host("s-first", first)), slow.host("s-late"))
-	p.said.await(t, "engine listed", "s-late")
+	require.Eventually(t, func() bool { return len(first.Requests("fetch")) == 1 }, waitLimit, time.Millisecond)
+	p.nameService.Set(draining(host("s-first", first)), slow.host("s-late"))
+	p.log.waitFor(t, "engine listed", "s-late")
 	first.Shutdown()
 	close(hold)
-	slow.asked()
-	up := slow.release(nil)
-	assert.Equal(t, uint8(clients.CodeFailed), p.answer(c).Code, "it may have run")
+	slow.waitForDial()
+	up := slow.acceptConnections(nil)
+	assert.Equal(t, uint8(clients.CodeFailed), p.nextAnswer(c).Code, "it may have run")
 	assert.Empty(t, up.Requests("fetch"), "the engines have forgotten it")
 }
 
 // A client goes while its batch waits for a connection, and the connection comes up after that.
-func TestAClientGoesWhileItsBatchWaitsForAConnection(t *testing.T) {
-	slow := newLate(t)
-	p := begin(t, 1024, nil, slow.listed("s-late"))
-	p.names.Set(slow.host("s-late"))
+func TestNoDispatchForAClientThatClosedDuringTheDial(t *testing.T) {
+	slow := newLateEngine(t)
+	p := startRouter(t, 1024, nil, slow.listed("s-late"))
+	p.nameService.Set(slow.host("s-late"))
 	c, other := p.client(), p.client()
-	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
-	p.said.await(t, "dispatch map", "f1")
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", clientWait, "SELECT 1"))
+	p.log.waitFor(t, "dispatch map", "f1")
 	c.Close()
-	p.said.await(t, "left map", "f1")
-	slow.asked()
-	up := slow.release(nil)
-	require.NoError(t, other.SendBatch(1, "lookup", "00000000000000f2", left, "SELECT 2"))
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
+	p.log.waitFor(t, "left map", "f1")
+	slow.waitForDial()
+	up := slow.acceptConnections(nil)
+	require.NoError(t, other.SendBatch(1, "lookup", "00000000000000f2", clientWait, "SELECT 2"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	for _, r := range up.Requests("fetch") {
 		assert.Equal(t, "00000000000000f2", r[1], "nothing is sent for who has gone")
 	}
 }
 
 // A client goes between the first page of its result and the next, which the engine never sends.
-func TestAClientGoesBetweenTwoPages(t *testing.T) {
-	e := engine(t, func(r standin.Request) [][]string {
+func TestClientClosingBetweenPagesReleasesTheResult(t *testing.T) {
+	e := startEngine(t, func(r standin.Request) [][]string {
 		if r[0] == "fetch" {
 			return [][]string{{r[1], "DONE", "sheets=2,toil=20,room=8", "a\tb\tc\n"}}
 		}
 		return nil
 	})
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Requests("more")) > 0 }, patience, time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", clientWait, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("more")) > 0 }, waitLimit, time.Millisecond)
 	c.Close()
-	require.Eventually(t, func() bool { return len(e.Requests("done")) == 1 }, patience, time.Millisecond, "the engine may forget them")
+	require.Eventually(t, func() bool { return len(e.Requests("done")) == 1 }, waitLimit, time.Millisecond, "the engine may forget them")
 }
 
 // Bytes that can't be read come behind a batch that is out.
-func TestRubbishCrossesAnAnswer(t *testing.T) {
+func TestInvalidInputFailsOpenBatches(t *testing.T) {
 	hold := make(chan struct{})
-	e := engine(t, func(r standin.Request) [][]string { <-hold; return standin.ToyAnswer(r) })
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
+	e := startEngine(t, func(r standin.Request) [][]string { <-hold; return standin.ToyAnswer(r) })
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 1 }, patience, time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 1 }, waitLimit, time.Millisecond)
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n")) //nolint:errcheck
 	for stream := range uint32(2) {
 		a := p.next(c)
 		assert.Equal(t, []any{uint8(clients.FrameAnswer), 1 - stream, uint8(clients.CodeFailed)}, []any{a.Type, a.Stream, a.Code})
 	}
-	p.ends(c)
+	p.expectCleanEnd(c)
 	close(hold)
 	whole := p.client()
-	require.NoError(t, whole.SendBatch(1, "once", "00000000000000f2", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(whole).Code)
+	require.NoError(t, whole.SendBatch(1, "once", "00000000000000f2", clientWait, "SELECT 1"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(whole).Code)
 }
 
-// deaf passes questions on to the name service, but none from those that it has fallen out with.
-type deaf struct {
+// nameServiceProxy passes questions on to the name service, but none from those that it has fallen out with.
+type nameServiceProxy struct {
 	net.PacketConn
-	mutex sync.Mutex
-	ports map[string]bool // that were seen
-	shut  map[string]bool // that are not heard any more
-	down  bool            // nobody is
+	mutex   sync.Mutex
+	seen    map[string]bool // that were seen
+	blocked map[string]bool // that are not heard any more
+	down    bool            // nobody is
 }
 
-func newDeaf(t *testing.T, to string) *deaf {
+func newNameServiceProxy(t *testing.T, to string) *nameServiceProxy {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &deaf{PacketConn: c, ports: map[string]bool{}, shut: map[string]bool{}}
+	d := &nameServiceProxy{PacketConn: c, seen: map[string]bool{}, blocked: map[string]bool{}}
 	t.Cleanup(func() { c.Close() })
 	go func() {
 		question, answer := make([]byte, 512), make([]byte, 9000)
@@ -586,8 +586,8 @@
 				return
 			}
 			d.mutex.Lock()
-			shut := d.down || d.shut[from.String()]
-			d.ports[from.String()] = true
+			shut := d.down || d.blocked[from.String()]
+			d.seen[from.String()] = true
 			d.mutex.Unlock()
 			if shut {
 				continue
@@ -607,51 +607,51 @@
 	return d
 }
 
-// fallSilent: nobody is heard, or all are again.
-func (d *deaf) fallSilent(down bool) {
+// setDown: nobody is heard, or all are again.
+func (d *nameServiceProxy) setDown(down bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.down = down
 }
 
-// fallOut: whoever has asked so far is never heard again.
-func (d *deaf) fallOut() {
+// blockSeenPorts: whoever has asked so far is never heard again.
+func (d *nameServiceProxy) blockSeenPorts() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for port := range d.ports {
-		d.shut[port] = true
+	for port := range d.seen {
+		d.blocked[port] = true
 	}
 }
 
 // The watch on the list falls silent for good: the way back for its port is gone. A drain that comes then must be seen.
-func TestAListThatFallsSilentForGoodIsSeenFromAnotherPort(t *testing.T) {
-	old, fresh := engine(t, nil), engine(t, nil)
-	var d *deaf
-	p := begin(t, 1024, func(names string) string {
-		d = newDeaf(t, names)
+func TestSilentNameServiceIsQueriedFromAnotherPort(t *testing.T) {
+	old, fresh := startEngine(t, nil), startEngine(t, nil)
+	var d *nameServiceProxy
+	p := startRouter(t, 1024, func(names string) string {
+		d = newNameServiceProxy(t, names)
 		return d.LocalAddr().String()
 	})
-	p.names.Set(host("s-old", old))
-	p.said.await(t, "engine listed", "s-old")
-	d.fallOut()
-	p.names.Set(draining(host("s-old", old)), host("s-new", fresh))
-	p.said.await(t, "engine listed", "s-new")
+	p.nameService.Set(host("s-old", old))
+	p.log.waitFor(t, "engine listed", "s-old")
+	d.blockSeenPorts()
+	p.nameService.Set(draining(host("s-old", old)), host("s-new", fresh))
+	p.log.waitFor(t, "engine listed", "s-new")
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", clientWait, "SELECT 1"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	assert.Empty(t, old.Requests("fetch"))
 }
 
 // Idle clients take all the descriptors that clients may have while the name service says nothing. Engines, the name service and
 // whoever asks keep theirs, and a drain that comes with the name service's return is seen.
-func TestIdleClientsFillTheDescriptorsWhileTheNameServiceIsDown(t *testing.T) {
-	old, fresh := engine(t, nil), engine(t, nil)
-	var d *deaf
-	p := begin(t, 160, func(names string) string {
-		d = newDeaf(t, names)
+func TestIdleClientsDoNotExhaustDescriptorsWhileTheNameServiceIsDown(t *testing.T) {
+	old, fresh := startEngine(t, nil), startEngine(t, nil)
+	var d *nameServiceProxy
+	p := startRouter(t, 160, func(names string) string {
+		d = newNameServiceProxy(t, names)
 		return d.LocalAddr().String()
 	}, listed("s-old", old))
-	d.fallSilent(true)
+	d.setDown(true)
 	var idle []net.Conn
 	for range 160 {
 		c, err := net.Dial("tcp", p.address)
@@ -666,29 +666,29 @@
 	ask := func(id string) uint8 { // as clients do that may be shut unread at the bound
 		for {
 			c := p.client()
-			if c.SendBatch(1, "lookup", id, left, "SELECT 1") != nil {
+			if c.SendBatch(1, "lookup", id, clientWait, "SELECT 1") != nil {
 				continue
 			}
-			if a, err := c.ReadFrame(patience); err == nil {
+			if a, err := c.ReadFrame(waitLimit); err == nil {
 				return a.Code
 			}
 		}
 	}
 	assert.Equal(t, uint8(clients.CodeSucceeded), ask("00000000000000f1"))
-	p.said.await(t, "name service is silent")
-	p.names.Set() // the number of the start
-	p.names.Set(draining(host("s-old", old)), host("s-new", fresh))
-	d.fallSilent(false)
-	p.said.await(t, "engine listed", "s-new")
+	p.log.waitFor(t, "name service is silent")
+	p.nameService.Set() // the number of the start
+	p.nameService.Set(draining(host("s-old", old)), host("s-new", fresh))
+	d.setDown(false)
+	p.log.waitFor(t, "engine listed", "s-new")
 	before := len(old.Requests("fetch"))
 	assert.Equal(t, uint8(clients.CodeSucceeded), ask("00000000000000f2"))
 	assert.Len(t, old.Requests("fetch"), before)
 }
 
 // The list is not there yet: a client that asks at once is told to wait, not that all is well.
-func TestReadyIsSaidOnceTheListIsThere(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 1024, nil)
+func TestReadyOnlyAfterTheEngineListArrived(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 1024, nil)
 	ready := func() uint8 {
 		c := p.client()
 		defer c.Close()
@@ -696,108 +696,108 @@
 		return p.next(c).Code
 	}
 	assert.Equal(t, uint8(clients.CodeRejected), ready())
-	p.names.Set(host("s-0", e))
-	p.said.await(t, "engine listed", "s-0")
+	p.nameService.Set(host("s-0", e))
+	p.log.waitFor(t, "engine listed", "s-0")
 	assert.Equal(t, uint8(clients.CodeSucceeded), ready())
 }
 
 // A batch waits in the queue of connections that are not accepted yet as the router is told to stop.
-func TestABatchInTheAcceptQueueAtTheStopIsAnswered(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
-	there, goOn := p.said.hold("stopping")
+func TestBatchInTheAcceptQueueAtTheStopIsAnswered(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
+	there, goOn := p.log.pauseAt("stopping")
 	defer goOn()
 	p.cancel()
 	<-there
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
 	goOn()
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
-	p.ends(c)
-	p.end()
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
+	p.expectCleanEnd(c)
+	p.waitForEnd()
 }
 
 // An engine hangs while the router ends: what is out there is answered before the kill, by what is true of it.
-func TestAnEngineHangsWhileTheRouterEnds(t *testing.T) {
+func TestStopAnswersBatchesOfAHangingEngine(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	e := engine(t, func(standin.Request) [][]string { <-hold; return nil })
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
+	e := startEngine(t, func(standin.Request) [][]string { <-hold; return nil })
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
-	require.NoError(t, c.SendBatch(2, "lookup", "00000000000000f2", left, "SELECT 1"))
-	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 2 }, patience, time.Millisecond)
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
+	require.NoError(t, c.SendBatch(2, "lookup", "00000000000000f2", clientWait, "SELECT 1"))
+	require.Eventually(t, func() bool { return len(e.Requests("fetch")) == 2 }, waitLimit, time.Millisecond)
 	at := time.Now()
 	p.cancel()
-	got := p.codes(c, 2)
+	got := p.answerCodes(c, 2)
 	assert.Less(t, time.Since(at), 3700*time.Millisecond, "the kill")
 	assert.Equal(t, map[uint32]uint8{1: clients.CodeFailed, 2: clients.CodeRejected}, got)
-	p.ends(c)
-	p.end()
+	p.expectCleanEnd(c)
+	p.waitForEnd()
 }
 
 // A client asks for much and goes: its end lies behind frames that the router has not read yet.
-func TestAClientThatAsksAndGoesAtOnceGetsNothingSent(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
+func TestNoDispatchForAClientThatSendsAndCloses(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
 	c, other := p.client(), p.client()
-	there, goOn := p.said.hold("f9 left:")
+	there, goOn := p.log.pauseAt("f9 left:")
 	defer goOn()
-	require.NoError(t, other.SendBatch(1, "lookup", "00000000000000f9", left, "SELECT 1"))
+	require.NoError(t, other.SendBatch(1, "lookup", "00000000000000f9", clientWait, "SELECT 1"))
 	<-there
 	for i := range uint32(4) { // more than is read at a time
-		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, "SELECT 1 /* "+strings.Repeat("x", 60000)+" */"))
+		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), clientWait, "SELECT 1 /* "+strings.Repeat("x", 60000)+" */"))
 	}
 	c.Close()
 	goOn()
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
-	p.said.await(t, "client gone with open batches", "open:4")
-	require.NoError(t, other.SendBatch(2, "lookup", "00000000000000fa", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(other).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
+	p.log.waitFor(t, "client gone with open batches", "open:4")
+	require.NoError(t, other.SendBatch(2, "lookup", "00000000000000fa", clientWait, "SELECT 1"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(other).Code)
 	for _, r := range e.Requests("fetch") {
 		assert.Contains(t, []string{"00000000000000f9", "00000000000000fa"}, r[1], "nothing is sent for who has gone")
 	}
 }
 
 // An engine closes an idle connection in the moment in which a batch comes that may not be sent twice.
-func TestAnIdleConnectionIsClosedAsABatchComes(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
+func TestBatchIsNotSentOnAnIdleConnectionThatTheEngineClosed(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
 	c, other := p.client(), p.client()
-	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
-	require.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
-	there, goOn := p.said.hold("batch can't be used")
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
+	require.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
+	there, goOn := p.log.pauseAt("batch can't be used")
 	defer goOn()
-	require.NoError(t, other.SendBatch(1, "nobody's", "00000000000000f9", left, "SELECT 1"))
+	require.NoError(t, other.SendBatch(1, "nobody's", "00000000000000f9", clientWait, "SELECT 1"))
 	<-there
 	e.CloseConnections()
-	require.NoError(t, c.SendBatch(2, "once", "00000000000000f2", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(2, "once", "00000000000000f2", clientWait, "SELECT 1"))
 	goOn()
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code, "all that has come is known before a batch is sent")
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code, "all that has come is known before a batch is sent")
 }
 
 // A batch comes in pieces of one byte, with another's answer between them.
-func TestABatchComesByteByByte(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 1024, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
+func TestBatchReceivedByteByByte(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 1024, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "once", "00000000000000f1", clientWait, "SELECT 1"))
 	for _, b := range standin.EncodeFrame(clients.FrameBatch, 2, []string{"c", "once", "i", "00000000000000f2", "d", "6000"}, "SELECT 1") {
 		_, err := c.Write([]byte{b})
 		require.NoError(t, err)
 	}
-	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded}, p.codes(c, 2))
+	assert.Equal(t, map[uint32]uint8{1: clients.CodeSucceeded, 2: clients.CodeSucceeded}, p.answerCodes(c, 2))
 }
 
 // Nobody listens where the name service should be, from the start on: the list of the start serves, and a stop ends as ever.
-func TestTheListOfTheStartServesWhileNobodyListensAtTheNameService(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 1024, func(string) string {
+func TestConfiguredListServesWithoutANameService(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 1024, func(string) string {
 		nobody, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer nobody.Close()
@@ -806,80 +806,80 @@
 	c := p.client()
 	c.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 	assert.Equal(t, uint8(clients.CodeSucceeded), p.next(c).Code, "ready")
-	require.NoError(t, c.SendBatch(2, "once", "00000000000000f1", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
-	p.said.await(t, "name service is silent")
-	assert.Less(t, strings.Count(p.said.String(), "stood still"), 3, "waiting for the next event is no standstill")
+	require.NoError(t, c.SendBatch(2, "once", "00000000000000f1", clientWait, "SELECT 1"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
+	p.log.waitFor(t, "name service is silent")
+	assert.Less(t, strings.Count(p.log.String(), "stood still"), 3, "waiting for the next event is no standstill")
 	p.cancel()
 	assert.Equal(t, uint8(clients.FrameGoAway), p.next(c).Type)
-	p.ends(c)
-	p.end()
+	p.expectCleanEnd(c)
+	p.waitForEnd()
 }
 
 // A router that stood still finds a frame half whole for long, or a connection idle, before it has read what lies in its socket: a
 // request that was written seconds ago went with the connection, unread.
-func TestARequestThatLiesUnreadAsItsConnectionIsEndedIsRefused(t *testing.T) {
-	e := engine(t, nil)
-	p := begin(t, 8, nil, listed("s-0", e)) // four clients
-	p.names.Set(host("s-0", e))
+func TestUnreadRequestIsRejectedWhenItsConnectionIsClosed(t *testing.T) {
+	e := startEngine(t, nil)
+	p := startRouter(t, 8, nil, listed("s-0", e)) // four clients
+	p.nameService.Set(host("s-0", e))
 	idle := p.client()
-	require.NoError(t, idle.SendBatch(1, "lookup", "0000000000000001", left, "SELECT 1 FROM a_3.b"))
-	require.Equal(t, uint8(clients.CodeSucceeded), p.answer(idle).Code)
+	require.NoError(t, idle.SendBatch(1, "lookup", "0000000000000001", clientWait, "SELECT 1 FROM a_3.b"))
+	require.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(idle).Code)
 	for range 3 {
 		c := p.client()
 		c.Write(standin.EncodeFrame(clients.FrameReadinessQuery, 1, []string{}, "")) //nolint:errcheck
 		p.next(c)
 	}
 	p.mutex.Lock()
-	p.opened = sync.OnceFunc(func() { // the loop stands still here, and ends the idle one then
+	p.onClientOpened = sync.OnceFunc(func() { // the loop stands still here, and ends the idle one then
 		for i := range uint32(3) {
-			idle.SendBatch(2+i, "lookup", fmt.Sprintf("%016x", 2+i), left, "SELECT 1 FROM a_3.b") //nolint:errcheck
+			idle.SendBatch(2+i, "lookup", fmt.Sprintf("%016x", 2+i), clientWait, "SELECT 1 FROM a_3.b") //nolint:errcheck
 		}
 	})
 	p.mutex.Unlock()
 	p.client() // one too many
-	assert.Equal(t, map[uint32]uint8{2: clients.CodeRejected, 3: clients.CodeRejected, 4: clients.CodeRejected}, p.codes(idle, 3))
-	p.ends(idle)
+	assert.Equal(t, map[uint32]uint8{2: clients.CodeRejected, 3: clients.CodeRejected, 4: clients.CodeRejected}, p.answerCodes(idle, 3))
+	p.expectCleanEnd(idle)
 	assert.Len(t, e.Requests("fetch"), 1)
 }
 
-// standstill is a router that stands still in the middle of a step, twice: while it stands still first, a timer fires and the
+// pausedRouter is a router that stands still in the middle of a step, twice: while it stands still first, a timer fires and the
 // second request comes, so that the loop finds both at once and decides without looking at its sockets again.
-type standstill struct {
-	*place
+type pausedRouter struct {
+	*testRouter
 	first, second *standin.Client
-	goOn          func() // lets the second standstill end
+	resume        func() // lets the second standstill end
 }
 
 const (
-	grace = 250 * time.Millisecond // stop-sending-within-ms of the settings
-	slack = 50 * time.Millisecond  // what the protocol's page adds on sockets
+	drainGrace  = 250 * time.Millisecond // stop-sending-within-ms of the settings
+	socketSlack = 50 * time.Millisecond  // what the protocol's page adds on sockets
 )
 
-func standStill(t *testing.T, e *standin.Engine) *standstill {
-	p := begin(t, 256, nil, listed("s-0", e))
-	p.names.Set(host("s-0", e))
-	s := &standstill{place: p, first: p.client(), second: p.client()}
+func startPausedRouter(t *testing.T, e *standin.Engine) *pausedRouter {
+	p := startRouter(t, 256, nil, listed("s-0", e))
+	p.nameService.Set(host("s-0", e))
+	s := &pausedRouter{testRouter: p, first: p.client(), second: p.client()}
 	for i, c := range []*standin.Client{s.first, s.second} {
-		require.NoError(t, c.SendBatch(1, "lookup", fmt.Sprintf("%016x", 0xf0+i), left, "SELECT 1"))
-		require.Equal(t, uint8(clients.CodeSucceeded), p.answer(c).Code)
+		require.NoError(t, c.SendBatch(1, "lookup", fmt.Sprintf("%016x", 0xf0+i), clientWait, "SELECT 1"))
+		require.Equal(t, uint8(clients.CodeSucceeded), p.nextAnswer(c).Code)
 	}
-	p.names.SetWithheld(true)
-	require.Eventually(t, func() bool { return p.names.PendingQueries() > 0 }, patience, time.Millisecond)
-	stands, goOn := p.said.hold("batch map")
-	require.NoError(t, s.first.SendBatch(2, "lookup", "0000000000000002", left, "SELECT 1"))
+	p.nameService.SetWithheld(true)
+	require.Eventually(t, func() bool { return p.nameService.PendingQueries() > 0 }, waitLimit, time.Millisecond)
+	stands, goOn := p.log.pauseAt("batch map")
+	require.NoError(t, s.first.SendBatch(2, "lookup", "0000000000000002", clientWait, "SELECT 1"))
 	<-stands
-	require.NoError(t, s.second.SendBatch(2, "lookup", "0000000000000003", left, "SELECT 1"))
-	s.wait(time.Now().Add(2 * grace)) // the timer fires
-	stands, s.goOn = p.said.hold("batch map")
+	require.NoError(t, s.second.SendBatch(2, "lookup", "0000000000000003", clientWait, "SELECT 1"))
+	s.waitUntil(time.Now().Add(2 * drainGrace)) // the timer fires
+	stands, s.resume = p.log.pauseAt("batch map")
 	goOn()
 	<-stands
 	return s
 }
 
-func (s *standstill) wait(until time.Time) {
+func (s *pausedRouter) waitUntil(until time.Time) {
 	s.t.Helper()
-	require.Eventually(s.t, func() bool { return time.Now().After(until) }, patience, time.Millisecond)
+	require.Eventually(s.t, func() bool { return time.Now().After(until) }, waitLimit, time.Millisecond)
 }
 
 // arrivals notes when requests reach an engine.
@@ -914,31 +914,31 @@
 }
 
 // What came while it stood still is not read yet: a drain,
-func TestAStandstillDoesNotSendByAnOldList(t *testing.T) {
+func TestNoDispatchByAnOutdatedListAfterAPause(t *testing.T) {
 	var old, fresh arrivals
-	e0, e1 := engine(t, old.answer), engine(t, fresh.answer)
-	s := standStill(t, e0)
-	s.names.Set(draining(host("s-0", e0)), host("s-new", e1))
-	s.names.SetWithheld(false)
-	require.Eventually(t, func() bool { return !s.names.FirstDrained()["s-0"].IsZero() }, patience, time.Millisecond)
-	limit := s.names.FirstDrained()["s-0"].Add(grace + slack)
-	s.wait(limit)
-	s.goOn()
-	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.first).Code)
-	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.second).Code)
+	e0, e1 := startEngine(t, old.answer), startEngine(t, fresh.answer)
+	s := startPausedRouter(t, e0)
+	s.nameService.Set(draining(host("s-0", e0)), host("s-new", e1))
+	s.nameService.SetWithheld(false)
+	require.Eventually(t, func() bool { return !s.nameService.FirstDrained()["s-0"].IsZero() }, waitLimit, time.Millisecond)
+	limit := s.nameService.FirstDrained()["s-0"].Add(drainGrace + socketSlack)
+	s.waitUntil(limit)
+	s.resume()
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.first).Code)
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.second).Code)
 	assert.Empty(t, old.after(limit), "after the grace")
 	assert.Contains(t, fresh.after(time.Time{}), "0000000000000003")
 }
 
 // or the end of a client.
-func TestAStandstillDoesNotSendForAClientThatHasGone(t *testing.T) {
+func TestNoDispatchForAClosedClientAfterAPause(t *testing.T) {
 	var arrived arrivals
-	s := standStill(t, engine(t, arrived.answer))
+	s := startPausedRouter(t, startEngine(t, arrived.answer))
 	require.NoError(t, s.first.Close())
-	s.wait(time.Now().Add(100*time.Millisecond + slack))
-	s.goOn()
-	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.second).Code)
-	require.NoError(t, s.second.SendBatch(3, "lookup", "0000000000000004", left, "SELECT 1"))
-	assert.Equal(t, uint8(clients.CodeSucceeded), s.answer(s.second).Code)
+	s.waitUntil(time.Now().Add(100*time.Millisecond + socketSlack))
+	s.resume()
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.second).Code)
+	require.NoError(t, s.second.SendBatch(3, "lookup", "0000000000000004", clientWait, "SELECT 1"))
+	assert.Equal(t, uint8(clients.CodeSucceeded), s.nextAnswer(s.second).Code)
 	assert.NotContains(t, arrived.after(time.Time{}), "0000000000000002", "an attempt long after its client closed")
 }
--- a/internal/loop/invariants.go
+++ b/internal/loop/invariants.go
@@ -12,32 +12,32 @@
 
 // What the loop does by the guard. It tells the guard what comes in, and asks it before anything goes out.
 
-// observe tells the guard of an event before the router is told.
-func (l *Loop) observe(e router.Event) {
+// observeEvent tells the guard of an event before the router is told.
+func (l *Loop) observeEvent(e router.Event) {
 	switch e := e.(type) {
 	case router.ClientMessage:
 		switch said := e.Message.(type) {
-		case *traffic.Ask:
+		case *traffic.BatchRequest:
 			l.guard.RequestAccepted(guard.Request{Client: e.Client, Stream: said.Stream})
 		case traffic.Cancel:
 			l.guard.RequestCancelled(guard.Request{Client: e.Client, Stream: said.Stream})
 		}
 	case router.EngineReplied:
-		switch e.Reply.Word {
-		case traffic.Full, traffic.Late:
+		switch e.Reply.Kind {
+		case traffic.ReplyOverloaded, traffic.ReplyTooLate:
 			l.guard.AttemptNotRun(e.Reply.ID, e.Connection)
-		case traffic.Broke, traffic.Whole, traffic.Done:
+		case traffic.ReplyFailed, traffic.ReplyComplete, traffic.ReplyFirstPage:
 			l.guard.AttemptEnded(e.Reply.ID, e.Connection)
-		case traffic.More:
+		case traffic.ReplyPage:
 			l.guard.PageReceived(e.Reply.ID, e.Connection)
-		case traffic.Free:
+		case traffic.ReplyReleased:
 			l.guard.CancellationsConfirmed(e.Connection)
 		}
 	}
 }
 
-// prevented tells of what the guard has withheld.
-func (l *Loop) prevented(err error, fields ...zap.Field) {
+// logWithheld tells of what the guard has withheld.
+func (l *Loop) logWithheld(err error, fields ...zap.Field) {
 	var gone *guard.ClientGoneError
 	if errors.As(err, &gone) {
 		l.log.Info("request is not sent, its client has just gone", fields...)
@@ -47,8 +47,8 @@
 	l.log.Error("invariant violated, it is withheld", append(fields, zap.Error(err), zap.Int("violations", counts.TotalViolations()))...)
 }
 
-// mayTell asks before a client is told something. What it is not told is given back.
-func (l *Loop) mayTell(e router.SendToClient) bool {
+// allowReply asks before a client is told something. What it is not told is given back.
+func (l *Loop) allowReply(e router.SendToClient) bool {
 	var err error
 	switch what := e.Message.(type) {
 	case *traffic.Answer:
@@ -61,8 +61,8 @@
 	if err == nil {
 		return true
 	}
-	l.prevented(err)
-	l.tell(nil, e.Message)
+	l.logWithheld(err)
+	l.sendToClient(nil, e.Message)
 	return false
 }
 
@@ -73,27 +73,27 @@
 	case router.PeerNotReading, router.BufferLimitExceeded, router.BadInput, router.LoginRefused:
 		return
 	}
-	l.answerAll(l.guard.CloseClient(p.number), guard.CloseUnanswered)
+	l.failOpenRequests(l.guard.CloseClient(p.number), guard.CloseUnanswered)
 }
 
-// answerBeforeEnd does so for all clients before the router ends.
-func (l *Loop) answerBeforeEnd() {
-	l.answerAll(l.guard.Exit(), guard.ExitUnanswered)
-	l.reportRequests()
+// answerBeforeStop does so for all clients before the router ends.
+func (l *Loop) answerBeforeStop() {
+	l.failOpenRequests(l.guard.Exit(), guard.ExitUnanswered)
+	l.logRequestCounts()
 }
 
-func (l *Loop) answerAll(open []guard.Request, v guard.Violation) {
+func (l *Loop) failOpenRequests(open []guard.Request, v guard.Violation) {
 	for _, r := range open {
-		l.prevented(&guard.ViolationError{Violation: v, Request: r})
-		answer := &traffic.Answer{Stream: r.Stream, Code: traffic.Errored, Why: "the connection ends"}
+		l.logWithheld(&guard.ViolationError{Violation: v, Request: r})
+		answer := &traffic.Answer{Stream: r.Stream, Code: traffic.Failed, Reason: "the connection ends"}
 		if l.guard.Answer(r) == nil {
-			l.tell(l.clients[r.Client], answer)
+			l.sendToClient(l.clients[r.Client], answer)
 		}
 	}
 }
 
-// reportRequests logs what has become of requests since the start.
-func (l *Loop) reportRequests() {
+// logRequestCounts logs what has become of requests since the start.
+func (l *Loop) logRequestCounts() {
 	c := l.guard.Counts()
 	l.log.Info("requests", zap.Int("taken", c.Accepted), zap.Int("answered", c.Answered), zap.Int("cancelled", c.Cancelled),
 		zap.Int("gone with their client", c.Abandoned), zap.Int("open", l.guard.OpenRequests()), zap.Int("violations", c.TotalViolations()),
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -10,12 +10,12 @@
 )
 
 // At the smallest limit the program itself takes some 12 MB: what is held must fit beside it.
-func TestBoundsAreSharesOfTheSmallestLimit(t *testing.T) {
+func TestMemoryBoundsFitTheSmallestLimit(t *testing.T) {
 	l := &Loop{pool: &buffers.Pool{}, config: config.Config{MemoryMB: 32}}
-	l.bound()
-	assert.Less(t, l.mostHeld+l.mostUnread+l.pool.MaxFree*buffers.Size, 20<<20)
-	assert.Less(t, l.peerUnread, l.mostUnread)
+	l.setLimits()
+	assert.Less(t, l.maxBuffered+l.maxUnsent+l.pool.MaxFree*buffers.Size, 20<<20)
+	assert.Less(t, l.maxPeerUnsent, l.maxUnsent)
 	l.config.MemoryMB = 192
-	l.bound()
-	assert.Equal(t, peerUnread, l.peerUnread)
+	l.setLimits()
+	assert.Equal(t, maxPeerUnsentBytes, l.maxPeerUnsent)
 }
--- a/internal/loop/names.go
+++ b/internal/loop/names.go
@@ -13,99 +13,99 @@
 )
 
 const (
-	namesAgain = 50 * time.Millisecond
-	mostFormer = 3 // sockets besides the one that questions go out by
+	nameSocketRetryDelay = 50 * time.Millisecond
+	maxPreviousSockets   = 3 // sockets besides the one that questions go out by
 )
 
 // nameSockets are the sockets to the name service. Questions go out by the present one. An answer may still come to one
 // before it: a slow service would never be heard if each socket that was silent for a second were closed.
 type nameSockets struct {
-	present *reactor.DatagramSocket
-	former  []*reactor.DatagramSocket // the oldest first
+	current  *reactor.DatagramSocket
+	previous []*reactor.DatagramSocket // the oldest first
 }
 
 func (n *nameSockets) all() []*reactor.DatagramSocket {
-	if n.present == nil {
-		return slices.Clone(n.former)
+	if n.current == nil {
+		return slices.Clone(n.previous)
 	}
-	return append(slices.Clone(n.former), n.present)
+	return append(slices.Clone(n.previous), n.current)
 }
 
-// joinNames makes a socket to the name service. A reload meanwhile makes it void.
-func (l *Loop) joinNames(resolver string, number uint64) {
-	if l.moves != number {
+// openNameSocket makes a socket to the name service. A reload meanwhile makes it void.
+func (l *Loop) openNameSocket(resolver string, number uint64) {
+	if l.resolverVersion != number {
 		return
 	}
 	var socket *reactor.DatagramSocket
-	socket, err := l.reactor.ConnectDatagrams(resolver, func(data []byte, _ netip.AddrPort) { l.namesSaid(socket, data) })
+	socket, err := l.reactor.ConnectDatagrams(resolver, func(data []byte, _ netip.AddrPort) { l.handleListAnswer(socket, data) })
 	if err != nil {
 		l.log.Warn("no socket to the name service", zap.Error(err))
-		time.AfterFunc(namesAgain, func() { l.reactor.Post(func() { l.joinNames(resolver, number) }) })
+		time.AfterFunc(nameSocketRetryDelay, func() { l.reactor.Post(func() { l.openNameSocket(resolver, number) }) })
 		return
 	}
 	l.log.Debug("socket to the name service", zap.Uint64("number", number), zap.String("to", resolver))
-	l.useNames(socket)
+	l.useNameSocket(socket)
 }
 
-// askAt takes another socket to the name service. At another address all old ones go, what they might still say is not
+// changeResolver takes another socket to the name service. At another address all old ones go, what they might still say is not
 // wanted. At the same one the old socket stays in use until a new one is there: descriptors may be short.
-func (l *Loop) askAt(resolver string) {
-	l.moves++
+func (l *Loop) changeResolver(resolver string) {
+	l.resolverVersion++
 	if resolver != l.resolver {
 		l.resolver = resolver
-		for _, socket := range l.names.all() {
+		for _, socket := range l.nameSockets.all() {
 			socket.Close()
 		}
-		l.names = nameSockets{}
+		l.nameSockets = nameSockets{}
 	}
-	l.joinNames(resolver, l.moves)
+	l.openNameSocket(resolver, l.resolverVersion)
 }
 
-// useNames sends questions by another socket from now on.
-func (l *Loop) useNames(socket *reactor.DatagramSocket) {
-	if old := l.names.present; old != nil {
-		l.names.former = append(l.names.former, old)
+// useNameSocket sends questions by another socket from now on.
+func (l *Loop) useNameSocket(socket *reactor.DatagramSocket) {
+	if old := l.nameSockets.current; old != nil {
+		l.nameSockets.previous = append(l.nameSockets.previous, old)
 	}
-	l.names.present = socket
-	l.closeFormer(mostFormer)
+	l.nameSockets.current = socket
+	l.closePreviousSockets(maxPreviousSockets)
 }
 
-// closeFormer closes the oldest of the former sockets until so many are left.
-func (l *Loop) closeFormer(most int) {
-	for len(l.names.former) > most {
-		oldest := l.names.former[0]
-		l.names.former = slices.Delete(l.names.former, 0, 1)
+// closePreviousSockets closes the oldest of the former sockets until so many are left.
+func (l *Loop) closePreviousSockets(most int) {
+	for len(l.nameSockets.previous) > most {
+		oldest := l.nameSockets.previous[0]
+		l.nameSockets.previous = slices.Delete(l.nameSockets.previous, 0, 1)
 		oldest.Close()
 	}
 }
 
-func (l *Loop) askNames(query uint16) {
-	if l.names.present == nil {
+func (l *Loop) sendListQuery(query uint16) {
+	if l.nameSockets.current == nil {
 		return
 	}
-	if err := l.names.present.Send(directory.EncodeQuery(query)); err != nil {
+	if err := l.nameSockets.current.Send(directory.EncodeQuery(query)); err != nil {
 		l.log.Debug("question to the name service was not sent", zap.Error(err))
 	}
 }
 
-// readNames takes in what the name service has sent by now. A step of the loop may take long, as where the process stands
+// receiveListAnswers takes in what the name service has sent by now. A step of the loop may take long, as where the process stands
 // still, and the tasks behind it run before the sockets are looked at again: what is decided then would go by a list that
 // an answer in the socket has overtaken. It costs a read for each turn.
-func (l *Loop) readNames() {
-	for _, socket := range l.names.all() {
+func (l *Loop) receiveListAnswers() {
+	for _, socket := range l.nameSockets.all() {
 		socket.Receive()
 	}
 }
 
-func (l *Loop) namesSaid(socket *reactor.DatagramSocket, data []byte) {
+func (l *Loop) handleListAnswer(socket *reactor.DatagramSocket, data []byte) {
 	id, list, err := directory.ParseResponse(data)
 	if err != nil {
 		l.log.Warn("answer of the name service can't be read", zap.Error(err), zap.Int("bytes", len(data)))
-		l.post(router.ListUnusable{QueryID: id})
+		l.processEvent(router.ListUnusable{QueryID: id})
 		return
 	}
-	if socket == l.names.present { // it is heard by this one, so the former ones are not needed
-		l.closeFormer(0)
+	if socket == l.nameSockets.current { // it is heard by this one, so the former ones are not needed
+		l.closePreviousSockets(0)
 	}
-	l.post(router.ListAnswered{QueryID: id, List: list})
+	l.processEvent(router.ListAnswered{QueryID: id, List: list})
 }
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -16,75 +16,75 @@
 	"pitchfield/internal/talk"
 )
 
-// Talk is what the loop is told of the other routers. One datagram socket on the one loop serves all of it.
-type Talk struct {
-	Fleet    string
-	Settings membership.Settings
-	Shares   *shares.Settings                  // of budgets that are divided with them; nil: none
-	News     *news.Settings                    // of what is out, as they tell it; nil: they don't
-	Networks []netip.Prefix                    // who may talk
-	Via      map[netip.AddrPort]netip.AddrPort // by which address one is reached, where it is not the one it tells
-	Members  func(router.FleetStatus, Talked)  // is told how the fleet stands; nil: nobody asks
+// PeerMessaging is what the loop is told of the other routers. One datagram socket on the one loop serves all of it.
+type PeerMessaging struct {
+	Fleet            string
+	Settings         membership.Settings
+	Quotas           *shares.Settings                         // of budgets that are divided with them; nil: none
+	LoadReports      *news.Settings                           // of what is out, as they tell it; nil: they don't
+	Networks         []netip.Prefix                           // who may talk
+	AddressOverrides map[netip.AddrPort]netip.AddrPort        // by which address one is reached, where it is not the one it tells
+	ReportMembers    func(router.FleetStatus, DatagramCounts) // is told how the fleet stands; nil: nobody asks
 }
 
-// Talked counts datagrams and bytes since the start.
-type Talked struct {
+// DatagramCounts counts datagrams and bytes since the start.
+type DatagramCounts struct {
 	In, Out, BytesIn, BytesOut int
-	Strangers                  int // from outside of the networks
+	UnknownNetworks            int // from outside of the networks
 	OtherFleets                int
-	Unreadable                 int // too long, cut, or of no such form
+	Malformed                  int // too long, cut, or of no such form
 	Unsent                     int // the socket's queue was full, or nobody can be there
 }
 
-type talker struct {
-	Talk
-	socket *reactor.DatagramSocket
-	begun  bool
-	talked Talked
-	told   time.Time // when a line last said that something was dropped
+type messenger struct {
+	PeerMessaging
+	socket       *reactor.DatagramSocket
+	started      bool
+	counts       DatagramCounts
+	dropLoggedAt time.Time // when a line last said that something was dropped
 }
 
-func newTalker(t *Talk) *talker { return &talker{Talk: *t} }
+func newMessenger(t *PeerMessaging) *messenger { return &messenger{PeerMessaging: *t} }
 
-const tellDropped = 10 * time.Second // at most so often a line says what was dropped
+const dropLogInterval = 10 * time.Second // at most so often a line says what was dropped
 
-// beginTalk begins once the loop is there; whoever comes later finds it begun.
-func (l *Loop) beginTalk() {
-	t := l.talk
-	if t == nil || t.begun {
+// startPeerMessaging begins once the loop is there; whoever comes later finds it begun.
+func (l *Loop) startPeerMessaging() {
+	t := l.messenger
+	if t == nil || t.started {
 		return
 	}
-	t.begun = true
-	l.post(router.PeerMessagingSet{Settings: t.Settings, Quotas: t.Shares, LoadReports: t.News})
+	t.started = true
+	l.processEvent(router.PeerMessagingSet{Settings: t.Settings, Quotas: t.Quotas, LoadReports: t.LoadReports})
 }
 
-// talkCame takes a datagram in. It is checked whole; what is dropped is counted.
-func (l *Loop) talkCame(data []byte, from netip.AddrPort) {
-	t := l.talk
+// receiveDatagram takes a datagram in. It is checked whole; what is dropped is counted.
+func (l *Loop) receiveDatagram(data []byte, from netip.AddrPort) {
+	t := l.messenger
 	if len(data) == 0 {
 		return
 	}
-	t.talked.In++
-	t.talked.BytesIn += len(data)
-	if !t.mayTalk(from.Addr().Unmap()) {
-		t.talked.Strangers++
-		l.dropped("a stranger", from, nil)
+	t.counts.In++
+	t.counts.BytesIn += len(data)
+	if !t.isAllowed(from.Addr().Unmap()) {
+		t.counts.UnknownNetworks++
+		l.logDropped("a stranger", from, nil)
 		return
 	}
 	message, err := talk.Decode(t.Fleet, data)
 	switch {
 	case errors.Is(err, talk.ErrFleet):
-		t.talked.OtherFleets++
-		l.dropped("another fleet's", from, err)
+		t.counts.OtherFleets++
+		l.logDropped("another fleet's", from, err)
 	case err != nil:
-		t.talked.Unreadable++
-		l.dropped("can't be read", from, err)
+		t.counts.Malformed++
+		l.logDropped("can't be read", from, err)
 	default:
-		l.post(router.PeerMessageReceived{Message: &message.Message, Quotas: message.Shares, LoadReports: message.News})
+		l.processEvent(router.PeerMessageReceived{Message: &message.Message, Quotas: message.Shares, LoadReports: message.News})
 	}
 }
 
-func (t *talker) mayTalk(from netip.Addr) bool {
+func (t *messenger) isAllowed(from netip.Addr) bool {
 	for _, n := range t.Networks {
 		if n.Contains(from) {
 			return true
@@ -93,44 +93,44 @@
 	return false
 }
 
-func (l *Loop) dropped(why string, from netip.AddrPort, err error) {
-	if time.Since(l.talk.told) < tellDropped {
+func (l *Loop) logDropped(why string, from netip.AddrPort, err error) {
+	if time.Since(l.messenger.dropLoggedAt) < dropLogInterval {
 		return
 	}
-	l.talk.told = time.Now()
+	l.messenger.dropLoggedAt = time.Now()
 	l.log.Warn("datagram dropped", zap.String("why", why), zap.Stringer("from", from), zap.Error(err),
-		zap.Int("strangers", l.talk.talked.Strangers), zap.Int("other fleets", l.talk.talked.OtherFleets), zap.Int("unreadable", l.talk.talked.Unreadable))
+		zap.Int("strangers", l.messenger.counts.UnknownNetworks), zap.Int("other fleets", l.messenger.counts.OtherFleets), zap.Int("unreadable", l.messenger.counts.Malformed))
 }
 
-// say sends a datagram. One that can't be sent at once is lost: whoever waits for it asks again.
-func (l *Loop) say(e router.SendToPeer) {
-	t := l.talk
+// sendMessage sends a datagram. One that can't be sent at once is lost: whoever waits for it asks again.
+func (l *Loop) sendMessage(e router.SendToPeer) {
+	t := l.messenger
 	data, err := talk.Encode(t.Fleet, &talk.Message{Message: e.Message, Shares: e.Quotas, News: e.LoadReports})
 	if err == nil {
 		err = t.send(e.To, data)
 	}
 	if err != nil {
-		t.talked.Unsent++
+		t.counts.Unsent++
 		l.log.Debug("talk", zap.String("to", e.To), zap.Error(err))
 		return
 	}
-	t.talked.Out++
-	t.talked.BytesOut += len(data)
+	t.counts.Out++
+	t.counts.BytesOut += len(data)
 }
 
-func (t *talker) send(address string, data []byte) error {
+func (t *messenger) send(address string, data []byte) error {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return fmt.Errorf("talk: %w", err)
 	}
-	if by, is := t.Via[to]; is {
+	if by, is := t.AddressOverrides[to]; is {
 		to = by
 	}
 	return t.socket.SendTo(data, to) //nolint:wrapcheck // it says what it is
 }
 
-func (l *Loop) tellMembers(m router.FleetStatus) {
-	if l.talk.Members != nil {
-		l.talk.Members(m, l.talk.talked)
+func (l *Loop) reportMembers(m router.FleetStatus) {
+	if l.messenger.ReportMembers != nil {
+		l.messenger.ReportMembers(m, l.messenger.counts)
 	}
 }
--- a/internal/rig/askers.go
+++ b/internal/rig/askers.go
@@ -125,7 +125,7 @@
 		if f.Type != 11 {
 			continue
 		}
-		out = Ending{Code: map[uint8]traffic.Code{0: traffic.Returned, 11: traffic.PushedBack, 5: traffic.Errored}[f.Code],
+		out = Ending{Code: map[uint8]traffic.Code{0: traffic.Succeeded, 11: traffic.Rejected, 5: traffic.Failed}[f.Code],
 			Took: time.Since(a.began)}
 		for _, c := range f.Body {
 			if c == '\n' {
@@ -171,10 +171,10 @@
 	}
 	out := Ending{Why: r.Why, Lines: len(r.Lines), Took: time.Since(a.began)}
 	switch r.Word {
-	case traffic.Full:
-		out.Code = traffic.PushedBack
-	case traffic.Broke:
-		out.Code = traffic.Errored
+	case traffic.ReplyOverloaded:
+		out.Code = traffic.Rejected
+	case traffic.ReplyFailed:
+		out.Code = traffic.Failed
 	}
 	// What comes without a question is a second answer.
 	a.c.SetReadDeadline(time.Now().Add(second)) //nolint:errcheck
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -242,7 +242,7 @@
 		return nil, errors.Join(err, w.Stop())
 	}
 	c.Close()
-	endings := []Ending{{Code: traffic.PushedBack, Why: "left"}}
+	endings := []Ending{{Code: traffic.Rejected, Why: "left"}}
 	endings = append(endings, play(protocol, w, next), play(protocol, w, first))
 	l := judge(line{Fault: name, Group: "upload", Protocol: protocol}, ledger.Runs(), endings)
 	l.Endings = strings.Replace(l.Endings, "1 pushed back", "1 left", 1)
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -43,7 +43,7 @@
 	assert.Zero(t, ledger.Runs()[0].Answered, "the engine is still writing")
 	r, err := c.ReadReply(patience)
 	require.NoError(t, err)
-	assert.Equal(t, traffic.Whole, r.Word, r.Why)
+	assert.Equal(t, traffic.ReplyComplete, r.Word, r.Why)
 	assert.Equal(t, big, len(r.Lines)) //nolint:testifylint // the lines themselves are no help
 	assert.Len(t, ledger.Runs(), 1)
 }
@@ -57,7 +57,7 @@
 	}}
 	w := world(t, Options{TDS: 2, Ledger: ledger})
 	e := play("tds", w, Spec{Group: "report", Text: "SELECT a FROM sales_1.orders", Limit: 8 * time.Second})
-	assert.Equal(t, traffic.Errored, e.Code)
+	assert.Equal(t, traffic.Failed, e.Code)
 	assert.Contains(t, e.Why, "cut")
 	assert.Positive(t, e.Lines)
 	assert.Len(t, ledger.Runs(), 1)
@@ -66,7 +66,7 @@
 func TestFramesCarryNoLargeResult(t *testing.T) {
 	ledger := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step { return standin.Step{Rows: big} }}
 	w := world(t, Options{TDS: 1, Ledger: ledger})
-	assert.Equal(t, traffic.Errored, play("frames", w, Spec{Group: "lookup", Text: "SELECT a FROM sales_1.orders", Limit: 4 * time.Second}).Code)
+	assert.Equal(t, traffic.Failed, play("frames", w, Spec{Group: "lookup", Text: "SELECT a FROM sales_1.orders", Limit: 4 * time.Second}).Code)
 	require.Eventually(t, func() bool { // its engine's connection is of use again once the Attention is acknowledged
 		return len(ledger.Runs()) == 1
 	}, patience, 10*time.Millisecond)
@@ -90,7 +90,7 @@
 		"the engine is free for others")
 	r, err := c.ReadReply(patience)
 	require.NoError(t, err)
-	assert.Equal(t, traffic.Broke, r.Word)
+	assert.Equal(t, traffic.ReplyFailed, r.Word)
 	assert.Less(t, len(r.Lines), big)
 }
 
--- a/internal/rig/try.go
+++ b/internal/rig/try.go
@@ -137,7 +137,7 @@
 			return
 		}
 		a, err := c.ReadReply(tryWithin)
-		if err != nil || a.Word != traffic.Whole || len(a.Lines) != 1 {
+		if err != nil || a.Word != traffic.ReplyComplete || len(a.Lines) != 1 {
 			t.failed("tds: batch %d: %s %v", n, a.Why, err)
 			return
 		}
--- a/internal/rig/world.go
+++ b/internal/rig/world.go
@@ -48,8 +48,8 @@
 	cancel  context.CancelFunc
 	ended   chan struct{}
 	err     error
-	reloads chan serve.Told
-	told    serve.Told
+	reloads chan serve.Configuration
+	told    serve.Configuration
 	mutex   sync.Mutex
 }
 
@@ -86,7 +86,7 @@
 
 // Start puts a world up and waits until its router answers.
 func Start(o Options) (w *World, err error) {
-	w = &World{Ledger: o.Ledger, ended: make(chan struct{}), reloads: make(chan serve.Told), cancel: func() {}}
+	w = &World{Ledger: o.Ledger, ended: make(chan struct{}), reloads: make(chan serve.Configuration), cancel: func() {}}
 	defer func() {
 		if err != nil {
 			w.Stop() //nolint:errcheck
@@ -134,7 +134,7 @@
 }
 
 // tell makes what the router is told.
-func (w *World) tell(o Options, own string) (t serve.Told, err error) {
+func (w *World) tell(o Options, own string) (t serve.Configuration, err error) {
 	memory, descriptors := o.MemoryMB, o.Descriptors
 	if memory == 0 {
 		memory = 192
@@ -153,7 +153,7 @@
 	if err != nil {
 		return t, fmt.Errorf("password: %w", err)
 	}
-	t.Own, err = installation.Parse("rig.toml", fmt.Appendf(nil, `
+	t.Installation, err = installation.Parse("rig.toml", fmt.Appendf(nil, `
 [tds]
 listen = %q
 [[tds.login]]
@@ -173,7 +173,7 @@
 	if err != nil {
 		return t, err
 	}
-	return t, t.Own.ValidateAgainst("rig.toml", t.Config.Settings)
+	return t, t.Installation.ValidateAgainst("rig.toml", t.Config.Settings)
 }
 
 // Reload has the router read its settings again, with more of our own.
@@ -240,7 +240,7 @@
 // Stop takes the world down: the router answers what it has, then all the rest closes. It gives the router's end.
 func (w *World) Stop() error {
 	w.cancel()
-	if w.told.Own != nil {
+	if w.told.Installation != nil {
 		<-w.ended
 	}
 	for _, e := range w.Engines {
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -32,17 +32,17 @@
 	lateAnswerThreshold = 0.02 // past the client's time: worth a line
 )
 
-func (r *Router) handleClientMessage(number uint64, what traffic.Said) {
+func (r *Router) handleClientMessage(number uint64, what traffic.ClientMessage) {
 	c := r.clients[number]
 	if c == nil {
-		if ask, is := what.(*traffic.Ask); is {
+		if ask, is := what.(*traffic.BatchRequest); is {
 			ask.Batch.Text.Release()
 		}
 		return
 	}
 	c.partialSince, c.activeAt, c.hasSentMessage = 0, r.now, true
 	switch said := what.(type) {
-	case *traffic.Ask:
+	case *traffic.BatchRequest:
 		r.acceptBatch(c, said)
 	case traffic.Cancel:
 		if b := c.open[said.Stream]; b != nil {
@@ -52,14 +52,14 @@
 			}
 			r.clientLeft(b)
 		}
-	case traffic.AskReady:
+	case traffic.ReadinessQuery:
 		r.emit(SendToClient{number, traffic.Ready{Stream: said.Stream, Yes: r.ready()}})
 	case traffic.Hello:
-		r.log(Debug, "client", "client", number, "speaks", c.protocol.Name, "who", said.Who)
+		r.log(Debug, "client", "client", number, "speaks", c.protocol.Name, "who", said.Name)
 		if r.stopAt > 0 {
-			r.emit(SendToClient{number, traffic.NoMore{}})
+			r.emit(SendToClient{number, traffic.GoAway{}})
 		}
-	case traffic.Unusable:
+	case traffic.InvalidMessage:
 		r.rejectBadInput(c, said.Stream)
 	}
 }
@@ -83,30 +83,30 @@
 	r.rejectClient(c, BadInput)
 }
 
-func (r *Router) acceptBatch(c *client, ask *traffic.Ask) {
+func (r *Router) acceptBatch(c *client, ask *traffic.BatchRequest) {
 	told := &ask.Batch
 	// A number counts up, so it never comes twice; what breaks that, or the bound of open ones, is no client of ours.
-	if ask.Stream <= c.lastStream || len(c.open) >= c.protocol.Open {
+	if ask.Stream <= c.lastStream || len(c.open) >= c.protocol.MaxOpenBatches {
 		told.Text.Release()
 		r.rejectBadInput(c, ask.Stream)
 		return
 	}
 	c.lastStream = ask.Stream
 	group := r.groups[told.Group]
-	if told.NoMark && r.unmarkedGroups[told.Group] != nil {
+	if told.NoIdempotencyKey && r.unmarkedGroups[told.Group] != nil {
 		group = r.unmarkedGroups[told.Group]
 	}
-	if told.Left == 0 && group != nil {
-		told.Left = group.Limit
+	if told.TimeLeft == 0 && group != nil {
+		told.TimeLeft = group.Limit
 	}
-	b := &batch{client: c, stream: ask.Stream, id: told.ID, mark: told.Mark, statement: &told.Statement}
-	err := ask.Bad
+	b := &batch{client: c, stream: ask.Stream, id: told.ID, mark: told.IdempotencyKey, statement: &told.Statement}
+	err := ask.Err
 	if err == nil {
 		err = r.validate(told, group)
 	}
 	if err != nil {
 		r.log(Warn, "batch can't be used", "client", c.number, "stream", ask.Stream, "group", told.Group, "why", err.Error())
-		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: err.Error()})
 		told.Text.Release()
 		if c.faults++; c.faults >= maxFaults && !c.protocol.Stream {
 			r.rejectClient(c, BadInput)
@@ -116,11 +116,11 @@
 	held, memory := r.config.Settings.MaxQueued, batchMemoryShare*float64(r.config.MemoryMB)*(1<<20)
 	if held > 0 && len(r.batches) >= held || memory > 0 && float64(r.pool.InUse()*buffers.Size) > memory {
 		// Beyond what the platform lets a router hold. Nothing of it has run, so a pushback is true.
-		r.sendAnswer(b, &traffic.Answer{Code: traffic.PushedBack, Wait: r.config.Settings.MaxRetryDelay})
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Rejected, RetryAfter: r.config.Settings.MaxRetryDelay})
 		told.Text.Release()
 		return
 	}
-	left := told.Left
+	left := told.TimeLeft
 	if r.stopAt > 0 {
 		left = min(left, r.answerDeadline-r.now) // nobody answers after that
 	}
@@ -129,12 +129,12 @@
 		b.id = r.newBatchID()
 	}
 	b.Batch = &brain.Batch{ID: r.lastBatchID, Group: group, Client: slices.Index(r.config.Settings.Clients, told.Client),
-		Key: told.Key, TimeLeft: max(left, 0.001), EstimatedWork: told.Cost, EstimatedMemory: told.Memory,
+		Key: told.OrderKey, TimeLeft: max(left, 0.001), EstimatedWork: told.Cost, EstimatedMemory: told.Memory,
 		DataSet: float64(statement.DataSet(b.statement.Text.Reader()))}
 	if r.routes != nil {
 		b.Route = r.findRoute(c, told, b.DataSet)
 	}
-	b.clientDeadline = r.now + told.Left
+	b.clientDeadline = r.now + told.TimeLeft
 	r.batches[b.Batch] = b
 	c.open[ask.Stream], r.openByID[b.id] = b, b
 	r.log(Debug, "batch", "id", b.id, "group", group.Name, "left", b.TimeLeft, "tables", b.DataSet, "text", lazyText{b.statement.Text})
@@ -169,9 +169,9 @@
 		return fmt.Errorf("no such service group: %.40q", told.Group)
 	case r.openByID[told.ID] != nil:
 		return errors.New("its id is open")
-	case group.Idempotency == brain.Deduplicated && told.Mark == "":
+	case group.Idempotency == brain.Deduplicated && told.IdempotencyKey == "":
 		return errors.New("a referenced batch has no mark")
-	case told.Left > maxWaitFactor*group.Limit:
+	case told.TimeLeft > maxWaitFactor*group.Limit:
 		return errors.New("it would wait far past its group's time limit")
 	}
 	return nil
@@ -206,10 +206,10 @@
 	}
 	r.log(Debug, "answer", "id", b.id, "code", what.String(), "dispatches", len(b.dispatches))
 	why := b.lastError
-	if what == traffic.PushedBack {
+	if what == traffic.Rejected {
 		why = ""
 	}
-	r.sendAnswer(b, &traffic.Answer{Code: what, Wait: wait, Why: why})
+	r.sendAnswer(b, &traffic.Answer{Code: what, RetryAfter: wait, Reason: why})
 	r.releaseBatch(b)
 }
 
@@ -236,7 +236,7 @@
 		case !d.written: // it waits for its connection: nothing is sent for who has gone, and what it takes is given back
 			r.abortDispatch(d, brain.Canceled)
 		case d.missingPages > 0: // it has run, and nobody wants the rest of its pages
-			r.sendOrder(d.conn, traffic.Enough{ID: b.id})
+			r.sendOrder(d.conn, traffic.CloseResult{ID: b.id})
 			r.finishDispatch(d, brain.Completed)
 		}
 	}
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -128,7 +128,7 @@
 		case !c.hasSentMessage && r.now-c.activeAt > silentTimeout:
 			r.closedClients.silent++
 			r.closeClient(c, FrameTimedOut)
-		case r.now-c.activeAt > c.protocol.Idle && c.partialSince == 0:
+		case r.now-c.activeAt > c.protocol.IdleTimeout && c.partialSince == 0:
 			r.closedClients.idle++
 			r.closeClient(c, ClosedIdle)
 		}
@@ -160,9 +160,9 @@
 	for _, b := range c.openInOrder() {
 		b.lastError = why
 		r.brain.RemoveBatch(b.Batch)
-		r.answerBatch(b, traffic.Errored, 0)
+		r.answerBatch(b, traffic.Failed, 0)
 	}
-	r.emit(SendToClient{c.number, traffic.Complaint{Why: why}})
+	r.emit(SendToClient{c.number, traffic.ConnectionError{Reason: why}})
 	r.closeClient(c, end)
 }
 
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -50,7 +50,7 @@
 }
 
 func (r *Router) multiplexLimit(e *engine) int {
-	if e.protocol.Alone {
+	if e.protocol.OneAtATime {
 		return 1
 	}
 	return r.config.Settings.MaxStreamsPerConnection
@@ -132,7 +132,7 @@
 // stay open and of no use, as where a machine is cut off: an answer to a check tells, and so does none.
 func (r *Router) suspectConnection(l *engineConn) {
 	l.Suspect = true
-	if l.Idle() || l.healthCheck != nil || !r.config.Settings.MayProbe || l.engine.protocol.Alone {
+	if l.Idle() || l.healthCheck != nil || !r.config.Settings.MayProbe || l.engine.protocol.OneAtATime {
 		return
 	}
 	l.healthCheck = &probe{engine: l.engine, conn: l, tag: probeTag(r.nextNumber())}
--- a/internal/router/crossings_test.go
+++ b/internal/router/crossings_test.go
@@ -250,10 +250,10 @@
 	h := newHost(t)
 	ready := func() bool {
 		h.emitted = nil
-		h.deliver(ClientMessage{1, traffic.AskReady{Stream: 7}})
+		h.deliver(ClientMessage{1, traffic.ReadinessQuery{Stream: 7}})
 		return h.countEffects(func(e Effect) bool {
 			sent, is := e.(SendToClient)
-			return is && sent.Message == traffic.Tell(traffic.Ready{Stream: 7, Yes: true})
+			return is && sent.Message == traffic.ClientReply(traffic.Ready{Stream: 7, Yes: true})
 		}) == 1
 	}
 	assert.False(t, ready(), "without engines every batch would be rejected")
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -90,7 +90,7 @@
 			"connection", l.Number, "waited", r.now-w.sentAt, "serial", r.follower.Serial())
 		r.emit(SendToEngine{l.Number, w.request(r.now), min(w.writeBy, r.now+r.decisionTime()), w.batch.origin(!r.config.Settings.MayHedge)})
 	case *probe:
-		r.emit(SendToEngine{l.Number, traffic.Probe{Tag: w.tag, Load: r.config.Settings.EnginesReportLoad}, math.Inf(1), Origin{}})
+		r.emit(SendToEngine{l.Number, traffic.Probe{Tag: w.tag, WantLoad: r.config.Settings.EnginesReportLoad}, math.Inf(1), Origin{}})
 	}
 }
 
@@ -136,7 +136,7 @@
 	if b.client != nil {
 		r.brain.RemoveBatch(b.Batch)
 		b.lastError = "the router's state is in doubt"
-		r.answerBatch(b, traffic.Errored, 0)
+		r.answerBatch(b, traffic.Failed, 0)
 	}
 }
 
@@ -154,7 +154,7 @@
 	return max(min(r.config.Settings.DrainGrace*decisionGraceShare, maxDecisionTime), minDecisionTime)
 }
 
-func (r *Router) sendOrder(l *engineConn, what traffic.Order) {
+func (r *Router) sendOrder(l *engineConn, what traffic.EngineCommand) {
 	if l.Up {
 		r.emit(SendToEngine{l.Number, what, math.Inf(1), Origin{}})
 	}
@@ -180,7 +180,7 @@
 	b := d.batch
 	if d.streaming && b.client != nil && how != brain.Completed {
 		r.log(Warn, "result is cut", "id", b.id, "engine", d.engine.name, "how", int(how), "sent", d.resultSize)
-		r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: "the result is cut: " + b.lastError})
+		r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: "the result is cut: " + b.lastError})
 	}
 	r.log(Debug, "ended", "id", b.id, "no", d.number, "engine", d.engine.name, "how", int(how), "took", r.now-d.sentAt,
 		"work", d.work, "memory", d.memory, "over", b.client == nil, "missing", d.missingPages, "connection", d.connectionNumber())
@@ -208,7 +208,7 @@
 		return
 	}
 	if d.written {
-		r.sendOrder(l, traffic.GiveUp{ID: d.batch.id})
+		r.sendOrder(l, traffic.CancelDispatch{ID: d.batch.id})
 	} else {
 		how = unsentEnding[how]
 	}
@@ -217,7 +217,7 @@
 	if l == nil {
 		return
 	}
-	if l.engine.protocol.Alone {
+	if l.engine.protocol.OneAtATime {
 		if d.written {
 			r.awaitFree(l) // before the close, lest it counts as free
 		}
@@ -238,14 +238,14 @@
 // unsentEnding is what giving up a dispatch proves whose bytes never left this router.
 var unsentEnding = map[brain.Outcome]brain.Outcome{brain.TimedOut: brain.ConnectFailed, brain.Canceled: brain.NotSent}
 
-func (r *Router) engineReplied(number uint64, reply *traffic.Reply) {
+func (r *Router) engineReplied(number uint64, reply *traffic.EngineReply) {
 	l := r.connections[number]
 	if l == nil {
 		reply.Rows.Release()
 		return
 	}
 	l.LastReceivedAt, l.Suspect, l.partialSince = r.now, false, 0
-	if reply.Word == traffic.Free {
+	if reply.Kind == traffic.ReplyReleased {
 		r.connectionFree(l)
 		return
 	}
@@ -254,7 +254,7 @@
 		r.handleReply(what, reply)
 	case *probe:
 		reply.Rows.Release()
-		r.finishProbe(what, reply.Word == traffic.Fit, reply.Load, false)
+		r.finishProbe(what, reply.Kind == traffic.ReplyHealthy, reply.Load, false)
 	default: // late: the dispatch has ended
 		reply.Rows.Release()
 	}
@@ -265,23 +265,23 @@
 	l := d.conn
 	r.endDispatch(d, how, d.report)
 	// A second copy may follow: it must not end another dispatch of the batch, were that on this connection.
-	l.RemovePending(d.batch.id, how != brain.Completed && d.batch.client != nil && !l.engine.protocol.Alone, r.now)
+	l.RemovePending(d.batch.id, how != brain.Completed && d.batch.client != nil && !l.engine.protocol.OneAtATime, r.now)
 	r.closeIfUnneeded(l)
 }
 
-func (r *Router) handleReply(d *dispatch, reply *traffic.Reply) {
+func (r *Router) handleReply(d *dispatch, reply *traffic.EngineReply) {
 	if d.report == nil {
 		d.report = reply.Load
 	}
 	body := reply.Rows
-	if reply.Why != "" {
-		d.batch.lastError = reply.Why
+	if reply.Reason != "" {
+		d.batch.lastError = reply.Reason
 	}
 	if d.cancelled && r.handleReplyAfterCancel(d, reply) {
 		return
 	}
-	switch reply.Word {
-	case traffic.Done:
+	switch reply.Kind {
+	case traffic.ReplyFirstPage:
 		if d.pages != nil {
 			body.Release()
 			return
@@ -292,7 +292,7 @@
 		d.work, d.memory = reply.Work, reply.Memory
 		if d.batch.client == nil { // nobody wants the pages
 			if reply.Pages > 1 {
-				r.sendOrder(d.conn, traffic.Enough{ID: d.batch.id})
+				r.sendOrder(d.conn, traffic.CloseResult{ID: d.batch.id})
 			}
 			body.Release()
 			r.finishDispatch(d, brain.Completed)
@@ -304,7 +304,7 @@
 			r.requestPages(d)
 		}
 		r.storePage(d, 0, body)
-	case traffic.More:
+	case traffic.ReplyPage:
 		switch n := reply.Page; {
 		case n < 1 || n >= len(d.pages):
 			r.rejectReply(d, reply)
@@ -313,27 +313,27 @@
 		case r.checkRows(d, reply):
 			r.storePage(d, n, body)
 		}
-	case traffic.Some:
+	case traffic.ReplyRows:
 		if r.checkRows(d, reply) {
 			r.storePart(d, body)
 		}
-	case traffic.Whole:
+	case traffic.ReplyComplete:
 		if !r.checkRows(d, reply) {
 			return
 		}
 		d.work, d.memory = reply.Work, reply.Memory
 		r.completeResult(d)
-	case traffic.Full, traffic.Late:
+	case traffic.ReplyOverloaded, traffic.ReplyTooLate:
 		body.Release()
 		if d.pages != nil {
 			r.finishDispatch(d, brain.Errored)
 		} else {
 			r.finishDispatch(d, brain.Rejected)
 		}
-	case traffic.Broke:
+	case traffic.ReplyFailed:
 		body.Release()
 		r.finishDispatch(d, brain.Errored)
-	case traffic.News:
+	case traffic.ReplyProgress:
 		body.Release()
 		if reply.Note != 0 {
 			r.brain.DispatchUpdated(d.batch.Batch, d.number, reply.Note, reply.Level)
@@ -344,13 +344,13 @@
 }
 
 // checkRows: the protocol has found no fault, and there is no more than a result holds.
-func (r *Router) checkRows(d *dispatch, reply *traffic.Reply) bool {
-	if d.resultSize += reply.Rows.Len(); reply.Bad == "" && !d.batch.Route.AllowsResult(d.resultSize) && d.batch.client != nil {
+func (r *Router) checkRows(d *dispatch, reply *traffic.EngineReply) bool {
+	if d.resultSize += reply.Rows.Len(); reply.Invalid == "" && !d.batch.Route.AllowsResult(d.resultSize) && d.batch.client != nil {
 		reply.Rows.Release()
 		r.failTooLarge(d, errRouteLimit)
 		return false
 	}
-	if reply.Bad == "" && (d.resultSize <= maxResultBytes || !d.engine.protocol.Bounded) {
+	if reply.Invalid == "" && (d.resultSize <= maxResultBytes || !d.engine.protocol.BoundedResult) {
 		return true
 	}
 	r.rejectReply(d, reply)
@@ -359,18 +359,18 @@
 
 // rejectReply: an answer that can't be passed on. What comes after it on the connection can't be trusted either; what is
 // open there ends by the table.
-func (r *Router) rejectReply(d *dispatch, reply *traffic.Reply) {
-	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Word), "why", reply.Bad,
+func (r *Router) rejectReply(d *dispatch, reply *traffic.EngineReply) {
+	r.log(Warn, "unusable answer", "engine", d.engine.name, "word", int(reply.Kind), "why", reply.Invalid,
 		"bytes", reply.Rows.Len())
 	reply.Rows.Release()
-	d.endedByEngine = reply.Word != traffic.Unknown
+	d.endedByEngine = reply.Kind != traffic.ReplyUnknown
 	r.closeConnection(d.conn, BadInput)
 }
 
 func (r *Router) requestPages(d *dispatch) {
 	for n := 1; n < len(d.pages); n++ {
 		if d.receivedPages&(1<<n) == 0 {
-			r.sendOrder(d.conn, traffic.AskPage{ID: d.batch.id, Page: n})
+			r.sendOrder(d.conn, traffic.FetchPage{ID: d.batch.id, Page: n})
 		}
 	}
 	d.pagesRequestedAt = r.now
@@ -411,7 +411,7 @@
 		d.pages = nil
 		var err error
 		if !d.streaming {
-			if parts, err = b.client.protocol.Express(parts); err == nil && b.client.protocol.Most > 0 && totalSize(parts) > b.client.protocol.Most {
+			if parts, err = b.client.protocol.ConvertResult(parts); err == nil && b.client.protocol.MaxResultBytes > 0 && totalSize(parts) > b.client.protocol.MaxResultBytes {
 				rows.Release(parts)
 				err = errProtocolLimit
 			}
@@ -419,10 +419,10 @@
 		if err != nil {
 			r.log(Warn, "result can't be expressed", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name,
 				"why", err.Error())
-			r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: err.Error()})
+			r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: err.Error()})
 		} else {
-			r.log(Debug, "answer", "id", b.id, "code", traffic.Returned.String(), "pages", len(parts))
-			r.sendAnswer(b, &traffic.Answer{Code: traffic.Returned, Rows: parts})
+			r.log(Debug, "answer", "id", b.id, "code", traffic.Succeeded.String(), "pages", len(parts))
+			r.sendAnswer(b, &traffic.Answer{Code: traffic.Succeeded, Rows: parts})
 		}
 	}
 	if d.readingPaused {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -23,7 +23,7 @@
 	}
 	ClientMessage struct {
 		Client  uint64
-		Message traffic.Said
+		Message traffic.ClientMessage
 	}
 	ClientMessageStarted struct{ Client uint64 } // part of a message is there, after whole ones or none
 	ClientInvalid        struct{ Client uint64 } // nothing after what it has sent can be read
@@ -38,7 +38,7 @@
 	EngineOpened  struct{ Connection uint64 }
 	EngineReplied struct {
 		Connection uint64
-		Reply      *traffic.Reply
+		Reply      *traffic.EngineReply
 	}
 	EngineWritable     struct{ Connection uint64 } // all that was written there has left, after a request was refused as unread
 	EngineReplyStarted struct{ Connection uint64 } // part of a reply is there, after whole ones or none
@@ -132,7 +132,7 @@
 type (
 	SendToClient struct {
 		Client  uint64
-		Message traffic.Tell
+		Message traffic.ClientReply
 	}
 	CloseClient struct {
 		Client uint64
@@ -146,7 +146,7 @@
 	}
 	SendToEngine struct {
 		Connection uint64
-		Order      traffic.Order
+		Order      traffic.EngineCommand
 		WriteBy    float64 // once this time has come a request is not written any more, but told by OrderRefused
 		Origin     Origin  // whose attempt it is, of a dispatch
 	}
--- a/internal/router/host_test.go
+++ b/internal/router/host_test.go
@@ -88,12 +88,12 @@
 				h.queries = append(h.queries, w.QueryID)
 			case SendToEngine:
 				out := h.pool.Chain()
-				h.sessions[w.Connection].Order(out, w.Order)
+				h.sessions[w.Connection].Encode(out, w.Order)
 				h.written[w.Connection] += out.String()
 				out.Release()
 			case SendToClient:
 				out := h.pool.Chain()
-				h.clientSession.Tell(out, w.Message)
+				h.clientSession.Encode(out, w.Message)
 				h.readAnswers(out.String())
 				out.Release()
 				if a, is := w.Message.(*traffic.Answer); is {
--- a/internal/router/levels.go
+++ b/internal/router/levels.go
@@ -41,7 +41,7 @@
 	}
 	l.gauge.Advance(now)
 	goal := b.Group.Goal + b.Group.GoalStretch*b.work/max(b.Group.Threads, 1)
-	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Returned && now-b.receivedAt <= goal, code == traffic.PushedBack)
+	l.gauge.BatchEnded(b.Group.Utility, code == traffic.Succeeded && now-b.receivedAt <= goal, code == traffic.Rejected)
 }
 
 // workFinished counts work that an engine has finished, in thread-seconds.
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -65,15 +65,15 @@
 	for _, effect := range p.Reduce(p.now, e) {
 		switch w := effect.(type) {
 		case router.SendToClient:
-			p.client.Tell(p.output, w.Message)
+			p.client.Encode(p.output, w.Message)
 			if a, is := w.Message.(*traffic.Answer); is {
-				require.Equal(p.t, traffic.Returned, a.Code, a.Why)
+				require.Equal(p.t, traffic.Succeeded, a.Code, a.Reason)
 				p.answers++
 				rows.Release(a.Rows)
 			}
 			p.output.Release()
 		case router.SendToEngine:
-			p.engine.Order(p.output, w.Order)
+			p.engine.Encode(p.output, w.Order)
 			p.output.Release()
 		case router.Release:
 			w.Chain.Release()
@@ -124,7 +124,7 @@
 		if reply == nil {
 			break
 		}
-		if reply.Word == traffic.Up {
+		if reply.Kind == traffic.ReplyReady {
 			p.deliver(router.EngineOpened{Connection: 1})
 		} else {
 			p.deliver(router.EngineReplied{Connection: 1, Reply: reply})
@@ -165,7 +165,7 @@
 			_, err = v.Done(nil, back)
 		}
 		require.NoError(t, err)
-		if a, is := said.(*traffic.Ask); is {
+		if a, is := said.(*traffic.BatchRequest); is {
 			part := rows.Part{Form: rows.Values, Data: pool.Chain()}
 			for _, name := range []string{"a", "b", "c"} {
 				part.Columns = append(part.Columns, rows.Column{Name: name, Type: rows.Type{Kind: rows.Text, Size: 40}})
@@ -175,7 +175,7 @@
 					rows.Append(part.Data, []byte(v))
 				}
 			}
-			server.Tell(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
+			server.Encode(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 		}
 		received = back.Bytes()
 		_, err = client.Read(back, out)
@@ -304,9 +304,9 @@
 			switch w := said.(type) {
 			case *traffic.Verify:
 				w.Done(nil, out) //nolint:errcheck
-			case *traffic.Ask:
+			case *traffic.BatchRequest:
 				w.Batch.Text.Release()
-				s.Tell(out, &traffic.Answer{Stream: w.Stream})
+				s.Encode(out, &traffic.Answer{Stream: w.Stream})
 			}
 			out.Release()
 		}
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -52,8 +52,8 @@
 	} else {
 		p.conn.healthCheck = nil
 	}
-	if l := p.conn; late && l.engine.protocol.Alone && l.Up && r.connections[l.Number] == l {
-		r.sendOrder(l, traffic.GiveUp{ID: p.tag})
+	if l := p.conn; late && l.engine.protocol.OneAtATime && l.Up && r.connections[l.Number] == l {
+		r.sendOrder(l, traffic.CancelDispatch{ID: p.tag})
 		r.awaitFree(l)
 		late = false
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -354,9 +354,9 @@
 				r.startDispatch(b, r.byBrainEngine[d.Engine], d)
 			}
 		case brain.Reject:
-			r.answerBatch(r.batches[d.Batch], traffic.PushedBack, d.Wait)
+			r.answerBatch(r.batches[d.Batch], traffic.Rejected, d.Wait)
 		case brain.Fail:
-			r.answerBatch(r.batches[d.Batch], traffic.Errored, 0)
+			r.answerBatch(r.batches[d.Batch], traffic.Failed, 0)
 		case brain.Cancel:
 			if b := r.batches[d.Batch]; b != nil && d.Number < len(b.dispatches) {
 				r.abortDispatch(b.dispatches[d.Number], brain.Canceled)
@@ -449,7 +449,7 @@
 		known := r.engines[e.ID]
 		if known == nil {
 			known = &engine{name: e.ID, protocol: r.protocolOf(e), Engine: brain.Engine{ID: engineNumber(e.ID)}}
-			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.protocol.Alone
+			known.pool.Engine, known.OneBatchPerConnection = known.ID, known.protocol.OneAtATime
 			r.engines[e.ID] = known
 			r.byBrainEngine[&known.Engine] = known
 		}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -314,7 +314,7 @@
 	assert.Equal(t, answerFailed, h.answers[103])
 	assert.NotContains(t, h.clients, uint64(2), "closed after the third invalid batch")
 	h.deliver(h.clientOpenedEvent(3))
-	for n := range uint32(h.clientProtocol.Open + 1) {
+	for n := range uint32(h.clientProtocol.MaxOpenBatches + 1) {
 		delete(h.answers, 0)
 		h.sendRequest(3, n+201, fmt.Sprintf("%016x", 4000+n))
 	}
@@ -401,7 +401,7 @@
 	assert.Equal(t, answerFailed, h.answers[0], "partial frame")
 	h.engineReply(h.dials[0].Connection, id, "DONE", "sheets=1", "a\t2\t3\n")
 	assert.Equal(t, answerOK+"a\t2\t3\n", h.answers[stream])
-	h.advance(h.clientProtocol.Idle - 1)
+	h.advance(h.clientProtocol.IdleTimeout - 1)
 	assert.Contains(t, h.clients, uint64(1))
 	h.advance(2)
 	assert.Empty(t, h.clients, "idle clients are closed after their last answer")
@@ -496,11 +496,11 @@
 	h.config.MemoryMB = 1
 	refused, n := 0, 0
 	for ; n < 100; n++ {
-		if n%h.clientProtocol.Open == 0 {
-			h.deliver(h.clientOpenedEvent(uint64(n/h.clientProtocol.Open) + 2))
+		if n%h.clientProtocol.MaxOpenBatches == 0 {
+			h.deliver(h.clientOpenedEvent(uint64(n/h.clientProtocol.MaxOpenBatches) + 2))
 		}
 		stream := uint32(n + 1)
-		h.sendRequest(uint64(n/h.clientProtocol.Open)+2, stream, fmt.Sprintf("%016x", n+1))
+		h.sendRequest(uint64(n/h.clientProtocol.MaxOpenBatches)+2, stream, fmt.Sprintf("%016x", n+1))
 		if h.answers[stream] != "" {
 			refused++
 			assert.Equal(t, answerRejected+"\x01\x01w\x03\x00500", h.answers[stream], "with the time after which to retry")
@@ -596,7 +596,7 @@
 	earlyStream, id := h.sendBatch("lookup", 2000)
 	c := h.connectLast()
 	h.deliver(StopAsked{})
-	h.deliver(ClientMessage{1, traffic.AskReady{Stream: 99}})
+	h.deliver(ClientMessage{1, traffic.ReadinessQuery{Stream: 99}})
 	h.advance(0.5)
 	lateStream, _ := h.sendBatch("lookup", 2000)
 	h.engineReply(c, id, "DONE", "sheets=1", "a\t2\t3\n")
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -122,5 +122,5 @@
 // at least 1 ms.
 func (d *dispatch) request(now float64) *traffic.Dispatch {
 	b := d.batch
-	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, Mark: b.mark, Wait: max(d.deadline-now, 0.001), Memory: b.memory, Statement: *b.statement}
+	return &traffic.Dispatch{ID: b.id, Group: b.Group.Name, IdempotencyKey: b.mark, Wait: max(d.deadline-now, 0.001), Memory: b.memory, Statement: *b.statement}
 }
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -21,7 +21,7 @@
 	r.brain.PrepareShutdown()
 	r.log(Info, "stopping", "open", len(r.batches), "clients", len(r.clients))
 	for _, c := range r.sortedClients() {
-		r.emit(SendToClient{c.number, traffic.NoMore{}})
+		r.emit(SendToClient{c.number, traffic.GoAway{}})
 	}
 	r.timers.add(r.now+stopGracePeriod, stopCheck{})
 	longest := 0.0
@@ -61,10 +61,10 @@
 			continue
 		}
 		if d := r.brain.FinalDecision(b.Batch); d.Kind == brain.Reject {
-			r.answerBatch(b, traffic.PushedBack, d.Wait)
+			r.answerBatch(b, traffic.Rejected, d.Wait)
 		} else {
 			b.lastError = "the router has stopped"
-			r.answerBatch(b, traffic.Errored, 0)
+			r.answerBatch(b, traffic.Failed, 0)
 		}
 	}
 	r.exited = true
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -41,7 +41,7 @@
 func (r *Router) failTooLarge(d *dispatch, why error) {
 	b := d.batch
 	r.log(Warn, "result is too large", "id", b.id, "engine", d.engine.name, "speaks", b.client.protocol.Name, "bytes", d.resultSize, "why", why.Error())
-	r.sendAnswer(b, &traffic.Answer{Code: traffic.Errored, Why: why.Error()})
+	r.sendAnswer(b, &traffic.Answer{Code: traffic.Failed, Reason: why.Error()})
 	r.abortDispatch(d, brain.Canceled)
 }
 
@@ -90,7 +90,7 @@
 }
 
 func (r *Router) setReadingPaused(d *dispatch, hold bool) {
-	if d.readingPaused != hold && d.engine.protocol.Held {
+	if d.readingPaused != hold && d.engine.protocol.Pausable {
 		d.readingPaused = hold
 		r.emit(PauseReading{d.conn.Number, hold})
 	}
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -46,21 +46,21 @@
 	r.timers.stop(d.timer)
 	r.timers.stop(d.pageTimer)
 	d.timer = r.timers.add(by, cancelConfirmDue{d})
-	r.sendOrder(l, traffic.GiveUp{ID: d.batch.id})
-	if l.engine.protocol.Alone {
+	r.sendOrder(l, traffic.CancelDispatch{ID: d.batch.id})
+	if l.engine.protocol.OneAtATime {
 		r.awaitFree(l)
 		return true
 	}
-	r.sendOrder(l, traffic.AskPage{ID: d.batch.id, Page: confirmationPage})
+	r.sendOrder(l, traffic.FetchPage{ID: d.batch.id, Page: confirmationPage})
 	l.Suspect = l.Suspect || l.LastReceivedAt <= d.writtenAt
 	return true
 }
 
 // handleReplyAfterCancel ends a cancelled dispatch if the reply proves that the engine has ended it, and reports whether it does.
 // Any other reply is processed as usual: a result that was already on its way is still the answer.
-func (r *Router) handleReplyAfterCancel(d *dispatch, reply *traffic.Reply) (proven bool) {
+func (r *Router) handleReplyAfterCancel(d *dispatch, reply *traffic.EngineReply) (proven bool) {
 	switch {
-	case reply.Word == traffic.Broke, reply.Word == traffic.More && d.pages == nil:
+	case reply.Kind == traffic.ReplyFailed, reply.Kind == traffic.ReplyPage && d.pages == nil:
 		reply.Rows.Release()
 		r.finishCancellation(d, d.cancelledAs)
 		return true
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -21,43 +21,43 @@
 
 // Status is how a router stands, as its status page tells it.
 type Status struct {
-	Router   string             `json:"router"`
-	At       time.Time          `json:"at"`
-	Level    string             `json:"level"`
-	Reason   string             `json:"reason"`
-	Since    time.Time          `json:"since"`
-	Trial    int                `json:"trial"` // step of a trial to leave the level; 0: none
-	Shed     int                `json:"shed"`  // batches that levels have refused since the start
-	Measures map[string]float64 `json:"measures"`
-	Batches  int                `json:"batches"` // not over yet
-	Clients  int                `json:"clients"`
-	Stopping bool               `json:"stopping"`
-	Held     int                `json:"held"`
-	Out      int                `json:"out"`
-	Engines  int                `json:"engines"`
-	Cold     int                `json:"cold"`
-	Aside    int                `json:"aside"`
-	Draining int                `json:"draining"`
-	Load     float64            `json:"load"`
-	Mark     float64            `json:"mark"`
-	InForce  InForce            `json:"in_force"`
+	Router             string             `json:"router"`
+	At                 time.Time          `json:"at"`
+	Level              string             `json:"level"`
+	Reason             string             `json:"reason"`
+	Since              time.Time          `json:"since"`
+	TrialStep          int                `json:"trial"` // step of a trial to leave the level; 0: none
+	Shed               int                `json:"shed"`  // batches that levels have refused since the start
+	Measures           map[string]float64 `json:"measures"`
+	Batches            int                `json:"batches"` // not over yet
+	Clients            int                `json:"clients"`
+	Stopping           bool               `json:"stopping"`
+	Queued             int                `json:"held"`
+	InFlight           int                `json:"out"`
+	Engines            int                `json:"engines"`
+	Cold               int                `json:"cold"`
+	Ejected            int                `json:"aside"`
+	Draining           int                `json:"draining"`
+	Load               float64            `json:"load"`
+	AdmissionThreshold float64            `json:"mark"`
+	ActiveSettings     ActiveSettings     `json:"in_force"`
 }
 
-// InForce is which file with our own settings counts.
-type InForce struct {
-	File      string    `json:"file"`
-	Read      time.Time `json:"read"`
-	Refused   string    `json:"refused,omitempty"` // why a later one does not; empty: none was refused since
-	RefusedAt time.Time `json:"refused_at"`
+// ActiveSettings is which file with our own settings counts.
+type ActiveSettings struct {
+	File       string    `json:"file"`
+	ReadAt     time.Time `json:"read"`
+	Rejected   string    `json:"refused,omitempty"` // why a later one does not; empty: none was refused since
+	RejectedAt time.Time `json:"refused_at"`
 }
 
-func at(seconds float64) time.Time { return time.UnixMicro(int64(seconds * 1e6)).UTC() }
+func unixTime(seconds float64) time.Time { return time.UnixMicro(int64(seconds * 1e6)).UTC() }
 
 func newStatus(s router.Status) *Status {
-	out := &Status{Router: s.Name, At: at(s.Now), Level: s.Level, Reason: s.Reason, Since: at(s.Since), Trial: s.Step, Shed: s.Shed,
-		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Held: s.Decisions.Queued,
-		Out: s.Decisions.InFlight, Engines: s.Decisions.Engines, Cold: s.Decisions.Cold, Aside: s.Decisions.Ejected, Draining: s.Decisions.Draining,
-		Load: s.Decisions.Load, Mark: s.Decisions.AdmissionThreshold}
+	out := &Status{Router: s.Name, At: unixTime(s.Now), Level: s.Level, Reason: s.Reason, Since: unixTime(s.Since), TrialStep: s.Step, Shed: s.Shed,
+		Measures: map[string]float64{}, Batches: s.Batches, Clients: s.Clients, Stopping: s.Stopping > 0, Queued: s.Decisions.Queued,
+		InFlight: s.Decisions.InFlight, Engines: s.Decisions.Engines, Cold: s.Decisions.Cold, Ejected: s.Decisions.Ejected, Draining: s.Decisions.Draining,
+		Load: s.Decisions.Load, AdmissionThreshold: s.Decisions.AdmissionThreshold}
 	for m, name := range levels.MeasureNames {
 		out.Measures[name] = s.Measures[m]
 	}
@@ -69,22 +69,22 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "router\t%s\nat\t%s\nlevel\t%s\nreason\t%s\nsince\t%s\n", s.Router, s.At.Format(time.RFC3339), s.Level, s.Reason,
 		s.Since.Format(time.RFC3339))
-	if s.Trial > 0 {
-		fmt.Fprintf(t, "trial\tstep %d\n", s.Trial)
+	if s.TrialStep > 0 {
+		fmt.Fprintf(t, "trial\tstep %d\n", s.TrialStep)
 	}
 	fmt.Fprintf(t, "shed\t%d\nbatches\t%d, %d held, %d out\nclients\t%d\nengines\t%d, %d cold, %d aside, %d draining\n", s.Shed, s.Batches,
-		s.Held, s.Out, s.Clients, s.Engines, s.Cold, s.Aside, s.Draining)
+		s.Queued, s.InFlight, s.Clients, s.Engines, s.Cold, s.Ejected, s.Draining)
 	for _, name := range levels.MeasureNames {
 		fmt.Fprintf(t, "%s\t%.3g\n", name, s.Measures[name])
 	}
 	if s.Stopping {
 		fmt.Fprintln(t, "stopping\tyes")
 	}
-	if f := s.InForce; f.File != "" {
-		fmt.Fprintf(t, "settings\t%s, read %s\n", f.File, f.Read.Format(time.RFC3339))
-		for i, line := range strings.Split(f.Refused, "\n") {
+	if f := s.ActiveSettings; f.File != "" {
+		fmt.Fprintf(t, "settings\t%s, read %s\n", f.File, f.ReadAt.Format(time.RFC3339))
+		for i, line := range strings.Split(f.Rejected, "\n") {
 			if i == 0 && line != "" {
-				line = "refused at " + f.RefusedAt.Format(time.RFC3339) + ": " + line
+				line = "refused at " + f.RejectedAt.Format(time.RFC3339) + ": " + line
 			}
 			if line != "" {
 				fmt.Fprintf(t, "\t%s\n", line)
@@ -96,16 +96,16 @@
 
 // statusPage answers GET /status as JSON. It reads a copy, so nobody who asks can hold the loop up.
 type statusPage struct {
-	server  *http.Server
-	last    atomic.Pointer[Status]
-	members atomic.Pointer[Members]
-	shares  atomic.Pointer[Shares]
-	inForce atomic.Pointer[InForce]
+	server         *http.Server
+	status         atomic.Pointer[Status]
+	members        atomic.Pointer[Members]
+	quotas         atomic.Pointer[Quotas]
+	activeSettings atomic.Pointer[ActiveSettings]
 }
 
 const (
-	statusWithin = 2 * time.Second
-	mostStatus   = 1 << 20
+	statusTimeout = 2 * time.Second
+	maxPageBytes  = 1 << 20
 )
 
 func newStatusPage(ctx context.Context, address string, log *zap.Logger) (*statusPage, error) {
@@ -116,14 +116,14 @@
 	p := &statusPage{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
-		s := p.last.Load()
+		s := p.status.Load()
 		if s == nil {
 			http.Error(w, "not known yet", http.StatusServiceUnavailable)
 			return
 		}
 		out := *s
-		if f := p.inForce.Load(); f != nil {
-			out.InForce = *f
+		if f := p.activeSettings.Load(); f != nil {
+			out.ActiveSettings = *f
 		}
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(out) //nolint:errcheck // the client has left
@@ -138,7 +138,7 @@
 		json.NewEncoder(w).Encode(m) //nolint:errcheck // the client has left
 	})
 	mux.HandleFunc("GET /shares", func(w http.ResponseWriter, _ *http.Request) {
-		s := p.shares.Load()
+		s := p.quotas.Load()
 		if s == nil {
 			http.Error(w, "this router divides nothing with others; settings without [shares] have nothing to divide", http.StatusNotFound)
 			return
@@ -146,7 +146,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(s) //nolint:errcheck // the client has left
 	})
-	p.server = &http.Server{Handler: mux, ReadTimeout: statusWithin, WriteTimeout: statusWithin, MaxHeaderBytes: 4 << 10}
+	p.server = &http.Server{Handler: mux, ReadTimeout: statusTimeout, WriteTimeout: statusTimeout, MaxHeaderBytes: 4 << 10}
 	go func() {
 		if err := p.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			log.Warn("status page", zap.Error(err))
@@ -156,29 +156,29 @@
 	return p, nil
 }
 
-func (p *statusPage) set(s router.Status) { p.last.Store(newStatus(s)) }
+func (p *statusPage) setStatus(s router.Status) { p.status.Store(newStatus(s)) }
 
-// force notes what counts from now on, or why it does not. Only the goroutine of reloads calls it, after the start.
-func (p *statusPage) force(t Told) {
-	now := InForce{File: t.Path, Read: t.At.UTC()}
-	if t.Refused != nil {
-		now = *p.inForce.Load()
-		now.Refused, now.RefusedAt = t.Refused.Error(), t.At.UTC()
+// setActiveSettings notes what counts from now on, or why it does not. Only the goroutine of reloads calls it, after the start.
+func (p *statusPage) setActiveSettings(t Configuration) {
+	now := ActiveSettings{File: t.InstallationPath, ReadAt: t.ReadAt.UTC()}
+	if t.Err != nil {
+		now = *p.activeSettings.Load()
+		now.Rejected, now.RejectedAt = t.Err.Error(), t.ReadAt.UTC()
 	}
-	p.inForce.Store(&now)
+	p.activeSettings.Store(&now)
 }
 
 func (p *statusPage) stop() { p.server.Close() }
 
-// AskStatus asks a router's status page.
-func AskStatus(ctx context.Context, address string) (*Status, error) {
+// FetchStatus asks a router's status page.
+func FetchStatus(ctx context.Context, address string) (*Status, error) {
 	var s Status
-	return &s, ask(ctx, address, "status", &s)
+	return &s, fetchPage(ctx, address, "status", &s)
 }
 
-// ask gets a page of a router's as JSON.
-func ask(ctx context.Context, address, page string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+// fetchPage gets a page of a router's as JSON.
+func fetchPage(ctx context.Context, address, page string, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/"+page, nil)
 	if err != nil {
@@ -193,7 +193,7 @@
 		why, _ := io.ReadAll(io.LimitReader(answer.Body, 200))
 		return fmt.Errorf("%s: %s says %s: %s", page, address, answer.Status, strings.TrimSpace(string(why)))
 	}
-	if err := json.NewDecoder(io.LimitReader(answer.Body, mostStatus)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(answer.Body, maxPageBytes)).Decode(into); err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
 	return nil
--- a/internal/standin/tds.go
+++ b/internal/standin/tds.go
@@ -74,8 +74,8 @@
 				break
 			}
 			switch event := event.(type) {
-			case *traffic.Ask:
-				run := Run{Engine: s.Name, Text: event.Batch.Text.String(), Group: event.Batch.Group, Mark: event.Batch.Mark}
+			case *traffic.BatchRequest:
+				run := Run{Engine: s.Name, Text: event.Batch.Text.String(), Group: event.Batch.Group, Mark: event.Batch.IdempotencyKey}
 				if len(event.Batch.Parameters) > 0 {
 					run.Text, _ = rows.Inline(run.Text, event.Batch.Parameters)
 				}
@@ -103,7 +103,7 @@
 
 // send encodes and writes messages for the batch on a stream, unless it no longer runs. transform, if not nil, replaces
 // the encoded bytes and says whether the connection sends nothing afterwards.
-func (c *tdsConn) send(stream uint32, transform func([]byte) (replaced []byte, silence bool), messages ...traffic.Tell) {
+func (c *tdsConn) send(stream uint32, transform func([]byte) (replaced []byte, silence bool), messages ...traffic.ClientReply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.stream != stream {
@@ -111,7 +111,7 @@
 	}
 	out := c.pool.Chain()
 	for _, message := range messages {
-		c.session.Tell(out, message)
+		c.session.Encode(out, message)
 	}
 	b := out.Bytes()
 	out.Release()
@@ -131,7 +131,7 @@
 	defer s.fleet.recordAnswered(r)
 	if r.Step.Action == Reject {
 		s.fleet.recordEnd(r)
-		c.send(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.PushedBack})
+		c.send(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Rejected})
 		return
 	}
 	c.mutex.Lock()
@@ -147,7 +147,7 @@
 	columns := []rows.Column{{Name: "engine", Type: rows.Type{Kind: rows.Text, Size: 64}},
 		{Name: "queue", Type: rows.Type{Kind: rows.Text, Size: 64}}, {Name: "line", Type: rows.Type{Kind: rows.Text}}}
 	count := max(r.Step.Rows, 1)
-	page := func(from int) traffic.Tell { // encoded when it is sent, as by an engine that streams its answer
+	page := func(from int) traffic.ClientReply { // encoded when it is sent, as by an engine that streams its answer
 		part := rows.Part{Form: rows.Values, Data: (&buffers.Pool{}).Chain()}
 		if from == 0 {
 			part.Columns = columns
@@ -159,7 +159,7 @@
 		}
 		return &traffic.Rows{Stream: stream, Part: part}
 	}
-	wholeAnswer := func() (out []traffic.Tell) {
+	wholeAnswer := func() (out []traffic.ClientReply) {
 		for from := 0; from < count; from += pageRows {
 			out = append(out, page(from))
 		}
@@ -177,7 +177,7 @@
 		}
 		c.send(stream, nil, &traffic.Answer{Stream: stream})
 	case Fail:
-		c.send(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Errored, Why: "scripted"})
+		c.send(stream, nil, &traffic.Answer{Stream: stream, Code: traffic.Failed, Reason: "scripted"})
 	case CloseUnanswered:
 		c.Close()
 	case CloseMidAnswer:
@@ -226,7 +226,7 @@
 	out := pool.Chain()
 	c.session.Open(out)
 	c.flush(out)
-	if _, err := c.readUntil(within, traffic.Up); err != nil {
+	if _, err := c.readUntil(within, traffic.ReplyReady); err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("client: login: %w", err)
 	}
@@ -241,7 +241,7 @@
 
 // Reply is how a batch ended, with the rows received until then.
 type Reply struct {
-	Word  traffic.Word
+	Word  traffic.ReplyKind
 	Why   string
 	Lines []string // rows, with tabs between their values
 }
@@ -257,21 +257,21 @@
 // Cancel sends an Attention and waits until it is acknowledged.
 func (c *TDSClient) Cancel(within time.Duration) error {
 	out := c.pool.Chain()
-	c.session.Order(out, traffic.GiveUp{ID: fmt.Sprint(c.statementCount)})
+	c.session.Encode(out, traffic.CancelDispatch{ID: fmt.Sprint(c.statementCount)})
 	if err := c.flush(out); err != nil {
 		return err
 	}
-	_, err := c.readUntil(within, traffic.Free)
+	_, err := c.readUntil(within, traffic.ReplyReleased)
 	return err
 }
 
 // ReadReply waits for the end of the statement that was sent last.
 func (c *TDSClient) ReadReply(within time.Duration) (Reply, error) {
-	return c.readUntil(within, traffic.Whole, traffic.Broke, traffic.Full)
+	return c.readUntil(within, traffic.ReplyComplete, traffic.ReplyFailed, traffic.ReplyOverloaded)
 }
 
 // readUntil reads until a reply with one of the given words, and collects the rows before it.
-func (c *TDSClient) readUntil(within time.Duration, until ...traffic.Word) (result Reply, err error) {
+func (c *TDSClient) readUntil(within time.Duration, until ...traffic.ReplyKind) (result Reply, err error) {
 	c.SetReadDeadline(time.Now().Add(within)) //nolint:errcheck
 	var columns []rows.Column
 	buffer := make([]byte, 16<<10)
@@ -292,7 +292,7 @@
 			c.received.Write(buffer[:n])
 			continue
 		}
-		if p := reply.Rows; reply.Word == traffic.Some {
+		if p := reply.Rows; reply.Kind == traffic.ReplyRows {
 			if p.Columns != nil {
 				columns = p.Columns
 			}
@@ -314,8 +314,8 @@
 			}
 		}
 		for _, w := range until {
-			if reply.Word == w {
-				result.Word, result.Why = reply.Word, reply.Why
+			if reply.Kind == w {
+				result.Word, result.Why = reply.Kind, reply.Reason
 				return result, nil
 			}
 		}
--- a/internal/status/section.go
+++ b/internal/status/section.go
@@ -14,8 +14,8 @@
 	} `toml:"status"`
 }
 
-// Prove gives the address; empty: there is no page.
-func (f *PageSection) Prove(c findings.Reporter) string {
+// Validate gives the address; empty: there is no page.
+func (f *PageSection) Validate(c findings.Reporter) string {
 	if f.Status == nil {
 		return ""
 	}
--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -28,7 +28,7 @@
 
 // Protocol is what the core must know of TDS engines.
 func (a *Access) Protocol() *traffic.EngineProtocol {
-	return &traffic.EngineProtocol{Name: "tds", Alone: true, Held: true, New: func() traffic.Engine { return a.Engine() }}
+	return &traffic.EngineProtocol{Name: "tds", OneAtATime: true, Pausable: true, New: func() traffic.Engine { return a.Engine() }}
 }
 
 // Engine gives the state of a new connection.
@@ -75,8 +75,8 @@
 	return false
 }
 
-// Order asks for something.
-func (e *Engine) Order(out *buffers.Chain, what traffic.Order) {
+// Encode asks for something.
+func (e *Engine) Encode(out *buffers.Chain, what traffic.EngineCommand) {
 	switch o := what.(type) {
 	case *traffic.Dispatch:
 		e.begin(o.ID, false)
@@ -84,11 +84,11 @@
 	case traffic.Probe:
 		e.begin(o.Tag, true)
 		text := e.access.Probe
-		if o.Load && e.access.Load != "" {
+		if o.WantLoad && e.access.Load != "" {
 			text = e.access.Load
 		}
 		message(out, packetBatch, statusReset, e.size, appendUTF16(appendHeaders(nil), text))
-	case traffic.GiveUp:
+	case traffic.CancelDispatch:
 		if e.phase == running && e.id == o.ID {
 			e.phase = stopping
 			e.drop()
@@ -112,8 +112,8 @@
 func (e *Engine) dispatch(out *buffers.Chain, d *traffic.Dispatch) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "/* pitchfield id=%s group=%s wait=%dms", d.ID, d.Group, max(int(math.Ceil(d.Wait*1000)), 1))
-	if d.Mark != "" {
-		text.WriteString(" mark=" + d.Mark)
+	if d.IdempotencyKey != "" {
+		text.WriteString(" mark=" + d.IdempotencyKey)
 	}
 	if d.Memory > 0 {
 		text.WriteString(" memory=" + strconv.Itoa(int(math.Ceil(d.Memory))) + "MB")
@@ -122,7 +122,7 @@
 	if d.Database != "" {
 		text.WriteString("USE [" + strings.ReplaceAll(d.Database, "]", "]]") + "]; ")
 	}
-	text.WriteString(d.Ahead)
+	text.WriteString(d.SessionSetup)
 	text.WriteString(d.Text.String())
 	e.request(out, text.String(), d.Parameters)
 }
@@ -142,7 +142,7 @@
 }
 
 // Read gives the next reply.
-func (e *Engine) Read(in, owed *buffers.Chain) (*traffic.Reply, error) {
+func (e *Engine) Read(in, owed *buffers.Chain) (*traffic.EngineReply, error) {
 	for {
 		if len(e.in) > 0 || e.last {
 			if reply, err := e.tokens(owed); reply != nil || err != nil {
@@ -190,7 +190,7 @@
 }
 
 // tokens reads on until there is something to tell, or more bytes are needed.
-func (e *Engine) tokens(owed *buffers.Chain) (*traffic.Reply, error) {
+func (e *Engine) tokens(owed *buffers.Chain) (*traffic.EngineReply, error) {
 	c := cursor{b: e.in}
 	used := 0
 	keep := func() { e.in = e.in[:copy(e.in, e.in[used:])] }
@@ -228,18 +228,18 @@
 }
 
 // piece passes on the rows that there are.
-func (e *Engine) piece() *traffic.Reply {
+func (e *Engine) piece() *traffic.EngineReply {
 	p := e.part
 	e.part = rows.Part{}
 	if e.fresh {
 		p.Columns, e.fresh = e.result, false
 	}
 	p.Form, e.rows = rows.Values, true
-	return &traffic.Reply{ID: e.id, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: p}
+	return &traffic.EngineReply{ID: e.id, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: p}
 }
 
 // token reads one token and what it changes.
-func (e *Engine) token(c *cursor) (*traffic.Reply, error) {
+func (e *Engine) token(c *cursor) (*traffic.EngineReply, error) {
 	switch kind := c.u8(); kind {
 	case tokenColumns:
 		all := c.columns()
@@ -250,7 +250,7 @@
 			e.columns = all
 			return nil, nil
 		}
-		var before *traffic.Reply
+		var before *traffic.EngineReply
 		if e.part.Len() > 0 || e.fresh && e.result != nil {
 			before = e.piece()
 		}
@@ -273,7 +273,7 @@
 		}
 		if e.phase == running && !e.probe && d.status&doneCount != 0 && e.columns == nil && d.count > 0 && d.count <= math.MaxInt32 {
 			e.rows = true
-			return &traffic.Reply{ID: e.id, Word: traffic.Some, Pages: -1, Page: -1, Work: -1, Memory: -1,
+			return &traffic.EngineReply{ID: e.id, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1,
 				Rows: rows.Part{Form: rows.Values, Count: int(d.count)}}, nil
 		}
 		if d.status&doneError != 0 && e.failed == nil {
@@ -333,7 +333,7 @@
 }
 
 // row reads a row, into the part that is passed on next. Only a whole one changes anything.
-func (e *Engine) row(c *cursor, mapped bool) *traffic.Reply {
+func (e *Engine) row(c *cursor, mapped bool) *traffic.EngineReply {
 	var missing []byte
 	if mapped {
 		missing = c.take((len(e.columns) + 7) / 8)
@@ -393,8 +393,8 @@
 }
 
 // ended: the answer is whole.
-func (e *Engine) ended() (*traffic.Reply, error) {
-	reply := &traffic.Reply{ID: e.id, Pages: -1, Page: -1, Work: -1, Memory: -1}
+func (e *Engine) ended() (*traffic.EngineReply, error) {
+	reply := &traffic.EngineReply{ID: e.id, Pages: -1, Page: -1, Work: -1, Memory: -1}
 	failed := e.failed
 	e.failed = nil
 	switch e.phase {
@@ -409,14 +409,14 @@
 			e.size = e.next
 		}
 		e.phase, e.let = atRest, false
-		reply.Word = traffic.Up
+		reply.Kind = traffic.ReplyReady
 		return reply, nil
 	case stopping: // an answer that crossed the Attention ends without this
 		if !e.let {
 			return nil, nil
 		}
 		e.phase, e.let = atRest, false
-		reply.Word = traffic.Free
+		reply.Kind = traffic.ReplyReleased
 		return reply, nil
 	case running:
 		if e.part.Len() > 0 || e.fresh {
@@ -430,15 +430,15 @@
 		e.phase = atRest
 		switch {
 		case e.probe && failed == nil:
-			reply.Word, reply.Load = traffic.Fit, e.load
+			reply.Kind, reply.Load = traffic.ReplyHealthy, e.load
 		case e.probe:
-			reply.Word, reply.Why = traffic.Unfit, failed.Error()
+			reply.Kind, reply.Reason = traffic.ReplyUnhealthy, failed.Error()
 		case failed == nil:
-			reply.Word = traffic.Whole
+			reply.Kind = traffic.ReplyComplete
 		case !e.rows && slices.Contains(e.access.TurnedAway, failed.Number):
-			reply.Word, reply.Why = traffic.Full, failed.Error()
+			reply.Kind, reply.Reason = traffic.ReplyOverloaded, failed.Error()
 		default:
-			reply.Word, reply.Why = traffic.Broke, failed.Error()
+			reply.Kind, reply.Reason = traffic.ReplyFailed, failed.Error()
 		}
 		return reply, nil
 	}
--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -92,9 +92,9 @@
 		owed := k.pool.Chain()
 		feed(k.pool, b, func(in *buffers.Chain) bool {
 			said, err := k.session.Read(in, owed)
-			if a, is := said.(*traffic.Ask); is {
+			if a, is := said.(*traffic.BatchRequest); is {
 				a.Batch.Text.Release()
-				k.session.Tell(owed, &traffic.Answer{Stream: a.Stream, Code: traffic.Errored})
+				k.session.Encode(owed, &traffic.Answer{Stream: a.Stream, Code: traffic.Failed})
 			}
 			if v, is := said.(*traffic.Verify); is {
 				v.Done(v.Run(), owed) //nolint:errcheck
@@ -112,7 +112,7 @@
 func FuzzEngine(f *testing.F) {
 	k := newTalk(f).login()
 	a := k.ask("SELECT a")
-	k.session.Tell(k.toClint, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x", "yy")}})
+	k.session.Encode(k.toClint, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x", "yy")}})
 	f.Add(k.toClint.Bytes(), false)
 	f.Add(k.toClint.Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, stop bool) {
@@ -121,7 +121,7 @@
 		owed := k.pool.Chain()
 		k.engine.Send(owed, "q", "SELECT a", nil)
 		if stop {
-			k.engine.Order(owed, traffic.GiveUp{ID: "q"})
+			k.engine.Encode(owed, traffic.CancelDispatch{ID: "q"})
 		}
 		feed(k.pool, b, func(in *buffers.Chain) bool {
 			r, err := k.engine.Read(in, owed)
--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -29,9 +29,9 @@
 
 // Protocol is what the core must know of TDS clients. Idle is in seconds.
 func (f *Front) Protocol(idle float64) *traffic.ClientProtocol {
-	return &traffic.ClientProtocol{Name: "tds", Idle: idle, Open: 1, Stream: true,
-		Express: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsValues(f.Pool, parts) },
-		New:     func() traffic.Client { return f.Session() }}
+	return &traffic.ClientProtocol{Name: "tds", IdleTimeout: idle, MaxOpenBatches: 1, Stream: true,
+		ConvertResult: func(parts []rows.Part) ([]rows.Part, error) { return rows.AsValues(f.Pool, parts) },
+		New:           func() traffic.Client { return f.Session() }}
 }
 
 // Session gives the state of a new connection.
@@ -93,11 +93,11 @@
 	count   uint64
 }
 
-// Half tells whether part of a message is there.
-func (s *Session) Half() bool { return s.message != nil }
+// HasPartial tells whether part of a message is there.
+func (s *Session) HasPartial() bool { return s.message != nil }
 
 // Read gives the next thing said.
-func (s *Session) Read(in, owed *buffers.Chain) (traffic.Said, error) {
+func (s *Session) Read(in, owed *buffers.Chain) (traffic.ClientMessage, error) {
 	for s.state != checking && s.state != over {
 		p, ok, err := peekPacket(in)
 		if err != nil || !ok {
@@ -132,7 +132,7 @@
 		s.message, s.large = nil, false
 		if p.status&statusIgnore != 0 {
 			s.respond(owed, func(b []byte) []byte { return appendDone(b, tokenDone, doneError, 0) })
-			return traffic.Stir{}, nil
+			return traffic.HandledLocally{}, nil
 		}
 		if said, err := s.whole(message, large, owed); said != nil || err != nil {
 			return said, err
@@ -142,11 +142,11 @@
 }
 
 // attention: what is open is given up, and the client waits for this DONE. It comes too where the answer crossed it.
-func (s *Session) attention(owed *buffers.Chain) traffic.Said {
+func (s *Session) attention(owed *buffers.Chain) traffic.ClientMessage {
 	if s.state != ready {
 		return nil
 	}
-	var said traffic.Said = traffic.Stir{}
+	var said traffic.ClientMessage = traffic.HandledLocally{}
 	if s.open {
 		said = traffic.Cancel{Stream: s.stream}
 	}
@@ -173,12 +173,12 @@
 }
 
 // refuse tells of an error; the session goes on.
-func (s *Session) refuse(owed *buffers.Chain, m Message) traffic.Said {
+func (s *Session) refuse(owed *buffers.Chain, m Message) traffic.ClientMessage {
 	s.respond(owed, func(b []byte) []byte {
 		return appendDone(appendMessage(b, tokenError, m, s.front.Name), s.doneKind(), doneError, 0)
 	})
 	s.reply = reply{}
-	return traffic.Stir{}
+	return traffic.HandledLocally{}
 }
 
 func (s *Session) doneKind() byte {
@@ -189,7 +189,7 @@
 }
 
 // reject tells of an error and ends the session.
-func (s *Session) reject(owed *buffers.Chain, m Message) (traffic.Said, error) {
+func (s *Session) reject(owed *buffers.Chain, m Message) (traffic.ClientMessage, error) {
 	s.respond(owed, func(b []byte) []byte {
 		return appendDone(appendMessage(b, tokenError, m, s.front.Name), tokenDone, doneError, 0)
 	})
@@ -198,7 +198,7 @@
 }
 
 // whole takes a message.
-func (s *Session) whole(b []byte, large bool, owed *buffers.Chain) (traffic.Said, error) {
+func (s *Session) whole(b []byte, large bool, owed *buffers.Chain) (traffic.ClientMessage, error) {
 	switch s.state {
 	case expectPrelogin:
 		if s.kind != packetPrelogin || large {
@@ -241,7 +241,7 @@
 	case packetRPC:
 		s.reply.proc = true
 		c, err := parseRPC(b)
-		said, err := s.refusedOr(err, owed, func() (traffic.Said, error) { return s.call(c, owed) })
+		said, err := s.refusedOr(err, owed, func() (traffic.ClientMessage, error) { return s.call(c, owed) })
 		return said, err
 	case packetManager:
 		return s.refuse(owed, unsupported("transactions")), nil
@@ -252,8 +252,8 @@
 }
 
 // refusedOr goes on unless there is an error. A refusal is told, and the session goes on.
-func (s *Session) refusedOr(err error, owed *buffers.Chain, next func() (traffic.Said, error)) (traffic.Said, error) {
-	var said traffic.Said
+func (s *Session) refusedOr(err error, owed *buffers.Chain, next func() (traffic.ClientMessage, error)) (traffic.ClientMessage, error) {
+	var said traffic.ClientMessage
 	if err == nil {
 		said, err = next()
 	}
@@ -265,7 +265,7 @@
 }
 
 // letIn checks a login, which takes long by purpose, beside the loop.
-func (s *Session) letIn(b []byte, owed *buffers.Chain) (traffic.Said, error) {
+func (s *Session) letIn(b []byte, owed *buffers.Chain) (traffic.ClientMessage, error) {
 	l, err := parseLogin(b)
 	if err != nil {
 		return nil, err
@@ -286,7 +286,7 @@
 			client, err = s.front.Admit(l.user, l.password)
 			return err
 		},
-		Done: func(err error, owed *buffers.Chain) (traffic.Said, error) {
+		Done: func(err error, owed *buffers.Chain) (traffic.ClientMessage, error) {
 			l.password = ""
 			if err != nil {
 				m := errNotLetIn
@@ -297,7 +297,7 @@
 			size := agreedPacket(l.packet)
 			s.respond(owed, func(b []byte) []byte { return appendLoginAck(b, l, s.front.Name, size) })
 			s.out.size = size // from the next message on
-			return traffic.Hello{Who: l.user + " with " + l.app}, nil
+			return traffic.Hello{Name: l.user + " with " + l.app}, nil
 		}}, nil
 }
 
@@ -327,7 +327,7 @@
 }
 
 // batch takes a SQLBatch.
-func (s *Session) batch(text string, owed *buffers.Chain) traffic.Said {
+func (s *Session) batch(text string, owed *buffers.Chain) traffic.ClientMessage {
 	all := statement.Words(text)
 	if why := refused(all); why != "" {
 		return s.refuse(owed, unsupported(why))
@@ -347,11 +347,11 @@
 			}
 			return appendDone(b, tokenDone, 0, 0)
 		})
-		return traffic.Stir{}
+		return traffic.HandledLocally{}
 	}
 	if value, ok := s.known(all); ok {
 		s.answerKnown(owed, value)
-		return traffic.Stir{}
+		return traffic.HandledLocally{}
 	}
 	return s.ask(text, all, before, nil, owed)
 }
@@ -393,10 +393,10 @@
 }
 
 // ask makes a batch of a statement.
-func (s *Session) ask(text string, all []statement.Word, ahead string, parameters []rows.Parameter, owed *buffers.Chain) traffic.Said {
-	ask := &traffic.Ask{Stream: s.stream + 1}
+func (s *Session) ask(text string, all []statement.Word, ahead string, parameters []rows.Parameter, owed *buffers.Chain) traffic.ClientMessage {
+	ask := &traffic.BatchRequest{Stream: s.stream + 1}
 	b := &ask.Batch
-	b.Client, b.Ahead, b.Parameters = s.client, ahead, parameters
+	b.Client, b.SessionSetup, b.Parameters = s.client, ahead, parameters
 	b.Login, b.Application = s.login.user, s.login.app
 	if s.base == "" {
 		b.Database = s.login.base
@@ -408,7 +408,7 @@
 	if err := s.front.Rules().Assign(about, text, b); err != nil {
 		return s.refuse(owed, Message{50404, 1, 16, "pitchfield: " + err.Error() + "."})
 	}
-	b.NoMark = b.Mark == ""
+	b.NoIdempotencyKey = b.IdempotencyKey == ""
 	b.Text = s.front.Pool.Chain()
 	b.Text.WriteString(text)
 	s.stream++
@@ -417,14 +417,14 @@
 }
 
 // call takes an RPC.
-func (s *Session) call(c call, owed *buffers.Chain) (traffic.Said, error) {
+func (s *Session) call(c call, owed *buffers.Chain) (traffic.ClientMessage, error) {
 	text := func(i int) (string, error) {
 		if i >= len(c.parameters) || c.parameters[i].Kind != rows.Text {
 			return "", refusal{Message{214, 2, 16, "A procedure lacks a parameter of text."}}
 		}
 		return string(c.parameters[i].Value), nil
 	}
-	run := func(p prepared, values []parameter) (traffic.Said, error) {
+	run := func(p prepared, values []parameter) (traffic.ClientMessage, error) {
 		parameters, err := named(p.declaration, values)
 		if err != nil {
 			return nil, err
@@ -463,7 +463,7 @@
 		}
 		s.begin()
 		s.finish(owed)
-		return traffic.Stir{}, nil
+		return traffic.HandledLocally{}, nil
 	case procExecute, procUnprepare:
 		handle, ok := int32(0), false
 		if len(c.parameters) > 0 && c.parameters[0].Kind == rows.Int32 && len(c.parameters[0].Value) == 4 {
@@ -481,7 +481,7 @@
 		s.held -= len(p.text) + len(p.declaration)
 		s.begin()
 		s.finish(owed)
-		return traffic.Stir{}, nil
+		return traffic.HandledLocally{}, nil
 	case 0:
 		return s.procedure(c, owed)
 	}
@@ -507,7 +507,7 @@
 }
 
 // procedure turns a call by name to a statement; its values stand in it as literals.
-func (s *Session) procedure(c call, owed *buffers.Chain) (traffic.Said, error) {
+func (s *Session) procedure(c call, owed *buffers.Chain) (traffic.ClientMessage, error) {
 	if c.name == "" || strings.ContainsFunc(c.name, func(r rune) bool { return !nameLike(r) && !strings.ContainsRune(".[] ", r) }) {
 		return nil, refusal{Message{2812, 62, 16, fmt.Sprintf("%.60q is not the name of a procedure.", c.name)}}
 	}
@@ -536,8 +536,8 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' || r == '$' || r == '#' || r >= 0x80
 }
 
-// Tell writes what the client is told.
-func (s *Session) Tell(out *buffers.Chain, what traffic.Tell) {
+// Encode writes what the client is told.
+func (s *Session) Encode(out *buffers.Chain, what traffic.ClientReply) {
 	switch w := what.(type) {
 	case *traffic.Rows:
 		if s.open && w.Stream == s.stream {
@@ -548,7 +548,7 @@
 			return
 		}
 		s.open = false
-		if w.Code == traffic.Returned {
+		if w.Code == traffic.Succeeded {
 			for _, p := range w.Rows {
 				s.part(out, p)
 			}
@@ -562,10 +562,10 @@
 		s.out.buf = appendDone(appendMessage(s.out.buf, tokenError, final(w), s.front.Name), s.doneKind(), doneError, 0)
 		s.out.end(out)
 		s.reply = reply{}
-	case traffic.Complaint:
+	case traffic.ConnectionError:
 		if s.state != over {
 			s.state = over
-			s.out.buf = appendMessage(s.out.buf, tokenError, Message{50500, 1, 20, "pitchfield: " + w.Why + "."}, s.front.Name)
+			s.out.buf = appendMessage(s.out.buf, tokenError, Message{50500, 1, 20, "pitchfield: " + w.Reason + "."}, s.front.Name)
 			s.out.buf = appendDone(s.out.buf, tokenDone, doneError|doneServer, 0)
 			s.out.end(out)
 		}
@@ -580,16 +580,16 @@
 
 // final words an ending. A pushback is a promise; an error is none.
 func final(a *traffic.Answer) Message {
-	if a.Code == traffic.PushedBack {
+	if a.Code == traffic.Rejected {
 		m := Message{NumberPushedBack, 1, 16, "The service is currently busy: the batch is pushed back, and to ask again is harmless."}
-		if a.Wait > 0 {
-			m.Text += fmt.Sprintf(" Retry the request after %d ms.", int(math.Ceil(a.Wait*1000)))
+		if a.RetryAfter > 0 {
+			m.Text += fmt.Sprintf(" Retry the request after %d ms.", int(math.Ceil(a.RetryAfter*1000)))
 		}
 		return m
 	}
 	m := Message{NumberErrored, 1, 16, "pitchfield: the batch is errored, and whether it has run is not known."}
-	if a.Why != "" {
-		m.Text += " " + a.Why
+	if a.Reason != "" {
+		m.Text += " " + a.Reason
 	}
 	return m
 }
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -38,8 +38,8 @@
 	engine             *Engine
 	toSession, toClint *buffers.Chain
 	cut                func(n int) int // of n bytes that are there, how many come
-	said               []traffic.Said
-	replies            []*traffic.Reply
+	said               []traffic.ClientMessage
+	replies            []*traffic.EngineReply
 	sessionErr, engErr error
 }
 
@@ -106,13 +106,13 @@
 	require.NoError(k.t, k.sessionErr)
 	require.NoError(k.t, k.engErr)
 	require.Len(k.t, k.replies, 1)
-	require.Equal(k.t, traffic.Up, k.replies[0].Word)
+	require.Equal(k.t, traffic.ReplyReady, k.replies[0].Kind)
 	k.replies, k.said = nil, nil
 	return k
 }
 
 // ask sends a statement and gives the batch that the session made of it; nil: it has answered by itself.
-func (k *talk) ask(text string, parameters ...rows.Parameter) *traffic.Ask {
+func (k *talk) ask(text string, parameters ...rows.Parameter) *traffic.BatchRequest {
 	k.replies, k.said = nil, nil
 	k.engine.Send(k.toSession, "q", text, parameters)
 	k.run()
@@ -120,17 +120,17 @@
 	if len(k.said) == 0 {
 		return nil
 	}
-	a, _ := k.said[len(k.said)-1].(*traffic.Ask)
+	a, _ := k.said[len(k.said)-1].(*traffic.BatchRequest)
 	return a
 }
 
-func (k *talk) tell(what traffic.Tell) {
-	k.session.Tell(k.toClint, what)
+func (k *talk) tell(what traffic.ClientReply) {
+	k.session.Encode(k.toClint, what)
 	k.run()
 }
 
 // result reads what came back: its rows as texts and the last reply.
-func (k *talk) result() (out []string, last *traffic.Reply) {
+func (k *talk) result() (out []string, last *traffic.EngineReply) {
 	require.NoError(k.t, k.engErr)
 	var columns []rows.Column
 	for _, r := range k.replies {
@@ -238,7 +238,7 @@
 		k.tell(&traffic.Answer{Stream: 1})
 		part.Release()
 		require.NoError(t, k.engErr)
-		require.Equal(t, traffic.Whole, k.replies[len(k.replies)-1].Word)
+		require.Equal(t, traffic.ReplyComplete, k.replies[len(k.replies)-1].Kind)
 		got := 0
 		for _, r := range k.replies {
 			for i, c := range r.Rows.Columns {
@@ -273,7 +273,7 @@
 		}
 		a := k.ask("SELECT @p0", want...)
 		require.NotNil(t, a)
-		require.NoError(t, a.Bad)
+		require.NoError(t, a.Err)
 		require.Len(t, a.Batch.Parameters, len(want))
 		for i, p := range a.Batch.Parameters {
 			require.Equal(t, want[i].Name, p.Name)
@@ -294,15 +294,15 @@
 	a := k.ask("SELECT a FROM x_1.b")
 	require.NotNil(t, a)
 	// The engine's side resets with each request, as pools do: what was set is gone.
-	assert.Empty(t, a.Batch.Ahead)
+	assert.Empty(t, a.Batch.SessionSetup)
 	assert.Equal(t, "sales", a.Batch.Database)
 	k.tell(&traffic.Answer{Stream: a.Stream})
-	plain := func(text string) *traffic.Ask {
+	plain := func(text string) *traffic.BatchRequest {
 		k.said = nil
 		message(k.toSession, packetBatch, 0, 600, appendUTF16(appendHeaders(nil), text))
 		k.run()
 		require.NoError(t, k.sessionErr)
-		a, _ := k.said[len(k.said)-1].(*traffic.Ask)
+		a, _ := k.said[len(k.said)-1].(*traffic.BatchRequest)
 		return a
 	}
 	k.engine.begin("x", false)
@@ -312,12 +312,12 @@
 	k.engine.begin("x", false)
 	a = plain("SET LOCK_TIMEOUT 900 SELECT a FROM x_1.b")
 	require.NotNil(t, a)
-	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500; ", a.Batch.Ahead)
+	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500; ", a.Batch.SessionSetup)
 	assert.Empty(t, a.Batch.Database)
 	k.tell(&traffic.Answer{Stream: a.Stream})
 	k.engine.begin("x", false)
 	a = plain("SELECT a FROM x_1.b")
-	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 900; ", a.Batch.Ahead)
+	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 900; ", a.Batch.SessionSetup)
 }
 
 func TestWhatNeedsASessionOnAnEngineIsRefusedAndTheSessionGoesOn(t *testing.T) {
@@ -327,33 +327,33 @@
 		"SET IMPLICIT_TRANSACTIONS ON": "transactions", "USE nowhere": "nowhere", "begin /* now */ transaction": "transactions"} {
 		assert.Nil(t, k.ask(text), text)
 		_, last := k.result()
-		assert.Equal(t, traffic.Broke, last.Word)
-		assert.Contains(t, last.Why, why, text)
+		assert.Equal(t, traffic.ReplyFailed, last.Kind)
+		assert.Contains(t, last.Reason, why, text)
 	}
 	a := k.ask("SELECT 'BEGIN TRAN #x' FROM sales_1.b -- COMMIT")
 	require.NotNil(t, a, "words in strings and comments are none")
 	k.tell(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x")}})
 	lines, last := k.result()
 	assert.Equal(t, []string{"x"}, lines)
-	assert.Equal(t, traffic.Whole, last.Word)
+	assert.Equal(t, traffic.ReplyComplete, last.Kind)
 }
 
 func TestEndingsAreTold(t *testing.T) {
 	k := newTalk(t).login()
-	k.tell(&traffic.Answer{Stream: k.ask("SELECT a").Stream, Code: traffic.PushedBack, Wait: 0.25})
+	k.tell(&traffic.Answer{Stream: k.ask("SELECT a").Stream, Code: traffic.Rejected, RetryAfter: 0.25})
 	_, last := k.result()
-	assert.Equal(t, traffic.Full, last.Word)
-	assert.Contains(t, last.Why, "after 250 ms")
-	k.tell(&traffic.Answer{Stream: k.ask("SELECT b").Stream, Code: traffic.Errored, Why: "so it is"})
+	assert.Equal(t, traffic.ReplyOverloaded, last.Kind)
+	assert.Contains(t, last.Reason, "after 250 ms")
+	k.tell(&traffic.Answer{Stream: k.ask("SELECT b").Stream, Code: traffic.Failed, Reason: "so it is"})
 	_, last = k.result()
-	assert.Equal(t, traffic.Broke, last.Word)
-	assert.Contains(t, last.Why, "so it is")
+	assert.Equal(t, traffic.ReplyFailed, last.Kind)
+	assert.Contains(t, last.Reason, "so it is")
 	a := k.ask("SELECT c")
 	k.tell(&traffic.Rows{Stream: a.Stream, Part: texts(k.pool, strings.Repeat("x", 5000))})
-	k.tell(&traffic.Answer{Stream: a.Stream, Code: traffic.Errored, Why: "the result is cut"})
+	k.tell(&traffic.Answer{Stream: a.Stream, Code: traffic.Failed, Reason: "the result is cut"})
 	lines, last := k.result()
 	assert.Len(t, lines, 1)
-	assert.Equal(t, traffic.Broke, last.Word, "a cut can be told from an end")
+	assert.Equal(t, traffic.ReplyFailed, last.Kind, "a cut can be told from an end")
 }
 
 func TestAttentionIsAcknowledgedOnceWhateverItCrosses(t *testing.T) {
@@ -361,20 +361,20 @@
 		k := newTalk(t).login()
 		a := k.ask("SELECT a")
 		if crossed { // the whole answer is on its way when the client gives up
-			k.session.Tell(k.toClint, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x")}})
+			k.session.Encode(k.toClint, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x")}})
 		} else {
-			k.session.Tell(k.toClint, &traffic.Rows{Stream: a.Stream, Part: texts(k.pool, strings.Repeat("y", 3000))})
+			k.session.Encode(k.toClint, &traffic.Rows{Stream: a.Stream, Part: texts(k.pool, strings.Repeat("y", 3000))})
 		}
 		k.said = nil
-		k.engine.Order(k.toSession, traffic.GiveUp{ID: "q"})
+		k.engine.Encode(k.toSession, traffic.CancelDispatch{ID: "q"})
 		k.run()
 		require.NoError(t, k.engErr)
 		require.Len(t, k.replies, 1)
-		assert.Equal(t, traffic.Free, k.replies[0].Word)
+		assert.Equal(t, traffic.ReplyReleased, k.replies[0].Kind)
 		if crossed {
-			assert.Equal(t, []traffic.Said{traffic.Stir{}}, k.said)
+			assert.Equal(t, []traffic.ClientMessage{traffic.HandledLocally{}}, k.said)
 		} else {
-			assert.Equal(t, []traffic.Said{traffic.Cancel{Stream: a.Stream}}, k.said)
+			assert.Equal(t, []traffic.ClientMessage{traffic.Cancel{Stream: a.Stream}}, k.said)
 		}
 		k.tell(&traffic.Answer{Stream: a.Stream})
 		require.NoError(t, k.engErr, "nothing more is said of it")
@@ -388,14 +388,14 @@
 
 func TestHandlesAreKeptAndForgotten(t *testing.T) {
 	k := newTalk(t).login()
-	call := func(proc uint16, fill func([]byte) []byte) *traffic.Ask {
+	call := func(proc uint16, fill func([]byte) []byte) *traffic.BatchRequest {
 		k.said, k.replies = nil, nil
 		k.engine.begin("q", false)
 		b := u16(u16(u16(appendHeaders(nil), noShort), int(proc)), 0)
 		message(k.toSession, packetRPC, 0, 600, fill(b))
 		k.run()
 		require.NoError(t, k.sessionErr)
-		a, _ := k.said[len(k.said)-1].(*traffic.Ask)
+		a, _ := k.said[len(k.said)-1].(*traffic.BatchRequest)
 		return a
 	}
 	number := func(b []byte, v int, out byte) []byte {
@@ -414,7 +414,7 @@
 		return number(text(text(number(b, 0, 1), "@a int, @b decimal(9,2)"), "SELECT @a"), 1, 0)
 	}))
 	_, last := k.result()
-	assert.Equal(t, traffic.Whole, last.Word)
+	assert.Equal(t, traffic.ReplyComplete, last.Kind)
 	execute := func(b []byte) []byte { return number(number(number(b, 1, 0), 7, 0), 8, 0) }
 	a := call(procExecute, execute)
 	require.NotNil(t, a)
@@ -428,10 +428,10 @@
 	assert.Nil(t, call(procUnprepare, func(b []byte) []byte { return number(b, 1, 0) }))
 	assert.Nil(t, call(procExecute, execute))
 	_, last = k.result()
-	assert.Contains(t, last.Why, "handle 1")
+	assert.Contains(t, last.Reason, "handle 1")
 	assert.Nil(t, call(2, func(b []byte) []byte { return b }))
 	_, last = k.result()
-	assert.Contains(t, last.Why, "cursors")
+	assert.Contains(t, last.Reason, "cursors")
 }
 
 func TestLoginsThatCanNotBe(t *testing.T) {
@@ -468,17 +468,17 @@
 	message(k.toSession, packetBatch, 0, 600, appendUTF16(appendHeaders(nil), "SELECT b"))
 	k.run()
 	assert.ErrorContains(t, k.sessionErr, "before the one before")
-	k.session.Tell(k.toClint, traffic.Complaint{Why: "it can't be read"})
+	k.session.Encode(k.toClint, traffic.ConnectionError{Reason: "it can't be read"})
 	k.run()
 	_, last := k.result()
-	assert.Contains(t, last.Why, "it can't be read")
+	assert.Contains(t, last.Reason, "it can't be read")
 }
 
 func TestAStatementThatIsTooLargeIsRefusedAndTheSessionGoesOn(t *testing.T) {
 	k := newTalk(t).login()
 	assert.Nil(t, k.ask("SELECT '"+strings.Repeat("x", mostMessage)+"'"))
 	_, last := k.result()
-	assert.Contains(t, last.Why, "more than")
+	assert.Contains(t, last.Reason, "more than")
 	assert.NotNil(t, k.ask("SELECT a"))
 }
 
@@ -498,16 +498,16 @@
 
 func TestAProbeBringsTheLoadByItsColumns(t *testing.T) {
 	k := newTalk(t).login()
-	k.engine.Order(k.toSession, traffic.Probe{Tag: "p1", Load: true})
+	k.engine.Encode(k.toSession, traffic.Probe{Tag: "p1", WantLoad: true})
 	k.run()
 	part := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
 		{Name: "x0", Type: rows.Type{Kind: rows.Float64}}}, Data: k.pool.Chain()}
 	rows.Append(part.Data, u32(nil, 3))
 	rows.Append(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
-	a := k.said[len(k.said)-1].(*traffic.Ask)
+	a := k.said[len(k.said)-1].(*traffic.BatchRequest)
 	k.tell(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 	require.NoError(t, k.engErr)
 	last := k.replies[len(k.replies)-1]
-	assert.Equal(t, traffic.Fit, last.Word)
+	assert.Equal(t, traffic.ReplyHealthy, last.Kind)
 	assert.Equal(t, []float64{3, 0.25}, []float64{last.Load.Waiting, last.Load.Memory})
 }
--- a/internal/torture/talk.go
+++ b/internal/torture/talk.go
@@ -182,7 +182,7 @@
 	view := ""
 	for _, r := range all {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		m, err := serve.AskMembers(ctx, r.statusAddress())
+		m, err := serve.FetchMembers(ctx, r.statusAddress())
 		cancel()
 		if err != nil {
 			return err
