--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -45,7 +45,7 @@
 
 // file is what each package declares of it.
 type file struct {
-	tds.FrontSection
+	tds.ListenerSection
 	assign.RuleSections
 	engines.EngineSections
 	limits.LimitSections
@@ -80,7 +80,7 @@
 	}
 	c := &checker{source: s, lines: keyLines(s.text), getenv: getenv}
 	out := &Installation{keyLine: c.Line, source: s}
-	out.TDS, out.Rules, out.Engines = f.FrontSection.Prove(c), f.RuleSections.Prove(c), f.EngineSections.Validate(c)
+	out.TDS, out.Rules, out.Engines = f.ListenerSection.Validate(c), f.RuleSections.Prove(c), f.EngineSections.Validate(c)
 	out.Status, out.Fleet = f.PageSection.Validate(c), f.Sections.Prove(c)
 	if out.Fleet != nil {
 		out.Shares = f.ShareSections.Prove(c, out.Fleet.Members.Listen, out.Fleet.Networks)
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -155,9 +155,9 @@
 // tdsBytes returns the bytes that a TDS client sends to log in and with a batch, and the bytes that an engine answers to each.
 func tdsBytes(t testing.TB) (prelogin, login, batch, greeting, welcome, result []byte) {
 	pool := &buffers.Pool{}
-	access := &tds.Access{Pool: pool, User: "ann", Password: "p", Packet: 4096}
-	client, server, out, back := access.Engine(), (&tds.Front{Pool: pool, Admit: func(string, string) (string, error) { return "", nil },
-		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "lookup"}} }}).Session(), pool.Chain(), pool.Chain()
+	access := &tds.EngineConfig{Pool: pool, User: "ann", Password: "p", PacketSize: 4096}
+	client, server, out, back := access.NewEngine(), (&tds.Server{Pool: pool, Authenticate: func(string, string) (string, error) { return "", nil },
+		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "lookup"}} }}).NewSession(), pool.Chain(), pool.Chain()
 	step := func() (sent, received []byte) {
 		sent = out.Bytes()
 		said, err := server.Read(out, back)
@@ -193,7 +193,7 @@
 // tdsFront returns the TDS protocol for clients, with every batch in the group "lookup".
 func tdsFront(pool *buffers.Pool) *traffic.ClientProtocol {
 	rules := &assign.Rules{Default: &assign.Terms{Group: "lookup", Limit: 2}}
-	f := &tds.Front{Pool: pool, Admit: func(string, string) (string, error) { return "", nil }, Rules: func() *assign.Rules { return rules }}
+	f := &tds.Server{Pool: pool, Authenticate: func(string, string) (string, error) { return "", nil }, Rules: func() *assign.Rules { return rules }}
 	return f.Protocol(600)
 }
 
@@ -201,7 +201,7 @@
 func tdsPath(t testing.TB) (*path, func(n int)) {
 	prelogin, login, batch, greeting, welcome, result := tdsBytes(t)
 	p := newPath(t, tdsFront, func(pool *buffers.Pool) *traffic.EngineProtocol {
-		return (&tds.Access{Pool: pool, User: "ann", Packet: 4096, Probe: "SELECT 1"}).Protocol()
+		return (&tds.EngineConfig{Pool: pool, User: "ann", PacketSize: 4096, ProbeQuery: "SELECT 1"}).Protocol()
 	})
 	p.fromClient(prelogin)
 	p.fromClient(login)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -68,7 +68,7 @@
 	if t.Installation != nil && t.Installation.TDS != nil {
 		f := t.Installation.TDS
 		door := newAuthenticator(&own)
-		front := &tds.Front{Pool: pool, Name: f.Name, Admit: door.authenticate, Databases: f.Databases,
+		front := &tds.Server{Pool: pool, Name: f.Name, Authenticate: door.authenticate, Databases: f.Databases,
 			Rules: func() *assign.Rules { return &own.Load().Rules }}
 		w.Listeners = append(w.Listeners, loop.Listener{Address: f.Listen, Protocol: front.Protocol(f.Idle)})
 		t.Config.Settings.AddAtMostOnceGroups()
@@ -163,8 +163,8 @@
 	for i, e := range own.Engines {
 		protocols[i] = resp
 		if e.Protocol == "tds" {
-			protocols[i] = (&tds.Access{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
-				Program: "pitchfield", Packet: e.PacketSize, Probe: e.ProbeStatement, Load: e.LoadStatement, TurnedAway: e.RejectionCodes}).Protocol()
+			protocols[i] = (&tds.EngineConfig{Pool: pool, User: e.User, Password: e.Password, Database: e.Database,
+				AppName: "pitchfield", PacketSize: e.PacketSize, ProbeQuery: e.ProbeStatement, LoadQuery: e.LoadStatement, RejectionNumbers: e.RejectionCodes}).Protocol()
 		}
 	}
 	return func(e directory.Engine) *traffic.EngineProtocol {
--- a/internal/standin/tds.go
+++ b/internal/standin/tds.go
@@ -43,15 +43,15 @@
 	pool := &buffers.Pool{}
 	c := &tdsConn{Conn: conn, server: s, pool: pool}
 	rules := &assign.Rules{Default: &assign.Terms{Group: "any"}}
-	front := &tds.Front{Pool: pool, Name: s.Name,
-		Admit: func(user, password string) (string, error) {
+	front := &tds.Server{Pool: pool, Name: s.Name,
+		Authenticate: func(user, password string) (string, error) {
 			if user != EngineUser || password != EnginePassword {
 				return "", fmt.Errorf("unknown user or wrong password: %s", user)
 			}
 			return "", nil
 		},
 		Rules: func() *assign.Rules { return rules }}
-	c.session = front.Session()
+	c.session = front.NewSession()
 	in, out, buffer := pool.Chain(), pool.Chain(), make([]byte, 16<<10)
 	for {
 		n, err := conn.Read(buffer)
@@ -220,9 +220,9 @@
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	pool := &buffers.Pool{}
-	config := &tds.Access{Pool: pool, User: user, Password: password, Database: database, Program: "standin",
-		Packet: 4096, TurnedAway: []int32{tds.NumberPushedBack}}
-	c := &TDSClient{Conn: conn, pool: pool, received: pool.Chain(), session: config.Engine()}
+	config := &tds.EngineConfig{Pool: pool, User: user, Password: password, Database: database, AppName: "standin",
+		PacketSize: 4096, RejectionNumbers: []int32{tds.ErrorNumberRejected}}
+	c := &TDSClient{Conn: conn, pool: pool, received: pool.Chain(), session: config.NewEngine()}
 	out := pool.Chain()
 	c.session.Open(out)
 	c.flush(out)
--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -14,64 +14,64 @@
 	"pitchfield/internal/traffic"
 )
 
-// Access is how the router gets into engines that speak TDS.
-type Access struct {
+// EngineConfig is how the router gets into engines that speak TDS.
+type EngineConfig struct {
 	Pool                     *buffers.Pool
 	User, Password, Database string
-	Program                  string // that it logs in as
-	Packet                   int    // bytes that it asks for
-	Probe                    string // statement of a health check; it must give a row or nothing
-	Load                     string // statement whose first row is the load report, by the names of its columns; empty: none
+	AppName                  string // that it logs in as
+	PacketSize               int    // bytes that it asks for
+	ProbeQuery               string // statement of a health check; it must give a row or nothing
+	LoadQuery                string // statement whose first row is the load report, by the names of its columns; empty: none
 	// TurnedAway are the numbers of errors with which an engine says that it has not run a batch.
-	TurnedAway []int32
+	RejectionNumbers []int32
 }
 
 // Protocol is what the core must know of TDS engines.
-func (a *Access) Protocol() *traffic.EngineProtocol {
-	return &traffic.EngineProtocol{Name: "tds", OneAtATime: true, Pausable: true, New: func() traffic.Engine { return a.Engine() }}
+func (a *EngineConfig) Protocol() *traffic.EngineProtocol {
+	return &traffic.EngineProtocol{Name: "tds", OneAtATime: true, Pausable: true, New: func() traffic.Engine { return a.NewEngine() }}
 }
 
-// Engine gives the state of a new connection.
-func (a *Access) Engine() *Engine { return &Engine{access: a, size: firstPacket} }
+// NewEngine gives the state of a new connection.
+func (a *EngineConfig) NewEngine() *Engine { return &Engine{config: a, packetSize: defaultPacketSize} }
 
 type phase uint8
 
 const (
-	connecting phase = iota // PRELOGIN is out
-	loggingIn               // LOGIN7 is out
-	atRest
+	preloginSent phase = iota // PRELOGIN is out
+	loginSent                 // LOGIN7 is out
+	idle
 	running
-	stopping // Attention is out
+	attentionSent // Attention is out
 )
 
-// pieceSize is how many bytes of rows are passed on together.
-const pieceSize = 16 << 10
+// rowChunkSize is how many bytes of rows are passed on together.
+const rowChunkSize = 16 << 10
 
 // Engine is a connection to an engine: one request at a time.
 type Engine struct {
-	access *Access
-	phase  phase
-	size   int    // of packets
-	next   int    // the size after the login
-	in     []byte // of the answer, not read yet
-	last   bool   // its last packet is in
+	config         *EngineConfig
+	phase          phase
+	packetSize     int    // of packets
+	negotiatedSize int    // the size after the login
+	unread         []byte // of the answer, not read yet
+	complete       bool   // its last packet is in
 
-	id      string
-	probe   bool
-	load    *brain.Report
-	columns []column
-	result  []rows.Column // of which rows are on their way
-	fresh   bool          // no piece of it has gone on
-	part    rows.Part
-	rows    bool // something of the result has been passed on
-	let     bool // LOGINACK has come
-	failed  *Message
-	scratch []byte
+	requestID     string
+	isProbe       bool
+	loadReport    *brain.Report
+	columns       []column
+	resultColumns []rows.Column // of which rows are on their way
+	columnsUnsent bool          // no piece of it has gone on
+	unsent        rows.Part
+	rowsSent      bool // something of the result has been passed on
+	acknowledged  bool // LOGINACK has come
+	firstError    *Message
+	scratch       []byte
 }
 
 // Open greets the engine.
 func (e *Engine) Open(out *buffers.Chain) bool {
-	message(out, packetPrelogin, 0, firstPacket, appendPrelogin(nil, prelogin{encryption: encryptNone}))
+	writeMessage(out, packetPrelogin, 0, defaultPacketSize, appendPrelogin(nil, prelogin{encryption: encryptNotSupported}))
 	return false
 }
 
@@ -79,37 +79,37 @@
 func (e *Engine) Encode(out *buffers.Chain, what traffic.EngineCommand) {
 	switch o := what.(type) {
 	case *traffic.Dispatch:
-		e.begin(o.ID, false)
-		e.dispatch(out, o)
+		e.beginRequest(o.ID, false)
+		e.writeDispatch(out, o)
 	case traffic.Probe:
-		e.begin(o.Tag, true)
-		text := e.access.Probe
-		if o.WantLoad && e.access.Load != "" {
-			text = e.access.Load
+		e.beginRequest(o.Tag, true)
+		text := e.config.ProbeQuery
+		if o.WantLoad && e.config.LoadQuery != "" {
+			text = e.config.LoadQuery
 		}
-		message(out, packetBatch, statusReset, e.size, appendUTF16(appendHeaders(nil), text))
+		writeMessage(out, packetBatch, statusResetConnection, e.packetSize, appendUTF16(appendAllHeaders(nil), text))
 	case traffic.CancelDispatch:
-		if e.phase == running && e.id == o.ID {
-			e.phase = stopping
-			e.drop()
-			message(out, packetAttention, 0, e.size, nil)
+		if e.phase == running && e.requestID == o.ID {
+			e.phase = attentionSent
+			e.discardRows()
+			writeMessage(out, packetAttention, 0, e.packetSize, nil)
 		}
 	}
 }
 
-func (e *Engine) begin(id string, probe bool) {
-	e.phase, e.id, e.probe, e.load, e.failed, e.rows = running, id, probe, nil, nil, false
-	e.columns, e.result, e.fresh = nil, nil, false
+func (e *Engine) beginRequest(id string, probe bool) {
+	e.phase, e.requestID, e.isProbe, e.loadReport, e.firstError, e.rowsSent = running, id, probe, nil, nil, false
+	e.columns, e.resultColumns, e.columnsUnsent = nil, nil, false
 }
 
-// drop forgets rows that nobody wants.
-func (e *Engine) drop() {
-	e.part.Release()
-	e.part = rows.Part{}
+// discardRows forgets rows that nobody wants.
+func (e *Engine) discardRows() {
+	e.unsent.Release()
+	e.unsent = rows.Part{}
 }
 
-// dispatch writes a batch. The connection is reset with it, so nothing of the batch before is left there.
-func (e *Engine) dispatch(out *buffers.Chain, d *traffic.Dispatch) {
+// writeDispatch writes a batch. The connection is reset with it, so nothing of the batch before is left there.
+func (e *Engine) writeDispatch(out *buffers.Chain, d *traffic.Dispatch) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "/* pitchfield id=%s group=%s wait=%dms", d.ID, d.Group, max(int(math.Ceil(d.Wait*1000)), 1))
 	if d.IdempotencyKey != "" {
@@ -124,28 +124,28 @@
 	}
 	text.WriteString(d.SessionSetup)
 	text.WriteString(d.Text.String())
-	e.request(out, text.String(), d.Parameters)
+	e.writeRequest(out, text.String(), d.Parameters)
 }
 
 // Send asks for a statement as it is, under an id of the caller's. It is for clients.
 func (e *Engine) Send(out *buffers.Chain, id, text string, parameters []rows.Parameter) {
-	e.begin(id, false)
-	e.request(out, text, parameters)
+	e.beginRequest(id, false)
+	e.writeRequest(out, text, parameters)
 }
 
-func (e *Engine) request(out *buffers.Chain, text string, parameters []rows.Parameter) {
+func (e *Engine) writeRequest(out *buffers.Chain, text string, parameters []rows.Parameter) {
 	if len(parameters) == 0 {
-		message(out, packetBatch, statusReset, e.size, appendUTF16(appendHeaders(nil), text))
+		writeMessage(out, packetBatch, statusResetConnection, e.packetSize, appendUTF16(appendAllHeaders(nil), text))
 		return
 	}
-	message(out, packetRPC, statusReset, e.size, appendExecuteSQL(nil, text, parameters))
+	writeMessage(out, packetRPC, statusResetConnection, e.packetSize, appendExecuteSQL(nil, text, parameters))
 }
 
 // Read gives the next reply.
 func (e *Engine) Read(in, owed *buffers.Chain) (*traffic.EngineReply, error) {
 	for {
-		if len(e.in) > 0 || e.last {
-			if reply, err := e.tokens(owed); reply != nil || err != nil {
+		if len(e.unread) > 0 || e.complete {
+			if reply, err := e.readTokens(owed); reply != nil || err != nil {
 				return reply, err
 			}
 		}
@@ -153,52 +153,52 @@
 		if err != nil || !ok {
 			return nil, err
 		}
-		if p.kind != packetReply {
-			return nil, fmt.Errorf("%w: a packet of type %d from an engine", ErrWire, p.kind)
+		if p.packetType != packetTabularResult {
+			return nil, fmt.Errorf("%w: a packet of type %d from an engine", ErrProtocol, p.packetType)
 		}
-		if e.phase == atRest {
-			return nil, fmt.Errorf("%w: an answer to nothing", ErrWire)
+		if e.phase == idle {
+			return nil, fmt.Errorf("%w: an answer to nothing", ErrProtocol)
 		}
-		if len(e.in)+p.size > mostToken+mostPacket {
-			return nil, fmt.Errorf("%w: a token of more than %d bytes", ErrWire, mostToken)
+		if len(e.unread)+p.size > maxTokenSize+maxPacketSize {
+			return nil, fmt.Errorf("%w: a token of more than %d bytes", ErrProtocol, maxTokenSize)
 		}
-		e.in = p.take(in, e.in)
-		e.last = p.status&statusEnd != 0
-		if e.phase == connecting && e.last {
-			if err := e.greeted(owed); err != nil {
+		e.unread = p.appendPayload(in, e.unread)
+		e.complete = p.status&statusEOM != 0
+		if e.phase == preloginSent && e.complete {
+			if err := e.handlePreloginResponse(owed); err != nil {
 				return nil, err
 			}
 		}
 	}
 }
 
-// greeted takes the answer to PRELOGIN.
-func (e *Engine) greeted(owed *buffers.Chain) error {
-	p, err := parsePrelogin(e.in)
-	e.in, e.last = nil, false
+// handlePreloginResponse takes the answer to PRELOGIN.
+func (e *Engine) handlePreloginResponse(owed *buffers.Chain) error {
+	p, err := parsePrelogin(e.unread)
+	e.unread, e.complete = nil, false
 	if err != nil {
 		return err
 	}
-	if p.encryption == encryptOn || p.encryption == encryptMust {
+	if p.encryption == encryptOn || p.encryption == encryptRequired {
 		return fmt.Errorf("%w: the engine wants encryption, which this router does not have", traffic.ErrLogin)
 	}
-	a := e.access
-	e.phase = loggingIn
-	message(owed, packetLogin, 0, firstPacket, appendLogin(login{packet: uint32(a.Packet), host: a.Program, user: a.User,
-		password: a.Password, app: a.Program, cli: a.Program, base: a.Database}))
+	a := e.config
+	e.phase = loginSent
+	writeMessage(owed, packetLogin7, 0, defaultPacketSize, appendLogin(login{packetSize: uint32(a.PacketSize), host: a.AppName, user: a.User,
+		password: a.Password, appName: a.AppName, clientInterface: a.AppName, database: a.Database}))
 	return nil
 }
 
-// tokens reads on until there is something to tell, or more bytes are needed.
-func (e *Engine) tokens(owed *buffers.Chain) (*traffic.EngineReply, error) {
-	c := cursor{b: e.in}
+// readTokens reads on until there is something to tell, or more bytes are needed.
+func (e *Engine) readTokens(owed *buffers.Chain) (*traffic.EngineReply, error) {
+	c := cursor{buf: e.unread}
 	used := 0
-	keep := func() { e.in = e.in[:copy(e.in, e.in[used:])] }
-	for used < len(e.in) {
-		reply, err := e.token(&c)
-		if c.err == errShort { //nolint:errorlint
-			if e.last {
-				return nil, fmt.Errorf("%w: an answer that ends within a token", ErrWire)
+	keep := func() { e.unread = e.unread[:copy(e.unread, e.unread[used:])] }
+	for used < len(e.unread) {
+		reply, err := e.readToken(&c)
+		if c.err == errIncomplete { //nolint:errorlint
+			if e.complete {
+				return nil, fmt.Errorf("%w: an answer that ends within a token", ErrProtocol)
 			}
 			break
 		}
@@ -208,89 +208,89 @@
 		if err != nil {
 			return nil, err
 		}
-		used = c.at
+		used = c.offset
 		if reply != nil {
 			keep()
 			return reply, nil
 		}
 	}
 	keep()
-	if e.last && len(e.in) == 0 {
-		if e.last = false; cap(e.in) > mostPacket {
-			e.in = nil
+	if e.complete && len(e.unread) == 0 {
+		if e.complete = false; cap(e.unread) > maxPacketSize {
+			e.unread = nil
 		}
-		return e.ended()
+		return e.endResponse()
 	}
-	if e.part.Len() > 0 { // what came is passed on before more is waited for
-		return e.piece(), nil
+	if e.unsent.Len() > 0 { // what came is passed on before more is waited for
+		return e.takeRows(), nil
 	}
 	return nil, nil
 }
 
-// piece passes on the rows that there are.
-func (e *Engine) piece() *traffic.EngineReply {
-	p := e.part
-	e.part = rows.Part{}
-	if e.fresh {
-		p.Columns, e.fresh = e.result, false
+// takeRows passes on the rows that there are.
+func (e *Engine) takeRows() *traffic.EngineReply {
+	p := e.unsent
+	e.unsent = rows.Part{}
+	if e.columnsUnsent {
+		p.Columns, e.columnsUnsent = e.resultColumns, false
 	}
-	p.Form, e.rows = rows.Values, true
-	return &traffic.EngineReply{ID: e.id, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: p}
+	p.Form, e.rowsSent = rows.Values, true
+	return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: p}
 }
 
-// token reads one token and what it changes.
-func (e *Engine) token(c *cursor) (*traffic.EngineReply, error) {
+// readToken reads one token and what it changes.
+func (e *Engine) readToken(c *cursor) (*traffic.EngineReply, error) {
 	switch kind := c.u8(); kind {
-	case tokenColumns:
-		all := c.columns()
+	case tokenColMetadata:
+		all := c.colMetadata()
 		if c.err != nil {
 			return nil, nil
 		}
-		if e.phase != running || e.probe {
+		if e.phase != running || e.isProbe {
 			e.columns = all
 			return nil, nil
 		}
 		var before *traffic.EngineReply
-		if e.part.Len() > 0 || e.fresh && e.result != nil {
-			before = e.piece()
+		if e.unsent.Len() > 0 || e.columnsUnsent && e.resultColumns != nil {
+			before = e.takeRows()
 		}
-		e.columns, e.fresh = all, len(all) > 0
-		e.result = make([]rows.Column, len(all))
+		e.columns, e.columnsUnsent = all, len(all) > 0
+		e.resultColumns = make([]rows.Column, len(all))
 		for i, one := range all {
-			e.result[i] = rows.Column{Name: one.name, Type: one.Type}
+			e.resultColumns[i] = rows.Column{Name: one.name, Type: one.Type}
 		}
 		return before, nil
-	case tokenRow, tokenNullRow:
+	case tokenRow, tokenNBCRow:
 		if len(e.columns) == 0 {
 			c.fail("a row without columns")
 			return nil, nil
 		}
-		return e.row(c, kind == tokenNullRow), nil
+		return e.readRow(c, kind == tokenNBCRow), nil
 	case tokenDone, tokenDoneProc, tokenDoneInProc:
 		d := c.done(kind)
 		if c.err != nil {
 			return nil, nil
 		}
-		if e.phase == running && !e.probe && d.status&doneCount != 0 && e.columns == nil && d.count > 0 && d.count <= math.MaxInt32 {
-			e.rows = true
-			return &traffic.EngineReply{ID: e.id, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1,
+		if e.phase == running && !e.isProbe && d.status&doneCount != 0 && e.columns == nil && d.count > 0 && d.count <= math.MaxInt32 {
+			e.rowsSent = true
+			return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1,
 				Rows: rows.Part{Form: rows.Values, Count: int(d.count)}}, nil
 		}
-		if d.status&doneError != 0 && e.failed == nil {
-			e.failed = &Message{Text: "the engine tells of an error without saying which"}
+		if d.status&doneError != 0 && e.firstError == nil {
+			e.firstError = &Message{Text: "the engine tells of an error without saying which"}
 		}
-		if e.phase == stopping && d.status&doneAttention != 0 {
-			e.let = true // its answer must end here
+		if e.phase == attentionSent && d.status&doneAttention != 0 {
+			e.acknowledged = true // its answer must end here
 		}
 		e.columns = nil
 	case tokenError:
-		if m := c.message(); c.err == nil && e.failed == nil {
-			e.failed = &m
+		if m := c.readMessage(); c.err == nil && e.firstError == nil {
+			e.firstError = &m
 		}
 	case tokenInfo:
-		c.message()
+		c.readMessage()
 	case tokenLoginAck:
-		body := cursor{b: c.take(int(c.u16()))}
+		body := cursor{buf: c.take(int(c.u16()))}
 		if c.err != nil {
 			return nil, nil
 		}
@@ -298,32 +298,32 @@
 		if v := body.take(4); v != nil && v[0] < 0x72 {
 			c.fail("the engine speaks TDS %x", v)
 		}
-		e.let = true
+		e.acknowledged = true
 	case tokenEnvChange:
-		body := cursor{b: c.take(int(c.u16()))}
-		if body.u8() == envPacket {
-			if n, err := strconv.Atoi(body.short()); err == nil && n >= leastPacket && n <= mostPacket {
-				e.next = n
+		body := cursor{buf: c.take(int(c.u16()))}
+		if body.u8() == envPacketSize {
+			if n, err := strconv.Atoi(body.bVarChar()); err == nil && n >= minPacketSize && n <= maxPacketSize {
+				e.negotiatedSize = n
 			}
 		}
 	case tokenReturnStatus:
 		c.u32()
 	case tokenReturnValue:
 		c.u16()
-		c.short()
+		c.bVarChar()
 		c.take(1 + 4 + 2)
 		w := c.typeInfo()
 		c.value(&w, &e.scratch)
 	case tokenOrder, tokenTabName, tokenColInfo, tokenSSPI:
 		c.take(int(c.u16()))
-	case tokenSessionState, tokenFedAuth:
+	case tokenSessionState, tokenFedAuthInfo:
 		n := c.u32()
-		if n > mostToken {
+		if n > maxTokenSize {
 			c.fail("a token of %d bytes", n)
 		}
 		c.take(int(n))
-	case tokenFeatures:
-		c.features()
+	case tokenFeatureExtAck:
+		c.skipFeatureExtAck()
 	default:
 		if c.err == nil {
 			c.fail("token %#x", kind)
@@ -332,24 +332,24 @@
 	return nil, nil
 }
 
-// row reads a row, into the part that is passed on next. Only a whole one changes anything.
-func (e *Engine) row(c *cursor, mapped bool) *traffic.EngineReply {
+// readRow reads a row, into the part that is passed on next. Only a whole one changes anything.
+func (e *Engine) readRow(c *cursor, mapped bool) *traffic.EngineReply {
 	var missing []byte
 	if mapped {
 		missing = c.take((len(e.columns) + 7) / 8)
 	}
-	if e.phase != running || e.probe {
-		e.other(c, missing)
+	if e.phase != running || e.isProbe {
+		e.skipRow(c, missing)
 		return nil
 	}
-	data, at := e.part.Data, e.part.Len()
+	data, at := e.unsent.Data, e.unsent.Len()
 	if data == nil {
-		data = e.access.Pool.Chain()
+		data = e.config.Pool.Chain()
 	}
 	for i := range e.columns {
 		var v []byte
 		if missing == nil || missing[i/8]&(1<<(i%8)) == 0 {
-			v = c.value(&e.columns[i].wire, &e.scratch)
+			v = c.value(&e.columns[i].typeInfo, &e.scratch)
 		}
 		if c.err != nil {
 			data.Truncate(at)
@@ -357,25 +357,25 @@
 		}
 		rows.Append(data, v)
 	}
-	e.part.Data = data
-	e.part.Count++
-	if e.part.Len() >= pieceSize {
-		return e.piece()
+	e.unsent.Data = data
+	e.unsent.Count++
+	if e.unsent.Len() >= rowChunkSize {
+		return e.takeRows()
 	}
 	return nil
 }
 
-// other passes over a row, but takes the first of a probe for its load report.
-func (e *Engine) other(c *cursor, missing []byte) {
+// skipRow passes over a row, but takes the first of a probe for its load report.
+func (e *Engine) skipRow(c *cursor, missing []byte) {
 	var rep *brain.Report
-	if e.probe && e.phase == running && e.load == nil && e.access.Load != "" {
+	if e.isProbe && e.phase == running && e.loadReport == nil && e.config.LoadQuery != "" {
 		rep = settings.EmptyReport()
 	}
 	for i := range e.columns {
 		if missing != nil && missing[i/8]&(1<<(i%8)) != 0 {
 			continue
 		}
-		v := c.value(&e.columns[i].wire, &e.scratch)
+		v := c.value(&e.columns[i].typeInfo, &e.scratch)
 		if c.err != nil {
 			return
 		}
@@ -388,59 +388,59 @@
 		}
 	}
 	if rep != nil {
-		e.load = rep
+		e.loadReport = rep
 	}
 }
 
-// ended: the answer is whole.
-func (e *Engine) ended() (*traffic.EngineReply, error) {
-	reply := &traffic.EngineReply{ID: e.id, Pages: -1, Page: -1, Work: -1, Memory: -1}
-	failed := e.failed
-	e.failed = nil
+// endResponse: the answer is whole.
+func (e *Engine) endResponse() (*traffic.EngineReply, error) {
+	reply := &traffic.EngineReply{ID: e.requestID, Pages: -1, Page: -1, Work: -1, Memory: -1}
+	failed := e.firstError
+	e.firstError = nil
 	switch e.phase {
-	case loggingIn:
+	case loginSent:
 		if failed != nil {
 			return nil, fmt.Errorf("%w: %w", traffic.ErrLogin, *failed)
 		}
-		if !e.let {
+		if !e.acknowledged {
 			return nil, fmt.Errorf("%w: the engine does not say that it lets us in", traffic.ErrLogin)
 		}
-		if e.next > 0 {
-			e.size = e.next
+		if e.negotiatedSize > 0 {
+			e.packetSize = e.negotiatedSize
 		}
-		e.phase, e.let = atRest, false
+		e.phase, e.acknowledged = idle, false
 		reply.Kind = traffic.ReplyReady
 		return reply, nil
-	case stopping: // an answer that crossed the Attention ends without this
-		if !e.let {
+	case attentionSent: // an answer that crossed the Attention ends without this
+		if !e.acknowledged {
 			return nil, nil
 		}
-		e.phase, e.let = atRest, false
+		e.phase, e.acknowledged = idle, false
 		reply.Kind = traffic.ReplyReleased
 		return reply, nil
 	case running:
-		if e.part.Len() > 0 || e.fresh {
-			if failed == nil || e.rows {
-				e.last = true // and the end comes next
-				e.failed = failed
-				return e.piece(), nil
+		if e.unsent.Len() > 0 || e.columnsUnsent {
+			if failed == nil || e.rowsSent {
+				e.complete = true // and the end comes next
+				e.firstError = failed
+				return e.takeRows(), nil
 			}
-			e.drop()
+			e.discardRows()
 		}
-		e.phase = atRest
+		e.phase = idle
 		switch {
-		case e.probe && failed == nil:
-			reply.Kind, reply.Load = traffic.ReplyHealthy, e.load
-		case e.probe:
+		case e.isProbe && failed == nil:
+			reply.Kind, reply.Load = traffic.ReplyHealthy, e.loadReport
+		case e.isProbe:
 			reply.Kind, reply.Reason = traffic.ReplyUnhealthy, failed.Error()
 		case failed == nil:
 			reply.Kind = traffic.ReplyComplete
-		case !e.rows && slices.Contains(e.access.TurnedAway, failed.Number):
+		case !e.rowsSent && slices.Contains(e.config.RejectionNumbers, failed.Number):
 			reply.Kind, reply.Reason = traffic.ReplyOverloaded, failed.Error()
 		default:
 			reply.Kind, reply.Reason = traffic.ReplyFailed, failed.Error()
 		}
 		return reply, nil
 	}
-	return nil, fmt.Errorf("%w: an answer to nothing", ErrWire)
+	return nil, fmt.Errorf("%w: an answer to nothing", ErrProtocol)
 }
--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -8,8 +8,8 @@
 	"pitchfield/internal/traffic"
 )
 
-// feed gives bytes in two pieces, so that what is cut is met too.
-func feed(pool *buffers.Pool, b []byte, read func(in *buffers.Chain) bool) {
+// feedInHalves gives bytes in two pieces, so that what is cut is met too.
+func feedInHalves(pool *buffers.Pool, b []byte, read func(in *buffers.Chain) bool) {
 	in := pool.Chain()
 	for _, piece := range [][]byte{b[:len(b)/2], b[len(b)/2:]} {
 		in.Write(piece)
@@ -20,26 +20,26 @@
 }
 
 func FuzzPrelogin(f *testing.F) {
-	f.Add(appendPrelogin(nil, prelogin{encryption: encryptNone}))
+	f.Add(appendPrelogin(nil, prelogin{encryption: encryptNotSupported}))
 	f.Fuzz(func(_ *testing.T, b []byte) { parsePrelogin(b) }) //nolint:errcheck
 }
 
 func FuzzLogin(f *testing.F) {
-	f.Add(appendLogin(login{packet: 4096, host: "h", user: "ann", password: "p", app: "a", base: "sales"}))
+	f.Add(appendLogin(login{packetSize: 4096, host: "h", user: "ann", password: "p", appName: "a", database: "sales"}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if l, err := parseLogin(b); err == nil && len(l.user) > 4*mostLoginChars {
+		if l, err := parseLogin(b); err == nil && len(l.user) > 4*maxLoginChars {
 			t.Fatal("a name that is too long")
 		}
 	})
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add(appendUTF16(appendHeaders(nil), "SELECT 1 -- č"))
+	f.Add(appendUTF16(appendAllHeaders(nil), "SELECT 1 -- č"))
 	f.Fuzz(func(_ *testing.T, b []byte) { parseBatch(b) }) //nolint:errcheck
 }
 
 func FuzzRPC(f *testing.F) {
-	f.Add(appendExecuteSQL(nil, "SELECT @a", []rows.Parameter{{Column: rows.Column{Name: "@a", Type: rows.Type{Kind: rows.Int32}}, Value: u32(nil, 7)}}))
+	f.Add(appendExecuteSQL(nil, "SELECT @a", []rows.Parameter{{Column: rows.Column{Name: "@a", Type: rows.Type{Kind: rows.Int32}}, Value: appendU32(nil, 7)}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, err := parseRPC(b)
 		if err != nil {
@@ -60,7 +60,7 @@
 	f.Add([]byte{typeDecimalN, 17, 38, 10, 5, 1, 1, 2, 3, 4})
 	f.Add([]byte{typeVarChar, 10, 0, 5, 4, 0xD0, 0, 0x34, 2, 0, 0xC8, 0x9A})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c := cursor{b: b}
+		c := cursor{buf: b}
 		w := c.typeInfo()
 		var scratch []byte
 		v := c.value(&w, &scratch)
@@ -68,10 +68,10 @@
 			return
 		}
 		want := append([]byte(nil), v...)
-		again := cursor{b: appendValue(appendType(nil, w.Type), w.Type, v)}
+		again := cursor{buf: appendValue(appendType(nil, w.Type), w.Type, v)}
 		w2 := again.typeInfo()
 		got := again.value(&w2, &scratch)
-		if again.err != nil || (got == nil) != (v == nil) || string(got) != string(want) || again.left() != 0 {
+		if again.err != nil || (got == nil) != (v == nil) || string(got) != string(want) || again.remaining() != 0 {
 			t.Fatalf("%v %q became %q, %v", w.Type, want, got, again.err)
 		}
 	})
@@ -80,17 +80,17 @@
 // FuzzSession is a client that sends anything, before and after its login.
 func FuzzSession(f *testing.F) {
 	f.Add([]byte{0x12, 1, 0, 8, 0, 0, 1, 0}, false)
-	k := newTalk(f)
+	k := newPair(f)
 	k.engine.phase = running
 	k.engine.Send(k.toSession, "q", "SELECT a", nil)
 	f.Add(k.toSession.Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, in bool) {
-		k := newTalk(t)
+		k := newPair(t)
 		if in {
 			k.login()
 		}
 		owed := k.pool.Chain()
-		feed(k.pool, b, func(in *buffers.Chain) bool {
+		feedInHalves(k.pool, b, func(in *buffers.Chain) bool {
 			said, err := k.session.Read(in, owed)
 			if a, is := said.(*traffic.BatchRequest); is {
 				a.Batch.Text.Release()
@@ -110,25 +110,25 @@
 
 // FuzzEngine is an engine that answers anything.
 func FuzzEngine(f *testing.F) {
-	k := newTalk(f).login()
-	a := k.ask("SELECT a")
-	k.session.Encode(k.toClint, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x", "yy")}})
-	f.Add(k.toClint.Bytes(), false)
-	f.Add(k.toClint.Bytes(), true)
+	k := newPair(f).login()
+	a := k.query("SELECT a")
+	k.session.Encode(k.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x", "yy")}})
+	f.Add(k.toClient.Bytes(), false)
+	f.Add(k.toClient.Bytes(), true)
 	f.Fuzz(func(t *testing.T, b []byte, stop bool) {
-		k := newTalk(t)
-		k.engine.phase, k.engine.size = atRest, 600
+		k := newPair(t)
+		k.engine.phase, k.engine.packetSize = idle, 600
 		owed := k.pool.Chain()
 		k.engine.Send(owed, "q", "SELECT a", nil)
 		if stop {
 			k.engine.Encode(owed, traffic.CancelDispatch{ID: "q"})
 		}
-		feed(k.pool, b, func(in *buffers.Chain) bool {
+		feedInHalves(k.pool, b, func(in *buffers.Chain) bool {
 			r, err := k.engine.Read(in, owed)
 			if r != nil {
 				columns := r.Rows.Columns
 				if columns == nil {
-					columns = k.engine.result
+					columns = k.engine.resultColumns
 				}
 				if e := rows.Each(r.Rows, len(columns), func([][]byte) error { return nil }); e != nil {
 					t.Fatal(e)
@@ -138,7 +138,7 @@
 			return r != nil && err == nil
 		})
 		owed.Release()
-		k.engine.drop()
+		k.engine.discardRows()
 		if k.pool.InUse() != 0 {
 			t.Fatal("buffers are kept")
 		}
--- a/internal/tds/known.go
+++ b/internal/tds/known.go
@@ -11,10 +11,10 @@
 // What drivers ask of a server when they connect, and what pools ask to see that a connection lives. It is answered
 // here: it concerns the session, costs no engine anything, and tells whether the router is there.
 
-const product = "pitchfield, a router before analytic engines"
+const productName = "pitchfield, a router before analytic engines"
 
-// known gives the values of a SELECT of nothing but figures of the server, with the names they stand under.
-func (s *Session) known(all []statement.Word) ([]rows.Parameter, bool) {
+// serverValues gives the values of a SELECT of nothing but figures of the server, with the names they stand under.
+func (s *Session) serverValues(all []statement.Word) ([]rows.Parameter, bool) {
 	for len(all) > 0 && all[len(all)-1].Text == ";" {
 		all = all[:len(all)-1]
 	}
@@ -27,7 +27,7 @@
 		for n < len(rest) && rest[n].Text != "," {
 			n++
 		}
-		v, ok := s.figure(rest[:n])
+		v, ok := s.serverValue(rest[:n])
 		if !ok {
 			return nil, false
 		}
@@ -40,8 +40,8 @@
 	return nil, false
 }
 
-// figure is one value of such a SELECT, with a name behind it or none.
-func (s *Session) figure(all []statement.Word) (v rows.Parameter, ok bool) {
+// serverValue is one value of such a SELECT, with a name behind it or none.
+func (s *Session) serverValue(all []statement.Word) (v rows.Parameter, ok bool) {
 	if n := len(all); n >= 3 && all[n-2].Upper == "AS" {
 		v.Name, all = all[n-1].Text, all[:n-2]
 	}
@@ -55,16 +55,16 @@
 	text := func(t string) {
 		v.Type, v.Value, ok = rows.Type{Kind: rows.Text, Size: 256}, []byte(t), true
 	}
-	number := func(n uint32) { v.Type, v.Value, ok = rows.Type{Kind: rows.Int32}, u32(nil, n), true }
+	number := func(n uint32) { v.Type, v.Value, ok = rows.Type{Kind: rows.Int32}, appendU32(nil, n), true }
 	switch b.String() {
 	case "1":
 		number(1)
 	case "@@SPID":
 		number(64)
 	case "@@VERSION":
-		text(product)
+		text(productName)
 	case "@@SERVERNAME":
-		text(s.front.Name)
+		text(s.server.Name)
 	case "@@LANGUAGE":
 		text("us_english")
 	case "@@MAX_PRECISION":
@@ -72,21 +72,21 @@
 	case "@@TRANCOUNT":
 		number(0)
 	case "DB_NAME()":
-		text(s.database())
+		text(s.currentDatabase())
 	case "SYSTEM_USER", "SUSER_NAME()", "SUSER_SNAME()", "USER_NAME()":
 		text(s.login.user)
 	case "APP_NAME()":
-		text(s.login.app)
+		text(s.login.appName)
 	}
 	return v, ok
 }
 
-func (s *Session) answerKnown(owed *buffers.Chain, values []rows.Parameter) {
+func (s *Session) sendServerValues(owed *buffers.Chain, values []rows.Parameter) {
 	columns, row := make([]rows.Column, len(values)), make([][]byte, len(values))
 	for i, v := range values {
 		columns[i], row[i] = v.Column, v.Value
 	}
 	s.respond(owed, func(b []byte) []byte {
-		return appendDone(appendRow(appendColumns(b, columns), columns, row), tokenDone, doneCount, 1)
+		return appendDone(appendRow(appendColMetadata(b, columns), columns, row), tokenDone, doneCount, 1)
 	})
 }
--- a/internal/tds/rpc.go
+++ b/internal/tds/rpc.go
@@ -24,14 +24,14 @@
 	"sp_prepexecrpc": procPrepExecRPC, "sp_unprepare": procUnprepare}
 
 const (
-	mostParameters = 2100 // as servers have it
-	byReference    = 1
-	withDefault    = 2
+	maxParameters     = 2100 // as servers have it
+	paramByReference  = 1
+	paramDefaultValue = 2
 )
 
-// call is an RPC.
-type call struct {
-	proc       uint16
+// rpcRequest is an RPC.
+type rpcRequest struct {
+	procID     uint16
 	name       string // of one that has no number
 	parameters []parameter
 }
@@ -41,93 +41,93 @@
 	output bool
 }
 
-// headers passes over ALL_HEADERS (2.2.5.3).
-func (c *cursor) headers() {
-	from := c.at
+// skipAllHeaders passes over ALL_HEADERS (2.2.5.3).
+func (c *cursor) skipAllHeaders() {
+	from := c.offset
 	total := int(c.u32())
 	if c.err != nil {
 		return
 	}
-	if total < 4 || total > c.left()+4 {
+	if total < 4 || total > c.remaining()+4 {
 		c.fail("headers of %d bytes", total)
 		return
 	}
-	c.at = from + total
+	c.offset = from + total
 }
 
 // parseBatch reads a SQLBatch's text.
 func parseBatch(b []byte) (string, error) {
-	c := cursor{b: b}
-	c.headers()
-	if c.err == nil && c.left()%2 != 0 {
+	c := cursor{buf: b}
+	c.skipAllHeaders()
+	if c.err == nil && c.remaining()%2 != 0 {
 		c.fail("half a character")
 	}
 	if c.err != nil {
-		return "", notWhole(c.err)
+		return "", incompleteIsMalformed(c.err)
 	}
-	return fromUTF16(b[c.at:]), nil
+	return fromUTF16(b[c.offset:]), nil
 }
 
-// notWhole: in a message that is whole nothing more comes.
-func notWhole(err error) error {
-	if err == errShort { //nolint:errorlint
-		return fmt.Errorf("%w: a message that does not hold what it says", ErrWire)
+// incompleteIsMalformed: in a message that is whole nothing more comes.
+func incompleteIsMalformed(err error) error {
+	if err == errIncomplete { //nolint:errorlint
+		return fmt.Errorf("%w: a message that does not hold what it says", ErrProtocol)
 	}
 	return err
 }
 
-// refusal is an error of which the session is told, and goes on.
-type refusal struct{ Message }
+// requestError is an error of which the session is told, and goes on.
+type requestError struct{ Message }
 
 // parseRPC reads a call.
-func parseRPC(b []byte) (out call, err error) {
-	c := cursor{b: b}
-	c.headers()
-	if n := c.u16(); n == noShort {
-		out.proc = c.u16()
+func parseRPC(b []byte) (out rpcRequest, err error) {
+	c := cursor{buf: b}
+	c.skipAllHeaders()
+	if n := c.u16(); n == nullLength {
+		out.procID = c.u16()
 	} else {
 		if out.name = c.chars(int(n)); n > 512 {
 			c.fail("a procedure's name of %d characters", n)
 		}
 		short := strings.ToLower(out.name)
 		short = short[strings.LastIndexByte(short, '.')+1:]
-		out.proc = procNames[strings.Trim(short, "[]")]
+		out.procID = procNames[strings.Trim(short, "[]")]
 	}
 	c.u16() // options: recompile, no metadata
-	for c.err == nil && c.left() > 0 {
-		switch c.b[c.at] {
+	for c.err == nil && c.remaining() > 0 {
+		switch c.buf[c.offset] {
 		case 0xFF, 0xFE, 0x80: // a name is never so long
-			return out, refusal{unsupported("several calls in one request")}
+			return out, requestError{unsupportedError("several calls in one request")}
 		}
-		if len(out.parameters) == mostParameters {
-			return out, refusal{unsupported("more than 2100 parameters")}
+		if len(out.parameters) == maxParameters {
+			return out, requestError{unsupportedError("more than 2100 parameters")}
 		}
 		p := parameter{}
-		p.Name = c.short()
+		p.Name = c.bVarChar()
 		status := c.u8()
-		p.output = status&byReference != 0
-		at := c.at
+		p.output = status&paramByReference != 0
+		at := c.offset
 		w := c.typeInfo()
-		if c.err != nil && c.err != errShort && at < len(b) { //nolint:errorlint
-			return out, refusal{unsupported(strings.TrimPrefix(c.err.Error(), ErrWire.Error()+": "))}
+		if c.err != nil && c.err != errIncomplete && at < len(b) { //nolint:errorlint
+			return out, requestError{unsupportedError(strings.TrimPrefix(c.err.Error(), ErrProtocol.Error()+": "))}
 		}
 		p.Type = w.Type
 		var scratch []byte
 		v := c.value(&w, &scratch)
 		p.Null = v == nil
 		p.Value = append([]byte{}, v...)
-		if status&withDefault != 0 {
-			return out, refusal{unsupported("a parameter's default")}
+		if status&paramDefaultValue != 0 {
+			return out, requestError{unsupportedError("a parameter's default")}
 		}
 		out.parameters = append(out.parameters, p)
 	}
-	return out, notWhole(c.err)
+	return out, incompleteIsMalformed(c.err)
 }
 
 // appendExecuteSQL makes a call of sp_executesql.
 func appendExecuteSQL(out []byte, text string, parameters []rows.Parameter) []byte {
-	out = appendHeaders(out)
-	out = u16(u16(u16(out, noShort), procExecuteSQL), 0)
+	out = appendAllHeaders(out)
+	out = appendU16(appendU16(appendU16(out, nullLength), procExecuteSQL), 0)
 	unnamed := func(s string) {
 		out = append(out, 0, 0)
 		t := rows.Type{Kind: rows.Text}
@@ -142,11 +142,11 @@
 		if i > 0 {
 			declared.WriteByte(',')
 		}
-		declared.WriteString(p.Name + " " + Declare(p.Type))
+		declared.WriteString(p.Name + " " + SQLType(p.Type))
 	}
 	unnamed(declared.String())
 	for _, p := range parameters {
-		out = append(shortText(out, p.Name), 0)
+		out = append(appendBVarChar(out, p.Name), 0)
 		v := p.Value
 		if p.Null {
 			v = nil
@@ -156,14 +156,14 @@
 	return out
 }
 
-func appendHeaders(out []byte) []byte {
-	out = u32(u32(out, 22), 18)
-	out = u16(out, 2)                                      // the transaction's
+func appendAllHeaders(out []byte) []byte {
+	out = appendU32(appendU32(out, 22), 18)
+	out = appendU16(out, 2)                                // the transaction's
 	return append(out, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0) // none; one request
 }
 
-// Declare writes a type as SQL does.
-func Declare(t rows.Type) string {
+// SQLType writes a type as SQL does.
+func SQLType(t rows.Type) string {
 	size := func(most int) string {
 		if t.Size == 0 || t.Size > most {
 			return "(max)"
@@ -176,9 +176,9 @@
 	case rows.Time, rows.DateTime2, rows.DateTimeOffset:
 		return fmt.Sprintf("%s(%d)", t.Kind, t.Scale)
 	case rows.Text:
-		return "nvarchar" + size(mostChars)
+		return "nvarchar" + size(maxNVarChar)
 	case rows.Bytes:
-		return "varbinary" + size(mostBytes)
+		return "varbinary" + size(maxVarBinary)
 	}
 	return t.Kind.String()
 }
@@ -206,17 +206,17 @@
 	return out
 }
 
-// named gives the values that follow a statement and its declaration their names.
-func named(declaration string, values []parameter) ([]rows.Parameter, error) {
+// nameParameters gives the values that follow a statement and its declaration their names.
+func nameParameters(declaration string, values []parameter) ([]rows.Parameter, error) {
 	names := declaredNames(declaration)
 	if len(values) > len(names) {
-		return nil, refusal{Message{8144, 2, 16, fmt.Sprintf("%d values for %d declared parameters.", len(values), len(names))}}
+		return nil, requestError{Message{8144, 2, 16, fmt.Sprintf("%d values for %d declared parameters.", len(values), len(names))}}
 	}
 	out := make([]rows.Parameter, 0, len(values))
 	seen := map[string]bool{}
 	for i, v := range values {
 		if v.output {
-			return nil, refusal{unsupported("a parameter that returns a value")}
+			return nil, requestError{unsupportedError("a parameter that returns a value")}
 		}
 		name := v.Name
 		if name == "" {
@@ -231,22 +231,22 @@
 			known = known || strings.EqualFold(n, name)
 		}
 		if !known || seen[key] {
-			return nil, refusal{Message{8145, 1, 16, fmt.Sprintf("%.40q is not a declared parameter, or is there twice.", name)}}
+			return nil, requestError{Message{8145, 1, 16, fmt.Sprintf("%.40q is not a declared parameter, or is there twice.", name)}}
 		}
 		seen[key] = true
 		p := v.Parameter
 		p.Name = name
 		if _, err := rows.Literal(p); err != nil { // every engine must be able to be told it
-			return nil, refusal{Message{8114, 5, 16, err.Error()}}
+			return nil, requestError{Message{8114, 5, 16, err.Error()}}
 		}
 		out = append(out, p)
 	}
 	if len(values) < len(names) {
-		return nil, refusal{Message{8178, 1, 16, fmt.Sprintf("%d values for %d declared parameters.", len(values), len(names))}}
+		return nil, requestError{Message{8178, 1, 16, fmt.Sprintf("%d values for %d declared parameters.", len(values), len(names))}}
 	}
 	return out, nil
 }
 
-func unsupported(what string) Message {
+func unsupportedError(what string) Message {
 	return Message{40510, 1, 16, "This router does not carry " + what + "."}
 }
--- a/internal/tds/section.go
+++ b/internal/tds/section.go
@@ -10,8 +10,8 @@
 	"pitchfield/internal/findings"
 )
 
-// FrontSection is [tds] of an operator's settings.
-type FrontSection struct {
+// ListenerSection is [tds] of an operator's settings.
+type ListenerSection struct {
 	TDS *struct {
 		Listen    string   `toml:"listen"`
 		Name      string   `toml:"name"`
@@ -40,14 +40,14 @@
 }
 
 const (
-	longestIdle = 24 * 3600
-	usualIdle   = 600
-	leastCost   = 4 // of a hash: less is no protection, and may be a slip
-	mostCost    = 14
+	maxIdle     = 24 * 3600
+	defaultIdle = 600
+	minHashCost = 4 // of a hash: less is no protection, and may be a slip
+	maxHashCost = 14
 )
 
-// Prove gives the front's settings; nil: nobody speaks TDS here.
-func (f *FrontSection) Prove(c findings.Reporter) *Settings {
+// Validate gives the front's settings; nil: nobody speaks TDS here.
+func (f *ListenerSection) Validate(c findings.Reporter) *Settings {
 	t := f.TDS
 	if t == nil {
 		return nil
@@ -59,9 +59,9 @@
 	if a, err := netip.ParseAddrPort(t.Listen); err != nil || a.Port() == 0 {
 		c.Errorf("tds.listen", "%q is not an address and a port, as 127.0.0.1:1433", t.Listen)
 	}
-	out.Idle = c.Seconds("tds.idle", t.Idle, longestIdle)
+	out.Idle = c.Seconds("tds.idle", t.Idle, maxIdle)
 	if out.Idle == 0 {
-		out.Idle = usualIdle
+		out.Idle = defaultIdle
 	}
 	if len(t.Login) == 0 {
 		c.Errorf("tds", "without a [[tds.login]] nobody can log in")
@@ -72,8 +72,8 @@
 		if _, twice := out.Users[name]; twice || name == "" {
 			c.Errorf(at+".user", "%q is empty or there twice", l.User)
 		}
-		if cost, err := bcrypt.Cost([]byte(l.Hash)); err != nil || cost < leastCost || cost > mostCost {
-			c.Errorf(at+".hash", "not a bcrypt hash of a cost from %d to %d; 'pitchfield hash' makes one", leastCost, mostCost)
+		if cost, err := bcrypt.Cost([]byte(l.Hash)); err != nil || cost < minHashCost || cost > maxHashCost {
+			c.Errorf(at+".hash", "not a bcrypt hash of a cost from %d to %d; 'pitchfield hash' makes one", minHashCost, maxHashCost)
 		}
 		out.Users[name] = User{Hash: []byte(l.Hash), Client: l.Client}
 	}
--- a/internal/tds/speech.go
+++ b/internal/tds/speech.go
@@ -6,15 +6,15 @@
 	"pitchfield/internal/statement"
 )
 
-// setting is a statement that changes the session: SET or USE.
-type setting struct {
-	key  string // what of the session it changes
-	text string
-	base string // of a USE
+// sessionSetting is a statement that changes the session: SET or USE.
+type sessionSetting struct {
+	key      string // what of the session it changes
+	text     string
+	database string // of a USE
 }
 
-// leading gives the SET and USE statements at the start of a text and whether nothing else is in it.
-func leading(all []statement.Word, text string) (out []setting, only bool) {
+// leadingSettings gives the SET and USE statements at the start of a text and whether nothing else is in it.
+func leadingSettings(all []statement.Word, text string) (out []sessionSetting, only bool) {
 	i := 0
 	for i < len(all) {
 		w := all[i]
@@ -29,16 +29,16 @@
 			return out, false
 		}
 		n := i + 1
-		for n < len(all) && all[n].Upper != ";" && !starts[all[n].Upper] {
+		for n < len(all) && all[n].Upper != ";" && !statementStarts[all[n].Upper] {
 			n++
 		}
 		if n == i+1 {
 			return out, false
 		}
-		s := setting{text: strings.TrimSpace(text[w.From:all[n-1].To])}
+		s := sessionSetting{text: strings.TrimSpace(text[w.From:all[n-1].To])}
 		switch name := all[i+1]; {
 		case w.Upper == "USE":
-			s.key, s.base = "USE", name.Text
+			s.key, s.database = "USE", name.Text
 		case strings.HasPrefix(name.Text, "@"): // a variable of the batch
 			return out, false
 		case name.Upper == "TRANSACTION":
@@ -55,22 +55,22 @@
 	return out, true
 }
 
-// starts are words that begin another statement; a SET or USE before them ends without a semicolon.
-var starts = map[string]bool{"SET": true, "USE": true, "SELECT": true, "INSERT": true, "UPDATE": true, "DELETE": true,
+// statementStarts are words that begin another statement; a SET or USE before them ends without a semicolon.
+var statementStarts = map[string]bool{"SET": true, "USE": true, "SELECT": true, "INSERT": true, "UPDATE": true, "DELETE": true,
 	"MERGE": true, "WITH": true, "EXEC": true, "EXECUTE": true, "DECLARE": true, "IF": true, "BEGIN": true,
 	"CREATE": true, "DROP": true, "ALTER": true, "TRUNCATE": true, "PRINT": true, "COMMIT": true, "ROLLBACK": true,
 	"SAVE": true, "WAITFOR": true, "WHILE": true}
 
-// refused says what of a statement needs a session of its own on an engine, which this router does not give; empty:
+// unsupportedFeature says what of a statement needs a session of its own on an engine, which this router does not give; empty:
 // nothing. Batches of one session go to different engines.
-func refused(all []statement.Word) string {
+func unsupportedFeature(all []statement.Word) string {
 	for i, w := range all {
 		next := ""
 		if i+1 < len(all) && !all[i+1].Quoted {
 			next = all[i+1].Upper
 		}
 		if strings.HasPrefix(w.Text, "#") {
-			return "temporary tables (" + clip(w.Text, 40) + ")"
+			return "temporary tables (" + truncateUTF16(w.Text, 40) + ")"
 		}
 		if w.Quoted {
 			continue
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -30,55 +30,55 @@
 	os.Exit(m.Run())
 }
 
-// talk is a session and an engine's state that speak with each other, without sockets. Bytes may be cut anywhere.
-type talk struct {
-	t                  require.TestingT
-	pool               *buffers.Pool
-	session            *Session
-	engine             *Engine
-	toSession, toClint *buffers.Chain
-	cut                func(n int) int // of n bytes that are there, how many come
-	said               []traffic.ClientMessage
-	replies            []*traffic.EngineReply
-	sessionErr, engErr error
+// connectedPair is a session and an engine's state that speak with each other, without sockets. Bytes may be cut anywhere.
+type connectedPair struct {
+	t                     require.TestingT
+	pool                  *buffers.Pool
+	session               *Session
+	engine                *Engine
+	toSession, toClient   *buffers.Chain
+	chunkSize             func(n int) int // of n bytes that are there, how many come
+	events                []traffic.ClientMessage
+	replies               []*traffic.EngineReply
+	sessionErr, engineErr error
 }
 
-func newTalk(t require.TestingT) *talk {
+func newPair(t require.TestingT) *connectedPair {
 	pool := &buffers.Pool{}
-	front := &Front{Pool: pool, Name: "here", Databases: []string{"sales", "stock"},
+	front := &Server{Pool: pool, Name: "here", Databases: []string{"sales", "stock"},
 		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "report"}} },
-		Admit: func(user, password string) (string, error) {
+		Authenticate: func(user, password string) (string, error) {
 			if password != "pässword" {
 				return "", errors.New("no")
 			}
 			return "client of " + user, nil
 		}}
-	access := &Access{Pool: pool, User: "ann", Password: "pässword", Database: "sales", Program: "test", Packet: 600,
-		Probe: "SELECT 1", Load: "SELECT load", TurnedAway: []int32{NumberPushedBack}}
-	return &talk{t: t, pool: pool, session: front.Session(), engine: access.Engine(), toSession: pool.Chain(),
-		toClint: pool.Chain(), cut: func(n int) int { return n }}
+	access := &EngineConfig{Pool: pool, User: "ann", Password: "pässword", Database: "sales", AppName: "test", PacketSize: 600,
+		ProbeQuery: "SELECT 1", LoadQuery: "SELECT load", RejectionNumbers: []int32{ErrorNumberRejected}}
+	return &connectedPair{t: t, pool: pool, session: front.NewSession(), engine: access.NewEngine(), toSession: pool.Chain(),
+		toClient: pool.Chain(), chunkSize: func(n int) int { return n }}
 }
 
 // run passes bytes on until nothing moves.
-func (k *talk) run() {
+func (k *connectedPair) run() {
 	in, back := k.pool.Chain(), k.pool.Chain()
 	for moved := true; moved; {
 		moved = false
 		for k.toSession.Len() > 0 {
 			moved = true
-			piece := k.toSession.Cut(max(k.cut(k.toSession.Len()), 1))
+			piece := k.toSession.Cut(max(k.chunkSize(k.toSession.Len()), 1))
 			in.Append(piece)
 			piece.Release()
-			k.hear(in)
+			k.deliverToSession(in)
 		}
-		for k.toClint.Len() > 0 {
+		for k.toClient.Len() > 0 {
 			moved = true
-			piece := k.toClint.Cut(max(k.cut(k.toClint.Len()), 1))
+			piece := k.toClient.Cut(max(k.chunkSize(k.toClient.Len()), 1))
 			back.Append(piece)
 			piece.Release()
-			for k.engErr == nil {
+			for k.engineErr == nil {
 				r, err := k.engine.Read(back, k.toSession)
-				if k.engErr = err; r == nil || err != nil {
+				if k.engineErr = err; r == nil || err != nil {
 					break
 				}
 				k.replies = append(k.replies, r)
@@ -87,51 +87,51 @@
 	}
 }
 
-func (k *talk) hear(in *buffers.Chain) {
+func (k *connectedPair) deliverToSession(in *buffers.Chain) {
 	for k.sessionErr == nil {
-		said, err := k.session.Read(in, k.toClint)
+		said, err := k.session.Read(in, k.toClient)
 		if v, is := said.(*traffic.Verify); is {
-			said, err = v.Done(v.Run(), k.toClint)
+			said, err = v.Done(v.Run(), k.toClient)
 		}
 		if k.sessionErr = err; said == nil || err != nil {
 			return
 		}
-		k.said = append(k.said, said)
+		k.events = append(k.events, said)
 	}
 }
 
-func (k *talk) login() *talk {
+func (k *connectedPair) login() *connectedPair {
 	k.engine.Open(k.toSession)
 	k.run()
 	require.NoError(k.t, k.sessionErr)
-	require.NoError(k.t, k.engErr)
+	require.NoError(k.t, k.engineErr)
 	require.Len(k.t, k.replies, 1)
 	require.Equal(k.t, traffic.ReplyReady, k.replies[0].Kind)
-	k.replies, k.said = nil, nil
+	k.replies, k.events = nil, nil
 	return k
 }
 
-// ask sends a statement and gives the batch that the session made of it; nil: it has answered by itself.
-func (k *talk) ask(text string, parameters ...rows.Parameter) *traffic.BatchRequest {
-	k.replies, k.said = nil, nil
+// query sends a statement and gives the batch that the session made of it; nil: it has answered by itself.
+func (k *connectedPair) query(text string, parameters ...rows.Parameter) *traffic.BatchRequest {
+	k.replies, k.events = nil, nil
 	k.engine.Send(k.toSession, "q", text, parameters)
 	k.run()
 	require.NoError(k.t, k.sessionErr)
-	if len(k.said) == 0 {
+	if len(k.events) == 0 {
 		return nil
 	}
-	a, _ := k.said[len(k.said)-1].(*traffic.BatchRequest)
+	a, _ := k.events[len(k.events)-1].(*traffic.BatchRequest)
 	return a
 }
 
-func (k *talk) tell(what traffic.ClientReply) {
-	k.session.Encode(k.toClint, what)
+func (k *connectedPair) tellSession(what traffic.ClientReply) {
+	k.session.Encode(k.toClient, what)
 	k.run()
 }
 
 // result reads what came back: its rows as texts and the last reply.
-func (k *talk) result() (out []string, last *traffic.EngineReply) {
-	require.NoError(k.t, k.engErr)
+func (k *connectedPair) result() (out []string, last *traffic.EngineReply) {
+	require.NoError(k.t, k.engineErr)
 	var columns []rows.Column
 	for _, r := range k.replies {
 		last = r
@@ -156,7 +156,7 @@
 	return out, last
 }
 
-func texts(pool *buffers.Pool, lines ...string) rows.Part {
+func textRows(pool *buffers.Pool, lines ...string) rows.Part {
 	p := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "a", Type: rows.Type{Kind: rows.Text}}}, Data: pool.Chain()}
 	for _, l := range lines {
 		rows.Append(p.Data, []byte(l))
@@ -214,12 +214,12 @@
 }
 
 // What goes in at one side comes out at the other, wherever the bytes are cut and however many columns have no value.
-func TestResultsOfAllTypesSurviveTheWire(t *testing.T) {
+func TestResultsOfAllTypesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newTalk(t)
-		k.cut = func(n int) int { return rapid.IntRange(1, n).Draw(t, "cut") }
+		k := newPair(t)
+		k.chunkSize = func(n int) int { return rapid.IntRange(1, n).Draw(t, "cut") }
 		k.login()
-		a := k.ask("SELECT a FROM sales_1.b")
+		a := k.query("SELECT a FROM sales_1.b")
 		require.NotNil(t, a)
 		a.Batch.Text.Release()
 		var want [][]byte
@@ -234,10 +234,10 @@
 				rows.Append(part.Data, want[len(want)-1])
 			}
 		}
-		k.tell(&traffic.Rows{Stream: 1, Part: part})
-		k.tell(&traffic.Answer{Stream: 1})
+		k.tellSession(&traffic.Rows{Stream: 1, Part: part})
+		k.tellSession(&traffic.Answer{Stream: 1})
 		part.Release()
-		require.NoError(t, k.engErr)
+		require.NoError(t, k.engineErr)
 		require.Equal(t, traffic.ReplyComplete, k.replies[len(k.replies)-1].Kind)
 		got := 0
 		for _, r := range k.replies {
@@ -261,9 +261,9 @@
 	})
 }
 
-func TestParametersComeThroughByNameAndPlace(t *testing.T) {
+func TestParametersRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newTalk(t).login()
+		k := newPair(t).login()
 		var want []rows.Parameter
 		for i := range rapid.IntRange(1, 6).Draw(t, "parameters") {
 			p := rows.Parameter{Column: rows.Column{Name: fmt.Sprintf("@p%d", i), Type: genType(t)}}
@@ -271,7 +271,7 @@
 			p.Null = p.Value == nil
 			want = append(want, p)
 		}
-		a := k.ask("SELECT @p0", want...)
+		a := k.query("SELECT @p0", want...)
 		require.NotNil(t, a)
 		require.NoError(t, a.Err)
 		require.Len(t, a.Batch.Parameters, len(want))
@@ -285,124 +285,124 @@
 	})
 }
 
-func TestWhatASessionHoldsGoesAheadUntilItIsReset(t *testing.T) {
-	k := newTalk(t).login()
-	assert.Nil(t, k.ask("SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500"))
-	assert.Nil(t, k.ask("USE stock"))
-	assert.Nil(t, k.ask("SET LOCK_TIMEOUT 900"), "the last of each counts")
-	k.session.status = 0
-	a := k.ask("SELECT a FROM x_1.b")
+func TestSessionSettingsPrecedeBatchesUntilReset(t *testing.T) {
+	k := newPair(t).login()
+	assert.Nil(t, k.query("SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500"))
+	assert.Nil(t, k.query("USE stock"))
+	assert.Nil(t, k.query("SET LOCK_TIMEOUT 900"), "the last of each counts")
+	k.session.messageStatus = 0
+	a := k.query("SELECT a FROM x_1.b")
 	require.NotNil(t, a)
 	// The engine's side resets with each request, as pools do: what was set is gone.
 	assert.Empty(t, a.Batch.SessionSetup)
 	assert.Equal(t, "sales", a.Batch.Database)
-	k.tell(&traffic.Answer{Stream: a.Stream})
+	k.tellSession(&traffic.Answer{Stream: a.Stream})
 	plain := func(text string) *traffic.BatchRequest {
-		k.said = nil
-		message(k.toSession, packetBatch, 0, 600, appendUTF16(appendHeaders(nil), text))
+		k.events = nil
+		writeMessage(k.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), text))
 		k.run()
 		require.NoError(t, k.sessionErr)
-		a, _ := k.said[len(k.said)-1].(*traffic.BatchRequest)
+		a, _ := k.events[len(k.events)-1].(*traffic.BatchRequest)
 		return a
 	}
-	k.engine.begin("x", false)
+	k.engine.beginRequest("x", false)
 	assert.Nil(t, plain("SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500"))
-	k.engine.begin("x", false)
+	k.engine.beginRequest("x", false)
 	assert.Nil(t, plain("USE [stock]"))
-	k.engine.begin("x", false)
+	k.engine.beginRequest("x", false)
 	a = plain("SET LOCK_TIMEOUT 900 SELECT a FROM x_1.b")
 	require.NotNil(t, a)
 	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 500; ", a.Batch.SessionSetup)
 	assert.Empty(t, a.Batch.Database)
-	k.tell(&traffic.Answer{Stream: a.Stream})
-	k.engine.begin("x", false)
+	k.tellSession(&traffic.Answer{Stream: a.Stream})
+	k.engine.beginRequest("x", false)
 	a = plain("SELECT a FROM x_1.b")
 	assert.Equal(t, "USE [stock]; SET ANSI_NULLS ON; SET LOCK_TIMEOUT 900; ", a.Batch.SessionSetup)
 }
 
-func TestWhatNeedsASessionOnAnEngineIsRefusedAndTheSessionGoesOn(t *testing.T) {
-	k := newTalk(t).login()
+func TestStatementsThatNeedAnEngineSessionAreRefused(t *testing.T) {
+	k := newPair(t).login()
 	for text, why := range map[string]string{"BEGIN TRAN": "transactions", "SELECT 1 INTO #t": "temporary", "COMMIT": "transactions",
 		"SET NOCOUNT ON DECLARE c CURSOR FOR SELECT 1": "cursors", "INSERT BULK t (a int)": "bulk",
 		"SET IMPLICIT_TRANSACTIONS ON": "transactions", "USE nowhere": "nowhere", "begin /* now */ transaction": "transactions"} {
-		assert.Nil(t, k.ask(text), text)
+		assert.Nil(t, k.query(text), text)
 		_, last := k.result()
 		assert.Equal(t, traffic.ReplyFailed, last.Kind)
 		assert.Contains(t, last.Reason, why, text)
 	}
-	a := k.ask("SELECT 'BEGIN TRAN #x' FROM sales_1.b -- COMMIT")
+	a := k.query("SELECT 'BEGIN TRAN #x' FROM sales_1.b -- COMMIT")
 	require.NotNil(t, a, "words in strings and comments are none")
-	k.tell(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x")}})
+	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
 	lines, last := k.result()
 	assert.Equal(t, []string{"x"}, lines)
 	assert.Equal(t, traffic.ReplyComplete, last.Kind)
 }
 
-func TestEndingsAreTold(t *testing.T) {
-	k := newTalk(t).login()
-	k.tell(&traffic.Answer{Stream: k.ask("SELECT a").Stream, Code: traffic.Rejected, RetryAfter: 0.25})
+func TestOutcomesAreReportedToTheClient(t *testing.T) {
+	k := newPair(t).login()
+	k.tellSession(&traffic.Answer{Stream: k.query("SELECT a").Stream, Code: traffic.Rejected, RetryAfter: 0.25})
 	_, last := k.result()
 	assert.Equal(t, traffic.ReplyOverloaded, last.Kind)
 	assert.Contains(t, last.Reason, "after 250 ms")
-	k.tell(&traffic.Answer{Stream: k.ask("SELECT b").Stream, Code: traffic.Failed, Reason: "so it is"})
+	k.tellSession(&traffic.Answer{Stream: k.query("SELECT b").Stream, Code: traffic.Failed, Reason: "so it is"})
 	_, last = k.result()
 	assert.Equal(t, traffic.ReplyFailed, last.Kind)
 	assert.Contains(t, last.Reason, "so it is")
-	a := k.ask("SELECT c")
-	k.tell(&traffic.Rows{Stream: a.Stream, Part: texts(k.pool, strings.Repeat("x", 5000))})
-	k.tell(&traffic.Answer{Stream: a.Stream, Code: traffic.Failed, Reason: "the result is cut"})
+	a := k.query("SELECT c")
+	k.tellSession(&traffic.Rows{Stream: a.Stream, Part: textRows(k.pool, strings.Repeat("x", 5000))})
+	k.tellSession(&traffic.Answer{Stream: a.Stream, Code: traffic.Failed, Reason: "the result is cut"})
 	lines, last := k.result()
 	assert.Len(t, lines, 1)
 	assert.Equal(t, traffic.ReplyFailed, last.Kind, "a cut can be told from an end")
 }
 
-func TestAttentionIsAcknowledgedOnceWhateverItCrosses(t *testing.T) {
+func TestAttentionIsAcknowledgedExactlyOnce(t *testing.T) {
 	for _, crossed := range []bool{false, true} {
-		k := newTalk(t).login()
-		a := k.ask("SELECT a")
+		k := newPair(t).login()
+		a := k.query("SELECT a")
 		if crossed { // the whole answer is on its way when the client gives up
-			k.session.Encode(k.toClint, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x")}})
+			k.session.Encode(k.toClient, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
 		} else {
-			k.session.Encode(k.toClint, &traffic.Rows{Stream: a.Stream, Part: texts(k.pool, strings.Repeat("y", 3000))})
+			k.session.Encode(k.toClient, &traffic.Rows{Stream: a.Stream, Part: textRows(k.pool, strings.Repeat("y", 3000))})
 		}
-		k.said = nil
+		k.events = nil
 		k.engine.Encode(k.toSession, traffic.CancelDispatch{ID: "q"})
 		k.run()
-		require.NoError(t, k.engErr)
+		require.NoError(t, k.engineErr)
 		require.Len(t, k.replies, 1)
 		assert.Equal(t, traffic.ReplyReleased, k.replies[0].Kind)
 		if crossed {
-			assert.Equal(t, []traffic.ClientMessage{traffic.HandledLocally{}}, k.said)
+			assert.Equal(t, []traffic.ClientMessage{traffic.HandledLocally{}}, k.events)
 		} else {
-			assert.Equal(t, []traffic.ClientMessage{traffic.Cancel{Stream: a.Stream}}, k.said)
+			assert.Equal(t, []traffic.ClientMessage{traffic.Cancel{Stream: a.Stream}}, k.events)
 		}
-		k.tell(&traffic.Answer{Stream: a.Stream})
-		require.NoError(t, k.engErr, "nothing more is said of it")
-		b := k.ask("SELECT b")
+		k.tellSession(&traffic.Answer{Stream: a.Stream})
+		require.NoError(t, k.engineErr, "nothing more is said of it")
+		b := k.query("SELECT b")
 		require.NotNil(t, b, "the connection goes on")
-		k.tell(&traffic.Answer{Stream: b.Stream, Rows: []rows.Part{texts(k.pool, "z")}})
+		k.tellSession(&traffic.Answer{Stream: b.Stream, Rows: []rows.Part{textRows(k.pool, "z")}})
 		lines, _ := k.result()
 		assert.Equal(t, []string{"z"}, lines)
 	}
 }
 
-func TestHandlesAreKeptAndForgotten(t *testing.T) {
-	k := newTalk(t).login()
+func TestPreparedStatementHandles(t *testing.T) {
+	k := newPair(t).login()
 	call := func(proc uint16, fill func([]byte) []byte) *traffic.BatchRequest {
-		k.said, k.replies = nil, nil
-		k.engine.begin("q", false)
-		b := u16(u16(u16(appendHeaders(nil), noShort), int(proc)), 0)
-		message(k.toSession, packetRPC, 0, 600, fill(b))
+		k.events, k.replies = nil, nil
+		k.engine.beginRequest("q", false)
+		b := appendU16(appendU16(appendU16(appendAllHeaders(nil), nullLength), int(proc)), 0)
+		writeMessage(k.toSession, packetRPC, 0, 600, fill(b))
 		k.run()
 		require.NoError(t, k.sessionErr)
-		a, _ := k.said[len(k.said)-1].(*traffic.BatchRequest)
+		a, _ := k.events[len(k.events)-1].(*traffic.BatchRequest)
 		return a
 	}
 	number := func(b []byte, v int, out byte) []byte {
 		ty := rows.Type{Kind: rows.Int32}
 		var value []byte
 		if v > 0 {
-			value = u32(nil, uint32(v))
+			value = appendU32(nil, uint32(v))
 		}
 		return appendValue(appendType(append(b, 0, out), ty), ty, value)
 	}
@@ -419,10 +419,10 @@
 	a := call(procExecute, execute)
 	require.NotNil(t, a)
 	assert.Equal(t, []string{"@a", "@b"}, []string{a.Batch.Parameters[0].Name, a.Batch.Parameters[1].Name})
-	k.tell(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x")}})
+	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
 	a = call(procPrepExec, func(b []byte) []byte { return number(text(text(number(b, 0, 1), "@a int"), "SELECT @a"), 7, 0) })
 	require.NotNil(t, a)
-	k.tell(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{texts(k.pool, "x")}})
+	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{textRows(k.pool, "x")}})
 	lines, _ := k.result()
 	assert.Equal(t, []string{"x"}, lines)
 	assert.Nil(t, call(procUnprepare, func(b []byte) []byte { return number(b, 1, 0) }))
@@ -434,79 +434,79 @@
 	assert.Contains(t, last.Reason, "cursors")
 }
 
-func TestLoginsThatCanNotBe(t *testing.T) {
-	for name, change := range map[string]func(k *talk){
-		"password": func(k *talk) { k.engine.access.Password = "other" },
-		"database": func(k *talk) { k.engine.access.Database = "nowhere" }} {
-		k := newTalk(t)
+func TestLoginFailures(t *testing.T) {
+	for name, change := range map[string]func(k *connectedPair){
+		"password": func(k *connectedPair) { k.engine.config.Password = "other" },
+		"database": func(k *connectedPair) { k.engine.config.Database = "nowhere" }} {
+		k := newPair(t)
 		change(k)
 		k.engine.Open(k.toSession)
 		k.run()
-		assert.ErrorIs(t, k.engErr, traffic.ErrLogin, name)
+		assert.ErrorIs(t, k.engineErr, traffic.ErrLogin, name)
 		assert.Error(t, k.sessionErr, name)
 	}
-	k := newTalk(t) // insists on encryption, and goes on in spite of the answer
-	message(k.toSession, packetPrelogin, 0, firstPacket, appendPrelogin(nil, prelogin{encryption: encryptOn}))
+	k := newPair(t) // insists on encryption, and goes on in spite of the answer
+	writeMessage(k.toSession, packetPrelogin, 0, defaultPacketSize, appendPrelogin(nil, prelogin{encryption: encryptOn}))
 	k.run()
-	message(k.toSession, packetLogin, 0, firstPacket, appendLogin(login{user: "ann", password: "pässword"}))
+	writeMessage(k.toSession, packetLogin7, 0, defaultPacketSize, appendLogin(login{user: "ann", password: "pässword"}))
 	k.run()
 	assert.ErrorContains(t, k.sessionErr, "encrypt")
 }
 
 // What can't be read ends the connection at most, and says so where anything can be said.
-func TestBytesThatAreNoTDS(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	bad := []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x01\x00\x03\x00\x00\x01\x00", "\x12\x01\xff\xff\x00\x00\x01\x00",
 		"\x01\x01\x00\x08\x00\x00\x01\x00", "\x12\x01\x00\x0d\x00\x00\x01\x00\x00\x00\xff\x00\x06"}
 	for _, text := range bad {
-		k := newTalk(t)
+		k := newPair(t)
 		k.toSession.WriteString(text)
 		k.run()
 		assert.Error(t, k.sessionErr, "%q", text)
 	}
-	k := newTalk(t).login()
-	k.ask("SELECT a")
-	message(k.toSession, packetBatch, 0, 600, appendUTF16(appendHeaders(nil), "SELECT b"))
+	k := newPair(t).login()
+	k.query("SELECT a")
+	writeMessage(k.toSession, packetBatch, 0, 600, appendUTF16(appendAllHeaders(nil), "SELECT b"))
 	k.run()
 	assert.ErrorContains(t, k.sessionErr, "before the one before")
-	k.session.Encode(k.toClint, traffic.ConnectionError{Reason: "it can't be read"})
+	k.session.Encode(k.toClient, traffic.ConnectionError{Reason: "it can't be read"})
 	k.run()
 	_, last := k.result()
 	assert.Contains(t, last.Reason, "it can't be read")
 }
 
-func TestAStatementThatIsTooLargeIsRefusedAndTheSessionGoesOn(t *testing.T) {
-	k := newTalk(t).login()
-	assert.Nil(t, k.ask("SELECT '"+strings.Repeat("x", mostMessage)+"'"))
+func TestOversizedStatementIsRefused(t *testing.T) {
+	k := newPair(t).login()
+	assert.Nil(t, k.query("SELECT '"+strings.Repeat("x", maxMessageSize)+"'"))
 	_, last := k.result()
 	assert.Contains(t, last.Reason, "more than")
-	assert.NotNil(t, k.ask("SELECT a"))
+	assert.NotNil(t, k.query("SELECT a"))
 }
 
 // An engine that sends a token without end is cut off at a bound.
-func TestATokenWithoutEndIsAnError(t *testing.T) {
-	k := newTalk(t).login()
-	k.engine.begin("q", false)
-	k.toClint.Write(append([]byte{4, 0, 0, 8 + 15, 0, 0, 1, 0}, 0x81, 1, 0, 0, 0, 0, 0, 1, 0, 0xA5, 0xFF, 0xFF, 1, 'b', 0))
-	k.toClint.Write(append([]byte{4, 0, 0, 8 + 9, 0, 0, 1, 0}, 0xD1, 0xFE, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF))
-	for sent := 0; sent < 2*mostToken && k.engErr == nil; sent += 30000 {
-		piece := append(u32(nil, 29988), make([]byte, 29988)...)
-		message(k.toClint, packetReply, 0, 30008, piece)
+func TestEndlessTokenIsAnError(t *testing.T) {
+	k := newPair(t).login()
+	k.engine.beginRequest("q", false)
+	k.toClient.Write(append([]byte{4, 0, 0, 8 + 15, 0, 0, 1, 0}, 0x81, 1, 0, 0, 0, 0, 0, 1, 0, 0xA5, 0xFF, 0xFF, 1, 'b', 0))
+	k.toClient.Write(append([]byte{4, 0, 0, 8 + 9, 0, 0, 1, 0}, 0xD1, 0xFE, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF))
+	for sent := 0; sent < 2*maxTokenSize && k.engineErr == nil; sent += 30000 {
+		piece := append(appendU32(nil, 29988), make([]byte, 29988)...)
+		writeMessage(k.toClient, packetTabularResult, 0, 30008, piece)
 		k.run()
 	}
-	assert.ErrorIs(t, k.engErr, ErrWire)
+	assert.ErrorIs(t, k.engineErr, ErrProtocol)
 }
 
-func TestAProbeBringsTheLoadByItsColumns(t *testing.T) {
-	k := newTalk(t).login()
+func TestProbeReadsLoadReportByColumnName(t *testing.T) {
+	k := newPair(t).login()
 	k.engine.Encode(k.toSession, traffic.Probe{Tag: "p1", WantLoad: true})
 	k.run()
 	part := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
 		{Name: "x0", Type: rows.Type{Kind: rows.Float64}}}, Data: k.pool.Chain()}
-	rows.Append(part.Data, u32(nil, 3))
+	rows.Append(part.Data, appendU32(nil, 3))
 	rows.Append(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
-	a := k.said[len(k.said)-1].(*traffic.BatchRequest)
-	k.tell(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
-	require.NoError(t, k.engErr)
+	a := k.events[len(k.events)-1].(*traffic.BatchRequest)
+	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
+	require.NoError(t, k.engineErr)
 	last := k.replies[len(k.replies)-1]
 	assert.Equal(t, traffic.ReplyHealthy, last.Kind)
 	assert.Equal(t, []float64{3, 0.25}, []float64{last.Load.Waiting, last.Load.Memory})
--- a/internal/tds/tokens.go
+++ b/internal/tds/tokens.go
@@ -9,46 +9,46 @@
 
 // The tokens of answers (2.2.7).
 const (
-	tokenReturnStatus = 0x79
-	tokenColumns      = 0x81
-	tokenTabName      = 0xA4
-	tokenColInfo      = 0xA5
-	tokenOrder        = 0xA9
-	tokenError        = 0xAA
-	tokenInfo         = 0xAB
-	tokenReturnValue  = 0xAC
-	tokenLoginAck     = 0xAD
-	tokenFeatures     = 0xAE
-	tokenRow          = 0xD1
-	tokenNullRow      = 0xD2
-	tokenEnvChange    = 0xE3
-	tokenSessionState = 0xE4
-	tokenSSPI         = 0xED
-	tokenFedAuth      = 0xEE
-	tokenDone         = 0xFD
-	tokenDoneProc     = 0xFE
-	tokenDoneInProc   = 0xFF
+	tokenReturnStatus  = 0x79
+	tokenColMetadata   = 0x81
+	tokenTabName       = 0xA4
+	tokenColInfo       = 0xA5
+	tokenOrder         = 0xA9
+	tokenError         = 0xAA
+	tokenInfo          = 0xAB
+	tokenReturnValue   = 0xAC
+	tokenLoginAck      = 0xAD
+	tokenFeatureExtAck = 0xAE
+	tokenRow           = 0xD1
+	tokenNBCRow        = 0xD2
+	tokenEnvChange     = 0xE3
+	tokenSessionState  = 0xE4
+	tokenSSPI          = 0xED
+	tokenFedAuthInfo   = 0xEE
+	tokenDone          = 0xFD
+	tokenDoneProc      = 0xFE
+	tokenDoneInProc    = 0xFF
 )
 
 // The status bits of a DONE.
 const (
-	doneMore      = 0x001
-	doneError     = 0x002
-	doneCount     = 0x010
-	doneAttention = 0x020
-	doneServer    = 0x100
+	doneMore        = 0x001
+	doneError       = 0x002
+	doneCount       = 0x010
+	doneAttention   = 0x020
+	doneServerError = 0x100
 )
 
 // The kinds of an ENVCHANGE.
 const (
-	envDatabase  = 1
-	envLanguage  = 2
-	envPacket    = 4
-	envCollation = 7
-	envReset     = 18
+	envDatabase        = 1
+	envLanguage        = 2
+	envPacketSize      = 4
+	envCollation       = 7
+	envResetConnection = 18
 )
 
-const noColumns = 0xFFFF
+const noMetadata = 0xFFFF
 
 // Message is an ERROR or an INFO.
 type Message struct {
@@ -59,8 +59,8 @@
 
 func (m Message) Error() string { return fmt.Sprintf("%s (%d)", m.Text, m.Number) }
 
-// done is a DONE of any kind.
-type done struct {
+// doneToken is a DONE of any kind.
+type doneToken struct {
 	kind   byte
 	status uint16
 	count  uint64
@@ -69,16 +69,16 @@
 // column is one as the wire names it.
 type column struct {
 	name string
-	wire
+	typeInfo
 }
 
-// columns reads COLMETADATA after its token.
-func (c *cursor) columns() []column {
+// colMetadata reads COLMETADATA after its token.
+func (c *cursor) colMetadata() []column {
 	n := c.u16()
-	if n == noColumns {
+	if n == noMetadata {
 		return []column{}
 	}
-	if n > mostColumns {
+	if n > maxColumns {
 		c.fail("%d columns", n)
 		return nil
 	}
@@ -86,7 +86,7 @@
 	for range n {
 		c.take(4 + 2) // the user's type and flags
 		w := c.typeInfo()
-		name := c.short()
+		name := c.bVarChar()
 		if c.err != nil {
 			return nil
 		}
@@ -95,34 +95,34 @@
 	return out
 }
 
-// message reads an ERROR or an INFO after its token.
-func (c *cursor) message() (m Message) {
-	body := cursor{b: c.take(int(c.u16()))}
+// readMessage reads an ERROR or an INFO after its token.
+func (c *cursor) readMessage() (m Message) {
+	body := cursor{buf: c.take(int(c.u16()))}
 	if c.err != nil {
 		return m
 	}
-	m.Number, m.State, m.Class, m.Text = int32(body.u32()), body.u8(), body.u8(), body.long()
+	m.Number, m.State, m.Class, m.Text = int32(body.u32()), body.u8(), body.u8(), body.usVarChar()
 	if body.err != nil {
 		c.fail("a message that does not hold what it says")
 	}
 	return m
 }
 
-func (c *cursor) done(kind byte) done {
-	d := done{kind: kind, status: c.u16()}
+func (c *cursor) done(kind byte) doneToken {
+	d := doneToken{kind: kind, status: c.u16()}
 	c.u16()
 	d.count = c.u64()
 	return d
 }
 
-// features passes over FEATUREEXTACK.
-func (c *cursor) features() {
+// skipFeatureExtAck passes over FEATUREEXTACK.
+func (c *cursor) skipFeatureExtAck() {
 	for c.err == nil {
 		if c.u8() == 0xFF {
 			return
 		}
 		n := c.u32()
-		if n > mostToken {
+		if n > maxTokenSize {
 			c.fail("feature of %d bytes", n)
 		}
 		c.take(int(n))
@@ -133,29 +133,29 @@
 
 func appendMessage(out []byte, token byte, m Message, server string) []byte {
 	at := len(out)
-	out = append(u32(append(out, token, 0, 0), uint32(m.Number)), m.State, m.Class)
-	out = shortText(longText(out, m.Text), server)
-	out = u32(append(out, 0), 1) // no procedure; line 1
+	out = append(appendU32(append(out, token, 0, 0), uint32(m.Number)), m.State, m.Class)
+	out = appendBVarChar(appendUSVarChar(out, m.Text), server)
+	out = appendU32(append(out, 0), 1) // no procedure; line 1
 	binary.LittleEndian.PutUint16(out[at+1:], uint16(len(out)-at-3))
 	return out
 }
 
 func appendDone(out []byte, kind byte, status int, count uint64) []byte {
-	return binary.LittleEndian.AppendUint64(u16(u16(append(out, kind), status), 0), count)
+	return binary.LittleEndian.AppendUint64(appendU16(appendU16(append(out, kind), status), 0), count)
 }
 
-func appendEnv(out []byte, kind byte, now, before string) []byte {
+func appendEnvChange(out []byte, kind byte, now, before string) []byte {
 	at := len(out)
-	out = shortText(shortText(append(out, tokenEnvChange, 0, 0, kind), now), before)
+	out = appendBVarChar(appendBVarChar(append(out, tokenEnvChange, 0, 0, kind), now), before)
 	binary.LittleEndian.PutUint16(out[at+1:], uint16(len(out)-at-3))
 	return out
 }
 
-func appendColumns(out []byte, all []rows.Column) []byte {
-	out = u16(append(out, tokenColumns), len(all))
+func appendColMetadata(out []byte, all []rows.Column) []byte {
+	out = appendU16(append(out, tokenColMetadata), len(all))
 	for _, c := range all {
 		out = append(out, 0, 0, 0, 0, 1, 0) // may be without a value
-		out = shortText(appendType(out, c.Type), clip(c.Name, mostName))
+		out = appendBVarChar(appendType(out, c.Type), truncateUTF16(c.Name, maxColumnName))
 	}
 	return out
 }
@@ -175,7 +175,7 @@
 		}
 		return out
 	}
-	out = append(out, tokenNullRow)
+	out = append(out, tokenNBCRow)
 	at := len(out)
 	out = append(out, make([]byte, (len(row)+7)/8)...)
 	for i, v := range row {
