--- a/internal/torture/budgets.go
+++ b/internal/torture/budgets.go
@@ -20,23 +20,23 @@
 	Rule   int
 	Window time.Duration
 	// Of tells what a run takes, and of which budget of this kind; 0: nothing.
-	Of func(c *runsCheck, r standin.Run) (of string, amount float64)
+	Charge func(c *dispatchChecker, r standin.Run) (of string, amount float64)
 	// All are those of this kind that there were.
-	All func(c *runsCheck) []string
+	Instances func(c *dispatchChecker) []string
 	// Whole is what may be used within the window that ends at a time. Below 0: it does not count then.
-	Whole func(c *runsCheck, of string, at time.Duration) float64
+	Limit func(c *dispatchChecker, of string, at time.Duration) float64
 }
 
-// budgetList has all that the fleet shares. What is here is also measured: Use.
-var budgetList = []Budget{
+// budgetKinds has all that the fleet shares. What is here is also measured: Use.
+var budgetKinds = []Budget{
 	{Name: "cold work", Unit: "s of work", Rule: 4, Window: fallTime,
-		Of: func(c *runsCheck, r standin.Run) (string, float64) {
-			if c.bears(r.Engine, c.at(r)) < 0 || c.late(r) {
+		Charge: func(c *dispatchChecker, r standin.Run) (string, float64) {
+			if c.coldCapacity(r.Engine, c.at(r)) < 0 || c.maybeDelayed(r) {
 				return "", 0
 			}
 			return r.Engine, r.Step.After.Seconds()
 		},
-		All: func(c *runsCheck) (out []string) {
+		Instances: func(c *dispatchChecker) (out []string) {
 			for name, e := range c.Engines {
 				if !e.Started.IsZero() {
 					out = append(out, name)
@@ -45,124 +45,124 @@
 			slices.Sort(out)
 			return out
 		},
-		Whole: (*runsCheck).bears},
-	{Name: "free further dispatches of look-ups", Unit: "dispatches", Rule: 7, Window: freeWindow,
-		Of: func(c *runsCheck, r standin.Run) (string, float64) {
-			if c.Limited && r.Group == "lookup" && c.further(r) && !c.late(r) {
+		Limit: (*dispatchChecker).coldCapacity},
+	{Name: "free further dispatches of look-ups", Unit: "dispatches", Rule: 7, Window: fleetFreeRetryWindow,
+		Charge: func(c *dispatchChecker, r standin.Run) (string, float64) {
+			if c.SharedLimits && r.Group == "lookup" && c.isRetry(r) && !c.maybeDelayed(r) {
 				return "the fleet", 1
 			}
 			return "", 0
 		},
-		All: func(c *runsCheck) []string {
-			if c.Limited {
+		Instances: func(c *dispatchChecker) []string {
+			if c.SharedLimits {
 				return []string{"the fleet"}
 			}
 			return nil
 		},
-		Whole: func(*runsCheck, string, time.Duration) float64 { return freeOfAll }},
-	{Name: "further dispatches", Unit: "dispatches", Rule: 7, Window: lookBack,
-		Of: func(c *runsCheck, r standin.Run) (string, float64) {
-			if len(c.Routers) > 1 && c.further(r) && !c.late(r) {
+		Limit: func(*dispatchChecker, string, time.Duration) float64 { return fleetFreeRetries }},
+	{Name: "further dispatches", Unit: "dispatches", Rule: 7, Window: retryWindow,
+		Charge: func(c *dispatchChecker, r standin.Run) (string, float64) {
+			if len(c.Routers) > 1 && c.isRetry(r) && !c.maybeDelayed(r) {
 				return "the fleet", 1
 			}
 			return "", 0
 		},
-		All: func(*runsCheck) []string { return []string{"the fleet"} },
-		Whole: func(c *runsCheck, _ string, at time.Duration) float64 {
+		Instances: func(*dispatchChecker) []string { return []string{"the fleet"} },
+		Limit: func(c *dispatchChecker, _ string, at time.Duration) float64 {
 			sum := 0.0
 			for i := range c.Routers {
-				sum += c.mayFurther(i, at)
+				sum += c.retryLimit(i, at)
 			}
 			return sum
 		}},
-	{Name: "further dispatches", Unit: "dispatches", Rule: 7, Window: lookBack,
-		Of: func(c *runsCheck, r standin.Run) (string, float64) {
-			if c.further(r) && !c.late(r) {
-				return c.start(c.router(r), c.life(c.router(r), c.at(r))), 1
+	{Name: "further dispatches", Unit: "dispatches", Rule: 7, Window: retryWindow,
+		Charge: func(c *dispatchChecker, r standin.Run) (string, float64) {
+			if c.isRetry(r) && !c.maybeDelayed(r) {
+				return c.startName(c.router(r), c.incarnation(c.router(r), c.at(r))), 1
 			}
 			return "", 0
 		},
-		All: func(*runsCheck) []string { return nil },
-		Whole: func(c *runsCheck, of string, at time.Duration) float64 {
-			return c.mayFurther(c.starts[of], at)
+		Instances: func(*dispatchChecker) []string { return nil },
+		Limit: func(c *dispatchChecker, of string, at time.Duration) float64 {
+			return c.retryLimit(c.routerByStart[of], at)
 		}},
 }
 
-// start names a start of a router, and remembers whose it is.
-func (c *runsCheck) start(router, life int) string {
+// startName names a start of a router, and remembers whose it is.
+func (c *dispatchChecker) startName(router, life int) string {
 	name := fmt.Sprintf("%s, start %d", c.Routers[router].Name, life)
-	c.starts[name] = router
+	c.routerByStart[name] = router
 	return name
 }
 
-// divided is the share of what an engine bears at its start that routers divide, by number or by talk, and a tenth for what
+// dividedFraction is the share of what an engine bears at its start that routers divide, by number or by talk, and a tenth for what
 // clients tell only nearly right.
-const divided = 0.77 * 1.1
+const dividedFraction = 0.77 * 1.1
 
-// bears is the work that a cold engine bears within a fall time; below 0: it is not cold. What its pace is between its start
+// coldCapacity is the work that a cold engine bears within a fall time; below 0: it is not cold. What its pace is between its start
 // and warmth is not disclosed; a straight line is what this fleet does. Several routers are held to what it bears at its start,
 // all the time: that is the whole which they divide. By the line, three starts that each forgot the one before came to 0.81 to
 // 0.94 of it, and were no finding in four hunts.
-func (c *runsCheck) bears(engine string, at time.Duration) float64 {
+func (c *dispatchChecker) coldCapacity(engine string, at time.Duration) float64 {
 	e := c.Engines[engine]
 	age := at - e.Started.Sub(c.Began)
 	if e.Started.IsZero() || age < 0 || age > coldTime {
 		return -1
 	}
-	pace := coldFrom + (1-coldFrom)*age.Seconds()/coldTime.Seconds()
+	pace := coldFraction + (1-coldFraction)*age.Seconds()/coldTime.Seconds()
 	if len(c.Routers) > 1 {
-		pace = coldFrom * divided
+		pace = coldFraction * dividedFraction
 	}
 	return fallMultiple * pace * cores * fallTime.Seconds()
 }
 
-// further: it is not its batch's first dispatch.
-func (c *runsCheck) further(r standin.Run) bool {
-	if c.firsts == nil {
-		c.firsts = map[string]time.Time{}
+// isRetry: it is not its batch's first dispatch.
+func (c *dispatchChecker) isRetry(r standin.Run) bool {
+	if c.firstDispatch == nil {
+		c.firstDispatch = map[string]time.Time{}
 		for _, one := range c.runs {
-			if _, seen := c.firsts[one.ID]; !seen {
-				c.firsts[one.ID] = one.Began
+			if _, seen := c.firstDispatch[one.ID]; !seen {
+				c.firstDispatch[one.ID] = one.Began
 			}
 		}
 	}
-	return c.firsts[r.ID].Before(r.Began)
+	return c.firstDispatch[r.ID].Before(r.Began)
 }
 
-// mayFurther is what a router may send again within the look-back. It counts at its own times, so batches of a standstill
+// retryLimit is what a router may send again within the look-back. It counts at its own times, so batches of a standstill
 // before count here too.
-func (c *runsCheck) mayFurther(router int, at time.Duration) float64 {
-	if c.taken == nil {
-		c.taken = make([][]time.Duration, len(c.Routers))
+func (c *dispatchChecker) retryLimit(router int, at time.Duration) float64 {
+	if c.received == nil {
+		c.received = make([][]time.Duration, len(c.Routers))
 		for _, b := range c.Batches {
-			c.taken[b.Router] = append(c.taken[b.Router], b.Wrote)
+			c.received[b.Router] = append(c.received[b.Router], b.WriteBegan)
 		}
-		for _, t := range c.taken {
+		for _, t := range c.received {
 			slices.Sort(t)
 		}
 	}
-	t := c.taken[router]
+	t := c.received[router]
 	n := sort.Search(len(t), func(i int) bool { return t[i] > at })
-	return freeFurther + 1 + furtherShare*float64(n-sort.Search(n, func(i int) bool { return t[i] > at-lookBack-2*standstill }))
+	return freeRetries + 1 + retryRatio*float64(n-sort.Search(n, func(i int) bool { return t[i] > at-retryWindow-2*maxPause }))
 }
 
-// budgets holds what was done to each line of the list.
-func (c *runsCheck) budgets() {
-	for _, b := range budgetList {
+// checkBudgets holds what was done to each line of the list.
+func (c *dispatchChecker) checkBudgets() {
+	for _, b := range budgetKinds {
 		told := map[string]bool{}
-		c.walk(b, func(r standin.Run, of string, parts []part, used, whole float64) {
+		c.forEachCharge(b, func(r standin.Run, of string, parts []charge, used, whole float64) {
 			if used > whole && !told[of] {
 				told[of] = true
-				c.found(b.Rule, r, "%s of %s: %.2f %s within %s, and %.2f is the whole; of %s", b.Name, of, used, b.Unit, b.Window, whole, c.whose(parts))
+				c.found(b.Rule, r, "%s of %s: %.2f %s within %s, and %.2f is the whole; of %s", b.Name, of, used, b.Unit, b.Window, whole, c.describeSpenders(parts))
 			}
 		})
 	}
 }
 
-// atOnce holds what reports run at once, over all engines, to what all routers together may have out. Their end is known where an
+// checkConcurrency holds what reports run at once, over all engines, to what all routers together may have out. Their end is known where an
 // engine ended them itself: what was given up was over for its router before, and is left out, as is what came late.
-func (c *runsCheck) atOnce() {
-	if !c.Limited {
+func (c *dispatchChecker) checkConcurrency() {
+	if !c.SharedLimits {
 		return
 	}
 	type moment struct {
@@ -172,51 +172,51 @@
 	}
 	var moments []moment
 	for _, r := range c.runs {
-		if r.Group != "report" || r.Step.Action == standin.Reject || r.Canceled || r.Ended.IsZero() || c.unfair(r, c.at(r)-wayWithin, r.Ended.Sub(c.Began)) {
+		if r.Group != "report" || r.Step.Action == standin.Reject || r.Canceled || r.Ended.IsZero() || c.linkFaulty(r, c.at(r)-maxTransit, r.Ended.Sub(c.Began)) {
 			continue
 		}
 		moments = append(moments, moment{r.Began, true, r}, moment{r.Ended, false, r})
 	}
 	slices.SortStableFunc(moments, func(a, b moment) int { return a.at.Compare(b.at) })
-	out, told := map[string]part{}, false
+	out, told := map[string]charge{}, false
 	for _, m := range moments {
 		of := m.run.Engine + " " + m.run.ID
 		if !m.begin {
 			delete(out, of)
 			continue
 		}
-		out[of] = part{c.at(m.run), 1, m.run}
-		if len(out) > c.most {
-			c.most = len(out)
+		out[of] = charge{c.at(m.run), 1, m.run}
+		if len(out) > c.maxConcurrent {
+			c.maxConcurrent = len(out)
 		}
-		if len(out) > reportsOut && !told {
+		if len(out) > maxConcurrentReports && !told {
 			told = true
-			parts := slices.SortedFunc(maps.Values(out), func(a, b part) int { return cmp.Compare(a.at, b.at) })
-			c.found(7, m.run, "%d reports run at once, and %d may be out of all routers; of %s", len(out), reportsOut, c.whose(parts))
+			parts := slices.SortedFunc(maps.Values(out), func(a, b charge) int { return cmp.Compare(a.at, b.at) })
+			c.found(7, m.run, "%d reports run at once, and %d may be out of all routers; of %s", len(out), maxConcurrentReports, c.describeSpenders(parts))
 		}
 	}
 }
 
-// AtOnce is how many reports ran at once, at the most.
-func (r *Result) AtOnce() int {
-	c := newRunsCheck(r)
-	c.atOnce()
-	return c.most
+// MaxConcurrentReports is how many reports ran at once, at the most.
+func (r *Result) MaxConcurrentReports() int {
+	c := newDispatchChecker(r)
+	c.checkConcurrency()
+	return c.maxConcurrent
 }
 
-// part is what one run took of a budget.
-type part struct {
+// charge is what one run took of a budget.
+type charge struct {
 	at     time.Duration
 	amount float64
 	run    standin.Run
 }
 
-// whose tells which starts of routers took how much, and over which time.
-func (c *runsCheck) whose(parts []part) string {
+// describeSpenders tells which starts of routers took how much, and over which time.
+func (c *dispatchChecker) describeSpenders(parts []charge) string {
 	sums, batches := map[string]float64{}, map[string]int{}
 	for _, p := range parts {
 		router := c.router(p.run)
-		of := c.start(router, c.life(router, p.at))
+		of := c.startName(router, c.incarnation(router, p.at))
 		sums[of], batches[of] = sums[of]+p.amount, batches[of]+1
 	}
 	var out []string
@@ -226,53 +226,53 @@
 	return fmt.Sprintf("%s, from %.3f to %.3f s", strings.Join(out, "; "), parts[0].at.Seconds(), parts[len(parts)-1].at.Seconds())
 }
 
-// walk sums each budget of a kind over its window, run by run.
-func (c *runsCheck) walk(b Budget, do func(r standin.Run, of string, parts []part, used, whole float64)) {
-	parts, sums := map[string][]part{}, map[string]float64{}
+// forEachCharge sums each budget of a kind over its window, run by run.
+func (c *dispatchChecker) forEachCharge(b Budget, do func(r standin.Run, of string, parts []charge, used, whole float64)) {
+	parts, sums := map[string][]charge{}, map[string]float64{}
 	for _, r := range c.runs {
-		of, amount := b.Of(c, r)
+		of, amount := b.Charge(c, r)
 		if amount <= 0 {
 			continue
 		}
 		at := c.at(r)
-		parts[of], sums[of] = append(parts[of], part{at, amount, r}), sums[of]+amount
+		parts[of], sums[of] = append(parts[of], charge{at, amount, r}), sums[of]+amount
 		for parts[of][0].at < at-b.Window {
 			sums[of] -= parts[of][0].amount
 			parts[of] = parts[of][1:]
 		}
-		if whole := b.Whole(c, of, at); whole >= 0 {
+		if whole := b.Limit(c, of, at); whole >= 0 {
 			do(r, of, parts[of], sums[of], whole)
 		}
 	}
 }
 
-// Use is how much of a kind of budget was used.
-type Use struct {
+// Usage is how much of a kind of budget was used.
+type Usage struct {
 	Name       string
-	Mean, Most float64 // of the whole: over all windows that were looked at, and in the fullest
-	Alive      float64 // mean while all routers ran, and
-	Dead       float64 // while some did not
+	Mean, Max  float64 // of the whole: over all windows that were looked at, and in the fullest
+	AllRunning float64 // mean while all routers ran, and
+	SomeDown   float64 // while some did not
 	Windows    int
 }
 
-const lookEvery = 100 * time.Millisecond
+const usageInterval = 100 * time.Millisecond
 
-// Uses measures each line of the list: what of it was used in windows that end each tenth of a second.
-func (r *Result) Uses() (out []Use) {
-	c := newRunsCheck(r)
-	for _, b := range budgetList {
-		of := b.All(c)
-		u := Use{Name: b.Name}
-		parts := map[string][]part{}
+// Usages measures each line of the list: what of it was used in windows that end each tenth of a second.
+func (r *Result) Usages() (out []Usage) {
+	c := newDispatchChecker(r)
+	for _, b := range budgetKinds {
+		of := b.Instances(c)
+		u := Usage{Name: b.Name}
+		parts := map[string][]charge{}
 		for _, run := range c.runs {
-			if of, amount := b.Of(c, run); amount > 0 {
-				parts[of] = append(parts[of], part{c.at(run), amount, run})
+			if of, amount := b.Charge(c, run); amount > 0 {
+				parts[of] = append(parts[of], charge{c.at(run), amount, run})
 			}
 		}
 		alive, dead := 0, 0
-		for at := b.Window; at <= r.Long; at += lookEvery {
+		for at := b.Window; at <= r.Duration; at += usageInterval {
 			for _, of := range of {
-				whole := b.Whole(c, of, at)
+				whole := b.Limit(c, of, at)
 				if whole < 0 {
 					continue
 				}
@@ -283,41 +283,41 @@
 					}
 				}
 				share := used / whole
-				u.Windows, u.Mean, u.Most = u.Windows+1, u.Mean+share, max(u.Most, share)
-				if r.running(at) == len(r.Routers) {
-					alive, u.Alive = alive+1, u.Alive+share
+				u.Windows, u.Mean, u.Max = u.Windows+1, u.Mean+share, max(u.Max, share)
+				if r.runningRouters(at) == len(r.Routers) {
+					alive, u.AllRunning = alive+1, u.AllRunning+share
 				} else {
-					dead, u.Dead = dead+1, u.Dead+share
+					dead, u.SomeDown = dead+1, u.SomeDown+share
 				}
 			}
 		}
 		u.Mean /= float64(max(u.Windows, 1))
-		u.Alive /= float64(max(alive, 1))
-		u.Dead /= float64(max(dead, 1))
+		u.AllRunning /= float64(max(alive, 1))
+		u.SomeDown /= float64(max(dead, 1))
 		out = append(out, u)
 	}
 	return out
 }
 
-// running counts the routers of which a process ran at a time.
-func (r *Result) running(at time.Duration) (n int) {
+// runningRouters counts the routers of which a process ran at a time.
+func (r *Result) runningRouters(at time.Duration) (n int) {
 	for _, one := range r.Routers {
-		if slices.ContainsFunc(one.Lives, func(l Life) bool { return l.Began <= at && (l.Ended == 0 || l.Ended > at) }) {
+		if slices.ContainsFunc(one.Incarnations, func(l Incarnation) bool { return l.Began <= at && (l.Ended == 0 || l.Ended > at) }) {
 			n++
 		}
 	}
 	return n
 }
 
-// Probing is what engines bore of probes.
-type Probing struct {
-	Longest time.Duration // that an engine which was there went unprobed
-	Mean    float64       // probes a second of an engine
-	Most    int           // of an engine within a second
+// ProbeStats is what engines bore of probes.
+type ProbeStats struct {
+	LongestGap   time.Duration // that an engine which was there went unprobed
+	Mean         float64       // probes a second of an engine
+	MaxPerSecond int           // of an engine within a second
 }
 
-// Probing measures them, of engines that were there for a while.
-func (r *Result) Probing() (out Probing) {
+// ProbeStats measures them, of engines that were there for a while.
+func (r *Result) ProbeStats() (out ProbeStats) {
 	const settled = 2 * time.Second
 	by := map[string][]time.Duration{}
 	for _, p := range r.Probes {
@@ -332,11 +332,11 @@
 		}
 		count, seconds = count+len(times), seconds+(last-first).Seconds()
 		for i, at := range times {
-			if i > 0 && at < r.Long {
-				out.Longest = max(out.Longest, at-times[i-1])
+			if i > 0 && at < r.Duration {
+				out.LongestGap = max(out.LongestGap, at-times[i-1])
 			}
 			n, _ := slices.BinarySearchFunc(times, at+time.Second, func(a, b time.Duration) int { return cmp.Compare(a, b) })
-			out.Most = max(out.Most, n-i)
+			out.MaxPerSecond = max(out.MaxPerSecond, n-i)
 		}
 	}
 	if seconds > 0 {
--- a/internal/torture/cmd/main.go
+++ b/internal/torture/cmd/main.go
@@ -23,36 +23,36 @@
 )
 
 type options struct {
-	first, seeds uint64
-	long         time.Duration
-	clients      int
-	beside       int
-	folder, root string
-	only         string
-	routers      int
-	older        string
-	talk, shares bool
-	limits       bool
-	firm         float64
-	soak, debug  bool
+	first, seeds               uint64
+	duration                   time.Duration
+	clients                    int
+	concurrency                int
+	folder, root               string
+	only                       string
+	routers                    int
+	olderCommit                string
+	peerMessaging, quotaShares bool
+	sharedLimits               bool
+	firmShare                  float64
+	soak, debug                bool
 }
 
 func main() {
 	var o options
 	flag.Uint64Var(&o.first, "first", 1, "first seed")
 	flag.Uint64Var(&o.seeds, "seeds", 10, "how many; of each defect, how many at the most")
-	flag.DurationVar(&o.long, "long", 10*time.Second, "of each play")
+	flag.DurationVar(&o.duration, "long", 10*time.Second, "of each play")
 	flag.IntVar(&o.clients, "clients", 0, "at once; 0: as many as the rig usually has")
-	flag.IntVar(&o.beside, "beside", 1, "plays beside each other")
+	flag.IntVar(&o.concurrency, "beside", 1, "plays beside each other")
 	flag.StringVar(&o.folder, "out", "", "folder for logs; empty: one that is removed, unless something was found")
 	flag.StringVar(&o.root, "root", ".", "of the repository")
 	flag.StringVar(&o.only, "only", "", "of the defects, those whose name has this in it")
 	flag.IntVar(&o.routers, "routers", 1, "before the same engines")
-	flag.StringVar(&o.older, "older", "", "a commit whose program some of several routers run for a while")
-	flag.BoolVar(&o.talk, "talk", false, "several routers talk to each other")
-	flag.BoolVar(&o.shares, "shares", false, "and divide what a cold engine bears by that")
-	flag.BoolVar(&o.limits, "limits", false, "and free further dispatches and what may be out, too")
-	flag.Float64Var(&o.firm, "firm", 0.1, "share of that which stays with each")
+	flag.StringVar(&o.olderCommit, "older", "", "a commit whose program some of several routers run for a while")
+	flag.BoolVar(&o.peerMessaging, "talk", false, "several routers talk to each other")
+	flag.BoolVar(&o.quotaShares, "shares", false, "and divide what a cold engine bears by that")
+	flag.BoolVar(&o.sharedLimits, "limits", false, "and free further dispatches and what may be out, too")
+	flag.Float64Var(&o.firmShare, "firm", 0.1, "share of that which stays with each")
 	flag.BoolVar(&o.soak, "soak", false, "system calls fail too, faults overlap, clients go on until a kill; for 10 to 40 routers")
 	flag.BoolVar(&o.debug, "debug", false, "routers log every request")
 	measure := flag.Bool("measure", false, "no script: service and use of budgets by 2 to 12 routers, with none and half of them killed")
@@ -74,11 +74,11 @@
 	}
 	var err error
 	if defects {
-		err = o.hunt()
+		err = o.findDefects()
 	} else if measure {
 		err = o.measure()
 	} else {
-		err = o.sound()
+		err = o.runSeeds()
 	}
 	if err != nil {
 		return fmt.Errorf("%w; logs in %s", err, o.folder)
@@ -103,7 +103,7 @@
 // buildOlder builds the program of a commit.
 func (o options) buildOlder() (string, error) {
 	tree, program := filepath.Join(o.folder, "older"), filepath.Join(o.folder, "pitchfield-older")
-	for _, words := range [][]string{{"git", "worktree", "add", "--detach", tree, o.older}, {"go", "build", "-C", tree, "-o", program, "./cmd/pitchfield"},
+	for _, words := range [][]string{{"git", "worktree", "add", "--detach", tree, o.olderCommit}, {"go", "build", "-C", tree, "-o", program, "./cmd/pitchfield"},
 		{"git", "worktree", "remove", "--force", tree}} {
 		c := exec.Command(words[0], words[1:]...)
 		c.Dir = o.root
@@ -123,34 +123,34 @@
 	fmt.Println("routers  killed  returned  pushed back  errored  dispatches a batch  cold budget used: mean  most  all alive  some dead  probes a second  longest without")
 	for _, routers := range []int{2, 4, 8, 12} {
 		for _, killed := range []bool{false, true} {
-			var sum torture.Figures
+			var sum torture.Summary
 			for i := range o.seeds {
-				r, err := torture.Run(torture.Options{Program: program, Seed: o.first + i, Long: o.long, Clients: o.clients, Folder: o.folder, Routers: routers, Talk: o.talk, Shares: o.shares, Limits: o.limits, Firm: o.firm,
-					Steps: torture.Replacements(o.long, routers, killed)})
+				r, err := torture.Run(torture.Options{Program: program, Seed: o.first + i, Duration: o.duration, Clients: o.clients, Folder: o.folder, Routers: routers, PeerMessaging: o.peerMessaging, QuotaShares: o.quotaShares, SharedLimits: o.sharedLimits, FirmShare: o.firmShare,
+					Steps: torture.ReplacementScript(o.duration, routers, killed)})
 				if err != nil {
 					return err
 				}
 				if len(r.Findings) > 0 {
-					tell(r)
+					printFindings(r)
 				}
-				sum.Add(r.Figures())
+				sum.Add(r.Summary())
 			}
 			f := sum.Mean()
-			fmt.Printf("%7d  %6t  %8.3f  %11.3f  %7.3f  %18.2f  %22.2f  %4.2f  %9.2f  %9.2f  %15.2f  %15.2f\n", routers, killed, f.Returned, f.Pushed,
-				f.Errored, f.Dispatches, f.Cold.Mean, f.Cold.Most, f.Cold.Alive, f.Cold.Dead, f.Probing.Mean, f.Probing.Longest.Seconds())
+			fmt.Printf("%7d  %6t  %8.3f  %11.3f  %7.3f  %18.2f  %22.2f  %4.2f  %9.2f  %9.2f  %15.2f  %15.2f\n", routers, killed, f.Returned, f.Rejected,
+				f.Errored, f.Dispatches, f.ColdBudget.Mean, f.ColdBudget.Max, f.ColdBudget.AllRunning, f.ColdBudget.SomeDown, f.Probes.Mean, f.Probes.LongestGap.Seconds())
 		}
 	}
 	return nil
 }
 
-// sound plays all seeds of the program as it stands.
-func (o options) sound() error {
+// runSeeds plays all seeds of the program as it stands.
+func (o options) runSeeds() error {
 	program, err := o.build()
 	if err != nil {
 		return err
 	}
 	older := ""
-	if o.older != "" {
+	if o.olderCommit != "" {
 		if older, err = o.buildOlder(); err != nil {
 			return err
 		}
@@ -158,9 +158,9 @@
 	var mutex sync.Mutex
 	broken, batches, excused := 0, 0, 0
 	var failure error
-	parallel.Each(o.beside, int(o.seeds), func(i int) {
-		r, err := torture.Run(torture.Options{Program: program, Older: older, Seed: o.first + uint64(i), Long: o.long, Clients: o.clients, Folder: o.folder,
-			Routers: o.routers, Talk: o.talk, Shares: o.shares, Limits: o.limits, Firm: o.firm, Soak: o.soak, Debug: o.debug})
+	parallel.Each(o.concurrency, int(o.seeds), func(i int) {
+		r, err := torture.Run(torture.Options{Program: program, OlderProgram: older, Seed: o.first + uint64(i), Duration: o.duration, Clients: o.clients, Folder: o.folder,
+			Routers: o.routers, PeerMessaging: o.peerMessaging, QuotaShares: o.quotaShares, SharedLimits: o.sharedLimits, FirmShare: o.firmShare, Soak: o.soak, Debug: o.debug})
 		mutex.Lock()
 		defer mutex.Unlock()
 		if err != nil {
@@ -168,17 +168,17 @@
 			return
 		}
 		batches += len(r.Batches)
-		fmt.Printf("seed %d: %s, %d findings; cold budget used %.2f at the most", r.Seed, r.Counts(), len(r.Findings), r.Uses()[0].Most)
-		if o.limits {
-			fmt.Printf(", free further dispatches %.2f, reports at once %d", r.Uses()[1].Most, r.AtOnce())
+		fmt.Printf("seed %d: %s, %d findings; cold budget used %.2f at the most", r.Seed, r.Counts(), len(r.Findings), r.Usages()[0].Max)
+		if o.sharedLimits {
+			fmt.Printf(", free further dispatches %.2f, reports at once %d", r.Usages()[1].Max, r.MaxConcurrentReports())
 		}
 		fmt.Println()
-		if !r.Played() {
+		if !r.Conclusive() {
 			excused++
 		}
 		if len(r.Findings) > 0 {
 			broken++
-			tell(r)
+			printFindings(r)
 		}
 	})
 	fmt.Printf("%d seeds, %d batches, %d seeds broke a rule, %d count as not played: over a tenth of their batches is excused\n", o.seeds, batches, broken, excused)
@@ -188,8 +188,8 @@
 	return failure
 }
 
-// tell prints the script, the findings, what happened on the connections and what the router said of the batches.
-func tell(r *torture.Result) {
+// printFindings prints the script, the findings, what happened on the connections and what the router said of the batches.
+func printFindings(r *torture.Result) {
 	for _, s := range r.Steps {
 		fmt.Println("   ", s)
 	}
@@ -202,14 +202,14 @@
 				fmt.Println("       ", h)
 			}
 		}
-		for _, l := range r.Said(f) {
+		for _, l := range r.LogLines(f) {
 			fmt.Println("        ", l)
 		}
 	}
 }
 
-// hunt looks for each defect until a seed finds it. A finding under another rule counts as well: it is told which.
-func (o options) hunt() error {
+// findDefects looks for each defect until a seed finds it. A finding under another rule counts as well: it is told which.
+func (o options) findDefects() error {
 	all, err := torture.Defects()
 	if err != nil {
 		return err
@@ -221,7 +221,7 @@
 		err     error
 	}
 	outcomes := make([]outcome, len(all))
-	parallel.Each(o.beside, len(all), func(i int) {
+	parallel.Each(o.concurrency, len(all), func(i int) {
 		d, out := all[i], &outcomes[i]
 		routers := 1
 		if d.Fleet {
@@ -233,8 +233,8 @@
 			out.err = d.Build(o.root, "./cmd/pitchfield", program)
 		}
 		for seed := o.first; seed < o.first+o.seeds && out.err == nil && out.finding == nil; seed++ {
-			r, err := torture.Run(torture.Options{Program: program, Seed: seed, Long: o.long, Clients: o.clients, Folder: folder,
-				Routers: routers, Talk: o.talk || d.Talk, Shares: o.shares || d.Shares, Limits: o.limits || d.Limits, Firm: cmp.Or(d.Firm, o.firm), Soak: o.soak || d.Soak})
+			r, err := torture.Run(torture.Options{Program: program, Seed: seed, Duration: o.duration, Clients: o.clients, Folder: folder,
+				Routers: routers, PeerMessaging: o.peerMessaging || d.Talk, QuotaShares: o.quotaShares || d.Shares, SharedLimits: o.sharedLimits || d.Limits, FirmShare: cmp.Or(d.Firm, o.firmShare), Soak: o.soak || d.Soak})
 			if out.err = err; err != nil {
 				break
 			}
--- a/internal/torture/terms.go
+++ b/internal/torture/terms.go
@@ -11,57 +11,57 @@
 
 // What the protocol's page lets a router do about times that a client and an engine can see.
 const (
-	afterEnd     = 100 * time.Millisecond // an attempt may begin so long after its client has cancelled or closed
-	overDeadline = 150 * time.Millisecond // the deadline passed on may be so much more than what the client has left
+	maxDispatchAfterEnd = 100 * time.Millisecond // an attempt may begin so long after its client has cancelled or closed
+	maxDeadlineExcess   = 150 * time.Millisecond // the deadline passed on may be so much more than what the client has left
 )
 
-// fair is what a bound may be passed by: the time in which the router stood still or its link was not fair, and in which our own
+// allowance is what a bound may be passed by: the time in which the router stood still or its link was not fair, and in which our own
 // machine gave the rig no turn.
-func (c *runsCheck) fair(r standin.Run, from, to time.Duration) time.Duration {
-	out := c.slack(r, from, to) - wayWithin
-	for _, s := range c.Lags {
-		out += s.within(from, to)
+func (c *dispatchChecker) allowance(r standin.Run, from, to time.Duration) time.Duration {
+	out := c.transitSlack(r, from, to) - maxTransit
+	for _, s := range c.RigStalls {
+		out += s.overlap(from, to)
 	}
 	return out
 }
 
-// came is when an attempt came to its engine, which may read it later.
-func (c *runsCheck) came(r standin.Run) time.Duration { return c.at(r) - r.ReadDelay }
+// arrival is when an attempt came to its engine, which may read it later.
+func (c *dispatchChecker) arrival(r standin.Run) time.Duration { return c.at(r) - r.ReadDelay }
 
-// ended: no attempt begins once its client has cancelled it or its connection has ended.
-func (c *runsCheck) ended() {
+// checkEndedClients: no attempt begins once its client has cancelled it or its connection has ended.
+func (c *dispatchChecker) checkEndedClients() {
 	for _, r := range c.runs {
-		b := c.by[r.ID]
-		if b == nil || c.late(r) {
+		b := c.batchByID[r.ID]
+		if b == nil || c.maybeDelayed(r) {
 			continue
 		}
-		end := b.Left
+		end := b.Cancelled
 		if end == 0 {
-			end = b.Ended
+			end = b.ConnectionEnded
 		}
-		if end > 0 && c.came(r) > end+afterEnd+c.fair(r, end, c.came(r)) {
-			c.found(1, r, "%s came to %s %.3f s after its client had gone", r.ID, r.Engine, (c.came(r) - end).Seconds())
+		if end > 0 && c.arrival(r) > end+maxDispatchAfterEnd+c.allowance(r, end, c.arrival(r)) {
+			c.found(1, r, "%s came to %s %.3f s after its client had gone", r.ID, r.Engine, (c.arrival(r) - end).Seconds())
 		}
 	}
 }
 
-// deadlines: an engine is told of no more time than the client has left, but for a little.
-func (c *runsCheck) deadlines() {
+// checkDeadlines: an engine is told of no more time than the client has left, but for a little.
+func (c *dispatchChecker) checkDeadlines() {
 	for _, r := range c.runs {
-		b := c.by[r.ID]
+		b := c.batchByID[r.ID]
 		if b == nil {
 			continue
 		}
-		left := b.Due - c.came(r)
-		if r.Budget > left+overDeadline+c.fair(r, b.Wrote, c.came(r)) {
+		left := b.Deadline - c.arrival(r)
+		if r.Budget > left+maxDeadlineExcess+c.allowance(r, b.WriteBegan, c.arrival(r)) {
 			c.found(1, r, "%s came to %s with a deadline in %.3f s, and its client had %.3f s left", r.ID, r.Engine, r.Budget.Seconds(), left.Seconds())
 		}
 	}
 }
 
-// alone: second copies are forbidden here, so no attempt of a request begins beside one that is out. One is out until its engine
+// checkNoOverlap: second copies are forbidden here, so no attempt of a request begins beside one that is out. One is out until its engine
 // has written its end, has read that it is given up, or has seen the end of its connection.
-func (c *runsCheck) alone() {
+func (c *dispatchChecker) checkNoOverlap() {
 	before := map[string][]standin.Run{}
 	for _, r := range c.runs {
 		for _, other := range before[r.ID] {
@@ -76,15 +76,15 @@
 }
 
 const (
-	lagEvery  = 10 * time.Millisecond // the rig looks how long a byte takes that goes through it
-	lagLeast  = 20 * time.Millisecond // one that takes so long is noted
-	lagParty  = "lag"                 // what links call both of its ends
-	lagWithin = 10 * time.Second
+	stallProbeInterval = 10 * time.Millisecond // the rig looks how long a byte takes that goes through it
+	minStall           = 20 * time.Millisecond // one that takes so long is noted
+	stallProbeEndpoint = "lag"                 // what links call both of its ends
+	stallProbeTimeout  = 10 * time.Second
 )
 
-// watchLag notes when the machine gave the rig no turn, until stopped: a byte goes there and back on a new connection, by a link
+// watchStalls notes when the machine gave the rig no turn, until stopped: a byte goes there and back on a new connection, by a link
 // like those between routers and engines where there are links. The list may be read once it returns.
-func (p *play) watchLag(stop <-chan struct{}) ([]Still, error) {
+func (p *scenario) watchStalls(stop <-chan struct{}) ([]Interval, error) {
 	echo, err := net.Listen("tcp", p.host+":0")
 	if err != nil {
 		return nil, fmt.Errorf("torture: %w", err)
@@ -104,38 +104,38 @@
 	}()
 	address := echo.Addr().String()
 	if p.fabric != nil {
-		link, err := p.fabric.Stream(p.host, lagParty, lagParty, address)
+		link, err := p.fabric.Stream(p.host, stallProbeEndpoint, stallProbeEndpoint, address)
 		if err != nil {
 			return nil, fmt.Errorf("torture: %w", err)
 		}
 		address = link.Addr().String()
 	}
-	var lags []Still
+	var lags []Interval
 	for {
 		began := p.since()
-		there(address)
-		if p.since() > began+lagLeast {
-			lags = append(lags, Still{began, p.since()})
+		roundTrip(address)
+		if p.since() > began+minStall {
+			lags = append(lags, Interval{began, p.since()})
 		}
 		select {
 		case <-stop:
 			return lags, nil
-		case <-time.After(lagEvery):
+		case <-time.After(stallProbeInterval):
 		}
-		if due := began + lagEvery + lagLeast; p.since() > due+lagLeast {
-			lags = append(lags, Still{due, p.since()})
+		if due := began + stallProbeInterval + minStall; p.since() > due+minStall {
+			lags = append(lags, Interval{due, p.since()})
 		}
 	}
 }
 
-// there sends a byte to an address and waits until it comes back, or can't.
-func there(address string) {
-	c, err := net.DialTimeout("tcp", address, lagWithin)
+// roundTrip sends a byte to an address and waits until it comes back, or can't.
+func roundTrip(address string) {
+	c, err := net.DialTimeout("tcp", address, stallProbeTimeout)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(lagWithin)) //nolint:errcheck
+	c.SetDeadline(time.Now().Add(stallProbeTimeout)) //nolint:errcheck
 	one := []byte{1}
 	if _, err := c.Write(one); err == nil {
 		io.ReadFull(c, one) //nolint:errcheck
--- a/internal/torture/torture_test.go
+++ b/internal/torture/torture_test.go
@@ -34,7 +34,7 @@
 func TestAHandfulOfSeedsBreaksNoRule(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ { // in turn: other packages' rigs want the machine too
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r, err := Run(Options{Program: program, Seed: seed, Long: 4 * time.Second, Clients: 12, Folder: t.TempDir()})
+			r, err := Run(Options{Program: program, Seed: seed, Duration: 4 * time.Second, Clients: 12, Folder: t.TempDir()})
 			require.NoError(t, err)
 			assert.Empty(t, r.Findings, "%s", r.Steps)
 			assert.Greater(t, len(r.Batches), 200)
@@ -47,10 +47,10 @@
 func TestAHandfulOfSeedsOfAFleetBreaksNoRule(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r, err := Run(Options{Program: program, Seed: seed, Long: 5 * time.Second, Clients: 12, Routers: 3, Folder: t.TempDir()})
+			r, err := Run(Options{Program: program, Seed: seed, Duration: 5 * time.Second, Clients: 12, Routers: 3, Folder: t.TempDir()})
 			require.NoError(t, err)
 			for _, f := range r.Findings {
-				t.Error(f, r.Said(f))
+				t.Error(f, r.LogLines(f))
 			}
 			assert.Greater(t, len(r.Batches), 200)
 			t.Log(r.Counts(), r.Steps)
@@ -59,13 +59,13 @@
 }
 
 // The same with talk: when nothing goes wrong any more they agree on who is there, and again after one has died.
-func TestRoutersThatTalkComeToAgree(t *testing.T) {
+func TestPeersAgreeOnMembers(t *testing.T) {
 	for seed := uint64(11); seed <= 13; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r, err := Run(Options{Program: program, Seed: seed, Long: 4 * time.Second, Clients: 8, Routers: 4, Talk: true, Folder: t.TempDir()})
+			r, err := Run(Options{Program: program, Seed: seed, Duration: 4 * time.Second, Clients: 8, Routers: 4, PeerMessaging: true, Folder: t.TempDir()})
 			require.NoError(t, err)
 			for _, f := range r.Findings {
-				t.Error(f, r.Said(f))
+				t.Error(f, r.LogLines(f))
 			}
 			t.Log(r.Counts(), r.Steps)
 		})
@@ -73,24 +73,24 @@
 }
 
 // And with what cold engines bear divided by talk: together they never send one more than that, whoever dies or is cut off.
-func TestRoutersThatDivideByTalkNeverPassTheWhole(t *testing.T) {
+func TestQuotaSharesNeverExceedTheTotal(t *testing.T) {
 	for seed := uint64(4); seed <= 6; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r, err := Run(Options{Program: program, Seed: seed, Long: 7 * time.Second, Clients: 12, Routers: 3, Talk: true, Shares: true, Firm: 0.1,
+			r, err := Run(Options{Program: program, Seed: seed, Duration: 7 * time.Second, Clients: 12, Routers: 3, PeerMessaging: true, QuotaShares: true, FirmShare: 0.1,
 				Folder: t.TempDir()})
 			require.NoError(t, err)
 			for _, f := range r.Findings {
-				t.Error(f, r.Said(f))
+				t.Error(f, r.LogLines(f))
 			}
-			t.Log(r.Counts(), r.Uses()[0].Most, r.Steps)
+			t.Log(r.Counts(), r.Usages()[0].Max, r.Steps)
 		})
 	}
 }
 
 // A second process under the name and number of a router goes by that router's part of what a cold engine bears, so that all
 // together may send it more than the whole.
-func TestASecondProcessUnderOneNamePushesNoColdEngine(t *testing.T) {
-	r, err := Run(Options{Program: program, Seed: 6, Long: 12 * time.Second, Routers: 4, Folder: t.TempDir()})
+func TestDuplicateProcessOverloadsNoColdEngine(t *testing.T) {
+	r, err := Run(Options{Program: program, Seed: 6, Duration: 12 * time.Second, Routers: 4, Folder: t.TempDir()})
 	require.NoError(t, err)
 	for _, f := range r.Findings {
 		t.Error(f)
@@ -101,12 +101,12 @@
 func TestASoakBreaksNoRule(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ { // the third has a crowd
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r, err := Run(Options{Program: program, Seed: seed, Long: 6 * time.Second, Clients: 16, Routers: 10, Soak: true, Folder: t.TempDir()})
+			r, err := Run(Options{Program: program, Seed: seed, Duration: 6 * time.Second, Clients: 16, Routers: 10, Soak: true, Folder: t.TempDir()})
 			require.NoError(t, err)
 			for _, f := range r.Findings {
-				t.Error(f, r.Said(f))
+				t.Error(f, r.LogLines(f))
 			}
-			assert.NotZero(t, r.Failed, "system calls")
+			assert.NotZero(t, r.FailedCalls, "system calls")
 			t.Log(r.Counts(), r.Steps)
 		})
 	}
@@ -116,18 +116,18 @@
 	assert.Equal(t, Script(7, 10*time.Second, 1), Script(7, 10*time.Second, 1))
 	assert.NotEqual(t, Script(7, 10*time.Second, 1), Script(8, 10*time.Second, 1))
 	for _, s := range Script(9, 30*time.Second, 1) {
-		assert.NotContains(t, []Fault{Freeze, Kill, Restart}, s.Fault, "every third seed reloads only")
+		assert.NotContains(t, []Fault{Pause, Kill, Restart}, s.Fault, "every third seed reloads only")
 	}
 }
 
 // The checker bites: each of these is a defect that a router could have.
-func TestTheCheckerFindsWhatIsWrong(t *testing.T) {
+func TestCheckerFindsEachViolation(t *testing.T) {
 	second := time.Second
 	began := time.Now()
 	fleet := map[string]Engine{"": {Zone: zones[0]}, "drains": {Zone: zones[0]}, "cold": {Zone: zones[1], Started: began}}
-	lives := []Life{{Began: 0, Term: 20 * second, Ended: 21 * second, Exit: "exit status 0"}}
+	lives := []Incarnation{{Began: 0, Terminated: 20 * second, Ended: 21 * second, Exit: "exit status 0"}}
 	good := func() *Batch {
-		return &Batch{ID: "a", Group: "lookup", Rows: 1, Wrote: second, Due: 5 * second,
+		return &Batch{ID: "a", Group: "lookup", Rows: 1, WriteBegan: second, Deadline: 5 * second,
 			Answers: []Answer{{At: 2 * second, Body: "e-1\tlookup\trow 0\n"}}}
 	}
 	run := func(id, group, key string, from, to time.Duration) standin.Run {
@@ -144,27 +144,27 @@
 	}
 	one := []standin.Run{run("a", "lookup", "", second, 2*second)}
 	told := map[string]time.Duration{"drains": second}
-	check := func(lives []Life, runs []standin.Run, batches ...*Batch) []Finding {
-		return Check(&Result{Batches: batches, Routers: []Router{{Name: "r0", Lives: lives, Told: told, Crowds: []Still{{From: 0, To: second - second/100}}}}, Runs: runs, Engines: fleet, Began: began})
+	check := func(lives []Incarnation, runs []standin.Run, batches ...*Batch) []Finding {
+		return Check(&Result{Batches: batches, Routers: []Router{{Name: "r0", Incarnations: lives, DrainReported: told, IdleFloods: []Interval{{From: 0, To: second - second/100}}}}, Runs: runs, Engines: fleet, Began: began})
 	}
 	assert.Empty(t, check(lives, one, good()))
 	for name, c := range map[string]struct {
 		rule  int
 		edit  func(b *Batch)
-		lives []Life
+		lives []Incarnation
 		runs  []standin.Run
 	}{
 		"never answered":       {rule: 1, edit: func(b *Batch) { b.Answers = nil }},
-		"its connection ended": {rule: 1, edit: func(b *Batch) { b.Answers, b.Ended, b.End = nil, 2*second, "EOF" }},
-		"lost in a stop":       {rule: 1, edit: func(b *Batch) { b.Answers, b.Wrote, b.Ended = nil, 19*second, 21*second }},
+		"its connection ended": {rule: 1, edit: func(b *Batch) { b.Answers, b.ConnectionEnded, b.ConnectionError = nil, 2*second, "EOF" }},
+		"lost in a stop":       {rule: 1, edit: func(b *Batch) { b.Answers, b.WriteBegan, b.ConnectionEnded = nil, 19*second, 21*second }},
 		"answered twice":       {rule: 1, edit: func(b *Batch) { b.Answers = append(b.Answers, b.Answers[0]) }},
 		"a row lost":           {rule: 1, edit: func(b *Batch) { b.Rows = 2 }},
 		"another's rows":       {rule: 1, edit: func(b *Batch) { b.Answers[0].Body = "e-1\treport\trow 0\n" }},
-		"it crashed":           {rule: 0, lives: []Life{{Ended: 7 * second, Exit: "exit status 2"}}},
-		"it hangs in a stop":   {rule: 0, lives: []Life{{Term: 6 * second, Killed: 18 * second, Ended: 18 * second}}},
-		"closed, later killed": {rule: 1, edit: func(b *Batch) { b.Answers, b.Ended = nil, 2*second }, lives: []Life{{Killed: 3 * second, Ended: 3 * second}}},
-		"ended before a stop":  {rule: 0, lives: []Life{{Ended: 7 * second, Term: 9 * second, Exit: "exit status 0"}}},
-		"it ended by itself":   {rule: 0, lives: []Life{{Ended: 7 * second, Exit: "exit status 0"}}},
+		"it crashed":           {rule: 0, lives: []Incarnation{{Ended: 7 * second, Exit: "exit status 2"}}},
+		"it hangs in a stop":   {rule: 0, lives: []Incarnation{{Terminated: 6 * second, Killed: 18 * second, Ended: 18 * second}}},
+		"closed, later killed": {rule: 1, edit: func(b *Batch) { b.Answers, b.ConnectionEnded = nil, 2*second }, lives: []Incarnation{{Killed: 3 * second, Ended: 3 * second}}},
+		"ended before a stop":  {rule: 0, lives: []Incarnation{{Ended: 7 * second, Terminated: 9 * second, Exit: "exit status 0"}}},
+		"it ended by itself":   {rule: 0, lives: []Incarnation{{Ended: 7 * second, Exit: "exit status 0"}}},
 		"once-only ran twice":  {rule: 2, runs: []standin.Run{run("b", "once", "", 0, 1), run("b", "once", "", 2, 3)}},
 		"sent four times":      {rule: 2, runs: []standin.Run{run("b", "lookup", "", 0, 1), run("b", "lookup", "", 2, 3), run("b", "lookup", "", 4, 5), run("b", "lookup", "", 6, 7)}},
 		"two of a key at once": {rule: 5, runs: []standin.Run{run("b", "upload", "k", 0, 2*second), run("c", "upload", "k", second, 3*second)}},
@@ -175,17 +175,19 @@
 		"a cold one pushed":     {rule: 4, runs: []standin.Run{at("cold", work(10*second, run("b", "lookup", "", 0, second)))}},
 		"out of its zone":       {rule: 6, runs: []standin.Run{at("cold", run("b", "report", "", 0, second))}},
 		"past the budget":       {rule: 7, runs: many},
-		"after its client left": {rule: 1, edit: func(b *Batch) { b.Left = 2*second + second/10 }, runs: []standin.Run{run("a", "lookup", "", 2*second+second/4, 3*second)}},
-		"after its connection": {rule: 1, edit: func(b *Batch) { b.Ended = 2*second + second/10 },
+		"after its client left": {rule: 1, edit: func(b *Batch) { b.Cancelled = 2*second + second/10 }, runs: []standin.Run{run("a", "lookup", "", 2*second+second/4, 3*second)}},
+		"after its connection": {rule: 1, edit: func(b *Batch) { b.ConnectionEnded = 2*second + second/10 },
 			runs: []standin.Run{run("a", "lookup", "", 2*second+second/4, 3*second)}},
-		"too long a deadline":         {rule: 1, runs: []standin.Run{budget(4200*time.Millisecond, run("a", "lookup", "", 0, second))}, edit: func(b *Batch) { b.Due = 4 * second }},
+		"too long a deadline":         {rule: 1, runs: []standin.Run{budget(4200*time.Millisecond, run("a", "lookup", "", 0, second))}, edit: func(b *Batch) { b.Deadline = 4 * second }},
 		"beside one that is out":      {rule: 2, runs: []standin.Run{run("b", "lookup", "", second, 3*second), run("b", "lookup", "", 2*second, 4*second)}},
 		"beside one never over":       {rule: 2, runs: []standin.Run{out(run("b", "lookup", "", second, 2*second)), run("b", "lookup", "", 3*second, 4*second)}},
-		"asked for long after a stop": {rule: 1, edit: func(b *Batch) { b.Answers = nil }, lives: []Life{{Term: second / 2, Ended: 21 * second, Exit: "exit status 0"}}},
-		"crossed, not sent again":     {rule: 1, edit: func(b *Batch) { b.Answers, b.Ended, b.End = nil, b.Wrote+20*time.Millisecond, "EOF" }},
-		"past a crowd":                {rule: 1, edit: func(b *Batch) { b.Answers, b.Ended, b.First = nil, b.Wrote+second, true }},
-		"still there at its kill":     {rule: 0, lives: []Life{{Term: 6 * second, Killed: 9700 * time.Millisecond, Ended: 9700 * time.Millisecond}}},
-		"one of a key unending":       {rule: 5, runs: []standin.Run{{ID: "b", Group: "upload", Key: "k", Began: began}, run("c", "upload", "k", second, 3*second)}},
+		"asked for long after a stop": {rule: 1, edit: func(b *Batch) { b.Answers = nil }, lives: []Incarnation{{Terminated: second / 2, Ended: 21 * second, Exit: "exit status 0"}}},
+		"crossed, not sent again": {rule: 1, edit: func(b *Batch) {
+			b.Answers, b.ConnectionEnded, b.ConnectionError = nil, b.WriteBegan+20*time.Millisecond, "EOF"
+		}},
+		"past a crowd":            {rule: 1, edit: func(b *Batch) { b.Answers, b.ConnectionEnded, b.FirstOnConnection = nil, b.WriteBegan+second, true }},
+		"still there at its kill": {rule: 0, lives: []Incarnation{{Terminated: 6 * second, Killed: 9700 * time.Millisecond, Ended: 9700 * time.Millisecond}}},
+		"one of a key unending":   {rule: 5, runs: []standin.Run{{ID: "b", Group: "upload", Key: "k", Began: began}, run("c", "upload", "k", second, 3*second)}},
 	} {
 		b, l := good(), lives
 		if c.edit != nil {
@@ -200,18 +202,18 @@
 		}
 	}
 	old, fresh := good(), good()
-	old.Answers, old.Ended, old.End = nil, 3*second, "EOF"
-	fresh.Answers, fresh.Wrote, fresh.Ended = nil, 3*second-20*time.Millisecond, 3*second
+	old.Answers, old.ConnectionEnded, old.ConnectionError = nil, 3*second, "EOF"
+	fresh.Answers, fresh.WriteBegan, fresh.ConnectionEnded = nil, 3*second-20*time.Millisecond, 3*second
 	assert.Len(t, check(lives, one, old, fresh), 2, "a close that ends an older one crosses nothing")
-	for name, edit := range map[string]func(b *Batch, l *Life){
-		"its client left":        func(b *Batch, _ *Life) { b.Left = 2 * second },
-		"its router was killed":  func(_ *Batch, l *Life) { l.Killed = 3 * second },
-		"crossed and sent again": func(b *Batch, _ *Life) { b.Ended, b.SentAgain = b.Wrote+20*time.Millisecond, true },
+	for name, edit := range map[string]func(b *Batch, l *Incarnation){
+		"its client left":        func(b *Batch, _ *Incarnation) { b.Cancelled = 2 * second },
+		"its router was killed":  func(_ *Batch, l *Incarnation) { l.Killed = 3 * second },
+		"crossed and sent again": func(b *Batch, _ *Incarnation) { b.ConnectionEnded, b.Resent = b.WriteBegan+20*time.Millisecond, true },
 	} {
 		b, l := good(), lives[0]
 		b.Answers = nil
 		edit(b, &l)
-		assert.Empty(t, check([]Life{l}, one, b), name)
+		assert.Empty(t, check([]Incarnation{l}, one, b), name)
 	}
 }
 
--- a/internal/torture/world.go
+++ b/internal/torture/world.go
@@ -15,17 +15,17 @@
 // dispatches; marks that engines remember for a short time; keys that rest for long; small engines that are cold for
 // seconds. Each bound is tight enough that a router which does not keep it goes past it within seconds.
 const (
-	cores        = 3.0
-	coldFrom     = 0.35
-	fallMultiple = 2.0
-	fallTime     = 2 * time.Second
-	coldTime     = 6 * time.Second
-	freeFurther  = 4.0
-	furtherShare = 0.04
-	lookBack     = 4 * time.Second
-	window       = time.Second // in which a mark is remembered
-	settleTime   = time.Second // that a key rests after doubt
-	drainGrace   = 250 * time.Millisecond
+	cores         = 3.0
+	coldFraction  = 0.35
+	fallMultiple  = 2.0
+	fallTime      = 2 * time.Second
+	coldTime      = 6 * time.Second
+	freeRetries   = 4.0
+	retryRatio    = 0.04
+	retryWindow   = 4 * time.Second
+	dedupWindow   = time.Second // in which a mark is remembered
+	keySettleTime = time.Second // that a key rests after doubt
+	drainGrace    = 250 * time.Millisecond
 )
 
 var zones = []string{"hall", "yard"}
@@ -42,52 +42,52 @@
 "rules":{"settle-after-doubt-ms":%d,"stop-sending-within-ms":%d,"cold-from":%g,"cold-ms":%d,"fall-multiple":%g,"fall-ms":%d,
 "extra-free":%g,"further-ratio":%g,"look-back-ms":%d},
 "feedback":{"how":"probe","names":["waiting","x0","x1"]},"balancers":%%d,"index":%%d,"tick-ms":5}`,
-	window.Milliseconds(), cores, mostRuns, settleTime.Milliseconds(), drainGrace.Milliseconds(), coldFrom, coldTime.Milliseconds(),
-	fallMultiple, fallTime.Milliseconds(), freeFurther, furtherShare, lookBack.Milliseconds())
+	dedupWindow.Milliseconds(), cores, maxDispatches, keySettleTime.Milliseconds(), drainGrace.Milliseconds(), coldFraction, coldTime.Milliseconds(),
+	fallMultiple, fallTime.Milliseconds(), freeRetries, retryRatio, retryWindow.Milliseconds())
 
 // Engines read some of their connections late, in every second play.
 const (
-	lateOneIn  = 6
-	leastLate  = 50 * time.Millisecond
-	mostLate   = 400 * time.Millisecond
-	lateStream = 1 << 22 // of the seed's chances
+	lateReadOneIn   = 6
+	minReadDelay    = 50 * time.Millisecond
+	maxReadDelay    = 400 * time.Millisecond
+	readDelayStream = 1 << 22 // of the seed's chances
 )
 
-// lateReads draws by how much each connection is read late; nil: none is.
-func lateReads(seed uint64) func() time.Duration {
+// readDelays draws by how much each connection is read late; nil: none is.
+func readDelays(seed uint64) func() time.Duration {
 	if seed%2 != 0 {
 		return nil
 	}
 	var mutex sync.Mutex
-	chance := rand.New(rand.NewPCG(seed, lateStream))
+	chance := rand.New(rand.NewPCG(seed, readDelayStream))
 	return func() time.Duration {
 		mutex.Lock()
 		defer mutex.Unlock()
-		if chance.IntN(lateOneIn) > 0 {
+		if chance.IntN(lateReadOneIn) > 0 {
 			return 0
 		}
-		return leastLate + time.Duration(chance.Int64N(int64(mostLate-leastLate)))
+		return minReadDelay + time.Duration(chance.Int64N(int64(maxReadDelay-minReadDelay)))
 	}
 }
 
-// member is an engine with what the list says of it.
-type member struct {
+// engineServer is an engine with what the list says of it.
+type engineServer struct {
 	*standin.Server
 	Engine
-	drains time.Duration // until it ends; 0: it does not drain
-	clock  time.Duration // how far the wall clock that tells its start is ahead of the routers'
+	drainUntil  time.Duration // until it ends; 0: it does not drain
+	clockOffset time.Duration // how far the wall clock that tells its start is ahead of the routers'
 }
 
 // Wall clocks are stepped by so much, either way, and a third of them not at all.
 const (
-	leastStep   = time.Second
-	mostStep    = time.Hour
-	clockStream = 1 << 21 // of the seed's chances, one for each engine
+	minClockStep = time.Second
+	maxClockStep = time.Hour
+	clockStream  = 1 << 21 // of the seed's chances, one for each engine
 )
 
 // steppedClock draws how far a wall clock is ahead of another, each order of magnitude as likely as the next.
 func steppedClock(chance *rand.Rand) time.Duration {
-	step := time.Duration(float64(leastStep) * math.Pow(float64(mostStep)/float64(leastStep), chance.Float64()))
+	step := time.Duration(float64(minClockStep) * math.Pow(float64(maxClockStep)/float64(minClockStep), chance.Float64()))
 	return time.Duration(chance.IntN(3)-1) * step
 }
 
@@ -98,34 +98,34 @@
 }
 
 // addEngine starts one; late: within the play, so that it is cold. The fleet is locked.
-func (p *play) addEngine(zone string, late bool) error {
-	p.made++
-	e := &member{Engine: Engine{Name: fmt.Sprintf("e-%d", p.made), Zone: zone}}
+func (p *scenario) addEngine(zone string, late bool) error {
+	p.engineCounter++
+	e := &engineServer{Engine: Engine{Name: fmt.Sprintf("e-%d", p.engineCounter), Zone: zone}}
 	var err error
 	if e.Server, err = standin.NewRESP(e.Engine.Name, p.host+":0", p.ledger); err != nil {
 		return err
 	}
 	if late {
 		e.Started = time.Now()
-		e.clock = steppedClock(rand.New(rand.NewPCG(p.Seed, clockStream+uint64(p.made))))
+		e.clockOffset = steppedClock(rand.New(rand.NewPCG(p.Seed, clockStream+uint64(p.engineCounter))))
 	}
 	p.engines = append(p.engines, e)
-	p.were = append(p.were, e)
+	p.allEngines = append(p.allEngines, e)
 	return nil
 }
 
-// list tells each router's name service of all engines. The fleet is locked.
-func (p *play) list() error {
-	for _, r := range p.everyone() {
+// publishEngines tells each router's name service of all engines. The fleet is locked.
+func (p *scenario) publishEngines() error {
+	for _, r := range p.allRouters() {
 		var hosts []standin.Host
 		for _, e := range p.engines {
 			h := e.Host()
-			h.Zone, h.Draining = e.Zone, e.drains > 0
+			h.Zone, h.Draining = e.Zone, e.drainUntil > 0
 			if !e.Started.IsZero() {
-				h.Started = e.Started.Add(e.clock).UnixMilli()
+				h.Started = e.Started.Add(e.clockOffset).UnixMilli()
 			}
 			var err error
-			if h.Address, err = r.wayTo(e, h.Address); err != nil {
+			if h.Address, err = r.engineAddress(e, h.Address); err != nil {
 				return err
 			}
 			hosts = append(hosts, h)
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// swap ends an engine and puts another in its place, at another address. The fleet is locked.
-func (p *play) swap(old *member) error {
+// replaceEngine ends an engine and puts another in its place, at another address. The fleet is locked.
+func (p *scenario) replaceEngine(old *engineServer) error {
 	i := slices.Index(p.engines, old)
 	if i < 0 {
 		return nil
@@ -144,7 +144,7 @@
 	p.engines = slices.Delete(p.engines, i, i+1)
 	err := p.addEngine(old.Zone, true)
 	if err == nil {
-		err = p.list()
+		err = p.publishEngines()
 	}
 	old.Stop()
 	return err
@@ -152,21 +152,21 @@
 
 // drain has one engine drain, while another of its zone stays. It ends later, and a new one takes its place. The fleet is
 // locked.
-func (p *play) drain(e *member) error {
+func (p *scenario) drain(e *engineServer) error {
 	for _, other := range p.engines {
-		if other != e && other.Zone == e.Zone && other.drains == 0 && e.drains == 0 {
-			e.drains = p.since() + drainLong
-			return p.list()
+		if other != e && other.Zone == e.Zone && other.drainUntil == 0 && e.drainUntil == 0 {
+			e.drainUntil = p.since() + drainDuration
+			return p.publishEngines()
 		}
 	}
 	return nil
 }
 
-// drained replaces what has drained for long enough. The fleet is locked.
-func (p *play) drained() error {
+// replaceDrained replaces what has drained for long enough. The fleet is locked.
+func (p *scenario) replaceDrained() error {
 	for _, e := range slices.Clone(p.engines) {
-		if e.drains > 0 && p.since() > e.drains {
-			if err := p.swap(e); err != nil {
+		if e.drainUntil > 0 && p.since() > e.drainUntil {
+			if err := p.replaceEngine(e); err != nil {
 				return err
 			}
 		}
@@ -174,10 +174,10 @@
 	return nil
 }
 
-// fleet is what the checker is told of all engines that were there.
-func (p *play) fleet() map[string]Engine {
+// engineRecords is what the checker is told of all engines that were there.
+func (p *scenario) engineRecords() map[string]Engine {
 	out := map[string]Engine{}
-	for _, e := range p.were {
+	for _, e := range p.allEngines {
 		out[e.Engine.Name] = e.Engine
 	}
 	return out
