--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -97,7 +97,7 @@
 
 // New puts a crowd up; nobody has started.
 func New(o Options) *Crowd {
-	if o.Settings.Every == 0 {
+	if o.Settings.ProbeInterval == 0 {
 		o.Settings = membership.Defaults()
 	}
 	if o.Way == 0 {
@@ -167,13 +167,13 @@
 		return
 	}
 	for _, n := range c.Nodes {
-		m := membership.Message{Kind: membership.Tell}
+		m := membership.Message{Kind: membership.Gossip}
 		for _, o := range c.Nodes {
 			if o != n {
-				m.From = o.Machine.Me()
-				n.Machine.Heard(c.Now, &m)
-				n.Machine.Sends()
-				n.Machine.Notes()
+				m.From = o.Machine.SelfMember()
+				n.Machine.Receive(c.Now, &m)
+				n.Machine.TakeOutgoing()
+				n.Machine.TakeNotes()
 			}
 		}
 	}
@@ -222,7 +222,7 @@
 func (n *Node) plan() {
 	n.timer++
 	timer, life := n.timer, n.Life
-	n.crowd.After(n.Machine.At()-n.crowd.Now+n.late*n.crowd.chance.Float64(), func() {
+	n.crowd.After(n.Machine.NextWake()-n.crowd.Now+n.late*n.crowd.chance.Float64(), func() {
 		if n.Life == life && n.timer == timer && !n.Paused {
 			n.wake()
 		}
@@ -239,14 +239,14 @@
 }
 
 func (n *Node) heard(m *talk.Message) {
-	at := n.Machine.At()
-	n.Machine.Heard(n.crowd.Now, &m.Message)
+	at := n.Machine.NextWake()
+	n.Machine.Receive(n.crowd.Now, &m.Message)
 	if m.Shares != nil && n.purse != nil {
 		n.purse.machine.Receive(n.now(), m.Shares)
 		n.purse.turn()
 	}
 	n.effects()
-	if n.Machine.At() != at {
+	if n.Machine.NextWake() != at {
 		n.plan()
 	}
 }
@@ -254,12 +254,12 @@
 // effects sends what is to be sent.
 func (n *Node) effects() {
 	c := n.crowd
-	for _, note := range n.Machine.Notes() {
+	for _, note := range n.Machine.TakeNotes() {
 		if c.OnNote != nil {
 			c.OnNote(n, note)
 		}
 	}
-	for _, s := range n.Machine.Sends() {
+	for _, s := range n.Machine.TakeOutgoing() {
 		n.send(s.To, talk.Message{Message: s.Message})
 	}
 }
@@ -324,7 +324,7 @@
 	}
 	return len(living) == 0 || !slices.ContainsFunc(living[0].Machine.View().Members, func(m membership.Member) bool {
 		n := c.at(m.Address)
-		return n == nil || n.Machine == nil || n.Machine.Self() != m.ID
+		return n == nil || n.Machine == nil || n.Machine.SelfID() != m.ID
 	})
 }
 
--- a/internal/crowd/crowd_test.go
+++ b/internal/crowd/crowd_test.go
@@ -155,14 +155,14 @@
 	c.Pause(c.Nodes[4])
 	c.Run(30)
 	for _, n := range c.Living() {
-		assert.False(t, n.Machine.Holds(c.Nodes[4].Name))
+		assert.False(t, n.Machine.Contains(c.Nodes[4].Name))
 	}
 	*c.falseDeaths(&m) = true
 	c.Go(c.Nodes[4])
 	assert.NotEqual(t, membership.Settled, c.Nodes[4].Machine.Certainty())
 	agrees(t, c, 30, "after the pause")
 	assert.Zero(t, m.False)
-	assert.Greater(t, c.Nodes[4].Machine.View().Members[c.Nodes[4].Machine.View().Index].Incarnation, uint32(0), "it has refuted")
+	assert.Greater(t, c.Nodes[4].Machine.View().Members[c.Nodes[4].Machine.View().SelfIndex].Incarnation, uint32(0), "it has refuted")
 }
 
 // The newer start of a name has it. The older says so, is alone, and takes the name again when the newer is gone.
@@ -188,14 +188,14 @@
 func TestAStartThatIsTooSmallIsRaised(t *testing.T) {
 	c := settled(t, Options{Routers: 5, Seed: 10})
 	n := c.Nodes[1]
-	before := n.Machine.Self().Start
+	before := n.Machine.SelfID().Start
 	c.Kill(n)
 	s := c.Settings
 	s.Self, s.Listen, s.Seeds = membership.ID{Name: n.Name, Start: before - 5000}, n.Address, []string{c.Nodes[0].Address}
 	n.Machine = membership.New(s, 1, c.Now)
 	n.plan()
 	agrees(t, c, 30, "though its start was smaller")
-	assert.Greater(t, n.Machine.Self().Start, before)
+	assert.Greater(t, n.Machine.SelfID().Start, before)
 }
 
 func TestSeedsThatAreAllDownCostOnlyTime(t *testing.T) {
@@ -223,7 +223,7 @@
 	c.StartAll()
 	one, other := c.Nodes[1], c.Nodes[3]
 	c.After(1.1, func() {
-		one.Machine.Heard(c.Now, &membership.Message{Kind: membership.Tell, From: other.Machine.Me()})
+		one.Machine.Receive(c.Now, &membership.Message{Kind: membership.Gossip, From: other.Machine.SelfMember()})
 	})
 	c.Run(5)
 	assert.Equal(t, 2, one.Machine.Count())
@@ -272,7 +272,7 @@
 			}
 		}
 		if len(c.Living()) < len(c.Nodes) { // who is missing may be cut off: that takes its time
-			c.Run(c.Settings.Accept)
+			c.Run(c.Settings.AcceptLossAfter)
 		}
 		agrees(t, c, 180, "seed")
 	}
--- a/internal/crowd/measure.go
+++ b/internal/crowd/measure.go
@@ -41,7 +41,7 @@
 		c.Run(0.05)
 		know := 0
 		for _, n := range c.Living() {
-			if !n.Machine.Holds(victim.Name) {
+			if !n.Machine.Contains(victim.Name) {
 				know++
 			}
 		}
--- a/internal/emulator/talk.go
+++ b/internal/emulator/talk.go
@@ -33,7 +33,7 @@
 	}
 	if s.options.Load > 0 {
 		own := news.Defaults()
-		own.Every, own.Stale = s.options.Load, own.Stale*s.options.Load/own.Every
+		own.Interval, own.StaleAfter = s.options.Load, own.StaleAfter*s.options.Load/own.Interval
 		set.LoadReports = &own
 	}
 	return set
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,12 +19,12 @@
 	Fleet *Section `toml:"fleet"`
 }
 
-// Prove gives what came of it; nil: there is no talk.
-func (s *Sections) Prove(c findings.Reporter) *Settings {
+// Validate gives what came of it; nil: there is no talk.
+func (s *Sections) Validate(c findings.Reporter) *Settings {
 	if s.Fleet == nil {
 		return nil
 	}
-	return s.Fleet.settings(c)
+	return s.Fleet.validate(c)
 }
 
 // Section is what the file says.
@@ -52,19 +52,19 @@
 }
 
 const (
-	leastLoad, mostLoad     = 0.05, 0.25
-	leastEvery, mostEvery   = 0.05, 10
-	leastAccept, mostAccept = 5, 24 * 3600
-	mostSeeds               = 64
-	longestName             = 64
+	minLoadSeconds, maxLoadSeconds     = 0.05, 0.25
+	minEverySeconds, maxEverySeconds   = 0.05, 10
+	minAcceptSeconds, maxAcceptSeconds = 5, 24 * 3600
+	maxSeeds                           = 64
+	maxNameLength                      = 64
 )
 
-// settings proves the section.
-func (s *Section) settings(f findings.Reporter) *Settings {
+// validate proves the section.
+func (s *Section) validate(f findings.Reporter) *Settings {
 	out := &Settings{Name: s.Name, Members: membership.Defaults(), Via: map[netip.AddrPort]netip.AddrPort{}}
 	m := &out.Members
-	if s.Name == "" || len(s.Name) > longestName || strings.ContainsFunc(s.Name, func(c rune) bool { return c <= ' ' }) {
-		f.Errorf("fleet.name", "%q: a name without blanks, of %d bytes at most, is wanted: packets of another fleet are dropped by it", s.Name, longestName)
+	if s.Name == "" || len(s.Name) > maxNameLength || strings.ContainsFunc(s.Name, func(c rune) bool { return c <= ' ' }) {
+		f.Errorf("fleet.name", "%q: a name without blanks, of %d bytes at most, is wanted: packets of another fleet are dropped by it", s.Name, maxNameLength)
 	}
 	if len(s.Networks) == 0 {
 		f.Errorf("fleet", "without networks anybody could talk; name those of your routers, as [\"10.1.0.0/24\"]")
@@ -80,49 +80,49 @@
 		}
 		out.Networks = append(out.Networks, p.Masked())
 	}
-	listen, ok := s.address(f, "fleet.listen", s.Listen)
+	listen, ok := s.parseAddress(f, "fleet.listen", s.Listen)
 	m.Listen = s.Listen
 	if ok && listen.Addr().IsUnspecified() {
 		f.Errorf("fleet.listen", "%q: others reach this router by what stands here, so it has to be one address of its own", s.Listen)
 	} else if ok && len(out.Networks) > 0 && !slices.ContainsFunc(out.Networks, func(p netip.Prefix) bool { return p.Contains(listen.Addr().Unmap()) }) {
 		f.Errorf("fleet.listen", "%q is in none of the networks, so no other router of the same settings would hear this one", s.Listen)
 	}
-	if len(s.Seeds) == 0 || len(s.Seeds) > mostSeeds {
-		f.Errorf("fleet.seeds", "from 1 to %d addresses are wanted; they may be of routers that are down, and this one's own may be among them", mostSeeds)
+	if len(s.Seeds) == 0 || len(s.Seeds) > maxSeeds {
+		f.Errorf("fleet.seeds", "from 1 to %d addresses are wanted; they may be of routers that are down, and this one's own may be among them", maxSeeds)
 	}
 	for i, text := range s.Seeds {
 		key := fmt.Sprintf("fleet.seeds[%d]", i)
-		if _, ok := s.address(f, key, text); ok && slices.Index(s.Seeds, text) < i {
+		if _, ok := s.parseAddress(f, key, text); ok && slices.Index(s.Seeds, text) < i {
 			f.Errorf(key, "%q is there twice", text)
 		}
 	}
 	m.Seeds = s.Seeds
-	if every := f.Seconds("fleet.every", s.Every, mostEvery); every > 0 {
-		if every < leastEvery {
-			f.Errorf("fleet.every", "%q is below %g s: packets would be all that routers do", s.Every, float64(leastEvery))
+	if every := f.Seconds("fleet.every", s.Every, maxEverySeconds); every > 0 {
+		if every < minEverySeconds {
+			f.Errorf("fleet.every", "%q is below %g s: packets would be all that routers do", s.Every, float64(minEverySeconds))
 		}
-		scale := every / m.Every // the rest goes with it
-		m.Every, m.Ask = every, m.Ask*scale
-		m.Settle, m.Lately, m.Compare = m.Settle*scale, m.Lately*scale, m.Compare*scale
+		scale := every / m.ProbeInterval // the rest goes with it
+		m.ProbeInterval, m.ProbeTimeout = every, m.ProbeTimeout*scale
+		m.SettleDelay, m.RecentWindow, m.SyncInterval = m.SettleDelay*scale, m.RecentWindow*scale, m.SyncInterval*scale
 	}
-	if accept := f.Seconds("fleet.accept-loss-after", s.Accept, mostAccept); accept > 0 {
-		if accept < max(leastAccept, math.Ceil(4*m.Longest*m.Doubt*m.Every)) {
+	if accept := f.Seconds("fleet.accept-loss-after", s.Accept, maxAcceptSeconds); accept > 0 {
+		if accept < max(minAcceptSeconds, math.Ceil(4*m.MaxSuspicionFactor*m.SuspicionMultiplier*m.ProbeInterval)) {
 			f.Errorf("fleet.accept-loss-after", "%q: a cut would be taken for a loss before it is known as one", s.Accept)
 		}
-		m.Accept = accept
+		m.AcceptLossAfter = accept
 	}
 	if load := f.Seconds("fleet.load", s.Load, 3600); load > 0 {
-		if load < leastLoad || load > mostLoad {
-			f.Errorf("fleet.load", "%q is not from %gs to %gs: later all routers would meet on the engine that was idle then, earlier packets would be all that they do", s.Load, float64(leastLoad), float64(mostLoad))
+		if load < minLoadSeconds || load > maxLoadSeconds {
+			f.Errorf("fleet.load", "%q is not from %gs to %gs: later all routers would meet on the engine that was idle then, earlier packets would be all that they do", s.Load, float64(minLoadSeconds), float64(maxLoadSeconds))
 		}
 		n := news.Defaults()
-		n.Every, n.Stale = load, n.Stale*load/n.Every
+		n.Interval, n.StaleAfter = load, n.StaleAfter*load/n.Interval
 		out.News = &n
 	}
 	for i, v := range s.Via {
 		key := fmt.Sprintf("fleet.via[%d]", i)
-		to, ok := s.address(f, key+".to", v.To)
-		by, ok2 := s.address(f, key+".by", v.By)
+		to, ok := s.parseAddress(f, key+".to", v.To)
+		by, ok2 := s.parseAddress(f, key+".by", v.By)
 		if _, twice := out.Via[to]; ok && ok2 && twice {
 			f.Errorf(key+".to", "%q is there twice", v.To)
 		}
@@ -131,7 +131,7 @@
 	return out
 }
 
-func (s *Section) address(f findings.Reporter, key, text string) (netip.AddrPort, bool) {
+func (s *Section) parseAddress(f findings.Reporter, key, text string) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || a.Port() == 0 {
 		f.Errorf(key, "%q is not an address and a port, as 10.1.0.4:7500", text)
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -81,7 +81,7 @@
 	c := &checker{source: s, lines: keyLines(s.text), getenv: getenv}
 	out := &Installation{keyLine: c.Line, source: s}
 	out.TDS, out.Rules, out.Engines = f.ListenerSection.Validate(c), f.RuleSections.Prove(c), f.EngineSections.Validate(c)
-	out.Status, out.Fleet = f.PageSection.Validate(c), f.Sections.Prove(c)
+	out.Status, out.Fleet = f.PageSection.Validate(c), f.Sections.Validate(c)
 	if out.Fleet != nil {
 		out.Shares = f.ShareSections.Prove(c, out.Fleet.Members.Listen, out.Fleet.Networks)
 	} else {
--- a/internal/installation/installation_test.go
+++ b/internal/installation/installation_test.go
@@ -116,7 +116,7 @@
 	require.NoError(t, err)
 	require.NotNil(t, i.Fleet)
 	assert.Equal(t, "10.1.0.4:7500", i.Fleet.Members.Listen)
-	assert.Equal(t, []float64{0.5, 0.2}, []float64{i.Fleet.Members.Every, i.Fleet.Members.Ask}, "the other times follow")
+	assert.Equal(t, []float64{0.5, 0.2}, []float64{i.Fleet.Members.ProbeInterval, i.Fleet.Members.ProbeTimeout}, "the other times follow")
 	assert.Len(t, i.Fleet.Networks, 2)
 	none, err := Parse("x.toml", []byte(validFile), env)
 	require.NoError(t, err)
--- a/internal/loop/talk.go
+++ b/internal/loop/talk.go
@@ -73,7 +73,7 @@
 	}
 	message, err := talk.Decode(t.Fleet, data)
 	switch {
-	case errors.Is(err, talk.ErrFleet):
+	case errors.Is(err, talk.ErrOtherFleet):
 		t.counts.OtherFleets++
 		l.logDropped("another fleet's", from, err)
 	case err != nil:
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -22,7 +22,7 @@
 func (r *reader) member() Member {
 	name := fmt.Sprint("n", r.next(5))
 	return Member{ID: ID{Name: name, Start: uint64(1 + r.next(4))}, Address: fmt.Sprintf("10.0.0.%d:7500", 1+r.next(6)), Incarnation: uint32(r.next(4)),
-		State: State(r.next(4)), By: fmt.Sprint("n", r.next(5))}
+		State: State(r.next(4)), Accuser: fmt.Sprint("n", r.next(5))}
 }
 
 // Whatever is heard, in whatever order and at whatever time, what the machine tells of itself agrees with itself, it sends no
@@ -41,29 +41,29 @@
 			case 0:
 				m.Wake(now)
 			default:
-				message := &Message{Kind: Kind(1 + r.next(6)), From: r.member(), View: uint64(r.next(3)), Count: r.next(9), Number: uint32(r.next(4)), Target: r.member()}
+				message := &Message{Kind: Kind(1 + r.next(6)), From: r.member(), ViewHash: uint64(r.next(3)), MemberCount: r.next(9), Number: uint32(r.next(4)), Target: r.member()}
 				message.From.State = Alive
 				for range r.next(4) {
 					message.Rumours = append(message.Rumours, r.member())
 				}
-				if message.Kind == Compare {
+				if message.Kind == Digest {
 					message.Hashes = make([]uint32, Buckets)
 				}
-				m.Heard(now, message)
+				m.Receive(now, message)
 			}
 			// All that goes on for others may end at once, beside a probe, those that help with it, a word to its target and a call.
-			require.LessOrEqual(t, len(m.Sends()), mostAsks+s.Helpers+3)
+			require.LessOrEqual(t, len(m.TakeOutgoing()), maxRelayedProbes+s.IndirectProbes+3)
 			v := m.View()
 			require.Len(t, v.Members, m.Count())
-			require.GreaterOrEqual(t, v.Index, 0)
+			require.GreaterOrEqual(t, v.SelfIndex, 0)
 			hash := uint64(0)
 			for _, one := range v.Members {
 				hash ^= one.ID.hash()
 			}
 			require.Equal(t, hash, v.Hash)
-			require.Equal(t, Alive, v.Members[v.Index].State)
-			require.GreaterOrEqual(t, m.Self().Start, uint64(2), "an own start never falls")
-			require.Greater(t, m.At(), now)
+			require.Equal(t, Alive, v.Members[v.SelfIndex].State)
+			require.GreaterOrEqual(t, m.SelfID().Start, uint64(2), "an own start never falls")
+			require.Greater(t, m.NextWake(), now)
 		}
 	})
 }
--- a/internal/membership/hear.go
+++ b/internal/membership/hear.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Heard takes in a message of this fleet. It has been checked for its form; whatever it says may be old, late or doubled.
-func (m *Machine) Heard(now float64, message *Message) {
-	m.clock(now)
+// Receive takes in a message of this fleet. It has been checked for its form; whatever it says may be old, late or doubled.
+func (m *Machine) Receive(now float64, message *Message) {
+	m.advanceClock(now)
 	if m.leaving {
 		return
 	}
-	from := m.sender(message)
+	from := m.updateSender(message)
 	for _, r := range message.Rumours {
-		m.hear(r)
+		m.applyUpdate(r)
 	}
-	if m.double {
-		m.look()
-		m.plan()
+	if m.nameConflict {
+		m.updateCertainty()
+		m.scheduleWake()
 		return
 	}
 	switch message.Kind {
@@ -22,218 +22,218 @@
 		// Meant for an earlier start of ours, or for whoever had this address before: the answer tells who is here now.
 		m.send(message.From.Address, Message{Kind: Ack, Number: message.Number}, from)
 	case Ack:
-		m.acked(message)
-	case Ask:
-		if len(m.asks) < mostAsks && message.Target.Address != "" {
-			m.numbers++
-			m.asks = append(m.asks, ask{m.numbers, message.Number, message.From.Address, m.now + m.settings.Every*0.7})
-			m.send(message.Target.Address, Message{Kind: Ping, Number: m.numbers, Target: message.Target}, m.records[message.Target.Name])
+		m.handleAck(message)
+	case PingRequest:
+		if len(m.relayedProbes) < maxRelayedProbes && message.Target.Address != "" {
+			m.lastNumber++
+			m.relayedProbes = append(m.relayedProbes, relayedProbe{m.lastNumber, message.Number, message.From.Address, m.now + m.settings.ProbeInterval*0.7})
+			m.send(message.Target.Address, Message{Kind: Ping, Number: m.lastNumber, Target: message.Target}, m.records[message.Target.Name])
 		}
-	case Compare:
-		m.compared(message)
+	case Digest:
+		m.handleDigest(message)
 	}
-	m.look()
-	m.plan()
+	m.updateCertainty()
+	m.scheduleWake()
 }
 
-// sender takes in who speaks: by that alone it lives.
-func (m *Machine) sender(message *Message) *record {
+// updateSender takes in who speaks: by that alone it lives.
+func (m *Machine) updateSender(message *Message) *record {
 	if message.From.Name == m.self.Name {
-		m.hear(message.From)
+		m.applyUpdate(message.From)
 		return nil
 	}
-	m.hear(message.From)
+	m.applyUpdate(message.From)
 	r := m.records[message.From.Name]
 	if r == nil || r.Start != message.From.Start {
 		return nil
 	}
-	if r.heard < m.now-m.settings.Lately || r.heard == 0 {
-		m.recent = append(m.recent, r)
+	if r.lastReceived < m.now-m.settings.RecentWindow || r.lastReceived == 0 {
+		m.recentSenders = append(m.recentSenders, r)
 	}
-	r.heard, r.view, m.heardAt = m.now, message.View, m.now
+	r.lastReceived, r.viewHash, m.lastReceivedAt = m.now, message.ViewHash, m.now
 	// One that speaks though we hold it for gone has to know: it refutes, and is back.
-	if !r.there() && message.From.State == Alive && message.Kind != Ping {
-		m.send(r.Address, Message{Kind: Tell}, r)
+	if !r.isPresent() && message.From.State == Alive && message.Kind != Ping {
+		m.send(r.Address, Message{Kind: Gossip}, r)
 	}
 	// Rumours had their time and we still differ: something was lost for good, or two halves meet.
-	if message.View != m.hash && m.now >= m.compareAt && m.now > m.since+m.settings.Compare {
-		m.compareAt = m.now + m.settings.Compare
-		m.compare(r.Address, false)
+	if message.ViewHash != m.viewHash && m.now >= m.nextSyncAt && m.now > m.viewSince+m.settings.SyncInterval {
+		m.nextSyncAt = m.now + m.settings.SyncInterval
+		m.sendDigest(r.Address, false)
 	}
 	return r
 }
 
-func (m *Machine) acked(message *Message) {
-	if p := &m.probe; p.target != nil && !p.settled && p.number == message.Number && p.target.Start == p.start {
-		p.settled = true
-		m.health = max(m.health-1, 0)
+func (m *Machine) handleAck(message *Message) {
+	if p := &m.probe; p.target != nil && !p.finished && p.number == message.Number && p.target.Start == p.start {
+		p.finished = true
+		m.localHealth = max(m.localHealth-1, 0)
 		return
 	}
-	for i, a := range m.asks {
+	for i, a := range m.relayedProbes {
 		if a.number == message.Number {
-			m.send(a.to, Message{Kind: Ack, Number: a.theirs}, nil)
-			m.asks = slices.Delete(m.asks, i, i+1)
+			m.send(a.requester, Message{Kind: Ack, Number: a.requesterNumber}, nil)
+			m.relayedProbes = slices.Delete(m.relayedProbes, i, i+1)
 			return
 		}
 	}
 }
 
-// compared tells all that is known of the buckets that differ, in as many messages as it takes. However often it is asked,
+// handleDigest tells all that is known of the buckets that differ, in as many messages as it takes. However often it is asked,
 // it answers so many times a second.
-func (m *Machine) compared(message *Message) {
-	if len(message.Hashes) != Buckets || m.now < m.answersAt {
+func (m *Machine) handleDigest(message *Message) {
+	if len(message.Hashes) != Buckets || m.now < m.nextSyncReplyAt {
 		return
 	}
-	m.answersAt = m.now + answerEvery
+	m.nextSyncReplyAt = m.now + minSyncReplyInterval
 	var differ [Buckets]bool
 	some := false
 	for i, h := range message.Hashes {
-		differ[i] = h != m.buckets[i]
+		differ[i] = h != m.bucketHashes[i]
 		some = some || differ[i]
 	}
 	if !some {
 		return
 	}
-	if !message.Answer {
-		m.compare(message.From.Address, true) // what they know that we don't comes back the same way
+	if !message.IsReply {
+		m.sendDigest(message.From.Address, true) // what they know that we don't comes back the same way
 	}
 	var all []Member
 	for _, r := range m.records {
-		if differ[bucket(r.Name)] {
+		if differ[bucketIndex(r.Name)] {
 			all = append(all, r.Member)
 		}
 	}
-	slices.SortFunc(all, byName)
+	slices.SortFunc(all, compareByName)
 	for len(all) > 0 {
-		n, room := 0, m.settings.Rumours
-		for n < len(all) && room >= all[n].size() {
-			room -= all[n].size()
+		n, room := 0, m.settings.MaxRumourBytes
+		for n < len(all) && room >= all[n].encodedSize() {
+			room -= all[n].encodedSize()
 			n++
 		}
 		n = max(n, 1)
-		m.out = append(m.out, Send{message.From.Address, m.Envelope()})
-		m.out[len(m.out)-1].Rumours = all[:n:n]
+		m.outgoing = append(m.outgoing, OutgoingMessage{message.From.Address, m.Envelope()})
+		m.outgoing[len(m.outgoing)-1].Rumours = all[:n:n]
 		all = all[n:]
 	}
 }
 
-// hear takes in what is said of a member. The newer start wins; of one start the higher incarnation; of one incarnation what
+// applyUpdate takes in what is said of a member. The newer start wins; of one start the higher incarnation; of one incarnation what
 // is worse.
-func (m *Machine) hear(said Member) {
+func (m *Machine) applyUpdate(said Member) {
 	if said.Name == m.self.Name {
-		m.heardOfSelf(said)
+		m.applyUpdateOfSelf(said)
 		return
 	}
 	r := m.records[said.Name]
 	switch {
 	case r == nil:
-		if said.State <= Suspect && len(m.records) < mostMembers {
-			r = &record{Member: said, since: m.now}
+		if said.State <= Suspect && len(m.records) < maxRecords {
+			r = &record{Member: said, stateSince: m.now}
 			r.State = Left // it is not there yet
 			m.records[said.Name] = r
-			m.arrive(r, said, "joined")
+			m.addMember(r, said, "joined")
 		}
 	case said.Start < r.Start || said.Start == r.Start && said.Incarnation < r.Incarnation:
 	case said.Start > r.Start:
-		if r.there() {
-			m.change(r, Dead, "a newer start")
+		if r.isPresent() {
+			m.setState(r, Dead, "a newer start")
 		}
 		if said.State <= Suspect {
-			m.arrive(r, said, "started again")
+			m.addMember(r, said, "started again")
 		} else {
 			r.Member = said
 		}
 	case said.State == Alive:
 		if said.Incarnation > r.Incarnation {
 			was := r.State
-			if r.there() {
+			if r.isPresent() {
 				r.Incarnation, r.Address = said.Incarnation, said.Address
 				if was == Suspect {
-					m.change(r, Alive, "it refutes")
+					m.setState(r, Alive, "it refutes")
 				} else {
-					m.spread(r)
+					m.queueRumour(r)
 				}
 				return
 			}
-			m.arrive(r, said, "back")
+			m.addMember(r, said, "back")
 		}
 	case said.State == Suspect:
-		m.suspect(r, said)
-	case r.there():
+		m.applySuspicion(r, said)
+	case r.isPresent():
 		r.Incarnation = said.Incarnation
-		m.change(r, said.State, "as told")
+		m.setState(r, said.State, "as told")
 	}
 }
 
-// arrive takes in a member that was not there.
-func (m *Machine) arrive(r *record, said Member, why string) {
+// addMember takes in a member that was not there.
+func (m *Machine) addMember(r *record, said Member, why string) {
 	r.Member = said
-	r.State, r.By, r.accusers = Alive, "", nil
-	m.there++
-	m.moved = true
-	m.flip(r.ID)
-	r.since = m.now
-	m.ring = slices.DeleteFunc(m.ring, func(o *record) bool { return o == r })
-	m.ring = slices.Insert(m.ring, m.random.IntN(len(m.ring)+1), r)
-	m.note(false, "member", "name", r.Name, "start", r.Start, "address", r.Address, "is", why, "members", m.there)
-	m.spread(r)
+	r.State, r.Accuser, r.accusers = Alive, "", nil
+	m.memberCount++
+	m.statesChanged = true
+	m.toggleInView(r.ID)
+	r.stateSince = m.now
+	m.probeOrder = slices.DeleteFunc(m.probeOrder, func(o *record) bool { return o == r })
+	m.probeOrder = slices.Insert(m.probeOrder, m.random.IntN(len(m.probeOrder)+1), r)
+	m.addNote(false, "member", "name", r.Name, "start", r.Start, "address", r.Address, "is", why, "members", m.memberCount)
+	m.queueRumour(r)
 	if said.State == Suspect {
-		m.suspect(r, said)
+		m.applySuspicion(r, said)
 	}
 }
 
-// suspect counts who accuses. Those who are independent shorten the time that is left to refute.
-func (m *Machine) suspect(r *record, said Member) {
+// applySuspicion counts who accuses. Those who are independent shorten the time that is left to refute.
+func (m *Machine) applySuspicion(r *record, said Member) {
 	switch {
-	case !r.there():
+	case !r.isPresent():
 		return
 	case r.State == Alive || said.Incarnation > r.Incarnation:
-		r.Incarnation, r.By, r.accusers = said.Incarnation, said.By, []string{said.By}
+		r.Incarnation, r.Accuser, r.accusers = said.Incarnation, said.Accuser, []string{said.Accuser}
 		if r.State == Alive {
-			m.change(r, Suspect, "no answer", said.By)
+			m.setState(r, Suspect, "no answer", said.Accuser)
 		} else {
-			m.spread(r)
+			m.queueRumour(r)
 		}
-		r.since = m.now
-	case len(r.accusers) > m.settings.Accuse || slices.Contains(r.accusers, said.By):
+		r.stateSince = m.now
+	case len(r.accusers) > m.settings.ExpectedAccusers || slices.Contains(r.accusers, said.Accuser):
 		return
 	default:
-		r.accusers, r.By = append(r.accusers, said.By), said.By
-		m.spread(r)
+		r.accusers, r.Accuser = append(r.accusers, said.Accuser), said.Accuser
+		m.queueRumour(r)
 	}
-	r.dieAt = r.since + m.settings.lasts(m.there, len(r.accusers)-1)
+	r.deadAt = r.stateSince + m.settings.suspicionTimeout(m.memberCount, len(r.accusers)-1)
 }
 
-// change moves a record from one state into another.
-func (m *Machine) change(r *record, to State, why string, by ...string) {
-	was := r.there()
-	m.moved = true
-	r.State, r.since = to, m.now
+// setState moves a record from one state into another.
+func (m *Machine) setState(r *record, to State, why string, by ...string) {
+	was := r.isPresent()
+	m.statesChanged = true
+	r.State, r.stateSince = to, m.now
 	if to != Suspect {
-		r.By, r.accusers = "", nil
+		r.Accuser, r.accusers = "", nil
 		m.suspects = slices.DeleteFunc(m.suspects, func(o *record) bool { return o == r })
 	} else if !slices.Contains(m.suspects, r) {
 		m.suspects = append(m.suspects, r)
 	}
-	if was && !r.there() {
-		m.there--
-		m.flip(r.ID)
+	if was && !r.isPresent() {
+		m.memberCount--
+		m.toggleInView(r.ID)
 	}
-	m.note(to == Dead, "member", "name", r.Name, "start", r.Start, "is", to.String(), "why", why, "by", by, "members", m.there)
-	m.spread(r)
+	m.addNote(to == Dead, "member", "name", r.Name, "start", r.Start, "is", to.String(), "why", why, "by", by, "members", m.memberCount)
+	m.queueRumour(r)
 }
 
-// flip takes a start into the view's hash, or out of it.
-func (m *Machine) flip(id ID) {
+// toggleInView takes a start into the view's hash, or out of it.
+func (m *Machine) toggleInView(id ID) {
 	h := id.hash()
-	m.hash ^= h
-	m.buckets[bucket(id.Name)] ^= uint32(h)
-	m.number++
-	m.since = m.now
+	m.viewHash ^= h
+	m.bucketHashes[bucketIndex(id.Name)] ^= uint32(h)
+	m.viewChanges++
+	m.viewSince = m.now
 }
 
-// heardOfSelf: others may hold us for failed, another may have our name, or an earlier start of ours may still be talked of.
-func (m *Machine) heardOfSelf(said Member) {
+// applyUpdateOfSelf: others may hold us for failed, another may have our name, or an earlier start of ours may still be talked of.
+func (m *Machine) applyUpdateOfSelf(said Member) {
 	own := said.Address == m.self.Address
 	switch {
 	case said.Start < m.self.Start:
@@ -241,46 +241,46 @@
 	case said.Start == m.self.Start && own:
 		if said.State != Alive && said.Incarnation >= m.self.Incarnation {
 			m.self.Incarnation = said.Incarnation + 1
-			m.health = min(m.health+1, mostHealth)
-			m.note(true, "refuting", "said", said.State.String(), "by", said.By, "incarnation", m.self.Incarnation)
-			m.announce()
+			m.localHealth = min(m.localHealth+1, maxLocalHealth)
+			m.addNote(true, "refuting", "said", said.State.String(), "by", said.Accuser, "incarnation", m.self.Incarnation)
+			m.announceSelf()
 		} else if said.Incarnation > m.self.Incarnation {
 			m.self.Incarnation = said.Incarnation
 		}
 	case own || said.State > Suspect:
 		// Of this address only we can be; and a newer one that is gone is in nobody's way. Its start is passed, or what is said
 		// of us would count for nothing: a clock that was set back, a file of another machine.
-		m.rename(said.Start + 1)
-		if m.double {
-			m.double = false
-			m.note(true, "name is ours again", "start", m.self.Start)
+		m.takeStart(said.Start + 1)
+		if m.nameConflict {
+			m.nameConflict = false
+			m.addNote(true, "name is ours again", "start", m.self.Start)
 		}
-		m.announce()
+		m.announceSelf()
 	case said.Start == m.self.Start && said.Address < m.self.Address: // drawn alike: one of both has to give way
-	case !m.double:
+	case !m.nameConflict:
 		// It asks for itself often from now on: whether the newer one has gone it hears from nobody else.
-		m.double, m.joinAt = true, min(m.joinAt, m.now+m.settings.Join)
-		m.note(true, "name used twice: the newer start has it, this router does no more than alone", "other", said.Address, "start", said.Start,
+		m.nameConflict, m.nextJoinAt = true, min(m.nextJoinAt, m.now+m.settings.JoinInterval)
+		m.addNote(true, "name used twice: the newer start has it, this router does no more than alone", "other", said.Address, "start", said.Start,
 			"own", m.self.Start)
 	}
 }
 
-// rename takes a later start for ourselves.
-func (m *Machine) rename(start uint64) {
-	m.flip(m.self.ID)
+// takeStart takes a later start for ourselves.
+func (m *Machine) takeStart(start uint64) {
+	m.toggleInView(m.self.ID)
 	m.self.Start, m.self.Incarnation = start, 0
-	m.flip(m.self.ID)
+	m.toggleInView(m.self.ID)
 }
 
-// announce tells some others of ourselves at once; every packet of ours does so too.
-func (m *Machine) announce() {
+// announceSelf tells some others of ourselves at once; every packet of ours does so too.
+func (m *Machine) announceSelf() {
 	var all []*record
-	for _, r := range m.ring {
-		if r.there() && m.records[r.Name] == r {
+	for _, r := range m.probeOrder {
+		if r.isPresent() && m.records[r.Name] == r {
 			all = append(all, r)
 		}
 	}
-	for _, i := range m.random.Perm(len(all))[:min(len(all), m.settings.Helpers)] {
-		m.send(all[i].Address, Message{Kind: Tell}, nil)
+	for _, i := range m.random.Perm(len(all))[:min(len(all), m.settings.IndirectProbes)] {
+		m.send(all[i].Address, Message{Kind: Gossip}, nil)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -40,7 +40,7 @@
 	Address     string // where it is spoken to
 	Incarnation uint32 // raised by itself alone, to refute
 	State       State
-	By          string // of a suspicion: who accuses
+	Accuser     string // of a suspicion: who accuses
 }
 
 // Kind is what a message is for.
@@ -48,29 +48,29 @@
 
 // The kinds.
 const (
-	Ping    Kind = iota + 1 // wants an Ack with the same number
-	Ack                     // of a Ping, or of an Ask whose target has answered
-	Ask                     // probe the target for me
-	Nack                    // of an Ask: the target does not answer me either, but I am here
-	Compare                 // these are the hashes of my buckets: tell me of those that differ
-	Tell                    // rumours alone
+	Ping        Kind = iota + 1 // wants an Ack with the same number
+	Ack                         // of a Ping, or of an Ask whose target has answered
+	PingRequest                 // probe the target for me
+	Nack                        // of an Ask: the target does not answer me either, but I am here
+	Digest                      // these are the hashes of my buckets: tell me of those that differ
+	Gossip                      // rumours alone
 )
 
 // Message is one datagram. Rumours fill it up.
 type Message struct {
-	Kind    Kind
-	From    Member
-	View    uint64 // hash of the sender's view
-	Count   int    // of its members
-	Number  uint32
-	Target  Member   // of Ask; of Ping: whom it is meant for
-	Hashes  []uint32 // of Compare
-	Answer  bool     // this Compare answers one, and wants none
-	Rumours []Member
+	Kind        Kind
+	From        Member
+	ViewHash    uint64 // hash of the sender's view
+	MemberCount int    // of its members
+	Number      uint32
+	Target      Member   // of Ask; of Ping: whom it is meant for
+	Hashes      []uint32 // of Compare
+	IsReply     bool     // this Compare answers one, and wants none
+	Rumours     []Member
 }
 
-// Send is a message that is to go to an address.
-type Send struct {
+// OutgoingMessage is a message that is to go to an address.
+type OutgoingMessage struct {
 	To string
 	Message
 }
@@ -95,15 +95,15 @@
 
 // View is who is there.
 type View struct {
-	Members []Member // by name; suspected ones are in it
-	Number  uint64   // of changes so far
-	Hash    uint64   // of names and starts
-	Since   float64
-	State   Certainty
-	StateAt float64 // since when
-	Agree   int     // members heard lately that have the same view, and
-	Differ  int     // that have not
-	Index   int     // own place among the members
+	Members        []Member // by name; suspected ones are in it
+	Changes        uint64   // of changes so far
+	Hash           uint64   // of names and starts
+	Since          float64
+	Certainty      Certainty
+	CertaintySince float64 // since when
+	AgreeCount     int     // members heard lately that have the same view, and
+	DifferCount    int     // that have not
+	SelfIndex      int     // own place among the members
 }
 
 // Settings say how a machine goes about it. Times are seconds.
@@ -112,54 +112,54 @@
 	Listen string   // own address, as others know it
 	Seeds  []string // addresses where somebody may be; own one is passed over
 
-	Every   float64 // between two probes
-	Ask     float64 // a probe without an answer is taken to others
-	Helpers int     // so many of them
-	Doubt   float64 // times Every and the logarithm to ten of the members: how long a suspicion lasts at the least,
-	Longest float64 // and times that at the most, with one accuser
-	Accuse  int     // others who accuse until it is the least
-	Tells   float64 // times the logarithm to two of the members: how often a rumour is told
-	Rumours int     // bytes of them on a packet
-	Settle  float64 // a view without change for so long may settle
-	Lately  float64 // what was heard before counts no longer
-	Compare float64 // between two comparings
-	Join    float64 // between two calls at seeds: while nobody is known, and thirty times that later
-	Keep    float64 // those that are gone are remembered for so long
-	Accept  float64 // cut off for so long, those who are missing count as gone for good
+	ProbeInterval        float64 // between two probes
+	ProbeTimeout         float64 // a probe without an answer is taken to others
+	IndirectProbes       int     // so many of them
+	SuspicionMultiplier  float64 // times Every and the logarithm to ten of the members: how long a suspicion lasts at the least,
+	MaxSuspicionFactor   float64 // and times that at the most, with one accuser
+	ExpectedAccusers     int     // others who accuse until it is the least
+	RetransmitMultiplier float64 // times the logarithm to two of the members: how often a rumour is told
+	MaxRumourBytes       int     // bytes of them on a packet
+	SettleDelay          float64 // a view without change for so long may settle
+	RecentWindow         float64 // what was heard before counts no longer
+	SyncInterval         float64 // between two comparings
+	JoinInterval         float64 // between two calls at seeds: while nobody is known, and thirty times that later
+	DeadRetention        float64 // those that are gone are remembered for so long
+	AcceptLossAfter      float64 // cut off for so long, those who are missing count as gone for good
 }
 
 // Defaults fit routers in one hall: a death is known within some three seconds, at eight packets a second for each.
 func Defaults() Settings {
-	return Settings{Every: 0.25, Ask: 0.1, Helpers: 3, Doubt: 2.5, Longest: 6, Accuse: 3, Tells: 3, Rumours: 900, Settle: 1.5, Lately: 2,
-		Compare: 1, Join: 1, Keep: 60, Accept: 60}
+	return Settings{ProbeInterval: 0.25, ProbeTimeout: 0.1, IndirectProbes: 3, SuspicionMultiplier: 2.5, MaxSuspicionFactor: 6, ExpectedAccusers: 3, RetransmitMultiplier: 3, MaxRumourBytes: 900, SettleDelay: 1.5, RecentWindow: 2,
+		SyncInterval: 1, JoinInterval: 1, DeadRetention: 60, AcceptLossAfter: 60}
 }
 
 // Note is a change, for who looks on.
 type Note struct {
-	Text   string
-	Loud   bool
-	Fields []any
+	Text    string
+	Warning bool
+	Fields  []any
 }
 
-// least is how long a suspicion lasts where enough accuse, by the number of members.
-func (s *Settings) least(members int) float64 {
-	return s.Doubt * s.Every * max(1, math.Log10(float64(members)))
+// minSuspicion is how long a suspicion lasts where enough accuse, by the number of members.
+func (s *Settings) minSuspicion(members int) float64 {
+	return s.SuspicionMultiplier * s.ProbeInterval * max(1, math.Log10(float64(members)))
 }
 
-// lasts is how long a suspicion lasts with so many accusers beyond the first (Lifeguard's formula).
-func (s *Settings) lasts(members, accusers int) float64 {
-	least := s.least(members)
-	most := s.Longest * least
-	need := min(s.Accuse, members-2)
+// suspicionTimeout is how long a suspicion lasts with so many accusers beyond the first (Lifeguard's formula).
+func (s *Settings) suspicionTimeout(members, accusers int) float64 {
+	least := s.minSuspicion(members)
+	most := s.MaxSuspicionFactor * least
+	need := min(s.ExpectedAccusers, members-2)
 	if need < 1 {
 		return least
 	}
 	return max(least, most-(most-least)*math.Log(float64(accusers+1))/math.Log(float64(need+1)))
 }
 
-// tells is how often a rumour is told.
-func (s *Settings) tells(members int) int {
-	return int(math.Ceil(s.Tells * math.Log2(float64(members)+1)))
+// retransmitLimit is how often a rumour is told.
+func (s *Settings) retransmitLimit(members int) int {
+	return int(math.Ceil(s.RetransmitMultiplier * math.Log2(float64(members)+1)))
 }
 
 // hash of a start; views are the exclusive or of their members' hashes, so that order is nothing.
@@ -176,7 +176,7 @@
 	return h ^ h>>29
 }
 
-// size is about what a rumour takes on a packet.
-func (m *Member) size() int { return 26 + len(m.Name) + len(m.Address) + len(m.By) }
+// encodedSize is about what a rumour takes on a packet.
+func (m *Member) encodedSize() int { return 26 + len(m.Name) + len(m.Address) + len(m.Accuser) }
 
-func byName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
+func compareByName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -13,25 +13,25 @@
 
 // fleet is routers that tell each other, on a network without a way's time.
 type fleet struct {
-	now    float64
-	all    []*Machine
-	out    []float64 // threads of each at engine 1
-	chance *rand.Rand
-	loss   float64
-	passes func(from, to int) bool // nil: all
-	sent   int
-	by     map[string]int // routers by address
+	now            float64
+	machines       []*Machine
+	threads        []float64 // threads of each at engine 1
+	random         *rand.Rand
+	loss           float64
+	delivers       func(from, to int) bool // nil: all
+	sent           int
+	indexByAddress map[string]int // routers by address
 }
 
-var engine = Of{1, 7}
+var engine = EngineStart{1, 7}
 
 func newFleet(n int) *fleet {
-	f := &fleet{now: 1000, chance: rand.New(rand.NewPCG(1, 2)), by: map[string]int{}}
+	f := &fleet{now: 1000, random: rand.New(rand.NewPCG(1, 2)), indexByAddress: map[string]int{}}
 	for i := range n {
-		f.all = append(f.all, New(Defaults(), name(i), f.now+0.1*f.chance.Float64()))
-		f.out, f.by[address(i)] = append(f.out, float64(1+i%3)), i
+		f.machines = append(f.machines, New(Defaults(), name(i), f.now+0.1*f.random.Float64()))
+		f.threads, f.indexByAddress[address(i)] = append(f.threads, float64(1+i%3)), i
 	}
-	f.view(func(int) []Member { return f.members() })
+	f.setViews(func(int) []Member { return f.members() })
 	return f
 }
 
@@ -39,41 +39,41 @@
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/250, i%250) }
 
 func (f *fleet) members() (out []Member) {
-	for i := range f.all {
+	for i := range f.machines {
 		out = append(out, Member{name(i), address(i)})
 	}
 	return out
 }
 
-func (f *fleet) view(of func(i int) []Member) {
-	for i, m := range f.all {
+func (f *fleet) setViews(of func(i int) []Member) {
+	for i, m := range f.machines {
 		if m != nil {
-			m.View(of(i))
+			m.SetMembers(of(i))
 		}
 	}
 }
 
-// pass lets time go by.
-func (f *fleet) pass(seconds float64) {
+// run lets time go by.
+func (f *fleet) run(seconds float64) {
 	for end := f.now + seconds; f.now < end; f.now += 0.01 {
-		for i, m := range f.all {
-			if m != nil && m.At() <= f.now {
-				m.Tell(f.now, []Load{{engine, f.out[i], 100 * f.out[i]}})
+		for i, m := range f.machines {
+			if m != nil && m.NextReport() <= f.now {
+				m.Report(f.now, []Load{{engine, f.threads[i], 100 * f.threads[i]}})
 			}
 		}
 		for again := true; again; {
 			again = false
-			for i, m := range f.all {
+			for i, m := range f.machines {
 				if m == nil {
 					continue
 				}
-				for _, s := range m.Sends() {
+				for _, s := range m.TakeOutgoing() {
 					again = true
 					f.sent++
-					k := f.by[s.To]
-					if o := f.all[k]; o != nil && f.chance.Float64() >= f.loss && (f.passes == nil || f.passes(i, k)) {
+					k := f.indexByAddress[s.To]
+					if o := f.machines[k]; o != nil && f.random.Float64() >= f.loss && (f.delivers == nil || f.delivers(i, k)) {
 						message := s.Message
-						o.Heard(f.now, address(i), &message)
+						o.Receive(f.now, address(i), &message)
 					}
 				}
 			}
@@ -82,81 +82,81 @@
 }
 
 func (f *fleet) total() (sum float64) {
-	for i, m := range f.all {
+	for i, m := range f.machines {
 		if m != nil {
-			sum += f.out[i]
+			sum += f.threads[i]
 		}
 	}
 	return sum
 }
 
-func TestEachIsToldWhatAllOthersHaveOut(t *testing.T) {
+func TestEachRouterLearnsLoadOfAllOthers(t *testing.T) {
 	for _, n := range []int{2, 3, 17, 18, 300} {
 		f := newFleet(n)
-		f.pass(1)
+		f.run(1)
 		sent := f.sent
-		f.pass(1)
-		for i, m := range f.all {
-			loads, age, known := m.Others(f.now)
+		f.run(1)
+		for i, m := range f.machines {
+			loads, age, known := m.OthersLoad(f.now)
 			require.True(t, known, "%d of %d", i, n)
-			assert.InDelta(t, f.total()-f.out[i], loads[engine].Threads, 1e-9)
-			assert.InDelta(t, 100*(f.total()-f.out[i]), loads[engine].Memory, 1e-6)
+			assert.InDelta(t, f.total()-f.threads[i], loads[engine].Threads, 1e-9)
+			assert.InDelta(t, 100*(f.total()-f.threads[i]), loads[engine].Memory, 1e-6)
 			assert.Less(t, age, 0.45)
 		}
 		assert.LessOrEqual(t, float64(f.sent-sent)/float64(n), 21.0, "two tellings each")
 	}
 }
 
-func TestWhatEndsIsKnownToAllWithinASecond(t *testing.T) {
+func TestEndedLoadIsKnownToAllWithinASecond(t *testing.T) {
 	f := newFleet(300)
-	f.pass(1)
-	for i := range f.out {
-		f.out[i] = 0
+	f.run(1)
+	for i := range f.threads {
+		f.threads[i] = 0
 	}
-	f.pass(0.5)
-	for _, m := range f.all {
-		loads, _, known := m.Others(f.now)
+	f.run(0.5)
+	for _, m := range f.machines {
+		loads, _, known := m.OthersLoad(f.now)
 		assert.True(t, known)
 		assert.Zero(t, loads[engine].Threads)
 	}
 }
 
 // One that dies, the root too, is out of it within half a second; until the view says so nobody below it is heard.
-func TestWithoutAPartOfTheFleetNothingIsBelieved(t *testing.T) {
+func TestIncompleteTotalIsNotUsed(t *testing.T) {
 	f := newFleet(300)
-	f.pass(1)
-	f.all[0] = nil
-	f.pass(0.6)
-	for _, m := range f.all[1:] {
-		_, _, known := m.Others(f.now)
+	f.run(1)
+	f.machines[0] = nil
+	f.run(0.6)
+	for _, m := range f.machines[1:] {
+		_, _, known := m.OthersLoad(f.now)
 		assert.False(t, known, "nobody adds it all up")
 	}
 	rest := f.members()[1:]
-	f.view(func(int) []Member { return rest })
-	f.pass(1)
-	for i, m := range f.all[1:] {
-		loads, _, known := m.Others(f.now)
+	f.setViews(func(int) []Member { return rest })
+	f.run(1)
+	for i, m := range f.machines[1:] {
+		loads, _, known := m.OthersLoad(f.now)
 		require.True(t, known)
-		assert.InDelta(t, f.total()-f.out[i+1], loads[engine].Threads, 1e-9)
+		assert.InDelta(t, f.total()-f.threads[i+1], loads[engine].Threads, 1e-9)
 	}
-	f.passes = func(from, to int) bool { return from < 150 == (to < 150) } // cut into halves, and nobody knows yet
-	f.pass(1)
-	for _, m := range f.all[1:] {
-		_, _, known := m.Others(f.now)
+	f.delivers = func(from, to int) bool { return from < 150 == (to < 150) } // cut into halves, and nobody knows yet
+	f.run(1)
+	for _, m := range f.machines[1:] {
+		_, _, known := m.OthersLoad(f.now)
 		assert.False(t, known)
 	}
 }
 
-func TestALossyNetworkBringsItAllTheSame(t *testing.T) {
+func TestLoadReportsSurvivePacketLoss(t *testing.T) {
 	f := newFleet(300)
 	f.loss = 0.1
 	known, near := 0, 0
 	for range 20 {
-		f.pass(0.25)
-		for i, m := range f.all {
-			if loads, _, is := m.Others(f.now); is {
+		f.run(0.25)
+		for i, m := range f.machines {
+			if loads, _, is := m.OthersLoad(f.now); is {
 				known++
-				if math.Abs(loads[engine].Threads-(f.total()-f.out[i])) < 0.15*f.total() {
+				if math.Abs(loads[engine].Threads-(f.total()-f.threads[i])) < 0.15*f.total() {
 					near++
 				}
 			}
@@ -167,22 +167,22 @@
 }
 
 // One that tells a thousand times too much at every engine raises it by a bounded part, wherever but at the root.
-func TestOneThatLiesMakesNoEngineLookFull(t *testing.T) {
+func TestExcessiveReportIsCapped(t *testing.T) {
 	f := newFleet(300)
-	f.out[299] = 1e6
-	f.pass(1)
-	loads, _, known := f.all[5].Others(f.now)
+	f.threads[299] = 1e6
+	f.run(1)
+	loads, _, known := f.machines[5].OthersLoad(f.now)
 	require.True(t, known)
 	assert.Less(t, loads[engine].Threads, 1.1*600)
 }
 
 // Views that differ in any way make no sum go round and grow: it flows to smaller names only.
-func TestNothingGoesRoundWhateverViewsSay(t *testing.T) {
+func TestTotalsDoNotLoopWithDifferingViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "routers")
 		f := newFleet(n)
 		for range 6 {
-			f.view(func(int) (out []Member) {
+			f.setViews(func(int) (out []Member) {
 				for _, m := range f.members() {
 					if rapid.IntRange(0, 3).Draw(t, "knows") > 0 {
 						out = append(out, m)
@@ -190,9 +190,9 @@
 				}
 				return out
 			})
-			f.pass(0.3)
-			for _, m := range f.all {
-				if loads, _, known := m.Others(f.now); known {
+			f.run(0.3)
+			for _, m := range f.machines {
+				if loads, _, known := m.OthersLoad(f.now); known {
 					require.LessOrEqual(t, loads[engine].Threads, 3*float64(n)*3, "each counts at most for as many as could hear it")
 				}
 			}
@@ -200,16 +200,16 @@
 	})
 }
 
-func TestWhatCannotBeIsOfNoUse(t *testing.T) {
+func TestInvalidMessagesAreIgnored(t *testing.T) {
 	f := newFleet(3)
-	f.pass(1)
+	f.run(1)
 	for _, m := range []Message{{Kind: Down, Routers: 4}, {Kind: Down}, {Kind: Down, Routers: 3, Age: math.NaN()}, {Kind: Down, Routers: 3, Age: 3},
 		{Kind: Down, Routers: 3, Loads: []Load{{engine, math.NaN(), 0}}}, {Kind: Down, Routers: 3, Loads: []Load{{engine, -1, 0}}},
 		{Kind: Down, Routers: 3, Loads: []Load{{engine, math.Inf(1), 0}}}, {Kind: 9, Routers: 3}} {
-		assert.False(t, f.all[1].Heard(f.now, address(0), &m))
+		assert.False(t, f.machines[1].Receive(f.now, address(0), &m))
 	}
 	good := Message{Kind: Down, Routers: 3}
-	assert.False(t, f.all[1].Heard(f.now, address(2), &good), "not from below")
-	assert.False(t, f.all[1].Heard(f.now, "10.9.9.9:1", &good), "nor from a stranger")
-	assert.True(t, f.all[1].Heard(f.now, address(0), &good))
+	assert.False(t, f.machines[1].Receive(f.now, address(2), &good), "not from below")
+	assert.False(t, f.machines[1].Receive(f.now, "10.9.9.9:1", &good), "nor from a stranger")
+	assert.True(t, f.machines[1].Receive(f.now, address(0), &good))
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -50,7 +50,7 @@
 		return
 	}
 	r.members.received++
-	r.members.machine.Heard(r.now, e.Message)
+	r.members.machine.Receive(r.now, e.Message)
 	r.flushMembership()
 	if e.Quotas != nil {
 		r.receiveQuotaMessage(e.Quotas)
@@ -69,19 +69,19 @@
 // flushMembership sends the messages and logs the notes that the membership machine has produced, and sets its next timer.
 func (r *Router) flushMembership() {
 	m := r.members
-	for _, send := range m.machine.Sends() {
+	for _, send := range m.machine.TakeOutgoing() {
 		m.sent++
 		r.emit(SendToPeer{send.To, send.Message, nil, nil})
 	}
-	for _, note := range m.machine.Notes() {
+	for _, note := range m.machine.TakeNotes() {
 		level := Info
-		if note.Loud {
+		if note.Warning {
 			level = Warn
 		}
 		r.log(level, note.Text, note.Fields...)
 	}
 	r.updateFleetSize()
-	if at := m.machine.At(); at != m.timerAt || m.timer == nil || m.timer.index < 0 {
+	if at := m.machine.NextWake(); at != m.timerAt || m.timer == nil || m.timer.index < 0 {
 		r.timers.stop(m.timer)
 		m.timer, m.timerAt = nil, at
 		if at < farFuture {
@@ -119,7 +119,7 @@
 func (r *Router) reportFleet() {
 	m := r.members
 	r.timers.add(r.now+fleetReportInterval, fleetReportDue{})
-	status := FleetStatus{Name: r.config.Name, Now: r.now, View: m.machine.View(), Known: m.machine.Known(), Sent: m.sent, Received: m.received}
+	status := FleetStatus{Name: r.config.Name, Now: r.now, View: m.machine.View(), Known: m.machine.KnownMembers(), Sent: m.sent, Received: m.received}
 	if r.quotas != nil {
 		status.Shares = r.quotas.machine.State(r.now)
 	}
@@ -141,10 +141,10 @@
 // FleetStatus is a snapshot of what a router knows of its fleet.
 type FleetStatus struct {
 	Name     string
-	Now      float64            // time of the snapshot, in seconds
-	View     membership.View    // the current members
-	Known    []membership.Known // every member that is known, including those that are gone
-	Sent     int                // peer messages sent since the start
-	Received int                // peer messages received since the start
-	Shares   *shares.State      // state of the quotas; nil: no quotas are shared by peer messaging
+	Now      float64                  // time of the snapshot, in seconds
+	View     membership.View          // the current members
+	Known    []membership.KnownMember // every member that is known, including those that are gone
+	Sent     int                      // peer messages sent since the start
+	Received int                      // peer messages received since the start
+	Shares   *shares.State            // state of the quotas; nil: no quotas are shared by peer messaging
 }
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -21,9 +21,9 @@
 
 // startLoadReports begins to exchange load reports with the other routers.
 func (r *Router) startLoadReports(s *news.Settings, name string) {
-	r.loadReports = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.Stale}
-	r.log(Info, "news", "every", s.Every)
-	r.timers.add(r.now+s.Every, loadReportDue{})
+	r.loadReports = &loadReports{machine: news.New(*s, name, r.now), staleAfter: s.StaleAfter}
+	r.log(Info, "news", "every", s.Interval)
+	r.timers.add(r.now+s.Interval, loadReportDue{})
 }
 
 // sendLoadReport reports the load that this router has outstanding at each engine, and schedules the next report.
@@ -33,11 +33,11 @@
 	var loads []news.Load
 	for _, e := range r.engines {
 		if threads, memory := e.Engine.InFlightResources(); threads > 0 {
-			loads = append(loads, news.Load{Of: engineInstance(e), Threads: threads, Memory: memory})
+			loads = append(loads, news.Load{EngineStart: engineInstance(e), Threads: threads, Memory: memory})
 		}
 	}
-	n.machine.Tell(r.now, loads)
-	r.timers.add(n.machine.At(), loadReportDue{})
+	n.machine.Report(r.now, loads)
+	r.timers.add(n.machine.NextReport(), loadReportDue{})
 	r.flushLoadReports()
 	r.applyReportedLoads()
 }
@@ -49,20 +49,20 @@
 	switch c := m.Certainty(); {
 	case c == membership.Alone || c == membership.CutOff:
 		n.viewHash = 0
-		n.machine.View(nil)
+		n.machine.SetMembers(nil)
 	case n.viewHash != m.Hash():
 		n.viewHash = m.Hash()
 		var all []news.Member
 		for _, member := range m.View().Members {
 			all = append(all, news.Member{Name: member.Name, Address: member.Address})
 		}
-		n.machine.View(all)
+		n.machine.SetMembers(all)
 	}
 }
 
 // receiveLoadReport processes a load report that another router has sent from an address.
 func (r *Router) receiveLoadReport(from string, m *news.Message) {
-	if r.loadReports.machine.Heard(r.now, from, m) {
+	if r.loadReports.machine.Receive(r.now, from, m) {
 		r.applyReportedLoads()
 	}
 	r.flushLoadReports()
@@ -70,7 +70,7 @@
 
 // applyReportedLoads gives the decision module the load that the other routers have outstanding at each engine.
 func (r *Router) applyReportedLoads() {
-	loads, age, known := r.loadReports.machine.Others(r.now)
+	loads, age, known := r.loadReports.machine.OthersLoad(r.now)
 	if !known {
 		return
 	}
@@ -84,7 +84,7 @@
 
 // flushLoadReports sends the messages that the load report machine has produced.
 func (r *Router) flushLoadReports() {
-	for _, send := range r.loadReports.machine.Sends() {
+	for _, send := range r.loadReports.machine.TakeOutgoing() {
 		r.members.sent++
 		message := send.Message
 		r.emit(SendToPeer{send.To, r.members.machine.Envelope(), nil, &message})
@@ -92,6 +92,6 @@
 }
 
 // engineInstance identifies one start of an engine: a restarted engine is another instance.
-func engineInstance(e *engine) news.Of {
-	return news.Of{Engine: e.Engine.ID, Start: math.Float64bits(e.StartedAt)}
+func engineInstance(e *engine) news.EngineStart {
+	return news.EngineStart{Engine: e.Engine.ID, Start: math.Float64bits(e.StartedAt)}
 }
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -31,11 +31,11 @@
 	h.deliver(PeerMessagingSet{Settings: m, LoadReports: &n})
 	peer := membership.Member{ID: membership.ID{Name: "a", Start: 1}, Address: "10.9.0.2:7500"}
 	receive := func(m *news.Message) {
-		h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: peer}, LoadReports: m})
+		h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Gossip, From: peer}, LoadReports: m})
 	}
 	loadAt := func(name string) *news.Message {
 		e := h.engines[name]
-		return &news.Message{Kind: news.Down, Routers: 2, Loads: []news.Load{{Of: news.Of{Engine: e.Engine.ID, Start: math.Float64bits(0)}, Threads: 12, Memory: 1000}}}
+		return &news.Message{Kind: news.Down, Routers: 2, Loads: []news.Load{{EngineStart: news.EngineStart{Engine: e.Engine.ID, Start: math.Float64bits(0)}, Threads: 12, Memory: 1000}}}
 	}
 	h.advance(0.2)
 	for i, busy := range []string{"s-1", "s-2", "s-1"} {
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -265,7 +265,7 @@
 				}
 				p.deliver(event)
 				for i := range 300 {
-					p.deliver(router.PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: member(i)}})
+					p.deliver(router.PeerMessageReceived{Message: &membership.Message{Kind: membership.Gossip, From: member(i)}})
 				}
 			}
 			b.ReportAllocs()
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	from := membership.Member{ID: membership.ID{Name: "other", Start: 1}, Address: coordinatorAddress}
-	h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Tell, From: from}, Quotas: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
+	h.deliver(PeerMessageReceived{Message: &membership.Message{Kind: membership.Gossip, From: from}, Quotas: &shares.Message{Kind: shares.GrantReply, ReplicaSetHash: roll,
 		ToStart: 1, From: shares.ID{Name: "other", Start: 1}, FromAddress: coordinatorAddress, Coordinator: coordinatorAddress, Items: []shares.Item{{Number: request.Number, Attempt: request.Attempt, Key: request.Key, Amount: request.Amount, Lease: lease}}}})
 }
 
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -59,18 +59,18 @@
 
 func newMembers(m router.FleetStatus, t loop.DatagramCounts, before *Members) *Members {
 	v := m.View
-	out := &Members{Router: m.Name, At: unixTime(m.Now), Certainty: v.State.String(), CertainSince: unixTime(v.StateAt), Count: len(v.Members),
-		View: fmt.Sprintf("%016x", v.Hash), Changes: v.Number, SameFor: m.Now - v.Since, Agree: v.Agree, Differ: v.Differ,
+	out := &Members{Router: m.Name, At: unixTime(m.Now), Certainty: v.Certainty.String(), CertainSince: unixTime(v.CertaintySince), Count: len(v.Members),
+		View: fmt.Sprintf("%016x", v.Hash), Changes: v.Changes, SameFor: m.Now - v.Since, Agree: v.AgreeCount, Differ: v.DifferCount,
 		Traffic: DatagramTraffic{In: t.In, Out: t.Out, BytesIn: t.BytesIn, BytesOut: t.BytesOut, UnknownNetworks: t.UnknownNetworks, OtherFleets: t.OtherFleets,
 			Malformed: t.Malformed, Unsent: t.Unsent}}
-	self := v.Members[v.Index]
+	self := v.Members[v.SelfIndex]
 	out.Members = append(out.Members, Member{Name: self.Name, Start: self.Start, Address: self.Address, State: self.State.String(),
 		Incarnation: self.Incarnation, Agrees: true, Self: true})
 	for _, k := range m.Known {
 		one := Member{Name: k.Name, Start: k.Start, Address: k.Address, State: k.State.String(), Incarnation: k.Incarnation, StateFor: m.Now - k.Since,
-			Accusers: k.Accusers, ReceivedAgo: -1, Agrees: k.Agrees}
-		if k.Heard > 0 {
-			one.ReceivedAgo = m.Now - k.Heard
+			Accusers: k.Accusers, ReceivedAgo: -1, Agrees: k.SameView}
+		if k.LastReceived > 0 {
+			one.ReceivedAgo = m.Now - k.LastReceived
 		}
 		if k.State > membership.Suspect {
 			one.Agrees = false
--- a/internal/talk/news.go
+++ b/internal/talk/news.go
@@ -2,7 +2,7 @@
 
 import "pitchfield/internal/news"
 
-func newsOut(m *news.Message) *News {
+func encodeNews(m *news.Message) *News {
 	out := &News{Down: m.Kind == news.Down, Routers: uint32(m.Routers), Age: float32(m.Age)}
 	for _, l := range m.Loads {
 		out.Loads = append(out.Loads, &Load{Engine: l.Engine, Start: l.Start, Threads: float32(l.Threads), Memory: float32(l.Memory)})
@@ -10,9 +10,9 @@
 	return out
 }
 
-// newsIn takes in what a sender says; whether its figures can be is for who uses them.
-func newsIn(p *News) (*news.Message, bool) {
-	if p == nil || len(p.Loads) > news.MostLoads || p.Routers == 0 || p.Routers > 1<<24 || !(p.Age >= 0 && p.Age < mostTime) {
+// decodeNews takes in what a sender says; whether its figures can be is for who uses them.
+func decodeNews(p *News) (*news.Message, bool) {
+	if p == nil || len(p.Loads) > news.MaxLoads || p.Routers == 0 || p.Routers > 1<<24 || !(p.Age >= 0 && p.Age < maxSeconds) {
 		return nil, false
 	}
 	m := &news.Message{Kind: news.Up, Routers: int(p.Routers), Age: float64(p.Age)}
@@ -20,7 +20,7 @@
 		m.Kind = news.Down
 	}
 	for _, l := range p.Loads {
-		m.Loads = append(m.Loads, news.Load{Of: news.Of{Engine: l.Engine, Start: l.Start}, Threads: float64(l.Threads), Memory: float64(l.Memory)})
+		m.Loads = append(m.Loads, news.Load{EngineStart: news.EngineStart{Engine: l.Engine, Start: l.Start}, Threads: float64(l.Threads), Memory: float64(l.Memory)})
 	}
 	return m, true
 }
--- a/internal/talk/shares.go
+++ b/internal/talk/shares.go
@@ -8,22 +8,22 @@
 	"pitchfield/internal/shares"
 )
 
-var sharesKinds = map[shares.MessageKind]SharesKind{shares.Claim: SharesKind_CLAIM, shares.Promise: SharesKind_PROMISE, shares.Refusal: SharesKind_REFUSAL,
+var sharesKindToWire = map[shares.MessageKind]SharesKind{shares.Claim: SharesKind_CLAIM, shares.Promise: SharesKind_PROMISE, shares.Refusal: SharesKind_REFUSAL,
 	shares.Resign: SharesKind_YIELD, shares.GrantRequest: SharesKind_CREDIT_ASK, shares.GrantReply: SharesKind_CREDIT_REPLY,
 	shares.Handover: SharesKind_HANDOVER, shares.RecordUpdate: SharesKind_RECORD, shares.RecordAck: SharesKind_RECORDED, shares.RecoveryRequest: SharesKind_RECALL,
 	shares.RecoveryPage: SharesKind_RECALLED}
 
 // Bounds of what is taken for an amount or a time of another router; what is beyond is no packet of this form.
 const (
-	mostItems  = 64
-	mostAmount = 1e9
-	mostTime   = 24 * 3600
-	mostPages  = 4096 // of what a keeper knows
+	maxItems   = 64
+	maxAmount  = 1e9
+	maxSeconds = 24 * 3600
+	maxPages   = 4096 // of what a keeper knows
 )
 
-func sharesOut(m *shares.Message) *Shares {
-	out := &Shares{Kind: sharesKinds[m.Kind], Roll: m.ReplicaSetHash, Number: m.Number, Bursar: m.Coordinator, Prior: m.PreviousPromise.Name, PriorStart: m.PreviousPromise.Start,
-		Start: m.From.Start, To: m.ToStart, Page: m.Page, Pages: m.Pages, Up: min(m.CompleteFor, mostTime)}
+func encodeShares(m *shares.Message) *Shares {
+	out := &Shares{Kind: sharesKindToWire[m.Kind], Roll: m.ReplicaSetHash, Number: m.Number, Bursar: m.Coordinator, Prior: m.PreviousPromise.Name, PriorStart: m.PreviousPromise.Start,
+		Start: m.From.Start, To: m.ToStart, Page: m.Page, Pages: m.Pages, Up: min(m.CompleteFor, maxSeconds)}
 	for _, i := range m.Items {
 		out.Items = append(out.Items, &Credit{Number: i.Number, Attempt: i.Attempt, Kind: uint32(i.Key.Kind), Of: i.Key.Engine, At: i.Key.Qualifier, Amount: i.Amount,
 			Whole: i.Total, Rest: i.CountedFor, Lease: i.Lease, Done: i.Done, Never: i.TooLarge, Name: i.Holder.Name, Start: i.Holder.Start})
@@ -31,32 +31,32 @@
 	return out
 }
 
-// sharesIn takes in what a sender says. A kind of message or of budget that is not known is of a newer version and passed over.
-func sharesIn(p *Shares, from *membership.Member) (*shares.Message, bool) {
-	if p == nil || len(p.Items) > mostItems {
+// decodeShares takes in what a sender says. A kind of message or of budget that is not known is of a newer version and passed over.
+func decodeShares(p *Shares, from *membership.Member) (*shares.Message, bool) {
+	if p == nil || len(p.Items) > maxItems {
 		return nil, false
 	}
 	m := &shares.Message{From: shares.ID{Name: from.Name, Start: p.Start}, FromAddress: from.Address, ToStart: p.To, ReplicaSetHash: p.Roll, Number: p.Number, Coordinator: p.Bursar,
 		PreviousPromise: shares.ID{Name: p.Prior, Start: p.PriorStart}, Page: p.Page, Pages: p.Pages, CompleteFor: p.Up}
-	for kind, worded := range sharesKinds {
+	for kind, worded := range sharesKindToWire {
 		if worded == p.Kind {
 			m.Kind = kind
 		}
 	}
-	if a, err := netip.ParseAddrPort(p.Bursar); p.Bursar != "" && (err != nil || a.Port() == 0 || len(p.Bursar) > mostName) {
+	if a, err := netip.ParseAddrPort(p.Bursar); p.Bursar != "" && (err != nil || a.Port() == 0 || len(p.Bursar) > maxNameLength) {
 		return nil, false
 	}
-	if p.Prior != "" && !usable(p.Prior) {
+	if p.Prior != "" && !isPrintableName(p.Prior) {
 		return nil, false
 	}
-	if !(p.Up >= 0 && p.Up <= mostTime) || p.Pages > mostPages {
+	if !(p.Up >= 0 && p.Up <= maxSeconds) || p.Pages > maxPages {
 		return nil, false
 	}
 	for _, c := range p.Items {
-		if c.Name != "" && !usable(c.Name) {
+		if c.Name != "" && !isPrintableName(c.Name) {
 			return nil, false
 		}
-		for of, most := range map[float64]float64{c.Amount: mostAmount, c.Whole: mostAmount, c.Rest: mostTime, c.Lease: mostTime} {
+		for of, most := range map[float64]float64{c.Amount: maxAmount, c.Whole: maxAmount, c.Rest: maxSeconds, c.Lease: maxSeconds} {
 			if !(of >= 0 && of <= most) { // nor is what is no number
 				return nil, false
 			}
--- a/internal/talk/talk_test.go
+++ b/internal/talk/talk_test.go
@@ -17,41 +17,41 @@
 	"pitchfield/internal/shares"
 )
 
-func someone(name string) membership.Member {
+func newTestMember(name string) membership.Member {
 	return membership.Member{ID: membership.ID{Name: name, Start: 17}, Address: "127.0.0.1:7500", Incarnation: 3, State: membership.Alive}
 }
 
-func whole() *Message {
-	m := &Message{Message: membership.Message{Kind: membership.Ask, From: someone("n1"), View: 0xfedcba9876543210, Count: 12, Number: 99, Target: someone("n2")}}
+func newTestMessage() *Message {
+	m := &Message{Message: membership.Message{Kind: membership.PingRequest, From: newTestMember("n1"), ViewHash: 0xfedcba9876543210, MemberCount: 12, Number: 99, Target: newTestMember("n2")}}
 	for i := range 30 {
-		r := someone(fmt.Sprint("n", i))
-		r.State, r.By = membership.Suspect, "n1"
+		r := newTestMember(fmt.Sprint("n", i))
+		r.State, r.Accuser = membership.Suspect, "n1"
 		m.Rumours = append(m.Rumours, r)
 	}
 	return m
 }
 
-func TestAMessageComesBackAsItWas(t *testing.T) {
-	data, err := Encode("fleet", whole())
+func TestMessageRoundTrip(t *testing.T) {
+	data, err := Encode("fleet", newTestMessage())
 	require.NoError(t, err)
 	got, err := Decode("fleet", data)
 	require.NoError(t, err)
-	assert.Equal(t, whole(), got)
-	compare := &Message{Message: membership.Message{Kind: membership.Compare, From: someone("n1"), Hashes: make([]uint32, membership.Buckets), Answer: true}}
+	assert.Equal(t, newTestMessage(), got)
+	compare := &Message{Message: membership.Message{Kind: membership.Digest, From: newTestMember("n1"), Hashes: make([]uint32, membership.Buckets), IsReply: true}}
 	if data, err = Encode("fleet", compare); assert.NoError(t, err) {
 		got, err = Decode("fleet", data)
 		require.NoError(t, err)
 		assert.Equal(t, compare, got)
 	}
-	long := whole()
+	long := newTestMessage()
 	long.Rumours = append(long.Rumours, long.Rumours...)
 	_, err = Encode("fleet", long)
 	assert.ErrorIs(t, err, ErrTooLong)
 }
 
-func TestWhatIsSaidOfSharesComesBackAsItWas(t *testing.T) {
-	from := someone("n1")
-	m := &Message{Message: membership.Message{Kind: membership.Tell, From: from, View: 7, Count: 3}, Shares: &shares.Message{Kind: shares.GrantRequest,
+func TestSharesMessageRoundTrip(t *testing.T) {
+	from := newTestMember("n1")
+	m := &Message{Message: membership.Message{Kind: membership.Gossip, From: from, ViewHash: 7, MemberCount: 3}, Shares: &shares.Message{Kind: shares.GrantRequest,
 		From: shares.ID{Name: from.Name, Start: from.Start}, FromAddress: from.Address, ReplicaSetHash: 9, Number: 4, Coordinator: "127.0.0.1:7501",
 		Items: []shares.Item{{Number: 1 << 40, Attempt: 2, Key: shares.ColdStartKey(shares.EngineStart{Engine: 7, StartedAt: 1e9}), Amount: 1.5, Total: 6, CountedFor: 1.1},
 			{Number: 8, Key: shares.ColdStartKey(shares.EngineStart{Engine: 8, StartedAt: 1e9}), Done: true}}}}
@@ -77,7 +77,7 @@
 		}
 		if spoiled, err := proto.Marshal(&p); assert.NoError(t, err) {
 			_, err = Decode("fleet", spoiled)
-			assert.ErrorIs(t, err, ErrForm, name)
+			assert.ErrorIs(t, err, ErrMalformed, name)
 		}
 	}
 	var p Packet
@@ -92,10 +92,10 @@
 }
 
 // What a keeper is told has its holder's name: seven of them fit a datagram whatever routers are called, sixteen did not.
-func TestTheLargestMessagesFitADatagram(t *testing.T) {
+func TestLargestMessagesFitDatagram(t *testing.T) {
 	name, address, large := strings.Repeat("n", 64), "255.255.255.255:65535", uint64(math.MaxUint64)
 	from := membership.Member{ID: membership.ID{Name: name, Start: large}, Address: address, Incarnation: math.MaxUint32}
-	envelope := membership.Message{Kind: membership.Tell, From: from, View: large, Count: 1 << 20}
+	envelope := membership.Message{Kind: membership.Gossip, From: from, ViewHash: large, MemberCount: 1 << 20}
 	item := shares.Item{Number: large, Attempt: math.MaxUint32, Key: shares.Key{Kind: shares.Concurrency, Engine: math.MaxUint32, Qualifier: large}, Amount: 1.1, Total: 1.1, CountedFor: 1.1,
 		Lease: 1.1, Holder: shares.ID{Name: name, Start: large}}
 	said := shares.Message{Kind: shares.RecoveryPage, From: shares.ID{Name: name, Start: large}, FromAddress: address, ToStart: large, ReplicaSetHash: math.MaxUint32, Number: large, Coordinator: address,
@@ -104,8 +104,8 @@
 		said.Items = append(said.Items, item)
 	}
 	all := news.Message{Kind: news.Down, Routers: 1 << 20, Age: 0.1}
-	for range news.MostLoads {
-		all.Loads = append(all.Loads, news.Load{Of: news.Of{Engine: math.MaxUint32, Start: large}, Threads: 1.1, Memory: 1.1})
+	for range news.MaxLoads {
+		all.Loads = append(all.Loads, news.Load{EngineStart: news.EngineStart{Engine: math.MaxUint32, Start: large}, Threads: 1.1, Memory: 1.1})
 	}
 	for _, m := range []Message{{Message: envelope, Shares: &said}, {Message: envelope, News: &all}} {
 		data, err := Encode(strings.Repeat("f", 64), &m)
@@ -115,25 +115,25 @@
 	}
 }
 
-func TestWhatANewerVersionAddsIsPassedOver(t *testing.T) {
-	data, err := Encode("fleet", whole())
+func TestAdditionsOfNewerVersionsAreIgnored(t *testing.T) {
+	data, err := Encode("fleet", newTestMessage())
 	require.NoError(t, err)
 	data = protowire.AppendBytes(protowire.AppendTag(data, 900, protowire.BytesType), []byte("news"))
 	got, err := Decode("fleet", data)
 	require.NoError(t, err)
-	assert.Equal(t, whole(), got)
+	assert.Equal(t, newTestMessage(), got)
 	var p Packet
 	require.NoError(t, proto.Unmarshal(data, &p))
 	p.Kind, p.Version = 77, 2
 	if data, err = proto.Marshal(&p); assert.NoError(t, err) {
 		got, err = Decode("fleet", data)
 		require.NoError(t, err)
-		assert.Equal(t, membership.Tell, got.Kind, "a kind that is not known still brings its rumours")
+		assert.Equal(t, membership.Gossip, got.Kind, "a kind that is not known still brings its rumours")
 		assert.Len(t, got.Rumours, 30)
 	}
 }
 
-func TestWhatIsNotOfThisFormIsDroppedWhole(t *testing.T) {
+func TestMalformedPacketsAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(p *Packet){
 		"no sender":              func(p *Packet) { p.From = nil },
 		"no name":                func(p *Packet) { p.From.Name = "" },
@@ -151,7 +151,7 @@
 		"no version":             func(p *Packet) { p.Version = 0 },
 		"an accuser that is not": func(p *Packet) { p.Rumours[1].By = "\x00" },
 	} {
-		data, err := Encode("fleet", whole())
+		data, err := Encode("fleet", newTestMessage())
 		require.NoError(t, err)
 		var p Packet
 		require.NoError(t, proto.Unmarshal(data, &p))
@@ -159,12 +159,12 @@
 		data, err = proto.Marshal(&p)
 		require.NoError(t, err)
 		_, err = Decode("fleet", data)
-		assert.ErrorIs(t, err, ErrForm, name)
+		assert.ErrorIs(t, err, ErrMalformed, name)
 	}
-	data, err := Encode("fleet", whole())
+	data, err := Encode("fleet", newTestMessage())
 	require.NoError(t, err)
 	_, err = Decode("another", data)
-	assert.ErrorIs(t, err, ErrFleet)
+	assert.ErrorIs(t, err, ErrOtherFleet)
 	_, err = Decode("fleet", bytes.Repeat(data, 40))
 	assert.ErrorIs(t, err, ErrTooLong)
 	for n := range data {
@@ -176,11 +176,11 @@
 
 // Whatever passes can be said again, and is the same then; the machine takes it in without harm.
 func FuzzDecode(f *testing.F) {
-	data, _ := Encode("fleet", whole())
+	data, _ := Encode("fleet", newTestMessage())
 	f.Add(data)
-	data, _ = Encode("fleet", &Message{Message: membership.Message{Kind: membership.Compare, From: someone("n3"), Hashes: make([]uint32, membership.Buckets)}})
+	data, _ = Encode("fleet", &Message{Message: membership.Message{Kind: membership.Digest, From: newTestMember("n3"), Hashes: make([]uint32, membership.Buckets)}})
 	f.Add(data)
-	data, _ = Encode("fleet", &Message{Message: membership.Message{Kind: membership.Ping, From: someone("me"), Number: 4}})
+	data, _ = Encode("fleet", &Message{Message: membership.Message{Kind: membership.Ping, From: newTestMember("me"), Number: 4}})
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := Decode("fleet", data)
@@ -196,15 +196,15 @@
 		s.Self, s.Listen = membership.ID{Name: "me", Start: 5}, "127.0.0.1:7400"
 		machine := membership.New(s, 1, 100)
 		for i := range 3 {
-			machine.Heard(100+float64(i), &m.Message)
-			for _, out := range machine.Sends() {
+			machine.Receive(100+float64(i), &m.Message)
+			for _, out := range machine.TakeOutgoing() {
 				_, err := Encode("fleet", &Message{Message: out.Message})
 				require.NoError(t, err)
 			}
-			machine.Wake(machine.At())
+			machine.Wake(machine.NextWake())
 		}
 		v := machine.View()
 		require.Len(t, v.Members, machine.Count())
-		require.GreaterOrEqual(t, v.Index, 0)
+		require.GreaterOrEqual(t, v.SelfIndex, 0)
 	})
 }
