--- a/cmd/pitchfield/attempts_test.go
+++ b/cmd/pitchfield/attempts_test.go
@@ -13,26 +13,26 @@
 	"pitchfield/internal/standin"
 )
 
-// readsLate is by how much the engines of these tests read one connection late.
-const readsLate = 300 * time.Millisecond
+// readDelay is by how much the engines of these tests read one connection late.
+const readDelay = 300 * time.Millisecond
 
-// attempts are those that an engine has read and not ended, as the protocol's page counts them: an attempt is out until its end is
+// attemptTracker are those that an engine has read and not ended, as the protocol's page counts them: an attempt is out until its end is
 // written or its engine has read that it is given up.
-type attempts struct {
-	mutex sync.Mutex
-	open  map[string]bool
-	count map[string]int
-	twice []string // requests of which a further attempt came beside one that was out
+type attemptTracker struct {
+	mutex       sync.Mutex
+	open        map[string]bool
+	count       map[string]int
+	overlapping []string // requests of which a further attempt came beside one that was out
 }
 
 // answer is for standin.NewEngine: the first attempt of each request has no answer, further ones have a result.
-func (a *attempts) answer(r standin.Request) [][]string {
+func (a *attemptTracker) answer(r standin.Request) [][]string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	switch r[0] {
 	case "fetch":
 		if a.open[r[1]] {
-			a.twice = append(a.twice, r[1])
+			a.overlapping = append(a.overlapping, r[1])
 		}
 		if a.count[r[1]]++; a.count[r[1]] == 1 {
 			a.open[r[1]] = true
@@ -49,19 +49,19 @@
 // Issue 53: where second copies are forbidden, no further attempt leaves before the engine has read that the first is given up. It
 // reads the connection of the first attempt late.
 func TestNoFurtherAttemptBesideOneThatIsStillOut(t *testing.T) {
-	seen := &attempts{open: map[string]bool{}, count: map[string]int{}}
+	seen := &attemptTracker{open: map[string]bool{}, count: map[string]int{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	e := &standin.Engine{Listener: listener, Answer: seen.answer, ReadDelay: func(connection int) time.Duration {
 		if connection == 0 {
-			return readsLate
+			return readDelay
 		}
 		return 0
 	}}
 	e.Start()
-	p := prepare(t, e)
-	p.settings = strings.Replace(grades, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-probe":true,`, 1)
+	p := newProgram(t, e)
+	p.settings = strings.Replace(platformSettings, `"attempts-cap":3,`, `"attempts-cap":3,"cancel":true,"may-probe":true,`, 1)
 	p.configure(p.names)
 	p.start()
 	c := p.client()
@@ -72,6 +72,6 @@
 	assert.Equal(t, uint8(0), a.Code, "the second attempt has a result")
 	seen.mutex.Lock()
 	defer seen.mutex.Unlock()
-	assert.Empty(t, seen.twice)
+	assert.Empty(t, seen.overlapping)
 	assert.Equal(t, 2, seen.count["00000000000000f1"])
 }
--- a/cmd/pitchfield/drain_test.go
+++ b/cmd/pitchfield/drain_test.go
@@ -23,10 +23,10 @@
 	slack = 50 * time.Millisecond
 )
 
-// arrivals notes when requests reach an engine.
-type arrivals struct {
-	mutex sync.Mutex
-	all   []arrival
+// arrivalLog notes when requests reach an engine.
+type arrivalLog struct {
+	mutex   sync.Mutex
+	entries []arrival
 }
 
 type arrival struct {
@@ -35,21 +35,21 @@
 }
 
 // answer is for standin.NewEngine: a result at once, of one page.
-func (a *arrivals) answer(r standin.Request) [][]string {
+func (a *arrivalLog) answer(r standin.Request) [][]string {
 	if r[0] != "fetch" {
 		return standin.ToyAnswer(r)
 	}
 	a.mutex.Lock()
-	a.all = append(a.all, arrival{r[1], time.Now()})
+	a.entries = append(a.entries, arrival{r[1], time.Now()})
 	a.mutex.Unlock()
 	return [][]string{{r[1], "DONE", "sheets=1,toil=1,room=8", "one\ttwo\tthree\n"}}
 }
 
 // after gives what came after a time.
-func (a *arrivals) after(limit time.Time) (late []arrival) {
+func (a *arrivalLog) after(limit time.Time) (late []arrival) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for _, one := range a.all {
+	for _, one := range a.entries {
 		if one.at.After(limit) {
 			late = append(late, one)
 		}
@@ -57,10 +57,10 @@
 	return late
 }
 
-func (a *arrivals) has(id string) bool {
+func (a *arrivalLog) has(id string) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for _, one := range a.all {
+	for _, one := range a.entries {
 		if one.id == id {
 			return true
 		}
@@ -68,35 +68,35 @@
 	return false
 }
 
-func ready(id string, e *standin.Engine) standin.Host {
+func readyHost(id string, e *standin.Engine) standin.Host {
 	return standin.Host{ID: id, Zone: "hall", Kind: "std", Address: e.Addr().String()}
 }
 
-func draining(id string, e *standin.Engine) standin.Host {
-	h := ready(id, e)
+func drainingHost(id string, e *standin.Engine) standin.Host {
+	h := readyHost(id, e)
 	h.Draining = true
 	return h
 }
 
-// told waits until the name service has sent an answer with a drain, and gives when that was.
-func (p *program) told(id string) time.Time {
+// waitForDrainAnswer waits until the name service has sent an answer with a drain, and gives when that was.
+func (p *program) waitForDrainAnswer(id string) time.Time {
 	p.t.Helper()
-	require.Eventually(p.t, func() bool { return !p.names.FirstDrained()[id].IsZero() }, patience, time.Millisecond)
+	require.Eventually(p.t, func() bool { return !p.names.FirstDrained()[id].IsZero() }, waitTimeout, time.Millisecond)
 	return p.names.FirstDrained()[id]
 }
 
 // A name service with a backlog answers each question late, but what it sends counts. All of its answers came to questions
 // that the router had forgotten, or to sockets that it had closed.
-func TestADrainIsHeardFromASlowNameService(t *testing.T) {
-	var old, fresh arrivals
-	e0, e1 := engine(t, old.answer), engine(t, fresh.answer)
-	p := prepare(t, e0)
+func TestADrainIsReceivedFromASlowNameService(t *testing.T) {
+	var old, fresh arrivalLog
+	e0, e1 := newEngine(t, old.answer), newEngine(t, fresh.answer)
+	p := newProgram(t, e0)
 	p.names.SetLag(40)
-	p.configureKnown(p.names, p.names.StartupEvents())
+	p.configureWithEngines(p.names, p.names.StartupEvents())
 	p.start()
-	p.names.Set(draining("s-0", e0), ready("s-new", e1))
-	limit := p.told("s-0").Add(grace + slack)
-	p.askUntilPast(limit)
+	p.names.Set(drainingHost("s-0", e0), readyHost("s-new", e1))
+	limit := p.waitForDrainAnswer("s-0").Add(grace + slack)
+	p.sendRequestsUntilPast(limit)
 	assert.Empty(t, old.after(limit), "after the grace")
 	assert.NotEmpty(t, fresh.after(limit))
 }
@@ -105,11 +105,11 @@
 // one; a router that took it for newer held all lists for old until its own numbers had come so far. This is the cause of
 // incident 1.
 func TestAnAnswerMadeBeforeTheRestartDoesNotHideADrain(t *testing.T) {
-	var old, fresh arrivals
-	e0, e1 := engine(t, old.answer), engine(t, fresh.answer)
-	p := prepare(t, e0)
+	var old, fresh arrivalLog
+	e0, e1 := newEngine(t, old.answer), newEngine(t, fresh.answer)
+	p := newProgram(t, e0)
 	for range 4 {
-		p.list(e0)
+		p.listEngines(e0)
 	}
 	p.configure(p.names)
 	p.start()
@@ -118,19 +118,19 @@
 	p.Wait() //nolint:errcheck
 	p.names.ResetSerial()
 	p.names.AnswerNextWith(before)
-	p.configureKnown(p.names, p.names.StartupEvents())
+	p.configureWithEngines(p.names, p.names.StartupEvents())
 	answers := p.names.AnswerCount()
 	p.start()
-	require.Eventually(t, func() bool { return p.names.AnswerCount() > answers+3 }, patience, time.Millisecond)
-	p.names.Set(draining("s-0", e0), ready("s-new", e1))
-	limit := p.told("s-0").Add(grace + slack)
-	p.askUntilPast(limit)
+	require.Eventually(t, func() bool { return p.names.AnswerCount() > answers+3 }, waitTimeout, time.Millisecond)
+	p.names.Set(drainingHost("s-0", e0), readyHost("s-new", e1))
+	limit := p.waitForDrainAnswer("s-0").Add(grace + slack)
+	p.sendRequestsUntilPast(limit)
 	assert.Empty(t, old.after(limit), "after the grace")
 	assert.NotEmpty(t, fresh.after(limit))
 }
 
-// askUntilPast sends requests one after the other, a hundred of them after a time.
-func (p *program) askUntilPast(limit time.Time) {
+// sendRequestsUntilPast sends requests one after the other, a hundred of them after a time.
+func (p *program) sendRequestsUntilPast(limit time.Time) {
 	p.t.Helper()
 	const requests = 100
 	c := p.client()
@@ -138,7 +138,7 @@
 		if time.Now().After(limit) {
 			past++
 		}
-		require.NoError(p.t, c.SendBatch(i, "lookup", fmt.Sprintf("%016x", i), left, "SELECT 1"))
+		require.NoError(p.t, c.SendBatch(i, "lookup", fmt.Sprintf("%016x", i), requestTimeout, "SELECT 1"))
 		p.answers(c, 1)
 	}
 }
@@ -154,21 +154,21 @@
 		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) //nolint:errcheck
 	}))
 	gate := make(chan struct{})
-	var old, fresh arrivals
+	var old, fresh arrivalLog
 	e0 := standin.NewEngineFromListener(&gatedListener{listener, gate}, old.answer)
 	t.Cleanup(func() { e0.Close() })
-	e1 := engine(t, fresh.answer)
-	p := launch(t, e0)
+	e1 := newEngine(t, fresh.answer)
+	p := startNewProgram(t, e0)
 	c := p.client()
 	text := "SELECT '" + strings.Repeat("x", 200_000) + "'"
 	const requests = 30 // more than there are connections to one engine
 	for i := range uint32(requests) {
-		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), left, text))
+		require.NoError(t, c.SendBatch(i+1, "lookup", fmt.Sprintf("%016x", i+1), requestTimeout, text))
 	}
-	p.names.Set(draining("s-0", e0), ready("s-new", e1))
-	limit := p.told("s-0").Add(grace + slack)
-	require.Eventually(t, func() bool { return len(fresh.after(time.Time{})) > 0 || time.Now().After(limit.Add(grace)) }, patience, time.Millisecond)
-	require.Eventually(t, func() bool { return time.Now().After(limit) }, patience, time.Millisecond)
+	p.names.Set(drainingHost("s-0", e0), readyHost("s-new", e1))
+	limit := p.waitForDrainAnswer("s-0").Add(grace + slack)
+	require.Eventually(t, func() bool { return len(fresh.after(time.Time{})) > 0 || time.Now().After(limit.Add(grace)) }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return time.Now().After(limit) }, waitTimeout, time.Millisecond)
 	close(gate)
 	p.answers(c, requests)
 	// What had begun to leave before may arrive whole now: one request on each connection, and nothing behind it.
--- a/cmd/pitchfield/main.go
+++ b/cmd/pitchfield/main.go
@@ -26,18 +26,18 @@
 // softMemory is the part of the memory limit at which the collector works harder; the rest is not Go's heap.
 // With one core each collection holds the loop up, so it comes seldom while there is room.
 const (
-	softMemory = 0.7
-	collectAt  = 400
+	memoryLimitFraction = 0.7
+	gcPercent           = 400
 
-	linesASecond = 50 // of one text
+	maxLinesPerSecond = 50 // of one text
 )
 
 // How long is waited for what fails for a moment.
 const (
-	loadWithin   = 3 * time.Second // for the files at a start
-	reloadWithin = 10 * time.Second
-	reloadEvery  = 50 * time.Millisecond
-	logWithin    = 100 * time.Millisecond // for the last lines to be written
+	loadTimeout         = 3 * time.Second // for the files at a start
+	reloadTimeout       = 10 * time.Second
+	reloadRetryInterval = 50 * time.Millisecond
+	logFlushTimeout     = 100 * time.Millisecond // for the last lines to be written
 )
 
 // What the program exits with.
@@ -46,14 +46,14 @@
 	exitUsage  = 2 // wrong words, or settings that can't be used
 )
 
-// unusable is an error that exits with exitUsage.
-type unusable struct{ error }
+// usageError is an error that exits with exitUsage.
+type usageError struct{ error }
 
 func main() {
-	os.Exit(command(os.Args[1:]))
+	os.Exit(execute(os.Args[1:]))
 }
 
-func command(args []string) int {
+func execute(args []string) int {
 	for i, a := range args { // as it was written before there were words
 		if strings.HasPrefix(a, "-log-level") {
 			args[i] = "-" + a
@@ -66,7 +66,7 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "pitchfield:", err)
-	if _, is := err.(unusable); is { //nolint:errorlint // it is never wrapped
+	if _, is := err.(usageError); is { //nolint:errorlint // it is never wrapped
 		return exitUsage
 	}
 	return exitFailed
@@ -77,16 +77,16 @@
 	start := func(*cobra.Command, []string) error {
 		l, err := zapcore.ParseLevel(level)
 		if err != nil {
-			return unusable{fmt.Errorf("log-level: %w", err)}
+			return usageError{fmt.Errorf("log-level: %w", err)}
 		}
 		return run(l, path)
 	}
 	root := &cobra.Command{Use: "pitchfield", Short: "A workload manager before analytic engines",
 		Long: "A workload manager before analytic engines. Without a word it runs a router; RELAY_CONFIG names its configuration.",
-		Args: noWords, RunE: start, SilenceErrors: true, SilenceUsage: true}
+		Args: noArguments, RunE: start, SilenceErrors: true, SilenceUsage: true}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return unusable{err} })
-	runs := &cobra.Command{Use: "run", Short: "Run a router (as without a word)", Args: noWords, RunE: start}
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
+	runs := &cobra.Command{Use: "run", Short: "Run a router (as without a word)", Args: noArguments, RunE: start}
 	for _, c := range []*cobra.Command{root, runs} {
 		c.Flags().StringVar(&level, "log-level", "info", "least level that is logged; debug has lines for every batch")
 		c.Flags().StringVar(&path, "settings", "", "file with settings of our own (TOML); none: all of them are off")
@@ -96,9 +96,9 @@
 	return root
 }
 
-func noWords(c *cobra.Command, args []string) error {
+func noArguments(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return unusable{fmt.Errorf("%q is no word of %s; there is %s --help", args[0], c.CommandPath(), c.CommandPath())}
+		return usageError{fmt.Errorf("%q is no word of %s; there is %s --help", args[0], c.CommandPath(), c.CommandPath())}
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	signal.Notify(again, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // it ends a process that logs to a pipe which nobody reads any more
 	var t serve.Configuration
-	err := transient.Retry(loadWithin, func() (err error) {
+	err := transient.Retry(loadTimeout, func() (err error) {
 		t, err = serve.Load(os.Getenv, path)
 		return err
 	})
@@ -117,16 +117,16 @@
 	}
 	c := t.Config
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	limitMemory(c)
 	logging := zap.NewProductionConfig()
 	logging.Level, logging.Sampling = zap.NewAtomicLevelAt(level), nil
 	if level >= zap.InfoLevel { // whoever sends rubbish must not fill the log; debug is for all there is
-		logging.Sampling = &zap.SamplingConfig{Initial: linesASecond}
+		logging.Sampling = &zap.SamplingConfig{Initial: maxLinesPerSecond}
 	}
 	logging.DisableStacktrace, logging.DisableCaller = true, true
 	lines := logwriter.New(os.Stderr)
-	defer lines.Close(logWithin)
+	defer lines.Close(logFlushTimeout)
 	log := newLogger(logging, lines).With(zap.String("router", c.Name))
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -135,7 +135,7 @@
 	if len(c.Settings.UnknownKeys) > 0 {
 		log.Warn("settings that are not known are passed over", zap.Strings("keys", c.Settings.UnknownKeys))
 	}
-	if err := serve.Run(ctx, t, reloads(ctx, again, path, log), log); err != nil {
+	if err := serve.Run(ctx, t, watchReloads(ctx, again, path, log), log); err != nil {
 		return err
 	}
 	log.Info("ended")
@@ -144,7 +144,7 @@
 
 func limitMemory(c config.Config) {
 	if c.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(softMemory * float64(c.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(c.MemoryMB) * (1 << 20)))
 	}
 }
 
@@ -157,10 +157,10 @@
 	return zap.New(core)
 }
 
-// reloads reads all that a router is told again at each signal. If any of it can't be used, that is logged, and all of
+// watchReloads reads all that a router is told again at each signal. If any of it can't be used, that is logged, and all of
 // the old is kept; it is read again for a while, since a file may be half written or the system short of something just then,
 // and no second signal may come.
-func reloads(ctx context.Context, again <-chan os.Signal, path string, log *zap.Logger) <-chan serve.Configuration {
+func watchReloads(ctx context.Context, again <-chan os.Signal, path string, log *zap.Logger) <-chan serve.Configuration {
 	out := make(chan serve.Configuration)
 	go func() {
 		var retry <-chan time.Time // to read once more; nil: not
@@ -180,12 +180,12 @@
 				failing = time.Time{}
 				limitMemory(t.Config)
 			case failing.IsZero():
-				log.Error("configuration can't be used, the old one is kept", zap.Duration("read again for", reloadWithin), zap.Error(err))
+				log.Error("configuration can't be used, the old one is kept", zap.Duration("read again for", reloadTimeout), zap.Error(err))
 				failing = time.Now()
 				t = serve.Configuration{Err: err, ReadAt: time.Now()}
-				retry = time.After(reloadEvery)
-			case time.Since(failing) < reloadWithin:
-				retry = time.After(reloadEvery)
+				retry = time.After(reloadRetryInterval)
+			case time.Since(failing) < reloadTimeout:
+				retry = time.After(reloadRetryInterval)
 				continue
 			default:
 				log.Error("configuration still can't be used, it is read at the next SIGHUP", zap.Error(err))
--- a/cmd/pitchfield/words.go
+++ b/cmd/pitchfield/words.go
@@ -33,20 +33,20 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			own, err := installation.Load(args[0], os.Getenv)
 			if err != nil {
-				return unusable{err}
+				return usageError{err}
 			}
 			groups := "not checked: without --platform nobody knows the groups, their time limits, the clients and the budget of further dispatches"
 			if platform != "" {
 				text, err := os.ReadFile(platform)
 				if err != nil {
-					return unusable{fmt.Errorf("configuration: %w", err)}
+					return usageError{fmt.Errorf("configuration: %w", err)}
 				}
 				p, err := config.Parse(text)
 				if err != nil {
-					return unusable{fmt.Errorf("configuration %s: %w", platform, err)}
+					return usageError{fmt.Errorf("configuration %s: %w", platform, err)}
 				}
 				if err := own.ValidateAgainst(args[0], p.Settings); err != nil {
-					return unusable{err}
+					return usageError{err}
 				}
 				groups = "in the platform's settings"
 			}
@@ -64,7 +64,7 @@
 			if explain != "" {
 				f, err := limits.ParseFields(explain)
 				if err != nil {
-					return unusable{err}
+					return usageError{err}
 				}
 				fmt.Fprintln(c.OutOrStdout(), own.Routes.Explain(&f))
 				return nil
@@ -82,8 +82,8 @@
 }
 
 const (
-	tryEngines = 2
-	tryBatches = 400
+	tryEnginesPerProtocol = 2
+	defaultTryBatches     = 400
 )
 
 // tryCommand is a newcomer's first look: a whole world on this machine.
@@ -91,7 +91,7 @@
 	var stay, faults bool
 	var batches int
 	c := &cobra.Command{Use: "try", Short: "Put up engines of both protocols and a router on loopback, and send batches",
-		Args: noWords, RunE: func(c *cobra.Command, _ []string) error {
+		Args: noArguments, RunE: func(c *cobra.Command, _ []string) error {
 			out := c.OutOrStdout()
 			if faults {
 				table, err := rig.Faults()
@@ -99,9 +99,9 @@
 				return err
 			}
 			if batches < 4 {
-				return unusable{errors.New("batches: at least 4")}
+				return usageError{errors.New("batches: at least 4")}
 			}
-			w, err := rig.Start(rig.Options{RESP: tryEngines, TDS: tryEngines})
+			w, err := rig.Start(rig.Options{RESP: tryEnginesPerProtocol, TDS: tryEnginesPerProtocol})
 			if err != nil {
 				return err
 			}
@@ -119,21 +119,21 @@
 		}}
 	c.Flags().BoolVar(&stay, "stay", false, "keep the world up afterwards and say how to connect")
 	c.Flags().BoolVar(&faults, "faults", false, "play the fault script over both protocols instead, and print its table")
-	c.Flags().IntVar(&batches, "batches", tryBatches, "how many of each protocol")
+	c.Flags().IntVar(&batches, "batches", defaultTryBatches, "how many of each protocol")
 	return c
 }
 
 // hashCommand makes what the settings keep of a password.
 func hashCommand() *cobra.Command {
 	return &cobra.Command{Use: "hash", Short: "Read a password from standard input and print the hash that settings keep of it",
-		Args: noWords, RunE: func(c *cobra.Command, _ []string) error {
+		Args: noArguments, RunE: func(c *cobra.Command, _ []string) error {
 			in := bufio.NewScanner(c.InOrStdin())
 			if !in.Scan() || in.Text() == "" {
-				return unusable{errors.New("no password on standard input")}
+				return usageError{errors.New("no password on standard input")}
 			}
 			hash, err := bcrypt.GenerateFromPassword(in.Bytes(), bcrypt.DefaultCost)
 			if err != nil {
-				return unusable{fmt.Errorf("password: %w", err)}
+				return usageError{fmt.Errorf("password: %w", err)}
 			}
 			fmt.Fprintln(c.OutOrStdout(), string(hash))
 			return nil
@@ -194,17 +194,17 @@
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Load(args[0])
 			if err != nil {
-				return unusable{err}
+				return usageError{err}
 			}
 			var older []experiment.Run
 			if against != "" {
 				f, err := os.Open(against)
 				if err != nil {
-					return unusable{fmt.Errorf("against: %w", err)}
+					return usageError{fmt.Errorf("against: %w", err)}
 				}
 				defer f.Close()
 				if older, err = experiment.ReadCSV(f); err != nil {
-					return unusable{fmt.Errorf("%s: %w", against, err)}
+					return usageError{fmt.Errorf("%s: %w", against, err)}
 				}
 			}
 			ctx, cancel := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
@@ -217,7 +217,7 @@
 			if err != nil {
 				return err
 			}
-			return keep(c, e, runs, older, out, tails)
+			return reportResults(c, e, runs, older, out, tails)
 		}}
 	c.Flags().StringVar(&out, "out", "", "folder for the CSV and charts; none: the table alone")
 	c.Flags().BoolVar(&tails, "tails", false, "also print what the requests of each group took")
@@ -225,10 +225,10 @@
 	return c
 }
 
-// errBroken is an experiment in which a router broke a rule.
-var errBroken = errors.New("a rule was broken")
+// errRuleViolated is an experiment in which a router broke a rule.
+var errRuleViolated = errors.New("a rule was broken")
 
-func keep(c *cobra.Command, e *experiment.Experiment, runs, older []experiment.Run, folder string, tails bool) error {
+func reportResults(c *cobra.Command, e *experiment.Experiment, runs, older []experiment.Run, folder string, tails bool) error {
 	if folder != "" {
 		if err := os.MkdirAll(folder, 0o755); err != nil {
 			return fmt.Errorf("out: %w", err)
@@ -269,13 +269,13 @@
 		}
 	}
 	if broken {
-		return errBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print what this program was built from", Args: noWords,
+	return &cobra.Command{Use: "version", Short: "Print what this program was built from", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			version, revision := "unknown", "unknown"
 			if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/pitchfield/words_test.go
+++ b/cmd/pitchfield/words_test.go
@@ -16,10 +16,10 @@
 	"pitchfield/internal/standin"
 )
 
-// say runs the program with words and gives what it prints and exits with.
-func say(t *testing.T, input string, words ...string) (string, int) {
+// runProgram runs the program with words and gives what it prints and exits with.
+func runProgram(t *testing.T, input string, words ...string) (string, int) {
 	cmd := exec.Command(os.Args[0], words...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), asProgramVariable+"=1")
 	cmd.Stdin = strings.NewReader(input)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
@@ -28,7 +28,7 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-func TestWordsExitAsScriptsWantThem(t *testing.T) {
+func TestCommandsExitWithDocumentedCodes(t *testing.T) {
 	for words, want := range map[string]struct {
 		text string
 		code int
@@ -36,85 +36,85 @@
 		"check nowhere.toml": {"nowhere.toml", 2}, "run --colour": {"colour", 2}, "run --log-level loud": {"loud", 2},
 		"check ../../deploy/pitchfield.toml": {"PITCHFIELD_ENGINE_PASSWORD", 2}, "experiment nowhere.toml": {"nowhere.toml", 2},
 		"status 127.0.0.1:1": {"refused", 1}, "try --batches 1": {"at least", 2}} {
-		out, code := say(t, "", strings.Fields(words)...)
+		out, code := runProgram(t, "", strings.Fields(words)...)
 		assert.Equal(t, want.code, code, "%s: %s", words, out)
 		assert.Contains(t, out, want.text, words)
 	}
-	out, code := say(t, "secret\n", "hash")
+	out, code := runProgram(t, "secret\n", "hash")
 	assert.Zero(t, code)
 	assert.Regexp(t, `^\$2a\$10\$.{53}\n$`, out)
 }
 
 func TestTryShowsEveryPairing(t *testing.T) {
-	out, code := say(t, "", "try", "--batches", "120")
+	out, code := runProgram(t, "", "try", "--batches", "120")
 	require.Zero(t, code, out)
 	for _, line := range []string{`frames +resp +\d+ `, `frames +tds +\d+ `, `tds +resp +\d+ `, `tds +tds +\d+ `} {
 		assert.Regexp(t, line, out)
 	}
 }
 
-// own starts the program with settings of our own beside the platform's.
-func (p *program) own(text string) string {
+// restartWithSettings starts the program with settings of our own beside the platform's.
+func (p *program) restartWithSettings(text string) string {
 	path := filepath.Join(p.t.TempDir(), "own.toml")
 	require.NoError(p.t, os.WriteFile(path, []byte(text), 0o600))
-	p.words = []string{"run", "--settings", path}
+	p.arguments = []string{"run", "--settings", path}
 	p.Process.Kill()
 	p.Wait()
 	p.start()
 	return path
 }
 
-func free(t *testing.T) string {
-	e := engine(t, nil)
+func freeAddress(t *testing.T) string {
+	e := newEngine(t, nil)
 	address := e.Addr().String()
 	e.Close()
 	return address
 }
 
 func TestTheStatusPageTellsTheLevelAndItsReason(t *testing.T) {
-	p := launch(t, engine(t, nil))
-	listen := free(t)
-	p.own("[status]\nlisten = \"" + listen + "\"\n[levels]\nhold = \"none\"\n[[level]]\nname = \"none\"\nexit = [{measure = \"served\", above = 2}]\nkeep = {lookup = 0}\n")
+	p := startNewProgram(t, newEngine(t, nil))
+	listen := freeAddress(t)
+	p.restartWithSettings("[status]\nlisten = \"" + listen + "\"\n[levels]\nhold = \"none\"\n[[level]]\nname = \"none\"\nexit = [{measure = \"served\", above = 2}]\nkeep = {lookup = 0}\n")
 	var out string
 	require.Eventually(t, func() bool {
 		var code int
-		out, code = say(t, "", "status", listen)
+		out, code = runProgram(t, "", "status", listen)
 		return code == 0 && regexp.MustCompile(`level +none`).MatchString(out)
-	}, patience, 50*time.Millisecond)
+	}, waitTimeout, 50*time.Millisecond)
 	assert.Regexp(t, `reason +held by the operator`, out)
 	c := p.client()
-	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", left, "SELECT 1"))
+	require.NoError(t, c.SendBatch(1, "lookup", "00000000000000f1", requestTimeout, "SELECT 1"))
 	a := p.answers(c, 1)[1]
 	assert.Equal(t, []any{uint8(11), "500"}, []any{a.Code, a.Fields["w"]}, "shed at once, with the time to come back")
 }
 
 func TestABadFileOfOurOwnStopsTheStartAndChangesNothingLater(t *testing.T) {
-	p := launch(t, engine(t, nil))
-	listen := free(t)
+	p := startNewProgram(t, newEngine(t, nil))
+	listen := freeAddress(t)
 	good := "[tds]\nlisten = \"" + listen + "\"\n[[tds.login]]\nuser = \"ann\"\nhash = \"$2a$04$Vp0Yz4Yb6zkY9tD6Xh4tiOJ5vJr2l7bG7T0w9Xv8nC3JwKq0b8m3W\"\n[default]\ngroup = \"lookup\"\n"
-	path := p.own(good)
-	_, err := standin.DialTDS(listen, "ann", "wrong", "", patience)
+	path := p.restartWithSettings(good)
+	_, err := standin.DialTDS(listen, "ann", "wrong", "", waitTimeout)
 	assert.ErrorContains(t, err, "Login failed")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, "lookup", "lockup", 1)), 0o600))
-	out, code := say(t, "", "run", "--settings", path)
+	out, code := runProgram(t, "", "run", "--settings", path)
 	assert.Equal(t, 1, code, "RELAY_CONFIG is not there either: %s", out)
 	cmd := exec.Command(os.Args[0], "run", "--settings", path)
-	cmd.Env = append(os.Environ(), asProgram+"=1", "RELAY_CONFIG="+p.path)
+	cmd.Env = append(os.Environ(), asProgramVariable+"=1", "RELAY_CONFIG="+p.path)
 	told, err := cmd.CombinedOutput()
 	assert.Error(t, err)
 	assert.Contains(t, string(told), `no service group "lockup"`)
 }
 
 func TestTheStatusPageTellsWhichFileCountsAndWhyALaterOneDoesNot(t *testing.T) {
-	p := launch(t, engine(t, nil))
-	listen := free(t)
+	p := startNewProgram(t, newEngine(t, nil))
+	listen := freeAddress(t)
 	good := "[status]\nlisten = \"" + listen + "\"\n"
-	path := p.own(good)
+	path := p.restartWithSettings(good)
 	eventually := func(says, never string) {
 		require.Eventually(t, func() bool {
-			out, code := say(t, "", "status", listen)
+			out, code := runProgram(t, "", "status", listen)
 			return code == 0 && strings.Contains(out, says) && !strings.Contains(out, never)
-		}, patience, 50*time.Millisecond, says)
+		}, waitTimeout, 50*time.Millisecond, says)
 	}
 	eventually(path+", read ", "refused")
 	for _, next := range []struct{ text, says, never string }{
@@ -143,7 +143,7 @@
 		"[[route]]\nname = \"r\"\ngroup = \"anything there\"\n": {"without --platform nobody knows the groups", 0},
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		out, code := say(t, "", "check", path)
+		out, code := runProgram(t, "", "check", path)
 		assert.Equal(t, want.code, code, text)
 		assert.Contains(t, out, want.says, text)
 	}
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	routers = 5
-	patient = 20 * time.Second
+	routers       = 5
+	settleTimeout = 20 * time.Second
 )
 
 type fleet struct {
@@ -51,7 +51,7 @@
 	}
 	defer os.RemoveAll(folder)
 	f := &fleet{folder: folder, program: program}
-	defer f.end()
+	defer f.stop()
 	if f.names, err = standin.NewNameService("127.0.0.1:0"); err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 // show waits until the first router has settled with so many, and prints what it knows.
 func (f *fleet) show(ctx context.Context, what string, members int) error {
 	from := time.Now()
-	for time.Since(from) < patient && ctx.Err() == nil {
+	for time.Since(from) < settleTimeout && ctx.Err() == nil {
 		m, err := serve.FetchMembers(ctx, "127.0.0.1:7600")
 		if err == nil && m.Certainty == "settled" && m.Count == members {
 			fmt.Printf("\n%s: settled after %.1f s\n", what, time.Since(from).Seconds())
@@ -126,10 +126,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("%s: not settled with %d within %s", what, members, patient)
+	return fmt.Errorf("%s: not settled with %d within %s", what, members, settleTimeout)
 }
 
-func (f *fleet) end() {
+func (f *fleet) stop() {
 	for _, c := range f.processes {
 		if c != nil && c.Process != nil {
 			c.Process.Signal(syscall.SIGTERM) //nolint:errcheck
