--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -10,42 +10,42 @@
 
 // router is one instance: its module and its id-to-pointer maps.
 type router struct {
-	id      uint16
-	brain   *brain.Router
-	batches map[uint64]*brain.Batch
-	engines map[uint32]*brain.Engine
-	groups  []*brain.ServiceGroup
-	clients int
-	reports []string
-	touched bool
+	id           uint16
+	brain        *brain.Router
+	batches      map[uint64]*brain.Batch
+	engines      map[uint32]*brain.Engine
+	groups       []*brain.ServiceGroup
+	clients      int
+	reportFields []string
+	touched      bool
 }
 
 // host holds the instances of this process. They share nothing but the directory pages of the wire.
 type host struct {
-	routers map[uint16]*router
-	pages   map[uint32][]simwire.Entry
-	touched []*router
-	reply   simwire.Reply
-	floats  []float64
-	told    bool // of settings that are not known
+	routers         map[uint16]*router
+	pages           map[uint32][]simwire.Entry
+	touched         []*router
+	reply           simwire.Reply
+	reportValues    []float64
+	unknownReported bool // of settings that are not known
 }
 
 const (
-	listFull   = 1
-	listCached = 2
-	listFailed = 3
-	costMark   = 1
+	listFull      = 1
+	listCached    = 2
+	listFailed    = 3
+	costGivenFlag = 1
 )
 
 var (
-	phases  = map[uint8]brain.Phase{0: brain.Draining, 2: brain.Ready}
-	endings = map[uint8]brain.Outcome{0: brain.Errored, 1: brain.Completed, 2: brain.Rejected, 3: brain.TimedOut,
+	phaseByCode   = map[uint8]brain.Phase{0: brain.Draining, 2: brain.Ready}
+	outcomeByCode = map[uint8]brain.Outcome{0: brain.Errored, 1: brain.Completed, 2: brain.Rejected, 3: brain.TimedOut,
 		4: brain.ConnectFailed, 5: brain.ConnectionLost, 6: brain.Canceled, 7: brain.NotSent}
-	notes = map[uint8]brain.Update{1: brain.Progress, 2: brain.Spilling, 3: brain.Waiting}
+	updateByCode = map[uint8]brain.Update{1: brain.Progress, 2: brain.Spilling, 3: brain.Waiting}
 )
 
-// answer handles one frame; the reply is in h.reply.
-func (h *host) answer(f *simwire.Frame) error {
+// handleFrame handles one frame; the reply is in h.reply.
+func (h *host) handleFrame(f *simwire.Frame) error {
 	h.reply.Reset()
 	h.touched = h.touched[:0]
 	for {
@@ -59,7 +59,7 @@
 		if rec.Code == simwire.Directory {
 			page, list := rec.Entries()
 			h.pages[page] = list
-		} else if err := h.event(rec, f.Now/1000); err != nil {
+		} else if err := h.handleEvent(rec, f.Now/1000); err != nil {
 			return fmt.Errorf("record %d (code %d): %w", rec.Number, rec.Code, err)
 		}
 		if err := rec.Err(); err != nil {
@@ -68,14 +68,14 @@
 	}
 	for _, rt := range h.touched {
 		if h.routers[rt.id] == rt {
-			h.pull(rt)
+			h.writeDecisions(rt)
 		}
 		rt.touched = false
 	}
 	return nil
 }
 
-func (h *host) event(rec *simwire.Record, now float64) error {
+func (h *host) handleEvent(rec *simwire.Record, now float64) error {
 	if rec.Code < simwire.Destroy || rec.Code > simwire.Pong {
 		return nil
 	}
@@ -97,12 +97,12 @@
 		if err != nil {
 			return err
 		}
-		if len(s.UnknownKeys) > 0 && !h.told {
-			h.told = true
+		if len(s.UnknownKeys) > 0 && !h.unknownReported {
+			h.unknownReported = true
 			h.reply.Print(id, fmt.Sprintf("settings that are not known: %v", s.UnknownKeys))
 		}
 		h.routers[id] = &router{id: id, brain: brain.New(s.Settings, seed, now), batches: map[uint64]*brain.Batch{},
-			engines: map[uint32]*brain.Engine{}, groups: s.Groups, clients: len(s.Clients), reports: s.ReportFields}
+			engines: map[uint32]*brain.Engine{}, groups: s.Groups, clients: len(s.Clients), reportFields: s.ReportFields}
 	}
 	rt := h.routers[id]
 	if rt == nil {
@@ -115,36 +115,36 @@
 	rt.brain.SetTime(now)
 	switch rec.Code {
 	case simwire.Endpoints:
-		h.endpoints(rt, rec)
+		h.updateEngines(rt, rec)
 	case simwire.JobIn:
-		rt.jobIn(rec)
+		rt.addBatch(rec)
 	case simwire.Pong:
 		e, status := rt.engines[rec.U32()], rec.U8()
 		rec.F64()
-		if rep := rt.report(rec, h); e != nil && rec.Err() == nil {
+		if rep := rt.readReport(rec, h); e != nil && rec.Err() == nil {
 			rt.brain.ProbeEnded(e, status == 1, rep)
 		}
 	case simwire.Outcome:
 		b, last, no, status := rt.batches[rec.U64()], rec.U8() != 0, int(rec.U16()), rec.U8()
 		rec.U32()
 		elapsed, used := rec.F64()/1000, rec.U32()
-		rep := rt.report(rec, h)
+		rep := rt.readReport(rec, h)
 		if b != nil && rec.Err() == nil {
 			work, memory := float64(used>>12)/1000, float64(used&0xfff)*4
-			rt.brain.DispatchEnded(b, no, endings[status], last, elapsed, work, memory, rep)
-			rt.forget(b)
+			rt.brain.DispatchEnded(b, no, outcomeByCode[status], last, elapsed, work, memory, rep)
+			rt.removeIfFinished(b)
 		}
 	case simwire.Aborted:
 		if b := rt.batches[rec.U64()]; b != nil {
 			rt.brain.RemoveBatch(b)
-			rt.forget(b)
+			rt.removeIfFinished(b)
 		}
 	case simwire.UpdateOf:
 		b, kind := rt.batches[rec.U64()], rec.U8()
 		rec.U32()
 		level, no := rec.F32(), int(rec.U16())
 		if b != nil && rec.Err() == nil {
-			rt.brain.DispatchUpdated(b, no, notes[kind], level)
+			rt.brain.DispatchUpdated(b, no, updateByCode[kind], level)
 		}
 	case simwire.Ring:
 		rt.brain.TimerFired()
@@ -152,14 +152,14 @@
 	return nil
 }
 
-// forget drops a batch that is over and has no dispatch out; later news of it is ignored.
-func (rt *router) forget(b *brain.Batch) {
+// removeIfFinished drops a batch that is over and has no dispatch out; later news of it is ignored.
+func (rt *router) removeIfFinished(b *brain.Batch) {
 	if b.Done && b.InFlight == 0 {
 		delete(rt.batches, b.ID)
 	}
 }
 
-func (rt *router) jobIn(rec *simwire.Record) {
+func (rt *router) addBatch(rec *simwire.Record) {
 	b := &brain.Batch{ID: rec.U64()}
 	group, org := int(rec.U8()), int(rec.U32())
 	b.Key, b.TimeLeft = rec.U64(), rec.F64()/1000
@@ -171,14 +171,14 @@
 	if org < rt.clients {
 		b.Client = org
 	}
-	if marks&costMark != 0 {
+	if marks&costGivenFlag != 0 {
 		b.EstimatedWork = cost
 	}
 	rt.batches[b.ID] = b
 	rt.brain.AddBatch(b)
 }
 
-func (h *host) endpoints(rt *router, rec *simwire.Record) {
+func (h *host) updateEngines(rt *router, rec *simwire.Record) {
 	form, _, page := rec.U8(), rec.U32(), rec.U32()
 	if rec.Err() != nil {
 		return
@@ -194,29 +194,29 @@
 			e = &brain.Engine{ID: en.Engine}
 			rt.engines[en.Engine] = e
 		}
-		e.Phase, e.Size, e.StartedAt = phases[en.Phase], en.PowerHint, en.StartMS/1000
+		e.Phase, e.Size, e.StartedAt = phaseByCode[en.Phase], en.PowerHint, en.StartMS/1000
 		e.Cell, e.Kind, e.Zone = int(en.Pack), int(en.Kind), int(en.Site)
 		list = append(list, e)
 	}
 	rt.brain.UpdateEngines(list, form == listFull || form == listCached)
 }
 
-func (rt *router) report(rec *simwire.Record, h *host) *brain.Report {
-	h.floats = rec.Floats(h.floats[:0])
-	if len(h.floats) == 0 {
+func (rt *router) readReport(rec *simwire.Record, h *host) *brain.Report {
+	h.reportValues = rec.Floats(h.reportValues[:0])
+	if len(h.reportValues) == 0 {
 		return nil
 	}
 	rep := settings.EmptyReport()
-	for i, v := range h.floats {
-		if i < len(rt.reports) {
-			settings.SetReportField(rep, rt.reports[i], v)
+	for i, v := range h.reportValues {
+		if i < len(rt.reportFields) {
+			settings.SetReportField(rep, rt.reportFields[i], v)
 		}
 	}
 	return rep
 }
 
-// pull writes the module's decisions as they come.
-func (h *host) pull(rt *router) {
+// writeDecisions writes the module's decisions as they come.
+func (h *host) writeDecisions(rt *router) {
 	w := &h.reply
 	for {
 		d := rt.brain.Next()
@@ -229,10 +229,10 @@
 			w.Try(rt.id, d.Batch.ID, d.Engine.ID, d.Wait*1000)
 		case brain.Reject:
 			w.Bounce(rt.id, d.Batch.ID, d.Wait*1000)
-			rt.forget(d.Batch)
+			rt.removeIfFinished(d.Batch)
 		case brain.Fail:
 			w.EndFailed(rt.id, d.Batch.ID)
-			rt.forget(d.Batch)
+			rt.removeIfFinished(d.Batch)
 		case brain.Cancel:
 			w.StopAttempt(rt.id, d.Batch.ID, uint16(d.Number))
 		case brain.Probe:
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.answer(frame); err != nil {
+		if err := h.handleFrame(frame); err != nil {
 			return err
 		}
 		if _, err := out.Write(h.reply.Bytes()); err != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -62,7 +62,7 @@
 	assert.False(t, bytes.Contains(again, binary.LittleEndian.AppendUint64(nil, 5)), "destroyed with its batches")
 }
 
-func TestBadInputIsOneLineAndAnError(t *testing.T) {
+func TestBadInputReturnsOneLineError(t *testing.T) {
 	for want, in := range map[string][]byte{
 		"settings":        frame(0, record(11, uint16(0), uint64(1), "no json")),
 		"no grades":       frame(0, record(11, uint16(0), uint64(1), "{}")),
--- a/internal/assign/assign.go
+++ b/internal/assign/assign.go
@@ -15,48 +15,48 @@
 	"pitchfield/internal/traffic"
 )
 
-// Terms are what a rule, or a comment, says of a batch. What is empty or 0 is not said.
-type Terms struct {
+// BatchProperties are what a rule, or a comment, says of a batch. What is empty or 0 is not said.
+type BatchProperties struct {
 	Group, Client string
 	Key           string  // {login}, {application} and {database} in it stand for the session's
 	Limit         float64 // seconds that the client waits
 	Cost, Memory  float64 // seconds of work and MB
 }
 
-// About is what is known of a statement and its session.
-type About struct{ Login, Application, Database, Form string }
+// StatementInfo is what is known of a statement and its session.
+type StatementInfo struct{ Login, Application, Database, Command string }
 
 // Rule gives terms to what it matches. Patterns may hold *, and case does not count; empty ones match all.
 type Rule struct {
 	Login, Application, Database string
-	Form                         []string // the first word of the statement; none: any
-	Terms
+	Commands                     []string // the first word of the statement; none: any
+	BatchProperties
 }
 
 // Rules are asked in order; the first that matches decides.
 type Rules struct {
-	List    []Rule
-	Default *Terms          // nil: what no rule matches is an error
-	Groups  map[string]bool // that there are; nil: any
+	List        []Rule
+	Default     *BatchProperties // nil: what no rule matches is an error
+	KnownGroups map[string]bool  // that there are; nil: any
 }
 
-// ErrNone says that no rule matches and there is no default.
-var ErrNone = errors.New("no rule of this router says which service group this statement belongs to, and it has no default")
+// ErrNoRule says that no rule matches and there is no default.
+var ErrNoRule = errors.New("no rule of this router says which service group this statement belongs to, and it has no default")
 
 const (
-	lead       = "pitchfield"
-	mostText   = 4096 // bytes of a comment that are looked at
-	mostKey    = 64
-	mostFigure = 1e7 // seconds, MB: no engine has so much
-	mostLimit  = 24 * 3600
+	commentPrefix   = "pitchfield"
+	maxCommentBytes = 4096 // bytes of a comment that are looked at
+	maxKeyBytes     = 64
+	maxQuantity     = 1e7 // seconds, MB: no engine has so much
+	maxLimitSeconds = 24 * 3600
 )
 
 // Assign fills in what a batch is.
-func (r *Rules) Assign(about About, text string, into *traffic.Batch) error {
-	terms := Terms{}
+func (r *Rules) Assign(about StatementInfo, text string, into *traffic.Batch) error {
+	terms := BatchProperties{}
 	for i := range r.List {
 		if r.List[i].matches(about) {
-			terms = r.List[i].Terms
+			terms = r.List[i].BatchProperties
 			break
 		}
 	}
@@ -67,14 +67,14 @@
 	if strings.Contains(key, "{") {
 		key = strings.NewReplacer("{login}", about.Login, "{application}", about.Application, "{database}", about.Database).Replace(key)
 	}
-	mark, err := comment(text, &terms, &key)
+	mark, err := parseComment(text, &terms, &key)
 	if err != nil {
 		return err
 	}
 	if terms.Group == "" {
-		return ErrNone
+		return ErrNoRule
 	}
-	if r.Groups != nil && !r.Groups[terms.Group] {
+	if r.KnownGroups != nil && !r.KnownGroups[terms.Group] {
 		return fmt.Errorf("no such service group: %.40q", terms.Group)
 	}
 	into.Group, into.IdempotencyKey, into.TimeLeft, into.Cost, into.Memory = terms.Group, mark, terms.Limit, terms.Cost, terms.Memory
@@ -85,11 +85,11 @@
 	return nil
 }
 
-func (r *Rule) matches(a About) bool {
-	if len(r.Form) > 0 {
+func (r *Rule) matches(a StatementInfo) bool {
+	if len(r.Commands) > 0 {
 		found := false
-		for _, f := range r.Form {
-			found = found || strings.EqualFold(f, a.Form)
+		for _, f := range r.Commands {
+			found = found || strings.EqualFold(f, a.Command)
 		}
 		if !found {
 			return false
@@ -123,17 +123,17 @@
 	return strings.HasSuffix(text, parts[last])
 }
 
-// comment reads a comment of ours at the start of a text, as /* pitchfield group=upload key=depot-7 limit=9s */.
-func comment(text string, terms *Terms, key *string) (mark string, err error) {
+// parseComment reads a comment of ours at the start of a text, as /* pitchfield group=upload key=depot-7 limit=9s */.
+func parseComment(text string, terms *BatchProperties, key *string) (mark string, err error) {
 	text = strings.TrimLeft(text, " \t\r\n")
 	body, is := strings.CutPrefix(text, "/*")
 	if !is {
 		return "", nil
 	}
-	body, rest, whole := strings.Cut(body[:min(len(body), mostText)], "*/")
+	body, rest, whole := strings.Cut(body[:min(len(body), maxCommentBytes)], "*/")
 	_ = rest
 	words := strings.FieldsFunc(body, func(r rune) bool { return r == ' ' || r == ',' || r == '\t' || r == '\r' || r == '\n' })
-	if len(words) == 0 || words[0] != lead {
+	if len(words) == 0 || words[0] != commentPrefix {
 		return "", nil // somebody else's
 	}
 	if !whole {
@@ -152,8 +152,8 @@
 		case "client":
 			terms.Client = value
 		case "key":
-			if *key = value; len(value) > mostKey {
-				err = fmt.Errorf("key is longer than %d bytes", mostKey)
+			if *key = value; len(value) > maxKeyBytes {
+				err = fmt.Errorf("key is longer than %d bytes", maxKeyBytes)
 			}
 		case "mark":
 			if mark = value; !clients.IsHex(value, clients.IdempotencyKeyDigits) {
@@ -161,11 +161,11 @@
 			}
 		case "id": // of the router before this one
 		case "limit", "wait":
-			terms.Limit, err = Seconds(value, mostLimit)
+			terms.Limit, err = ParseSeconds(value, maxLimitSeconds)
 		case "cost":
-			terms.Cost, err = Seconds(value, mostFigure)
+			terms.Cost, err = ParseSeconds(value, maxQuantity)
 		case "memory":
-			terms.Memory, err = Megabytes(value)
+			terms.Memory, err = ParseMegabytes(value)
 		default:
 			err = fmt.Errorf("no such name; there are group, client, key, mark, limit, cost and memory")
 		}
@@ -176,8 +176,8 @@
 	return mark, nil
 }
 
-// Seconds reads a time with its unit, above 0.
-func Seconds(text string, most float64) (float64, error) {
+// ParseSeconds reads a time with its unit, above 0.
+func ParseSeconds(text string, most float64) (float64, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 || d.Seconds() > most {
 		return 0, fmt.Errorf("%.40q is not a time above 0 with its unit, as 900ms or 9s, of at most %gs", text, most)
@@ -185,14 +185,14 @@
 	return d.Seconds(), nil
 }
 
-// Megabytes reads a size in MB or GB, above 0.
-func Megabytes(text string) (float64, error) {
+// ParseMegabytes reads a size in MB or GB, above 0.
+func ParseMegabytes(text string) (float64, error) {
 	digits, scale := strings.TrimSuffix(text, "MB"), 1.0
 	if g, is := strings.CutSuffix(text, "GB"); is {
 		digits, scale = g, 1024
 	}
 	v, err := strconv.ParseFloat(digits, 64)
-	if err != nil || digits == text || math.IsNaN(v) || v <= 0 || v*scale > mostFigure {
+	if err != nil || digits == text || math.IsNaN(v) || v <= 0 || v*scale > maxQuantity {
 		return 0, fmt.Errorf("%.40q is not a size above 0 in MB or GB", text)
 	}
 	return v * scale, nil
--- a/internal/assign/section.go
+++ b/internal/assign/section.go
@@ -13,12 +13,12 @@
 		Application string   `toml:"application"`
 		Database    string   `toml:"database"`
 		Form        []string `toml:"form"`
-		terms
+		propertiesSection
 	} `toml:"rule"`
-	Default *terms `toml:"default"`
+	Default *propertiesSection `toml:"default"`
 }
 
-type terms struct {
+type propertiesSection struct {
 	Group  string `toml:"group"`
 	Client string `toml:"client"`
 	Key    string `toml:"key"`
@@ -27,20 +27,20 @@
 	Memory string `toml:"memory"`
 }
 
-const longestLimit = 24 * 3600
+const maxRuleLimitSeconds = 24 * 3600
 
-// Prove gives the rules.
-func (f *RuleSections) Prove(c findings.Reporter) (out Rules) {
+// Validate gives the rules.
+func (f *RuleSections) Validate(c findings.Reporter) (out Rules) {
 	for i, r := range f.Rule {
 		at := fmt.Sprintf("rule[%d]", i)
 		if r.Group == "" {
 			c.Errorf(at, "a rule without a group decides nothing")
 		}
 		out.List = append(out.List, Rule{Login: r.Login, Application: r.Application,
-			Database: r.Database, Form: r.Form, Terms: termsOf(c, at, r.terms)})
+			Database: r.Database, Commands: r.Form, BatchProperties: batchProperties(c, at, r.propertiesSection)})
 	}
 	if f.Default != nil {
-		t := termsOf(c, "default", *f.Default)
+		t := batchProperties(c, "default", *f.Default)
 		if t.Group == "" {
 			c.Errorf("default", "a default without a group decides nothing")
 		}
@@ -49,15 +49,15 @@
 	return out
 }
 
-func termsOf(c findings.Reporter, at string, t terms) Terms {
-	out := Terms{Group: t.Group, Client: t.Client, Key: t.Key, Limit: c.Seconds(at+".limit", t.Limit, longestLimit),
+func batchProperties(c findings.Reporter, at string, t propertiesSection) BatchProperties {
+	out := BatchProperties{Group: t.Group, Client: t.Client, Key: t.Key, Limit: c.Seconds(at+".limit", t.Limit, maxRuleLimitSeconds),
 		Cost: c.Seconds(at+".cost", t.Cost, 1e6)}
 	out.Memory = c.Megabytes(at+".memory", t.Memory)
 	return out
 }
 
-// GroupsOf gives the service groups that rules name, each with the key that it stands under.
-func (r *Rules) GroupsOf(each func(key, group string)) {
+// EachGroup gives the service groups that rules name, each with the key that it stands under.
+func (r *Rules) EachGroup(each func(key, group string)) {
 	for n, one := range r.List {
 		each(fmt.Sprintf("rule[%d].group", n), one.Group)
 	}
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -80,7 +80,7 @@
 	}
 	c := &checker{source: s, lines: keyLines(s.text), getenv: getenv}
 	out := &Installation{keyLine: c.Line, source: s}
-	out.TDS, out.Rules, out.Engines = f.ListenerSection.Validate(c), f.RuleSections.Prove(c), f.EngineSections.Validate(c)
+	out.TDS, out.Rules, out.Engines = f.ListenerSection.Validate(c), f.RuleSections.Validate(c), f.EngineSections.Validate(c)
 	out.Status, out.Fleet = f.PageSection.Validate(c), f.Sections.Validate(c)
 	if out.Fleet != nil {
 		out.Shares = f.ShareSections.Prove(c, out.Fleet.Members.Listen, out.Fleet.Networks)
@@ -120,17 +120,17 @@
 
 // CheckGroups checks the rules against the service groups that the platform names.
 func (i *Installation) CheckGroups(path string, names []string) error {
-	i.Rules.Groups = map[string]bool{}
+	i.Rules.KnownGroups = map[string]bool{}
 	for _, n := range names {
-		i.Rules.Groups[n] = true
+		i.Rules.KnownGroups[n] = true
 	}
 	var errs []error
 	check := func(key, group string) {
-		if !i.Rules.Groups[group] {
+		if !i.Rules.KnownGroups[group] {
 			errs = append(errs, fmt.Errorf("%s: %s: the platform's settings have no service group %q", i.keyPosition(path, key), key, group))
 		}
 	}
-	i.Rules.GroupsOf(check)
+	i.Rules.EachGroup(check)
 	if i.Levels != nil {
 		i.Levels.ForEachGroup(check)
 	}
@@ -179,7 +179,7 @@
 	if text == "" {
 		return 0
 	}
-	v, err := assign.Seconds(text, most)
+	v, err := assign.ParseSeconds(text, most)
 	if err != nil {
 		c.Errorf(key, "%s", err)
 	}
@@ -191,7 +191,7 @@
 	if text == "" {
 		return 0
 	}
-	v, err := assign.Megabytes(text)
+	v, err := assign.ParseMegabytes(text)
 	if err != nil {
 		c.Errorf(key, "%s", err)
 	}
--- a/internal/outlook/outlook.go
+++ b/internal/outlook/outlook.go
@@ -27,41 +27,41 @@
 // Engine is what the module holds of one.
 type Engine struct {
 	Name, Address, Zone, Kind string
-	Drains                    bool
-	Aside                     bool    // set aside by its health
-	StartHeardAt              float64 // when its latest start was first heard of, by the clock of Fleet.Now; 0: long ago
+	Draining                  bool
+	Ejected                   bool    // set aside by its health
+	StartSeenAt               float64 // when its latest start was first heard of, by the clock of Fleet.Now; 0: long ago
 	Cores                     float64
-	Threads                   float64 // a core that are spoken for, as believed; below 0: nothing is known
+	ThreadsPerCore            float64 // a core that are spoken for, as believed; below 0: nothing is known
 }
 
 // Group is a service group as far as proxies can keep it.
 type Group struct {
-	Name         string
-	Repeatable   bool
-	Limit        float64 // seconds
-	Dispatches   int     // at most; a route's may be fewer than the platform's
-	Timeout      float64 // of one dispatch, seconds; 0: none of its own
-	Zones, Kinds []string
-	Share        float64 // of the work that comes, for the budget of cold engines
-	Keep         float64 // share that a level of reduced service lets in
+	Name            string
+	SafeToRetry     bool
+	TimeLimit       float64 // seconds
+	MaxDispatches   int     // at most; a route's may be fewer than the platform's
+	DispatchTimeout float64 // of one dispatch, seconds; 0: none of its own
+	Zones, Kinds    []string
+	WorkShare       float64 // of the work that comes, for the budget of cold engines
+	AdmittedShare   float64 // share that a level of reduced service lets in
 }
 
 // Rules are those that hold over all proxies together.
 type Rules struct {
-	Dispatches             int
-	ColdFrom, ColdTime     float64
-	FallMultiple, FallTime float64
-	FurtherShare           float64 // of further dispatches; below 0: no budget
-	FurtherFree            float64
+	MaxDispatches                    int
+	ColdCapacityShare, SlowStartTime float64
+	OverloadFactor, OverloadWindow   float64
+	RetryRatio                       float64 // of further dispatches; below 0: no budget
+	FreeRetries                      float64
 }
 
 // Fleet is what is known at one time.
 type Fleet struct {
-	Now     float64
-	Engines []Engine
-	Groups  []Group
-	Rules   Rules
-	Work    float64 // core-seconds a second that all proxies send; below 0: not known
+	Now         float64
+	Engines     []Engine
+	Groups      []Group
+	Rules       Rules
+	OfferedWork float64 // core-seconds a second that all proxies send; below 0: not known
 }
 
 // Endpoint is one engine in a cluster.
@@ -73,76 +73,76 @@
 
 // Cluster is a subset of the engines that the same groups are placed on.
 type Cluster struct {
-	Name      string
-	Endpoints []Endpoint
-	MostOut   uint32 // requests out at once, over the cluster, from one proxy; 0: no bound
+	Name        string
+	Endpoints   []Endpoint
+	MaxRequests uint32 // requests out at once, over the cluster, from one proxy; 0: no bound
 }
 
 // Route is what proxies do with a group's batches.
 type Route struct {
 	Group, Cluster string
 	Timeout        float64 // seconds, of all dispatches together
-	PerTry         float64 // seconds of one; 0: none of its own
+	PerTryTimeout  float64 // seconds of one; 0: none of its own
 	Retries        int     // after the first
-	Admit          float64 // share that is let in; the rest is pushed back at once
+	AdmittedShare  float64 // share that is let in; the rest is pushed back at once
 }
 
-// Outlook is all that is published, in one order whatever order it was told in.
-type Outlook struct {
+// View is all that is published, in one order whatever order it was told in.
+type View struct {
 	Clusters []Cluster
 	Routes   []Route
 	// RetryShare is the budget of retries as a share of what is out, and RetryFree so many beside; below 0: no budget.
-	RetryShare, RetryFree float64
+	RetryRatio, FreeRetries float64
 }
 
 // The values of this package. Weights are told in steps, so that a belief that moves a little is no news to a thousand proxies.
 const (
-	mostWeight = 128.0
-	steps      = 4    // to a doubling
-	warmLoad   = 0.85 // of its pace that a cold engine is counted on for
-	coldShare  = 0.9  // of the cold budget that is handed out: weights hold on average, bursts don't know them
-	crowded    = 1.5  // threads a core from which an engine gets less
-	leastFill  = 0.25 // of its weight, however crowded: reports are old when they come
-	panicShare = 0.5  // with more than this share set aside it is more likely the network, or us
+	maxWeight             = 128.0
+	stepsPerDoubling      = 4    // to a doubling
+	warmUtilization       = 0.85 // of its pace that a cold engine is counted on for
+	coldBudgetShare       = 0.9  // of the cold budget that is handed out: weights hold on average, bursts don't know them
+	crowdedThreadsPerCore = 1.5  // threads a core from which an engine gets less
+	minWeightFactor       = 0.25 // of its weight, however crowded: reports are old when they come
+	panicThreshold        = 0.5  // with more than this share set aside it is more likely the network, or us
 )
 
-// Look makes what is to be published.
-func Look(f Fleet) Outlook {
-	out := Outlook{RetryShare: f.Rules.FurtherShare, RetryFree: f.Rules.FurtherFree}
+// Build makes what is to be published.
+func Build(f Fleet) View {
+	out := View{RetryRatio: f.Rules.RetryRatio, FreeRetries: f.Rules.FreeRetries}
 	groups := slices.Clone(f.Groups)
 	slices.SortFunc(groups, func(a, b Group) int { return cmp.Compare(a.Name, b.Name) })
-	places := map[string]*place{}
-	var order []*place
+	places := map[string]*placement{}
+	var order []*placement
 	for _, g := range groups {
-		name := placeName(g)
+		name := clusterName(g)
 		p := places[name]
 		if p == nil {
-			p = &place{name: name, group: g}
+			p = &placement{name: name, group: g}
 			places[name], order = p, append(order, p)
 		}
-		p.share += g.Share
+		p.workShare += g.WorkShare
 	}
 	for _, p := range order {
-		c, admit := cluster(&f, p)
+		c, admit := buildCluster(&f, p)
 		out.Clusters = append(out.Clusters, c)
-		p.admit = admit
+		p.admittedShare = admit
 	}
 	for _, g := range groups {
-		p := places[placeName(g)]
-		out.Routes = append(out.Routes, route(g, f.Rules, p))
+		p := places[clusterName(g)]
+		out.Routes = append(out.Routes, buildRoute(g, f.Rules, p))
 	}
 	return out
 }
 
-// place is where some groups may run.
-type place struct {
-	name  string
-	group Group
-	share float64
-	admit float64
+// placement is where some groups may run.
+type placement struct {
+	name          string
+	group         Group
+	workShare     float64
+	admittedShare float64
 }
 
-func placeName(g Group) string {
+func clusterName(g Group) string {
 	join := func(list []string) string {
 		if list == nil {
 			return "any"
@@ -163,55 +163,55 @@
 	return "engines." + join(g.Zones) + "." + join(g.Kinds)
 }
 
-func (p *place) takes(e *Engine) bool {
+func (p *placement) allows(e *Engine) bool {
 	return (p.group.Zones == nil || slices.Contains(p.group.Zones, e.Zone)) && (p.group.Kinds == nil || slices.Contains(p.group.Kinds, e.Kind))
 }
 
-// cluster weighs the engines of a place. Cold ones get no more than a share of the traffic that keeps all proxies together
+// buildCluster weighs the engines of a place. Cold ones get no more than a share of the traffic that keeps all proxies together
 // within what they bear, whatever the number of proxies; what no engine may take is not let in.
-func cluster(f *Fleet, p *place) (out Cluster, admit float64) {
+func buildCluster(f *Fleet, p *placement) (out Cluster, admit float64) {
 	out = Cluster{Name: p.name}
 	var warm, cold []*Engine
 	aside, there := 0, 0
 	for i := range f.Engines {
 		e := &f.Engines[i]
-		if !p.takes(e) {
+		if !p.allows(e) {
 			continue
 		}
-		if e.Drains {
+		if e.Draining {
 			out.Endpoints = append(out.Endpoints, Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Health: Draining})
 			continue
 		}
-		if there++; e.Aside {
+		if there++; e.Ejected {
 			aside++
 		}
-		if f.cold(e) {
+		if f.isCold(e) {
 			cold = append(cold, e)
 		} else {
 			warm = append(warm, e)
 		}
 	}
-	shaken := float64(aside) > panicShare*float64(there)
+	shaken := float64(aside) > panicThreshold*float64(there)
 	sum := 0.0
 	weights := map[*Engine]float64{}
 	for _, e := range warm {
-		if w := weigh(e); !e.Aside || shaken {
+		if w := warmWeight(e); !e.Ejected || shaken {
 			weights[e], sum = w, sum+w
 		}
 	}
-	work := f.Work * p.share
+	work := f.OfferedWork * p.workShare
 	admit = 1
 	// Of all traffic each cold engine may have a fixed share; the warm ones have the rest, so weights follow from it.
 	caps, each := 0.0, map[*Engine]float64{}
 	for _, e := range cold {
-		if e.Aside && !shaken {
+		if e.Ejected && !shaken {
 			continue
 		}
 		share := 0.0
 		if work > 0 {
-			share = f.bears(e) / work
-		} else if f.Work < 0 { // nobody knows how much comes: it gets next to nothing until that is known
-			share = 1 / mostWeight
+			share = f.coldCapacity(e) / work
+		} else if f.OfferedWork < 0 { // nobody knows how much comes: it gets next to nothing until that is known
+			share = 1 / maxWeight
 		} else { // nothing comes
 			share = 1
 		}
@@ -240,14 +240,14 @@
 	for _, e := range append(warm, cold...) {
 		end := Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone}
 		w := weights[e]
-		if e.Aside {
+		if e.Ejected {
 			end.Health = Unhealthy
 			if shaken {
 				end.Health = Degraded
 			}
 		}
 		if w > 0 && most > 0 {
-			end.Weight = step(w/most, f.cold(e))
+			end.Weight = quantizeWeight(w/most, f.isCold(e))
 		}
 		if end.Weight == 0 && end.Health == Healthy {
 			end.Health = Unhealthy // a weight of 0 can't be told everywhere
@@ -258,64 +258,64 @@
 	return out, admit
 }
 
-func (f *Fleet) cold(e *Engine) bool {
-	return e.StartHeardAt > 0 && f.Now < e.StartHeardAt+f.Rules.ColdTime
+func (f *Fleet) isCold(e *Engine) bool {
+	return e.StartSeenAt > 0 && f.Now < e.StartSeenAt+f.Rules.SlowStartTime
 }
 
-// bears is the work a second that a cold engine may be sent, on average: its pace right after a start, for how it grows is
+// coldCapacity is the work a second that a cold engine may be sent, on average: its pace right after a start, for how it grows is
 // not told, and the multiple that a burst may reach is kept for bursts.
-func (f *Fleet) bears(e *Engine) float64 {
-	return coldShare * warmLoad * f.Rules.ColdFrom * max(e.Cores, 1) * min(max(f.Rules.FallMultiple/2, 0.5), 1)
+func (f *Fleet) coldCapacity(e *Engine) float64 {
+	return coldBudgetShare * warmUtilization * f.Rules.ColdCapacityShare * max(e.Cores, 1) * min(max(f.Rules.OverloadFactor/2, 0.5), 1)
 }
 
-// weigh gives an engine a weight by its cores, less where it is believed to be crowded.
-func weigh(e *Engine) float64 {
+// warmWeight gives an engine a weight by its cores, less where it is believed to be crowded.
+func warmWeight(e *Engine) float64 {
 	fill := 1.0
-	if e.Threads > crowded {
-		fill = max(crowded/e.Threads, leastFill)
+	if e.ThreadsPerCore > crowdedThreadsPerCore {
+		fill = max(crowdedThreadsPerCore/e.ThreadsPerCore, minWeightFactor)
 	}
 	return max(e.Cores, 1) * fill
 }
 
-// step gives a share of the greatest weight as a whole number, in steps of a doubling. A cold engine's is rounded down: its
+// quantizeWeight gives a share of the greatest weight as a whole number, in steps of a doubling. A cold engine's is rounded down: its
 // share is a bound.
-func step(share float64, down bool) uint32 {
-	exact := math.Log2(share*mostWeight) * steps
+func quantizeWeight(share float64, down bool) uint32 {
+	exact := math.Log2(share*maxWeight) * stepsPerDoubling
 	whole := math.Round(exact)
 	if down {
 		whole = math.Floor(exact + 1e-9)
 	}
-	w := math.Exp2(whole / steps)
+	w := math.Exp2(whole / stepsPerDoubling)
 	if down {
 		return uint32(w)
 	}
 	return max(uint32(math.Round(w)), 1)
 }
 
-// route tells proxies how to send a group's batches. No retry where an effect could come twice, and none that would leave
+// buildRoute tells proxies how to send a group's batches. No retry where an effect could come twice, and none that would leave
 // no time: a proxy can't see what the module sees of a dispatch that is out.
-func route(g Group, r Rules, p *place) Route {
-	out := Route{Group: g.Name, Cluster: p.name, Timeout: g.Limit, Admit: min(p.admit, max(g.Keep, 0))}
-	most := max(r.Dispatches, 1)
-	if g.Dispatches > 0 {
-		most = min(most, g.Dispatches)
+func buildRoute(g Group, r Rules, p *placement) Route {
+	out := Route{Group: g.Name, Cluster: p.name, Timeout: g.TimeLimit, AdmittedShare: min(p.admittedShare, max(g.AdmittedShare, 0))}
+	most := max(r.MaxDispatches, 1)
+	if g.MaxDispatches > 0 {
+		most = min(most, g.MaxDispatches)
 	}
-	if !g.Repeatable {
+	if !g.SafeToRetry {
 		return out
 	}
 	out.Retries = most - 1
-	if g.Timeout > 0 {
-		out.PerTry = g.Timeout
-		for out.Retries > 0 && float64(out.Retries+1)*g.Timeout > g.Limit {
+	if g.DispatchTimeout > 0 {
+		out.PerTryTimeout = g.DispatchTimeout
+		for out.Retries > 0 && float64(out.Retries+1)*g.DispatchTimeout > g.TimeLimit {
 			out.Retries--
 		}
 	}
 	return out
 }
 
-// Worse tells what of a change must not wait: an engine that drains, is gone, or may take less. Engines are told by name and
+// ReducesCapacity tells what of a change must not wait: an engine that drains, is gone, or may take less. Engines are told by name and
 // address: what listens at an address may be another one's.
-func Worse(before, after Outlook) bool {
+func ReducesCapacity(before, after View) bool {
 	now := map[string]Endpoint{}
 	for _, c := range after.Clusters {
 		for _, e := range c.Endpoints {
@@ -325,7 +325,7 @@
 	for _, c := range before.Clusters {
 		for _, e := range c.Endpoints {
 			next, there := now[c.Name+"\x00"+e.Name+"\x00"+e.Address]
-			if e.takes() && (!there || !next.takes()) {
+			if e.acceptsTraffic() && (!there || !next.acceptsTraffic()) {
 				return true
 			}
 		}
@@ -333,5 +333,7 @@
 	return false
 }
 
-// takes tells whether proxies send to it.
-func (e Endpoint) takes() bool { return (e.Health == Healthy || e.Health == Degraded) && e.Weight > 0 }
+// acceptsTraffic tells whether proxies send to it.
+func (e Endpoint) acceptsTraffic() bool {
+	return (e.Health == Healthy || e.Health == Degraded) && e.Weight > 0
+}
--- a/internal/outlook/publish.go
+++ b/internal/outlook/publish.go
@@ -15,272 +15,272 @@
 	ClusterKind Kind = iota
 	EndpointKind
 	RouteKind
-	kinds
+	kindCount
 )
 
 func (k Kind) String() string { return [...]string{"clusters", "endpoints", "routes"}[k] }
 
 // Version of what is published: it only grows, over restarts too. Life is the number of the start, which durable state keeps.
-type Version struct{ Life, Count uint64 }
+type Version struct{ Epoch, Count uint64 }
 
 // Older tells which of two came first.
 func (v Version) Older(o Version) bool {
-	return v.Life < o.Life || v.Life == o.Life && v.Count < o.Count
+	return v.Epoch < o.Epoch || v.Epoch == o.Epoch && v.Count < o.Count
 }
 
-func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Life, v.Count) }
+func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch, v.Count) }
 
-// Names is what a proxy is told of one kind: resources by name. Clusters have no body here; routes name their clusters.
-type Names map[string]any
+// Resources is what a proxy is told of one kind: resources by name. Clusters have no body here; routes name their clusters.
+type Resources map[string]any
 
-// Effect is one thing for the host to do.
-type Effect interface{ effect() }
+// Action is one thing for the host to do.
+type Action interface{ action() }
 
 // The effects.
 type (
 	// Send writes a response, whole: the state of the world of one kind. The host tells by Wrote once it is on its way.
 	Send struct {
-		Proxy   uint64
-		Kind    Kind
-		Version Version
-		Nonce   uint64
-		What    Names
+		Proxy     uint64
+		Kind      Kind
+		Version   Version
+		Nonce     uint64
+		Resources Resources
 	}
-	// End ends a proxy's stream.
-	End struct {
-		Proxy uint64
-		Why   string
+	// EndStream ends a proxy's stream.
+	EndStream struct {
+		Proxy  uint64
+		Reason string
 	}
 )
 
-func (Send) effect() {}
-func (End) effect()  {}
+func (Send) action()      {}
+func (EndStream) action() {}
 
 // Publisher holds what each proxy was sent and has taken, and decides what it is sent next. One reducer: events bring the
 // time, effects do the rest.
 type Publisher struct {
-	life, count uint64
-	at          Version
-	now         float64
-	newest      Outlook
-	has         bool
-	changedAt   float64 // when what waits to be published began to differ; 0: nothing waits
-	waiting     Outlook
-	proxies     map[uint64]*proxy // Gone deletes
-	nonce       uint64
-	out         []Effect
+	epoch, count uint64
+	version      Version
+	now          float64
+	published    View
+	hasPublished bool
+	changedAt    float64 // when what waits to be published began to differ; 0: nothing waits
+	pending      View
+	proxies      map[uint64]*proxy // Gone deletes
+	nonce        uint64
+	actions      []Action
 }
 
 // proxy is one stream. Its memory is bounded: what it was last sent of each kind, and no queue.
 type proxy struct {
-	number  uint64
-	node    string
-	streams [kinds]stream
-	refused int // in a row
+	number              uint64
+	node                string
+	streams             [kindCount]stream
+	consecutiveRefusals int // in a row
 }
 
 // stream is one kind on it.
 type stream struct {
-	asked   bool
-	names   []string // that it asked for, in order; nil: all
-	sent    Version
-	nonce   uint64 // of what was last sent; 0: nothing
-	what    Names  // the same
-	taken   Version
-	has     Names // what it has acknowledged
-	writing bool  // what was sent is not on its way yet
-	open    bool  // it has neither taken nor refused it
-	why     string
-	dirty   bool // something newer waits
+	requested             bool
+	names                 []string // that it asked for, in order; nil: all
+	sentVersion           Version
+	nonce                 uint64    // of what was last sent; 0: nothing
+	sentResources         Resources // the same
+	acknowledgedVersion   Version
+	acknowledgedResources Resources // what it has acknowledged
+	writing               bool      // what was sent is not on its way yet
+	awaitingReply         bool      // it has neither taken nor refused it
+	refusalReason         string
+	updatePending         bool // something newer waits
 }
 
 // The values of this package; seconds.
 const (
-	calm        = 0.1 // news that can wait is gathered for so long
-	mostRefused = 8   // in a row; a proxy that refuses everything is ended, and may come back
+	batchingDelay          = 0.1 // news that can wait is gathered for so long
+	maxConsecutiveRefusals = 8   // in a row; a proxy that refuses everything is ended, and may come back
 )
 
 // NewPublisher starts one. The life has to be above that of any earlier start.
 func NewPublisher(life uint64, now float64) *Publisher {
-	return &Publisher{life: life, now: now, proxies: map[uint64]*proxy{}}
+	return &Publisher{epoch: life, now: now, proxies: map[uint64]*proxy{}}
 }
 
-// At is what was published last.
-func (p *Publisher) At() Version { return p.at }
+// Version is what was published last.
+func (p *Publisher) Version() Version { return p.version }
 
 // Published tells what is in force.
-func (p *Publisher) Published() Outlook { return p.newest }
+func (p *Publisher) Published() View { return p.published }
 
 func (p *Publisher) begin(now float64) {
-	p.now, p.out = max(p.now, now), nil
+	p.now, p.actions = max(p.now, now), nil
 }
 
-// Changed brings what the module holds now. What makes an engine take less goes out at once, all else is gathered.
-func (p *Publisher) Changed(now float64, o Outlook) []Effect {
+// Update brings what the module holds now. What makes an engine take less goes out at once, all else is gathered.
+func (p *Publisher) Update(now float64, o View) []Action {
 	p.begin(now)
-	if p.has && same(p.newest, o) {
+	if p.hasPublished && equalViews(p.published, o) {
 		p.changedAt = 0
-		return p.out
+		return p.actions
 	}
-	p.waiting = o
+	p.pending = o
 	if p.changedAt == 0 {
 		p.changedAt = p.now
 	}
-	if !p.has || Worse(p.newest, o) {
+	if !p.hasPublished || ReducesCapacity(p.published, o) {
 		p.publish()
 	}
-	return p.out
+	return p.actions
 }
 
 // Tick is due at Due.
-func (p *Publisher) Tick(now float64) []Effect {
+func (p *Publisher) Tick(now float64) []Action {
 	p.begin(now)
-	if p.changedAt > 0 && p.now >= p.changedAt+calm {
+	if p.changedAt > 0 && p.now >= p.changedAt+batchingDelay {
 		p.publish()
 	}
-	return p.out
+	return p.actions
 }
 
-// Due is when Tick has to be called; 0: not at all.
-func (p *Publisher) Due() float64 {
+// NextTick is when Tick has to be called; 0: not at all.
+func (p *Publisher) NextTick() float64 {
 	if p.changedAt == 0 {
 		return 0
 	}
-	return p.changedAt + calm
+	return p.changedAt + batchingDelay
 }
 
 func (p *Publisher) publish() {
 	p.count++
-	p.at, p.newest, p.has, p.changedAt = Version{p.life, p.count}, p.waiting, true, 0
-	for _, one := range p.inOrder() {
+	p.version, p.published, p.hasPublished, p.changedAt = Version{p.epoch, p.count}, p.pending, true, 0
+	for _, one := range p.sortedProxies() {
 		for k := range one.streams {
-			one.streams[k].dirty = true
+			one.streams[k].updatePending = true
 		}
-		p.pump(one)
+		p.sendPending(one)
 	}
 }
 
-func (p *Publisher) inOrder() []*proxy {
+func (p *Publisher) sortedProxies() []*proxy {
 	return slices.SortedFunc(maps.Values(p.proxies), func(a, b *proxy) int { return cmp.Compare(a.number, b.number) })
 }
 
-// Came lets a proxy in. It is sent nothing before it asks.
-func (p *Publisher) Came(now float64, number uint64, node string) []Effect {
+// Connect lets a proxy in. It is sent nothing before it asks.
+func (p *Publisher) Connect(now float64, number uint64, node string) []Action {
 	p.begin(now)
 	p.proxies[number] = &proxy{number: number, node: node}
-	return p.out
+	return p.actions
 }
 
-// Gone forgets it.
-func (p *Publisher) Gone(now float64, number uint64) []Effect {
+// Disconnect forgets it.
+func (p *Publisher) Disconnect(now float64, number uint64) []Action {
 	p.begin(now)
 	delete(p.proxies, number)
-	return p.out
+	return p.actions
 }
 
-// Asked is a request of a proxy: the first of a kind, or its word on a nonce, each with the names that it wants (nil: all).
+// HandleRequest is a request of a proxy: the first of a kind, or its word on a nonce, each with the names that it wants (nil: all).
 // An old or unknown nonce says nothing.
-func (p *Publisher) Asked(now float64, number uint64, k Kind, names []string, nonce uint64, refused string) []Effect {
+func (p *Publisher) HandleRequest(now float64, number uint64, k Kind, names []string, nonce uint64, refused string) []Action {
 	p.begin(now)
 	one := p.proxies[number]
-	if one == nil || k >= kinds {
-		return p.out
+	if one == nil || k >= kindCount {
+		return p.actions
 	}
 	s := &one.streams[k]
-	if nonce != 0 && nonce != s.nonce || nonce == 0 && s.asked {
-		return p.out
+	if nonce != 0 && nonce != s.nonce || nonce == 0 && s.requested {
+		return p.actions
 	}
 	if names != nil {
 		names = slices.Compact(slices.Sorted(slices.Values(names)))
 	}
-	if !s.asked || !slices.Equal(names, s.names) {
-		s.names, s.dirty = names, true
+	if !s.requested || !slices.Equal(names, s.names) {
+		s.names, s.updatePending = names, true
 	}
-	s.asked = true
+	s.requested = true
 	switch {
-	case nonce == 0 || !s.open: // it may change the names at any time
+	case nonce == 0 || !s.awaitingReply: // it may change the names at any time
 	case refused != "":
-		s.open, s.why = false, refused
-		if one.refused++; one.refused >= mostRefused {
-			p.out = append(p.out, End{number, fmt.Sprintf("refused %d in a row, the last for: %s", one.refused, refused)})
+		s.awaitingReply, s.refusalReason = false, refused
+		if one.consecutiveRefusals++; one.consecutiveRefusals >= maxConsecutiveRefusals {
+			p.actions = append(p.actions, EndStream{number, fmt.Sprintf("refused %d in a row, the last for: %s", one.consecutiveRefusals, refused)})
 			delete(p.proxies, number)
-			return p.out
+			return p.actions
 		}
 	default:
-		s.open, s.why, one.refused = false, "", 0
-		s.taken, s.has = s.sent, s.what
+		s.awaitingReply, s.refusalReason, one.consecutiveRefusals = false, "", 0
+		s.acknowledgedVersion, s.acknowledgedResources = s.sentVersion, s.sentResources
 		if k == RouteKind { // what it has ceased to route to can go
-			one.streams[ClusterKind].dirty, one.streams[EndpointKind].dirty = true, true
+			one.streams[ClusterKind].updatePending, one.streams[EndpointKind].updatePending = true, true
 		}
 	}
-	p.pump(one)
-	return p.out
+	p.sendPending(one)
+	return p.actions
 }
 
-// Wrote: what was sent of a kind is on its way, and the next may go.
-func (p *Publisher) Wrote(now float64, number uint64, k Kind) []Effect {
+// HandleWritten: what was sent of a kind is on its way, and the next may go.
+func (p *Publisher) HandleWritten(now float64, number uint64, k Kind) []Action {
 	p.begin(now)
-	if one := p.proxies[number]; one != nil && k < kinds {
+	if one := p.proxies[number]; one != nil && k < kindCount {
 		one.streams[k].writing = false
-		p.pump(one)
+		p.sendPending(one)
 	}
-	return p.out
+	return p.actions
 }
 
-// pump sends what may go to a proxy now: endpoints at once, for a drain waits for nobody's word; clusters as what is there
+// sendPending sends what may go to a proxy now: endpoints at once, for a drain waits for nobody's word; clusters as what is there
 // and what its routes still name; routes once it has taken all clusters that they name.
-func (p *Publisher) pump(one *proxy) {
-	if !p.has {
+func (p *Publisher) sendPending(one *proxy) {
+	if !p.hasPublished {
 		return
 	}
-	for k := range kinds {
+	for k := range kindCount {
 		s := &one.streams[k]
-		if !s.asked || !s.dirty || s.writing || k != EndpointKind && s.open {
+		if !s.requested || !s.updatePending || s.writing || k != EndpointKind && s.awaitingReply {
 			continue
 		}
-		what := p.want(one, k)
+		what := p.resourcesFor(one, k)
 		if what == nil {
 			continue // not yet
 		}
-		s.dirty = false
-		if s.nonce > 0 && sameNames(s.what, what) && s.why == "" {
-			s.sent = p.at
-			if !s.open {
-				s.taken = p.at
+		s.updatePending = false
+		if s.nonce > 0 && equalResources(s.sentResources, what) && s.refusalReason == "" {
+			s.sentVersion = p.version
+			if !s.awaitingReply {
+				s.acknowledgedVersion = p.version
 			}
 			continue
 		}
 		p.nonce++
-		s.sent, s.nonce, s.what, s.writing, s.open, s.why = p.at, p.nonce, what, true, true, ""
-		p.out = append(p.out, Send{one.number, k, p.at, p.nonce, what})
+		s.sentVersion, s.nonce, s.sentResources, s.writing, s.awaitingReply, s.refusalReason = p.version, p.nonce, what, true, true, ""
+		p.actions = append(p.actions, Send{one.number, k, p.version, p.nonce, what})
 	}
 }
 
-// want is what a proxy is to have of a kind; nil: it can't be sent yet.
-func (p *Publisher) want(one *proxy, k Kind) Names {
-	out := Names{}
+// resourcesFor is what a proxy is to have of a kind; nil: it can't be sent yet.
+func (p *Publisher) resourcesFor(one *proxy, k Kind) Resources {
+	out := Resources{}
 	switch k {
 	case ClusterKind:
-		for _, c := range p.newest.Clusters {
-			out[c.Name] = c.MostOut
+		for _, c := range p.published.Clusters {
+			out[c.Name] = c.MaxRequests
 		}
-		for _, name := range named(one) { // still routed to
+		for _, name := range referencedClusters(one) { // still routed to
 			if _, there := out[name]; !there {
 				out[name] = uint32(0)
 			}
 		}
 	case EndpointKind:
-		for _, c := range p.newest.Clusters {
+		for _, c := range p.published.Clusters {
 			out[c.Name] = c.Endpoints
 		}
-		for _, name := range named(one) { // of a cluster that is gone nobody is left
+		for _, name := range referencedClusters(one) { // of a cluster that is gone nobody is left
 			if _, there := out[name]; !there {
 				out[name] = []Endpoint(nil)
 			}
 		}
 	case RouteKind:
-		for _, r := range p.newest.Routes {
-			if !one.streams[ClusterKind].sure(r.Cluster) || !one.streams[EndpointKind].sure(r.Cluster) {
+		for _, r := range p.published.Routes {
+			if !one.streams[ClusterKind].keeps(r.Cluster) || !one.streams[EndpointKind].keeps(r.Cluster) {
 				return nil
 			}
 			out[r.Group] = r
@@ -292,17 +292,17 @@
 	return out
 }
 
-// sure: a proxy has a resource, and what is on its way to it does not take it away. Of a kind that it never asked for
+// keeps: a proxy has a resource, and what is on its way to it does not take it away. Of a kind that it never asked for
 // nothing is known.
-func (s *stream) sure(name string) bool {
-	_, has := s.has[name]
-	_, stays := s.what[name]
-	return !s.asked || has && stays
+func (s *stream) keeps(name string) bool {
+	_, has := s.acknowledgedResources[name]
+	_, stays := s.sentResources[name]
+	return !s.requested || has && stays
 }
 
-// named are the clusters that routes of a proxy name, which it has taken or may yet take.
-func named(one *proxy) (out []string) {
-	for _, names := range []Names{one.streams[RouteKind].has, one.streams[RouteKind].what} {
+// referencedClusters are the clusters that routes of a proxy name, which it has taken or may yet take.
+func referencedClusters(one *proxy) (out []string) {
+	for _, names := range []Resources{one.streams[RouteKind].acknowledgedResources, one.streams[RouteKind].sentResources} {
 		for _, r := range names {
 			out = append(out, r.(Route).Cluster)
 		}
@@ -311,34 +311,34 @@
 	return slices.Compact(out)
 }
 
-// Standing is how a proxy stands, for operators.
-type Standing struct {
-	Proxy       uint64
-	Node        string
-	Sent, Taken [kinds]Version
-	Refused     [kinds]string // why, of what it refused last
+// ProxyStatus is how a proxy stands, for operators.
+type ProxyStatus struct {
+	Proxy              uint64
+	Node               string
+	Sent, Acknowledged [kindCount]Version
+	RefusalReasons     [kindCount]string // why, of what it refused last
 }
 
-// Standings tells it of all, in order.
-func (p *Publisher) Standings() (out []Standing) {
-	for _, one := range p.inOrder() {
-		s := Standing{Proxy: one.number, Node: one.node}
-		for k := range kinds {
-			s.Sent[k], s.Taken[k], s.Refused[k] = one.streams[k].sent, one.streams[k].taken, one.streams[k].why
+// ProxyStatuses tells it of all, in order.
+func (p *Publisher) ProxyStatuses() (out []ProxyStatus) {
+	for _, one := range p.sortedProxies() {
+		s := ProxyStatus{Proxy: one.number, Node: one.node}
+		for k := range kindCount {
+			s.Sent[k], s.Acknowledged[k], s.RefusalReasons[k] = one.streams[k].sentVersion, one.streams[k].acknowledgedVersion, one.streams[k].refusalReason
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-func same(a, b Outlook) bool {
-	return a.RetryShare == b.RetryShare && a.RetryFree == b.RetryFree && slices.Equal(a.Routes, b.Routes) &&
+func equalViews(a, b View) bool {
+	return a.RetryRatio == b.RetryRatio && a.FreeRetries == b.FreeRetries && slices.Equal(a.Routes, b.Routes) &&
 		slices.EqualFunc(a.Clusters, b.Clusters, func(x, y Cluster) bool {
-			return x.Name == y.Name && x.MostOut == y.MostOut && slices.Equal(x.Endpoints, y.Endpoints)
+			return x.Name == y.Name && x.MaxRequests == y.MaxRequests && slices.Equal(x.Endpoints, y.Endpoints)
 		})
 }
 
-func sameNames(a, b Names) bool {
+func equalResources(a, b Resources) bool {
 	return maps.EqualFunc(a, b, func(x, y any) bool {
 		if list, is := x.([]Endpoint); is {
 			other, is := y.([]Endpoint)
--- a/internal/router/path_test.go
+++ b/internal/router/path_test.go
@@ -157,7 +157,7 @@
 	pool := &buffers.Pool{}
 	access := &tds.EngineConfig{Pool: pool, User: "ann", Password: "p", PacketSize: 4096}
 	client, server, out, back := access.NewEngine(), (&tds.Server{Pool: pool, Authenticate: func(string, string) (string, error) { return "", nil },
-		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "lookup"}} }}).NewSession(), pool.Chain(), pool.Chain()
+		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.BatchProperties{Group: "lookup"}} }}).NewSession(), pool.Chain(), pool.Chain()
 	step := func() (sent, received []byte) {
 		sent = out.Bytes()
 		said, err := server.Read(out, back)
@@ -166,13 +166,13 @@
 		}
 		require.NoError(t, err)
 		if a, is := said.(*traffic.BatchRequest); is {
-			part := rows.Part{Form: rows.Values, Data: pool.Chain()}
+			part := rows.Part{Encoding: rows.Values, Data: pool.Chain()}
 			for _, name := range []string{"a", "b", "c"} {
 				part.Columns = append(part.Columns, rows.Column{Name: name, Type: rows.Type{Kind: rows.Text, Size: 40}})
 			}
 			for range pathRows {
 				for _, v := range strings.Split(strings.TrimSpace(pathLine), "\t") {
-					rows.Append(part.Data, []byte(v))
+					rows.AppendValue(part.Data, []byte(v))
 				}
 			}
 			server.Encode(back, &traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
@@ -192,7 +192,7 @@
 
 // tdsFront returns the TDS protocol for clients, with every batch in the group "lookup".
 func tdsFront(pool *buffers.Pool) *traffic.ClientProtocol {
-	rules := &assign.Rules{Default: &assign.Terms{Group: "lookup", Limit: 2}}
+	rules := &assign.Rules{Default: &assign.BatchProperties{Group: "lookup", Limit: 2}}
 	f := &tds.Server{Pool: pool, Authenticate: func(string, string) (string, error) { return "", nil }, Rules: func() *assign.Rules { return rules }}
 	return f.Protocol(600)
 }
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -37,15 +37,15 @@
 	Text                       // UTF-8
 	Bytes                      // as they are
 	GUID                       // 16, the first three groups with their least byte first
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{"bit", "tinyint", "smallint", "int", "bigint", "real", "float", "decimal", "money",
+var kindNames = [kindCount]string{"bit", "tinyint", "smallint", "int", "bigint", "real", "float", "decimal", "money",
 	"smallmoney", "date", "time", "datetime2", "datetimeoffset", "datetime", "smalldatetime", "nvarchar", "varbinary",
 	"uniqueidentifier"}
 
 func (k Kind) String() string {
-	if k >= kinds {
+	if k >= kindCount {
 		return "unknown"
 	}
 	return kindNames[k]
@@ -71,24 +71,24 @@
 	Value []byte
 }
 
-// Form is how a part's data lie.
-type Form uint8
+// Encoding is how a part's data lie.
+type Encoding uint8
 
 // The forms.
 const (
-	Lines  Form = iota // three columns of text: tabs between them, an end of line after each row
-	Values             // for each column a size in four bytes, or Null, and the value
+	Lines  Encoding = iota // three columns of text: tabs between them, an end of line after each row
+	Values                 // for each column a size in four bytes, or Null, and the value
 )
 
-// Null stands for the size of a value that is none.
-const Null = 0xFFFFFFFF
+// NullSize stands for the size of a value that is none.
+const NullSize = 0xFFFFFFFF
 
 // Part is some rows of a result. Columns stand with the first part of each result of a batch.
 type Part struct {
-	Form    Form
-	Columns []Column
-	Data    *buffers.Chain // may be nil: no rows
-	Count   int            // rows, in Values
+	Encoding Encoding
+	Columns  []Column
+	Data     *buffers.Chain // may be nil: no rows
+	Count    int            // rows, in Values
 }
 
 // Len tells the bytes held.
@@ -104,11 +104,11 @@
 	}
 }
 
-// Append writes one value in the form Values; nil is none.
-func Append(out *buffers.Chain, value []byte) {
+// AppendValue writes one value in the form Values; nil is none.
+func AppendValue(out *buffers.Chain, value []byte) {
 	var size [4]byte
 	if value == nil {
-		binary.LittleEndian.PutUint32(size[:], Null)
+		binary.LittleEndian.PutUint32(size[:], NullSize)
 		out.Write(size[:])
 		return
 	}
@@ -117,16 +117,16 @@
 	out.Write(value)
 }
 
-// ErrForm says that rows are not what their columns say.
-var ErrForm = errors.New("rows do not fit their columns")
+// ErrMalformed says that rows are not what their columns say.
+var ErrMalformed = errors.New("rows do not fit their columns")
 
-// work is what reading rows needs for a while.
-type work struct {
-	row [][]byte
-	all []byte
+// scratch is what reading rows needs for a while.
+type scratch struct {
+	row  [][]byte
+	data []byte
 }
 
-var works = sync.Pool{New: func() any { return &work{} }}
+var scratchPool = sync.Pool{New: func() any { return &scratch{} }}
 
 // Each gives the rows of a part in the form Values, each as its values; nil is none. They are good until the next.
 func Each(p Part, columns int, take func(row [][]byte) error) error {
@@ -134,31 +134,31 @@
 		return nil
 	}
 	if columns < 1 {
-		return ErrForm
+		return ErrMalformed
 	}
-	work := works.Get().(*work)
-	defer works.Put(work)
+	work := scratchPool.Get().(*scratch)
+	defer scratchPool.Put(work)
 	if cap(work.row) < columns {
 		work.row = make([][]byte, columns)
 	}
-	if cap(work.all) < p.Data.Len() {
-		work.all = make([]byte, p.Data.Len())
+	if cap(work.data) < p.Data.Len() {
+		work.data = make([]byte, p.Data.Len())
 	}
-	row, all := work.row[:columns], work.all[:p.Data.Len()]
+	row, all := work.row[:columns], work.data[:p.Data.Len()]
 	p.Data.Peek(0, all)
 	for len(all) > 0 {
 		for i := range row {
 			if len(all) < 4 {
-				return ErrForm
+				return ErrMalformed
 			}
 			size := binary.LittleEndian.Uint32(all)
 			all = all[4:]
-			if size == Null {
+			if size == NullSize {
 				row[i] = nil
 				continue
 			}
 			if uint64(size) > uint64(len(all)) {
-				return ErrForm
+				return ErrMalformed
 			}
 			row[i], all = all[:size:size], all[size:]
 		}
@@ -176,10 +176,10 @@
 // AsValues turns a result of lines to one of values; others stay. What can't be expressed is an error: bytes that are
 // no UTF-8 have no place in a column of text.
 func AsValues(pool *buffers.Pool, parts []Part) ([]Part, error) {
-	if len(parts) == 0 || parts[0].Form == Values {
+	if len(parts) == 0 || parts[0].Encoding == Values {
 		return parts, nil
 	}
-	out := Part{Form: Values, Columns: lineColumns, Data: pool.Chain()}
+	out := Part{Encoding: Values, Columns: lineColumns, Data: pool.Chain()}
 	defer Release(parts)
 	for _, p := range parts {
 		text := p.Data.Bytes()
@@ -199,9 +199,9 @@
 				}
 				if n == len(text) {
 					out.Release()
-					return nil, ErrForm
+					return nil, ErrMalformed
 				}
-				Append(out.Data, text[:n])
+				AppendValue(out.Data, text[:n])
 				text = text[n+1:]
 			}
 			out.Count++
@@ -213,7 +213,7 @@
 // AsLines turns a result of values to lines; others stay. Lines carry three columns of text of one result, so another
 // number of columns, a second result, a value that is none, and tabs and ends of line inside a value are errors.
 func AsLines(pool *buffers.Pool, parts []Part) ([]Part, error) {
-	if len(parts) == 0 || parts[0].Form == Lines {
+	if len(parts) == 0 || parts[0].Encoding == Lines {
 		return parts, nil
 	}
 	defer Release(parts)
--- a/internal/rows/rows_test.go
+++ b/internal/rows/rows_test.go
@@ -9,7 +9,7 @@
 	"pitchfield/internal/buffers"
 )
 
-func TestValuesReadAsPeopleAndSQLReadThem(t *testing.T) {
+func TestFormatWritesSQLText(t *testing.T) {
 	for want, v := range map[string]Parameter{
 		"-1.5000":                              {Column: Column{Type: Type{Kind: Money}}, Value: []byte{0x68, 0xC5, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF}},
 		"0.05":                                 {Column: Column{Type: Type{Kind: Decimal, Precision: 9, Scale: 2}}, Value: []byte{1, 5, 0, 0, 0}},
@@ -30,11 +30,11 @@
 		{Column: Column{Type: Type{Kind: Date}}, Value: []byte{255, 255, 255}}, {Column: Column{Type: Type{Kind: Text}}, Value: []byte{0xff}},
 		{Column: Column{Type: Type{Kind: Float32}}, Value: []byte{0, 0, 0x80, 0x7f}}} {
 		_, err := Format(bad.Type, bad.Value)
-		assert.ErrorIs(t, err, ErrForm)
+		assert.ErrorIs(t, err, ErrMalformed)
 	}
 }
 
-func TestParametersStandInForTheirNamesOnly(t *testing.T) {
+func TestInlineReplacesOnlyParameterNames(t *testing.T) {
 	text := func(name, v string) Parameter {
 		return Parameter{Column: Column{Name: name, Type: Type{Kind: Text}}, Value: []byte(v)}
 	}
@@ -43,13 +43,13 @@
 	assert.Equal(t, "SELECT N'O''Hara; @a1', '@a', [@a], N'x' -- @a\n, @@a /* @a */ FROM t WHERE x=N'O''Hara; @a1'", got)
 }
 
-func TestWhatLinesCanNotExpressIsAnError(t *testing.T) {
+func TestLinesRejectInexpressibleResults(t *testing.T) {
 	pool := &buffers.Pool{}
 	three := []Column{{Name: "a", Type: Type{Kind: Text}}, {Name: "b", Type: Type{Kind: Int8}}, {Name: "c", Type: Type{Kind: Text}}}
 	part := func(columns []Column, values ...[]byte) Part {
-		p := Part{Form: Values, Columns: columns, Data: pool.Chain()}
+		p := Part{Encoding: Values, Columns: columns, Data: pool.Chain()}
 		for _, v := range values {
-			Append(p.Data, v)
+			AppendValue(p.Data, v)
 		}
 		return p
 	}
--- a/internal/rows/values.go
+++ b/internal/rows/values.go
@@ -14,16 +14,16 @@
 	"pitchfield/internal/statement"
 )
 
-// uint reads a number of up to eight bytes, the least first.
-func uint(b []byte) (v uint64) {
+// littleEndianUint reads a number of up to eight bytes, the least first.
+func littleEndianUint(b []byte) (v uint64) {
 	for i := len(b) - 1; i >= 0; i-- {
 		v = v<<8 | uint64(b[i])
 	}
 	return v
 }
 
-// TimeBytes tells the bytes of a time of this scale (0 to 7 digits of a second).
-func TimeBytes(scale uint8) int {
+// TimeSize tells the bytes of a time of this scale (0 to 7 digits of a second).
+func TimeSize(scale uint8) int {
 	switch {
 	case scale <= 2:
 		return 3
@@ -33,8 +33,8 @@
 	return 5
 }
 
-// Bytes tells how many bytes a value of the type has; 0: it varies.
-func (t Type) Bytes() int {
+// FixedSize tells how many bytes a value of the type has; 0: it varies.
+func (t Type) FixedSize() int {
 	switch t.Kind {
 	case Bit, Int8:
 		return 1
@@ -47,19 +47,19 @@
 	case Date:
 		return 3
 	case Time:
-		return TimeBytes(t.Scale)
+		return TimeSize(t.Scale)
 	case DateTime2:
-		return TimeBytes(t.Scale) + 3
+		return TimeSize(t.Scale) + 3
 	case DateTimeOffset:
-		return TimeBytes(t.Scale) + 5
+		return TimeSize(t.Scale) + 5
 	case GUID:
 		return 16
 	}
 	return 0
 }
 
-// Valid tells whether bytes can be a value of the type.
-func (t Type) Valid(v []byte) error {
+// Validate tells whether bytes can be a value of the type.
+func (t Type) Validate(v []byte) error {
 	ok := true
 	switch t.Kind {
 	case Decimal:
@@ -69,39 +69,39 @@
 		ok = utf8.Valid(v)
 	case Bytes:
 	default:
-		ok = len(v) == t.Bytes() && t.Kind < kinds && t.Scale <= 38
+		ok = len(v) == t.FixedSize() && t.Kind < kindCount && t.Scale <= 38
 		switch t.Kind {
 		case Time, DateTime2, DateTimeOffset:
-			n := TimeBytes(t.Scale)
-			ok = ok && t.Scale <= 7 && uint(v[:n]) < uint64(86400*math.Pow10(int(t.Scale)))
+			n := TimeSize(t.Scale)
+			ok = ok && t.Scale <= 7 && littleEndianUint(v[:n]) < uint64(86400*math.Pow10(int(t.Scale)))
 			if t.Kind != Time {
-				ok = ok && uint(v[n:n+3]) <= lastDay
+				ok = ok && littleEndianUint(v[n:n+3]) <= maxDays
 			}
 		case Date:
-			ok = ok && uint(v) <= lastDay
+			ok = ok && littleEndianUint(v) <= maxDays
 		case Float32:
-			ok = ok && !odd(float64(math.Float32frombits(uint32(uint(v)))))
+			ok = ok && !notFinite(float64(math.Float32frombits(uint32(littleEndianUint(v)))))
 		case Float64:
-			ok = ok && !odd(math.Float64frombits(uint(v)))
+			ok = ok && !notFinite(math.Float64frombits(littleEndianUint(v)))
 		}
 	}
 	if !ok {
-		return fmt.Errorf("%w: %d bytes are no %s", ErrForm, len(v), t.Kind)
+		return fmt.Errorf("%w: %d bytes are no %s", ErrMalformed, len(v), t.Kind)
 	}
 	return nil
 }
 
-const lastDay = 3652058 // 9999-12-31
+const maxDays = 3652058 // 9999-12-31
 
-func odd(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) }
+func notFinite(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) }
 
-func day(v []byte) string {
-	return time.Date(1, 1, 1+int(uint(v)), 0, 0, 0, 0, time.UTC).Format("2006-01-02")
+func formatDate(v []byte) string {
+	return time.Date(1, 1, 1+int(littleEndianUint(v)), 0, 0, 0, 0, time.UTC).Format("2006-01-02")
 }
 
-func clock(v []byte, scale uint8) string {
+func formatTime(v []byte, scale uint8) string {
 	unit := uint64(math.Pow10(int(scale)))
-	n := uint(v)
+	n := littleEndianUint(v)
 	s := n / unit
 	out := fmt.Sprintf("%02d:%02d:%02d", s/3600, s/60%60, s%60)
 	if scale > 0 {
@@ -110,7 +110,7 @@
 	return out
 }
 
-func point(digits string, scale int, negative bool) string {
+func insertDecimalPoint(digits string, scale int, negative bool) string {
 	if pad := scale + 1 - len(digits); pad > 0 {
 		digits = strings.Repeat("0", pad) + digits
 	}
@@ -125,44 +125,44 @@
 
 // Format writes a value as a text that a person and SQL read alike.
 func Format(t Type, v []byte) (string, error) {
-	if err := t.Valid(v); err != nil {
+	if err := t.Validate(v); err != nil {
 		return "", err
 	}
 	switch t.Kind {
 	case Bit, Int8:
 		return strconv.Itoa(int(v[0])), nil
 	case Int16:
-		return strconv.Itoa(int(int16(uint(v)))), nil
+		return strconv.Itoa(int(int16(littleEndianUint(v)))), nil
 	case Int32:
-		return strconv.Itoa(int(int32(uint(v)))), nil
+		return strconv.Itoa(int(int32(littleEndianUint(v)))), nil
 	case Int64:
-		return strconv.FormatInt(int64(uint(v)), 10), nil
+		return strconv.FormatInt(int64(littleEndianUint(v)), 10), nil
 	case Float32:
-		return strconv.FormatFloat(float64(math.Float32frombits(uint32(uint(v)))), 'g', -1, 32), nil
+		return strconv.FormatFloat(float64(math.Float32frombits(uint32(littleEndianUint(v)))), 'g', -1, 32), nil
 	case Float64:
-		return strconv.FormatFloat(math.Float64frombits(uint(v)), 'g', -1, 64), nil
+		return strconv.FormatFloat(math.Float64frombits(littleEndianUint(v)), 'g', -1, 64), nil
 	case Decimal:
 		big1 := make([]byte, len(v)-1)
 		for i := range big1 {
 			big1[i] = v[len(v)-1-i]
 		}
-		return point(new(big.Int).SetBytes(big1).String(), int(t.Scale), v[0] == 0), nil
+		return insertDecimalPoint(new(big.Int).SetBytes(big1).String(), int(t.Scale), v[0] == 0), nil
 	case Money:
-		return cents(int64(uint(v))), nil
+		return formatMoney(int64(littleEndianUint(v))), nil
 	case SmallMoney:
-		return cents(int64(int32(uint(v)))), nil
+		return formatMoney(int64(int32(littleEndianUint(v)))), nil
 	case Date:
-		return day(v), nil
+		return formatDate(v), nil
 	case Time:
-		return clock(v, t.Scale), nil
+		return formatTime(v, t.Scale), nil
 	case DateTime2:
-		n := TimeBytes(t.Scale)
-		return day(v[n:]) + " " + clock(v[:n], t.Scale), nil
+		n := TimeSize(t.Scale)
+		return formatDate(v[n:]) + " " + formatTime(v[:n], t.Scale), nil
 	case DateTimeOffset:
-		n := TimeBytes(t.Scale)
+		n := TimeSize(t.Scale)
 		minutes := int(int16(binary.LittleEndian.Uint16(v[n+3:])))
 		unit := time.Duration(math.Pow10(9 - int(t.Scale)))
-		at := time.Date(1, 1, 1+int(uint(v[n:n+3])), 0, 0, 0, 0, time.UTC).Add(time.Duration(uint(v[:n])) * unit)
+		at := time.Date(1, 1, 1+int(littleEndianUint(v[n:n+3])), 0, 0, 0, 0, time.UTC).Add(time.Duration(littleEndianUint(v[:n])) * unit)
 		layout := "2006-01-02 15:04:05"
 		if t.Scale > 0 {
 			layout += "." + strings.Repeat("0", int(t.Scale))
@@ -184,9 +184,9 @@
 	return string(v), nil
 }
 
-func cents(n int64) string {
+func formatMoney(n int64) string {
 	digits := strconv.FormatInt(n, 10)
-	return point(strings.TrimPrefix(digits, "-"), 4, n < 0)
+	return insertDecimalPoint(strings.TrimPrefix(digits, "-"), 4, n < 0)
 }
 
 // Literal writes a parameter's value as SQL does; a text can't leave its quotes.
@@ -223,11 +223,11 @@
 	}
 	var out strings.Builder
 	at := 0
-	for _, w := range statement.Words(text) {
+	for _, w := range statement.Tokenize(text) {
 		if l, ok := literals[strings.ToLower(w.Text)]; ok && !w.Quoted {
-			out.WriteString(text[at:w.From])
+			out.WriteString(text[at:w.Start])
 			out.WriteString(l)
-			at = w.To
+			at = w.End
 		}
 	}
 	out.WriteString(text[at:])
--- a/internal/standin/tds.go
+++ b/internal/standin/tds.go
@@ -42,7 +42,7 @@
 func serveTDS(s *Server, conn net.Conn) {
 	pool := &buffers.Pool{}
 	c := &tdsConn{Conn: conn, server: s, pool: pool}
-	rules := &assign.Rules{Default: &assign.Terms{Group: "any"}}
+	rules := &assign.Rules{Default: &assign.BatchProperties{Group: "any"}}
 	front := &tds.Server{Pool: pool, Name: s.Name,
 		Authenticate: func(user, password string) (string, error) {
 			if user != EngineUser || password != EnginePassword {
@@ -148,13 +148,13 @@
 		{Name: "queue", Type: rows.Type{Kind: rows.Text, Size: 64}}, {Name: "line", Type: rows.Type{Kind: rows.Text}}}
 	count := max(r.Step.Rows, 1)
 	page := func(from int) traffic.ClientReply { // encoded when it is sent, as by an engine that streams its answer
-		part := rows.Part{Form: rows.Values, Data: (&buffers.Pool{}).Chain()}
+		part := rows.Part{Encoding: rows.Values, Data: (&buffers.Pool{}).Chain()}
 		if from == 0 {
 			part.Columns = columns
 		}
 		for i := from; i < min(from+pageRows, count); i++ {
 			for _, v := range strings.Split(resultRow(r, i), "\t") {
-				rows.Append(part.Data, []byte(v))
+				rows.AppendValue(part.Data, []byte(v))
 			}
 		}
 		return &traffic.Rows{Stream: stream, Part: part}
@@ -336,13 +336,13 @@
 		{rows.Column{Name: "name", Type: rows.Type{Kind: rows.Text, Size: 40}}, []byte("Žofie 🌱")},
 		{rows.Column{Name: "raw", Type: rows.Type{Kind: rows.Bytes}}, []byte{0, 255}},
 		{rows.Column{Name: "id", Type: rows.Type{Kind: rows.GUID}}, []byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}}}
-	p := rows.Part{Form: rows.Values, Data: (&buffers.Pool{}).Chain(), Count: 2}
+	p := rows.Part{Encoding: rows.Values, Data: (&buffers.Pool{}).Chain(), Count: 2}
 	for _, v := range values {
 		p.Columns = append(p.Columns, v.Column)
-		rows.Append(p.Data, v.value)
+		rows.AppendValue(p.Data, v.value)
 	}
 	for range values {
-		rows.Append(p.Data, nil)
+		rows.AppendValue(p.Data, nil)
 	}
 	return p
 }
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// None is the data set of a text that names none.
-const None = -1
+// NoDataSet is the data set of a text that names none.
+const NoDataSet = -1
 
-// places are the words after which a table stands; other dotted names may be columns of an alias.
-var places = map[string]bool{"FROM": true, "JOIN": true, "INTO": true, "UPDATE": true, "TABLE": true, "USING": true,
+// tableKeywords are the words after which a table stands; other dotted names may be columns of an alias.
+var tableKeywords = map[string]bool{"FROM": true, "JOIN": true, "INTO": true, "UPDATE": true, "TABLE": true, "USING": true,
 	"ONLY": true, "COPY": true}
 
 // DataSet is the number behind the underscore in the name of the schema, as 17 in sales_17.orders. Strings, comments
@@ -19,36 +19,36 @@
 func DataSet(text io.ByteReader) int {
 	s := scanner{in: text}
 	s.next()
-	found := None
+	found := NoDataSet
 	schema, table := "", false // the name before a dot, as long as nothing but white space came between
 	place := false
-	for s.ok {
-		switch c := s.c; {
+	for s.more {
+		switch c := s.current; {
 		case c == '\'':
-			s.quoted('\'')
+			s.readQuoted('\'')
 			schema, place = "", false
 		case c == '"' || c == '`':
-			schema, table = s.quoted(c), place
+			schema, table = s.readQuoted(c), place
 			place = false
 		case c == '[':
-			schema, table = s.quoted(']'), place
+			schema, table = s.readQuoted(']'), place
 			place = false
 		case c == '-' || c == '/':
-			if !s.comment() {
+			if !s.skipComment() {
 				schema, place = "", false
 			}
-		case letter(c):
-			schema, table = s.word(), place
-			place = places[strings.ToUpper(schema)]
+		case isLetter(c):
+			schema, table = s.readWord(), place
+			place = tableKeywords[strings.ToUpper(schema)]
 		case c >= '0' && c <= '9':
-			s.word() // a number, with what clings to it
+			s.readWord() // a number, with what clings to it
 			schema, place = "", false
 		case c == '.':
-			if n := number(schema); n != None {
+			if n := dataSetNumber(schema); n != NoDataSet {
 				if table {
 					return n
 				}
-				if found == None {
+				if found == NoDataSet {
 					found = n
 				}
 			}
@@ -64,79 +64,79 @@
 	return found
 }
 
-func number(schema string) int {
+func dataSetNumber(schema string) int {
 	i := strings.LastIndexByte(schema, '_')
 	if i <= 0 || strings.EqualFold(schema[:i], "staging") {
-		return None
+		return NoDataSet
 	}
 	n, err := strconv.ParseUint(schema[i+1:], 10, 31)
 	if err != nil {
-		return None
+		return NoDataSet
 	}
 	return int(n)
 }
 
 type scanner struct {
-	in io.ByteReader
-	c  byte
-	ok bool
+	in      io.ByteReader
+	current byte
+	more    bool
 }
 
 func (s *scanner) next() {
 	c, err := s.in.ReadByte()
-	s.c, s.ok = c, err == nil
+	s.current, s.more = c, err == nil
 }
 
-// quoted reads past the end of what is quoted; the quote itself stands doubled inside.
-func (s *scanner) quoted(end byte) string {
+// readQuoted reads past the end of what is quoted; the quote itself stands doubled inside.
+func (s *scanner) readQuoted(end byte) string {
 	var out strings.Builder
-	for s.next(); s.ok; s.next() {
-		if s.c == end {
-			if s.next(); s.c != end || !s.ok || end == ']' {
+	for s.next(); s.more; s.next() {
+		if s.current == end {
+			if s.next(); s.current != end || !s.more || end == ']' {
 				break
 			}
 		}
 		if out.Len() < 256 {
-			out.WriteByte(s.c)
+			out.WriteByte(s.current)
 		}
 	}
 	return out.String()
 }
 
-func (s *scanner) word() string {
+func (s *scanner) readWord() string {
 	var out strings.Builder
-	for ; s.ok && (letter(s.c) || s.c >= '0' && s.c <= '9' || s.c == '$'); s.next() {
+	for ; s.more && (isLetter(s.current) || s.current >= '0' && s.current <= '9' || s.current == '$'); s.next() {
 		if out.Len() < 256 {
-			out.WriteByte(s.c)
+			out.WriteByte(s.current)
 		}
 	}
 	return out.String()
 }
 
-func letter(c byte) bool {
+func isLetter(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80
 }
 
-// comment reads past a comment, if one starts here; else past the one character.
-func (s *scanner) comment() bool {
-	first := s.c
+// skipComment reads past a comment, if one starts here; else past the one character.
+func (s *scanner) skipComment() bool {
+	first := s.current
 	s.next()
 	switch {
-	case first == '-' && s.ok && s.c == '-':
-		for s.ok && s.c != '\n' {
+	case first == '-' && s.more && s.current == '-':
+		for s.more && s.current != '\n' {
 			s.next()
 		}
 		return true
-	case first == '/' && s.ok && s.c == '*':
+	case first == '/' && s.more && s.current == '*':
 		depth, last := 1, byte(0)
-		for s.next(); s.ok && depth > 0; s.next() {
+		for s.next(); s.more && depth > 0; s.next() {
 			switch {
-			case last == '*' && s.c == '/':
+			case last == '*' && s.current == '/':
 				depth, last = depth-1, 0
-			case last == '/' && s.c == '*':
+			case last == '/' && s.current == '*':
 				depth, last = depth+1, 0
 			default:
-				last = s.c
+				last = s.current
 			}
 		}
 		return true
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -10,7 +10,7 @@
 func FuzzDataSet(f *testing.F) {
 	f.Add("SELECT a -- b\n/* c /* d */ 'e' \"f\" [g] FROM h_1.i")
 	f.Fuzz(func(t *testing.T, text string) {
-		assert.GreaterOrEqual(t, DataSet(strings.NewReader(text)), None)
+		assert.GreaterOrEqual(t, DataSet(strings.NewReader(text)), NoDataSet)
 	})
 }
 
@@ -32,11 +32,11 @@
 		"SELECT t_1.a FROM fin_6.t t_1":                                                     6,
 		"SELECT a FROM warehouse.fin_6.t":                                                   6,
 		"SELECT deep_name_31.a":                                                             31,
-		"SELECT 1.5, 2_3.4 FROM x_y.z":                                                      None,
-		"SELECT 'open string from a_1.b":                                                    None,
-		"SELECT 1 /* open from a_1.b":                                                       None,
-		"SELECT a_99999999999999999999.b":                                                   None,
-		"":                                                                                  None,
+		"SELECT 1.5, 2_3.4 FROM x_y.z":                                                      NoDataSet,
+		"SELECT 'open string from a_1.b":                                                    NoDataSet,
+		"SELECT 1 /* open from a_1.b":                                                       NoDataSet,
+		"SELECT a_99999999999999999999.b":                                                   NoDataSet,
+		"":                                                                                  NoDataSet,
 	} {
 		assert.Equal(t, want, DataSet(strings.NewReader(text)), text)
 	}
--- a/internal/tds/engine.go
+++ b/internal/tds/engine.go
@@ -234,7 +234,7 @@
 	if e.columnsUnsent {
 		p.Columns, e.columnsUnsent = e.resultColumns, false
 	}
-	p.Form, e.rowsSent = rows.Values, true
+	p.Encoding, e.rowsSent = rows.Values, true
 	return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1, Rows: p}
 }
 
@@ -274,7 +274,7 @@
 		if e.phase == running && !e.isProbe && d.status&doneCount != 0 && e.columns == nil && d.count > 0 && d.count <= math.MaxInt32 {
 			e.rowsSent = true
 			return &traffic.EngineReply{ID: e.requestID, Kind: traffic.ReplyRows, Pages: -1, Page: -1, Work: -1, Memory: -1,
-				Rows: rows.Part{Form: rows.Values, Count: int(d.count)}}, nil
+				Rows: rows.Part{Encoding: rows.Values, Count: int(d.count)}}, nil
 		}
 		if d.status&doneError != 0 && e.firstError == nil {
 			e.firstError = &Message{Text: "the engine tells of an error without saying which"}
@@ -355,7 +355,7 @@
 			data.Truncate(at)
 			return nil
 		}
-		rows.Append(data, v)
+		rows.AppendValue(data, v)
 	}
 	e.unsent.Data = data
 	e.unsent.Count++
--- a/internal/tds/fuzz_test.go
+++ b/internal/tds/fuzz_test.go
@@ -64,7 +64,7 @@
 		w := c.typeInfo()
 		var scratch []byte
 		v := c.value(&w, &scratch)
-		if c.err != nil || v != nil && w.Valid(v) != nil {
+		if c.err != nil || v != nil && w.Validate(v) != nil {
 			return
 		}
 		want := append([]byte(nil), v...)
--- a/internal/tds/known.go
+++ b/internal/tds/known.go
@@ -14,7 +14,7 @@
 const productName = "pitchfield, a router before analytic engines"
 
 // serverValues gives the values of a SELECT of nothing but figures of the server, with the names they stand under.
-func (s *Session) serverValues(all []statement.Word) ([]rows.Parameter, bool) {
+func (s *Session) serverValues(all []statement.Token) ([]rows.Parameter, bool) {
 	for len(all) > 0 && all[len(all)-1].Text == ";" {
 		all = all[:len(all)-1]
 	}
@@ -41,7 +41,7 @@
 }
 
 // serverValue is one value of such a SELECT, with a name behind it or none.
-func (s *Session) serverValue(all []statement.Word) (v rows.Parameter, ok bool) {
+func (s *Session) serverValue(all []statement.Token) (v rows.Parameter, ok bool) {
 	if n := len(all); n >= 3 && all[n-2].Upper == "AS" {
 		v.Name, all = all[n-1].Text, all[:n-2]
 	}
--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -328,7 +328,7 @@
 
 // handleBatch takes a SQLBatch.
 func (s *Session) handleBatch(text string, owed *buffers.Chain) traffic.ClientMessage {
-	all := statement.Words(text)
+	all := statement.Tokenize(text)
 	if why := unsupportedFeature(all); why != "" {
 		return s.sendError(owed, unsupportedError(why))
 	}
@@ -393,7 +393,7 @@
 }
 
 // submit makes a batch of a statement.
-func (s *Session) submit(text string, all []statement.Word, ahead string, parameters []rows.Parameter, owed *buffers.Chain) traffic.ClientMessage {
+func (s *Session) submit(text string, all []statement.Token, ahead string, parameters []rows.Parameter, owed *buffers.Chain) traffic.ClientMessage {
 	ask := &traffic.BatchRequest{Stream: s.stream + 1}
 	b := &ask.Batch
 	b.Client, b.SessionSetup, b.Parameters = s.client, ahead, parameters
@@ -401,9 +401,9 @@
 	if s.database == "" {
 		b.Database = s.login.database
 	}
-	about := assign.About{Login: s.login.user, Application: s.login.appName, Database: s.currentDatabase()}
+	about := assign.StatementInfo{Login: s.login.user, Application: s.login.appName, Database: s.currentDatabase()}
 	if len(all) > 0 {
-		about.Form = strings.ToLower(all[0].Text)
+		about.Command = strings.ToLower(all[0].Text)
 	}
 	if err := s.server.Rules().Assign(about, text, b); err != nil {
 		return s.sendError(owed, Message{50404, 1, 16, "pitchfield: " + err.Error() + "."})
@@ -429,7 +429,7 @@
 		if err != nil {
 			return nil, err
 		}
-		all := statement.Words(p.text)
+		all := statement.Tokenize(p.text)
 		if why := unsupportedFeature(all); why != "" {
 			return nil, requestError{unsupportedError(why)}
 		}
@@ -529,7 +529,7 @@
 		}
 		text += " " + literal
 	}
-	return s.submit(text, statement.Words(text), s.settingsPrefix(), nil, owed), nil
+	return s.submit(text, statement.Tokenize(text), s.settingsPrefix(), nil, owed), nil
 }
 
 func isNameRune(r rune) bool {
--- a/internal/tds/speech.go
+++ b/internal/tds/speech.go
@@ -14,7 +14,7 @@
 }
 
 // leadingSettings gives the SET and USE statements at the start of a text and whether nothing else is in it.
-func leadingSettings(all []statement.Word, text string) (out []sessionSetting, only bool) {
+func leadingSettings(all []statement.Token, text string) (out []sessionSetting, only bool) {
 	i := 0
 	for i < len(all) {
 		w := all[i]
@@ -35,7 +35,7 @@
 		if n == i+1 {
 			return out, false
 		}
-		s := sessionSetting{text: strings.TrimSpace(text[w.From:all[n-1].To])}
+		s := sessionSetting{text: strings.TrimSpace(text[w.Start:all[n-1].End])}
 		switch name := all[i+1]; {
 		case w.Upper == "USE":
 			s.key, s.database = "USE", name.Text
@@ -63,7 +63,7 @@
 
 // unsupportedFeature says what of a statement needs a session of its own on an engine, which this router does not give; empty:
 // nothing. Batches of one session go to different engines.
-func unsupportedFeature(all []statement.Word) string {
+func unsupportedFeature(all []statement.Token) string {
 	for i, w := range all {
 		next := ""
 		if i+1 < len(all) && !all[i+1].Quoted {
--- a/internal/tds/tds_test.go
+++ b/internal/tds/tds_test.go
@@ -46,7 +46,7 @@
 func newPair(t require.TestingT) *connectedPair {
 	pool := &buffers.Pool{}
 	front := &Server{Pool: pool, Name: "here", Databases: []string{"sales", "stock"},
-		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.Terms{Group: "report"}} },
+		Rules: func() *assign.Rules { return &assign.Rules{Default: &assign.BatchProperties{Group: "report"}} },
 		Authenticate: func(user, password string) (string, error) {
 			if password != "pässword" {
 				return "", errors.New("no")
@@ -157,9 +157,9 @@
 }
 
 func textRows(pool *buffers.Pool, lines ...string) rows.Part {
-	p := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "a", Type: rows.Type{Kind: rows.Text}}}, Data: pool.Chain()}
+	p := rows.Part{Encoding: rows.Values, Columns: []rows.Column{{Name: "a", Type: rows.Type{Kind: rows.Text}}}, Data: pool.Chain()}
 	for _, l := range lines {
-		rows.Append(p.Data, []byte(l))
+		rows.AppendValue(p.Data, []byte(l))
 	}
 	return p
 }
@@ -185,7 +185,7 @@
 	}
 	little := func(n int, v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v)[:n] }
 	clock := func() []byte {
-		return little(rows.TimeBytes(ty.Scale), rapid.Uint64Range(0, uint64(86400*math.Pow10(int(ty.Scale)))-1).Draw(t, "time"))
+		return little(rows.TimeSize(ty.Scale), rapid.Uint64Range(0, uint64(86400*math.Pow10(int(ty.Scale)))-1).Draw(t, "time"))
 	}
 	date := func() []byte { return little(3, rapid.Uint64Range(0, 3652058).Draw(t, "day")) }
 	switch ty.Kind {
@@ -210,7 +210,7 @@
 	case rows.Float64:
 		return little(8, math.Float64bits(rapid.Float64Range(-1e9, 1e9).Draw(t, "float")))
 	}
-	return rapid.SliceOfN(rapid.Byte(), ty.Bytes(), ty.Bytes()).Draw(t, "raw")
+	return rapid.SliceOfN(rapid.Byte(), ty.FixedSize(), ty.FixedSize()).Draw(t, "raw")
 }
 
 // What goes in at one side comes out at the other, wherever the bytes are cut and however many columns have no value.
@@ -227,11 +227,11 @@
 		for i := range columns {
 			columns[i] = rows.Column{Name: fmt.Sprintf("č%d", i), Type: genType(t)}
 		}
-		part := rows.Part{Form: rows.Values, Columns: columns, Data: k.pool.Chain()}
+		part := rows.Part{Encoding: rows.Values, Columns: columns, Data: k.pool.Chain()}
 		for range rapid.IntRange(0, 8).Draw(t, "rows") {
 			for _, c := range columns {
 				want = append(want, genValue(t, c.Type))
-				rows.Append(part.Data, want[len(want)-1])
+				rows.AppendValue(part.Data, want[len(want)-1])
 			}
 		}
 		k.tellSession(&traffic.Rows{Stream: 1, Part: part})
@@ -500,10 +500,10 @@
 	k := newPair(t).login()
 	k.engine.Encode(k.toSession, traffic.Probe{Tag: "p1", WantLoad: true})
 	k.run()
-	part := rows.Part{Form: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
+	part := rows.Part{Encoding: rows.Values, Columns: []rows.Column{{Name: "Waiting", Type: rows.Type{Kind: rows.Int32}},
 		{Name: "x0", Type: rows.Type{Kind: rows.Float64}}}, Data: k.pool.Chain()}
-	rows.Append(part.Data, appendU32(nil, 3))
-	rows.Append(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
+	rows.AppendValue(part.Data, appendU32(nil, 3))
+	rows.AppendValue(part.Data, binary.LittleEndian.AppendUint64(nil, math.Float64bits(0.25)))
 	a := k.events[len(k.events)-1].(*traffic.BatchRequest)
 	k.tellSession(&traffic.Answer{Stream: a.Stream, Rows: []rows.Part{part}})
 	require.NoError(t, k.engineErr)
--- a/internal/tds/types.go
+++ b/internal/tds/types.go
@@ -285,7 +285,7 @@
 		}
 	}
 	if w.Kind != rows.Bytes {
-		if err := w.Valid(b); err != nil {
+		if err := w.Validate(b); err != nil {
 			c.fail("%s", err)
 		}
 	}
@@ -300,15 +300,15 @@
 	case rows.Bit:
 		return append(out, typeBitN, 1)
 	case rows.Int8, rows.Int16, rows.Int32, rows.Int64:
-		return append(out, typeIntN, byte(t.Bytes()))
+		return append(out, typeIntN, byte(t.FixedSize()))
 	case rows.Float32, rows.Float64:
-		return append(out, typeFltN, byte(t.Bytes()))
+		return append(out, typeFltN, byte(t.FixedSize()))
 	case rows.Decimal:
 		return append(out, typeDecimalN, 17, t.Precision, t.Scale)
 	case rows.Money, rows.SmallMoney:
-		return append(out, typeMoneyN, byte(t.Bytes()))
+		return append(out, typeMoneyN, byte(t.FixedSize()))
 	case rows.DateTime, rows.SmallDateTime:
-		return append(out, typeDateTimeN, byte(t.Bytes()))
+		return append(out, typeDateTimeN, byte(t.FixedSize()))
 	case rows.Date:
 		return append(out, typeDate)
 	case rows.Time:
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -42,10 +42,10 @@
 
 // Frame is one batch of events as it came in.
 type Frame struct {
-	Now     float64
-	Records int
-	body    []byte
-	read    int
+	Now         float64
+	Records     int
+	remaining   []byte
+	recordsRead int
 }
 
 // ReadFrame reads one frame; io.EOF says that the input has ended between frames. Memory is taken as
@@ -72,41 +72,41 @@
 	if n, err = io.CopyN(into, in, size-headerSize); err != nil {
 		return nil, fmt.Errorf("frame body: %d of %d bytes: %v", n, size-headerSize, err)
 	}
-	return &Frame{Now: now, Records: records, body: into.Bytes()[headerSize:]}, nil
+	return &Frame{Now: now, Records: records, remaining: into.Bytes()[headerSize:]}, nil
 }
 
 // Next gives the following record, nil after the last.
 func (f *Frame) Next() (*Record, error) {
-	left := f.body
-	if f.read == f.Records {
+	left := f.remaining
+	if f.recordsRead == f.Records {
 		if len(left) > 0 {
 			return nil, fmt.Errorf("frame: %d bytes after the last of %d records", len(left), f.Records)
 		}
 		return nil, nil
 	}
-	f.read++
+	f.recordsRead++
 	if len(left) < 5 {
-		return nil, fmt.Errorf("record %d: frame ends inside its head", f.read)
+		return nil, fmt.Errorf("record %d: frame ends inside its head", f.recordsRead)
 	}
 	size := binary.LittleEndian.Uint32(left[1:])
 	if uint64(size) > uint64(len(left)-5) {
-		return nil, fmt.Errorf("record %d (code %d): length %d, but %d bytes remain", f.read, left[0], size, len(left)-5)
+		return nil, fmt.Errorf("record %d (code %d): length %d, but %d bytes remain", f.recordsRead, left[0], size, len(left)-5)
 	}
-	f.body = left[5+size:]
-	return &Record{Code: left[0], Number: f.read, fields: left[5 : 5+size]}, nil
+	f.remaining = left[5+size:]
+	return &Record{Code: left[0], Number: f.recordsRead, fields: left[5 : 5+size]}, nil
 }
 
 // Record is one event; its fields are read in turn. The first that is missing sets Err.
 type Record struct {
-	Code   uint8
-	Number int
-	fields []byte
-	short  bool
+	Code      uint8
+	Number    int
+	fields    []byte
+	truncated bool
 }
 
 // Err tells whether a field was missing.
 func (r *Record) Err() error {
-	if r.short {
+	if r.truncated {
 		return fmt.Errorf("record %d (code %d): fields are cut short", r.Number, r.Code)
 	}
 	return nil
@@ -114,9 +114,9 @@
 
 var zeros [8]byte
 
-func (r *Record) take(n int) []byte {
+func (r *Record) next(n int) []byte {
 	if n > len(r.fields) {
-		r.short, r.fields = true, nil
+		r.truncated, r.fields = true, nil
 		if n > len(zeros) {
 			return nil
 		}
@@ -128,16 +128,16 @@
 }
 
 // U8 reads one byte.
-func (r *Record) U8() uint8 { return r.take(1)[0] }
+func (r *Record) U8() uint8 { return r.next(1)[0] }
 
 // U16 reads two bytes.
-func (r *Record) U16() uint16 { return binary.LittleEndian.Uint16(r.take(2)) }
+func (r *Record) U16() uint16 { return binary.LittleEndian.Uint16(r.next(2)) }
 
 // U32 reads four bytes.
-func (r *Record) U32() uint32 { return binary.LittleEndian.Uint32(r.take(4)) }
+func (r *Record) U32() uint32 { return binary.LittleEndian.Uint32(r.next(4)) }
 
 // U64 reads eight bytes.
-func (r *Record) U64() uint64 { return binary.LittleEndian.Uint64(r.take(8)) }
+func (r *Record) U64() uint64 { return binary.LittleEndian.Uint64(r.next(8)) }
 
 // F32 reads a float of four bytes.
 func (r *Record) F32() float64 { return float64(math.Float32frombits(r.U32())) }
@@ -146,13 +146,13 @@
 func (r *Record) F64() float64 { return math.Float64frombits(r.U64()) }
 
 // Bytes reads a u32 count and as many bytes.
-func (r *Record) Bytes() []byte { return r.take(int(r.U32())) }
+func (r *Record) Bytes() []byte { return r.next(int(r.U32())) }
 
 // Floats reads a u8 count and as many floats of four bytes.
 func (r *Record) Floats(into []float64) []float64 {
 	n := int(r.U8())
 	if n*4 > len(r.fields) {
-		r.short = true
+		r.truncated = true
 		return nil
 	}
 	for range n {
@@ -177,7 +177,7 @@
 	page = r.U32()
 	n := uint64(r.U32())
 	if n*size > uint64(len(r.fields)) {
-		r.short = true
+		r.truncated = true
 		return page, nil
 	}
 	for range n {
@@ -199,7 +199,7 @@
 	return w.buf
 }
 
-func (w *Reply) head(code uint8, size int, router uint16) {
+func (w *Reply) appendHeader(code uint8, size int, router uint16) {
 	w.buf = append(w.buf, code)
 	w.buf = binary.LittleEndian.AppendUint32(w.buf, uint32(size))
 	w.buf = binary.LittleEndian.AppendUint16(w.buf, router)
@@ -212,7 +212,7 @@
 
 // Try starts an attempt.
 func (w *Reply) Try(router uint16, request uint64, engine uint32, withinMS float64) {
-	w.head(tryCode, 22, router)
+	w.appendHeader(tryCode, 22, router)
 	w.u64(request)
 	w.u32(engine)
 	w.f64(withinMS)
@@ -220,7 +220,7 @@
 
 // AssignTerms names memory and priority for what is sent next.
 func (w *Reply) AssignTerms(router uint16, request uint64, workspaceMB float64, importance uint8) {
-	w.head(assign, 15, router)
+	w.appendHeader(assign, 15, router)
 	w.u64(request)
 	w.u32(math.Float32bits(float32(workspaceMB)))
 	w.buf = append(w.buf, importance)
@@ -228,43 +228,43 @@
 
 // Bounce rejects a request for good.
 func (w *Reply) Bounce(router uint16, request uint64, comeBackMS float64) {
-	w.head(bounce, 18, router)
+	w.appendHeader(bounce, 18, router)
 	w.u64(request)
 	w.f64(comeBackMS)
 }
 
 // EndFailed fails a request for good.
 func (w *Reply) EndFailed(router uint16, request uint64) {
-	w.head(endFailed, 10, router)
+	w.appendHeader(endFailed, 10, router)
 	w.u64(request)
 }
 
 // StopAttempt withdraws one attempt.
 func (w *Reply) StopAttempt(router uint16, request uint64, sendNo uint16) {
-	w.head(stop, 12, router)
+	w.appendHeader(stop, 12, router)
 	w.u64(request)
 	w.u16(sendNo)
 }
 
 // Poll probes an engine.
 func (w *Reply) Poll(router uint16, engine uint32) {
-	w.head(poll, 6, router)
+	w.appendHeader(poll, 6, router)
 	w.u32(engine)
 }
 
 // NotifyMe sets a timer.
 func (w *Reply) NotifyMe(router uint16, atMS float64, mark uint32) {
-	w.head(notifyMe, 14, router)
+	w.appendHeader(notifyMe, 14, router)
 	w.f64(atMS)
 	w.u32(mark)
 }
 
 // Lookup asks discovery for the whole list once.
-func (w *Reply) Lookup(router uint16) { w.head(lookup, 2, router) }
+func (w *Reply) Lookup(router uint16) { w.appendHeader(lookup, 2, router) }
 
 // Listen subscribes to discovery.
 func (w *Reply) Listen(router uint16) {
-	w.head(listen, 3, router)
+	w.appendHeader(listen, 3, router)
 	w.buf = append(w.buf, 1)
 }
 
@@ -273,7 +273,7 @@
 	if len(text) > math.MaxUint16 {
 		text = text[:math.MaxUint16]
 	}
-	w.head(printLine, 4+len(text), router)
+	w.appendHeader(printLine, 4+len(text), router)
 	w.u16(uint16(len(text)))
 	w.buf = append(w.buf, text...)
 }
--- a/simwire/simwire_test.go
+++ b/simwire/simwire_test.go
@@ -17,7 +17,7 @@
 	return b
 }
 
-func TestExampleOfThePages(t *testing.T) {
+func TestSpecificationExample(t *testing.T) {
 	in := bytes.NewReader(raw(t, `60000000 03000000 00000000206ec040
 		05 31000000 0300 c4913a5d14cd0100 00 00000000 640ad2557c3bf091 0000000000006e40 0000000000002840 0000c043 00003041 0100
 		07 06000000 0300 4d000000
