--- a/cmd/pitchfield/words.go
+++ b/cmd/pitchfield/words.go
@@ -245,7 +245,7 @@
 				return err
 			}
 			if tails {
-				if _, err := experiment.DrawTails(folder, experiment.Summarize(runs)); err != nil {
+				if _, err := experiment.DrawLatencies(folder, experiment.Summarize(runs)); err != nil {
 					return err
 				}
 			}
@@ -258,7 +258,7 @@
 	}
 	if tails {
 		fmt.Fprintln(c.OutOrStdout())
-		if err := experiment.TailTable(c.OutOrStdout(), cells); err != nil {
+		if err := experiment.LatencyTable(c.OutOrStdout(), cells); err != nil {
 			return fmt.Errorf("table: %w", err)
 		}
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -15,29 +15,29 @@
 	"pitchfield/internal/traffic"
 )
 
-// hall is a world with a load, as a share of what its engines can do.
-func hall(routers, engines int, load float64) World {
+// newTestWorld is a world with a load, as a share of what its engines can do.
+func newTestWorld(routers, engines int, load float64) World {
 	w := World{Name: "hall", Routers: routers, Engines: engines, Rate: 1, Retries: 2, Groups: []Group{
-		{Name: "lookup", Effect: "repeatable", Share: 0.8, Goal: 0.8, Limit: 4, Utility: 1, Threads: 1, Work: 0.12, Spread: 0.7, Need: 60},
-		{Name: "report", Effect: "repeatable", Share: 0.12, Goal: 6, Limit: 20, Utility: 6, Threads: 4, Work: 4, Spread: 0.8, Need: 900},
-		{Name: "upload", Effect: "referenced", Share: 0.08, Goal: 4, Limit: 15, Utility: 6, Threads: 2, Work: 1.2, Spread: 0.5, Need: 300, Window: 15, InOrder: true}}}
-	if err := w.Ready(); err != nil {
+		{Name: "lookup", Effect: "repeatable", Share: 0.8, Goal: 0.8, Limit: 4, Utility: 1, Threads: 1, MeanWork: 0.12, WorkDeviation: 0.7, MeanMemory: 60},
+		{Name: "report", Effect: "repeatable", Share: 0.12, Goal: 6, Limit: 20, Utility: 6, Threads: 4, MeanWork: 4, WorkDeviation: 0.8, MeanMemory: 900},
+		{Name: "upload", Effect: "referenced", Share: 0.08, Goal: 4, Limit: 15, Utility: 6, Threads: 2, MeanWork: 1.2, WorkDeviation: 0.5, MeanMemory: 300, DedupWindow: 15, InOrder: true}}}
+	if err := w.Prepare(); err != nil {
 		panic(err)
 	}
 	w.Rate = load * w.Capacity() / w.Demand()
 	return w
 }
 
-func play(t *testing.T, w World, o Options, troubles ...Trouble) *Result {
-	r, err := Play(w, Day{Name: "a day", Seconds: 40, Troubles: troubles}, o)
+func play(t *testing.T, w World, o Options, troubles ...Fault) *Result {
+	r, err := Play(w, Day{Name: "a day", Seconds: 40, Faults: troubles}, o)
 	require.NoError(t, err)
 	return r
 }
 
-func TestTheSameSeedGivesTheSameDayToTheByte(t *testing.T) {
-	w := hall(3, 6, 0.9)
-	trouble := []Trouble{{Kind: "lost", At: 10, For: 8, Share: 0.2}, {Kind: "restart", At: 15, Share: 0.3}, {Kind: "drain", At: 20, For: 10, Share: 0.2},
-		{Kind: "wave", At: 1, Swing: 0.3, Period: 9}, {Kind: "hot", At: 5, For: 10, Share: 0.2}, {Kind: "slow", At: 25, For: 5, Times: 0.4, Share: 0.2}}
+func TestSameSeedGivesIdenticalDay(t *testing.T) {
+	w := newTestWorld(3, 6, 0.9)
+	trouble := []Fault{{Kind: "lost", At: 10, Duration: 8, Share: 0.2}, {Kind: "restart", At: 15, Share: 0.3}, {Kind: "drain", At: 20, Duration: 10, Share: 0.2},
+		{Kind: "wave", At: 1, Amplitude: 0.3, Period: 9}, {Kind: "hot", At: 5, Duration: 10, Share: 0.2}, {Kind: "slow", At: 25, Duration: 5, Factor: 0.4, Share: 0.2}}
 	var one, two bytes.Buffer
 	a, b := play(t, w, Options{Seed: 7, Log: &one}, trouble...), play(t, w, Options{Seed: 7, Log: &two}, trouble...)
 	require.Equal(t, one.String(), two.String())
@@ -46,48 +46,48 @@
 	assert.Greater(t, a.Returned, 1000)
 }
 
-func TestRoutersKeepTheRulesThroughTroubles(t *testing.T) {
-	w := hall(4, 8, 1)
-	w.Groups = append(w.Groups, Group{Name: "once", Effect: "once-only", Share: 0.02, Goal: 3, Limit: 10, Utility: 2, Threads: 1, Work: 0.3, Spread: 0.5, Kinds: []int{1}})
-	w.Rules.Free, w.Rules.Further = 20, 0.1
+func TestRoutersKeepRulesThroughFaults(t *testing.T) {
+	w := newTestWorld(4, 8, 1)
+	w.Groups = append(w.Groups, Group{Name: "once", Effect: "once-only", Share: 0.02, Goal: 3, Limit: 10, Utility: 2, Threads: 1, MeanWork: 0.3, WorkDeviation: 0.5, Kinds: []int{1}})
+	w.Rules.FreeRetries, w.Rules.RetryRatio = 20, 0.1
 	for seed := range uint64(4) {
-		r := play(t, w, Options{Seed: seed + 1}, Trouble{Kind: "lost", At: 8, For: 6, Share: 0.25}, Trouble{Kind: "cold", At: 18, Share: 0.3},
-			Trouble{Kind: "drain", At: 24, For: 8, Share: 0.25}, Trouble{Kind: "rate", At: 28, For: 6, Times: 1.8}, Trouble{Kind: "restart", At: 30, Share: 0.3},
-			Trouble{Kind: "list", At: 5, For: 20, Times: 6})
-		assert.Empty(t, r.Broken, "seed %d", seed+1)
+		r := play(t, w, Options{Seed: seed + 1}, Fault{Kind: "lost", At: 8, Duration: 6, Share: 0.25}, Fault{Kind: "cold", At: 18, Share: 0.3},
+			Fault{Kind: "drain", At: 24, Duration: 8, Share: 0.25}, Fault{Kind: "rate", At: 28, Duration: 6, Factor: 1.8}, Fault{Kind: "restart", At: 30, Share: 0.3},
+			Fault{Kind: "list", At: 5, Duration: 20, Factor: 6})
+		assert.Empty(t, r.Violations, "seed %d", seed+1)
 		assert.Greater(t, r.Service, 0.3)
 	}
 }
 
 // Routers end connections that say nothing for long; those who come later open others.
-func TestClientsOfAQuietWorldAreAllTaken(t *testing.T) {
-	w := hall(3, 6, 1)
+func TestIdleClientConnectionsAreReplaced(t *testing.T) {
+	w := newTestWorld(3, 6, 1)
 	w.Rate = 0.5
 	r := play(t, w, Options{Seed: 3})
-	assert.Empty(t, r.Broken)
-	assert.Greater(t, r.Asked, 8)
-	assert.Equal(t, r.Asked, r.Returned)
+	assert.Empty(t, r.Violations)
+	assert.Greater(t, r.Requests, 8)
+	assert.Equal(t, r.Requests, r.Returned)
 }
 
-func TestReplacedEnginesServeInTheOldOnesPlace(t *testing.T) {
-	w := hall(3, 6, 0.3)
-	r := play(t, w, Options{Seed: 5}, Trouble{Kind: "replace", At: 5, For: 6, Share: 1, Steps: 3, Lag: 2})
-	assert.Empty(t, r.Broken)
+func TestReplacementEnginesServe(t *testing.T) {
+	w := newTestWorld(3, 6, 0.3)
+	r := play(t, w, Options{Seed: 5}, Fault{Kind: "replace", At: 5, Duration: 6, Share: 1, Steps: 3, StartDelay: 2})
+	assert.Empty(t, r.Violations)
 	for _, second := range r.Seconds[32:38] {
-		assert.Positive(t, second.InGoal, "none of the first engines is left")
+		assert.Positive(t, second.UtilityInGoal, "none of the first engines is left")
 	}
-	assert.Error(t, (&Day{Name: "a day", Seconds: 1, Troubles: []Trouble{{Kind: "replace", Share: 0.5, Lag: -1}}}).Check())
+	assert.Error(t, (&Day{Name: "a day", Seconds: 1, Faults: []Fault{{Kind: "replace", Share: 0.5, StartDelay: -1}}}).Check())
 }
 
 // For each rule one router that breaks it is caught, and for that rule.
-func TestTheCheckerBites(t *testing.T) {
+func TestCheckerDetectsEachViolation(t *testing.T) {
 	keyed := func(w *World) { w.Keys = 3 }
 	type tamper struct {
 		rule   int
 		change func(*World)
 		out    func(node int, e router.Effect) []router.Effect
 		in     func(node int, e router.Event) router.Event
-		days   []Trouble
+		days   []Fault
 	}
 	dispatches := 0
 	var engines []uint64
@@ -119,7 +119,7 @@
 			}
 			return same(e)
 		}},
-		"drains are not seen": {rule: 3, days: []Trouble{{Kind: "drain", At: 10, Share: 0.5}}, in: func(_ int, e router.Event) router.Event {
+		"drains are not seen": {rule: 3, days: []Fault{{Kind: "drain", At: 10, Share: 0.5}}, in: func(_ int, e router.Event) router.Event {
 			if l, is := e.(router.ListAnswered); is {
 				l.List.Engines = slices.Clone(l.List.Engines)
 				for i := range l.List.Engines {
@@ -129,7 +129,7 @@
 			}
 			return e
 		}},
-		"a cold engine is pushed over": {rule: 4, days: []Trouble{{Kind: "cold", At: 10, Share: 1}}, out: func(_ int, e router.Effect) []router.Effect {
+		"a cold engine is pushed over": {rule: 4, days: []Fault{{Kind: "cold", At: 10, Share: 1}}, out: func(_ int, e router.Effect) []router.Effect {
 			if o, is := e.(router.SendToEngine); is {
 				if _, is := o.Order.(*traffic.Dispatch); is {
 					return slices.Repeat([]router.Effect{e}, 30)
@@ -162,57 +162,57 @@
 			}
 			return same(e)
 		}},
-		"a budget is not kept": {rule: 7, days: []Trouble{{Kind: "lost", At: 8, For: 5, Share: 0.6}, {Kind: "slow", At: 20, For: 8, Times: 0.02, Share: 0.5}},
-			change: func(w *World) { w.Rules.Free = 1 },
+		"a budget is not kept": {rule: 7, days: []Fault{{Kind: "lost", At: 8, Duration: 5, Share: 0.6}, {Kind: "slow", At: 20, Duration: 8, Factor: 0.02, Share: 0.5}},
+			change: func(w *World) { w.Rules.FreeRetries = 1 },
 			in:     func(_ int, e router.Event) router.Event { return e }},
 	} {
 		dispatches, engines = 0, nil
-		w := hall(1, 4, 0.8)
+		w := newTestWorld(1, 4, 0.8)
 		if one.change != nil {
 			one.change(&w)
 		}
-		o := Options{Seed: 3, Tamper: one.out, TamperIn: one.in}
+		o := Options{Seed: 3, TamperAction: one.out, TamperEvent: one.in}
 		if one.rule == 7 { // the checker holds it to less than it was told
-			o.loosen = func(w *World) { w.Rules.Free, w.Rules.Further = 1000, 10 }
+			o.relaxRouterRules = func(w *World) { w.Rules.FreeRetries, w.Rules.RetryRatio = 1000, 10 }
 		}
 		r := play(t, w, o, one.days...)
-		assert.Contains(t, strings.Join(r.Broken, "\n"), fmt.Sprintf("rule %d", one.rule), name)
+		assert.Contains(t, strings.Join(r.Violations, "\n"), fmt.Sprintf("rule %d", one.rule), name)
 	}
 }
 
 // A whole fleet, shed by a fixed share: who is refused is told at once, and no rule breaks.
-func TestAHeldLevelShedsItsShareAndNoMore(t *testing.T) {
-	w := hall(4, 8, 1.3)
+func TestForcedLevelShedsOnlyItsShare(t *testing.T) {
+	w := newTestWorld(4, 8, 1.3)
 	s := &levels.Settings{ForcedLevel: "no reports", Levels: []levels.Level{{Name: "no reports", Actions: levels.Actions{AdmitRatio: map[string]float64{"report": 0}}}}}
-	off, on := play(t, w, Options{Seed: 2}), play(t, w, Options{Seed: 2, Levels: s, Over: 5})
+	off, on := play(t, w, Options{Seed: 2}), play(t, w, Options{Seed: 2, Levels: s, SmoothingTime: 5})
 	assert.Zero(t, on.Groups["report"])
 	assert.Greater(t, on.Groups["lookup"], off.Groups["lookup"])
-	assert.Empty(t, on.Broken)
-	assert.Greater(t, on.Away, 0.9)
+	assert.Empty(t, on.Violations)
+	assert.Greater(t, on.ReducedServiceShare, 0.9)
 }
 
-func TestAWorldThatCanNotBeIsToldWhole(t *testing.T) {
+func TestInvalidWorldReportsAllErrors(t *testing.T) {
 	_, err := ParseWorld([]byte("name = \"x\"\nrouters = 0\nengines = 5\nrate = -1\n[[group]]\nname = \"a\"\neffect = \"maybe\"\n"))
 	for _, why := range []string{"routers", "rate", "limit", "maybe"} {
 		assert.ErrorContains(t, err, why)
 	}
 	_, err = ParseWorld([]byte("rooters = 1"))
 	assert.ErrorContains(t, err, "rooters")
-	assert.Error(t, (&Day{Name: "d", Seconds: 10, Troubles: []Trouble{{Kind: "rain"}}}).Check())
+	assert.Error(t, (&Day{Name: "d", Seconds: 10, Faults: []Fault{{Kind: "rain"}}}).Check())
 }
 
 // BenchmarkLargeDay is 200 routers before 60 engines at 1,100 batches a second: seconds of a day in a second of ours.
 func BenchmarkLargeDay(b *testing.B) {
-	w := hall(200, 60, 0.9)
+	w := newTestWorld(200, 60, 0.9)
 	scale := w.Rate / 1100
 	for i := range w.Groups {
-		w.Groups[i].Work *= scale
+		w.Groups[i].MeanWork *= scale
 	}
 	w.Rate = 1100
 	for range b.N {
 		r, err := Play(w, Day{Name: "large", Seconds: 20}, Options{Seed: 1})
-		if err != nil || len(r.Broken) > 0 {
-			b.Fatal(err, r.Broken)
+		if err != nil || len(r.Violations) > 0 {
+			b.Fatal(err, r.Violations)
 		}
 		b.ReportMetric(r.Service, "service")
 	}
@@ -221,11 +221,11 @@
 
 // Two routers share a cold engine's budget, and one heavy batch of each fills it. Booked by what batches told so large mostly
 // need, which is less, two of them pushed it over on this day.
-func TestTwoHeavyBatchesOfTwoRoutersDoNotPushAColdEngineOver(t *testing.T) {
-	w := hall(2, 4, 0.9)
-	w.Groups = append(w.Groups, Group{Name: "once", Effect: "once-only", Share: 0.04, Goal: 3, Limit: 10, Utility: 2, Threads: 1, Work: 0.3, Spread: 0.5})
-	w.Rules.Free, w.Rules.Further = 20, 0.2
-	r, err := Play(w, Day{Name: "drawn", Seconds: 12, Troubles: []Trouble{{Kind: "lost", At: 3, For: 4, Share: 0.5}}}, Options{Seed: 42})
+func TestTwoHeavyBatchesDoNotOverloadColdEngine(t *testing.T) {
+	w := newTestWorld(2, 4, 0.9)
+	w.Groups = append(w.Groups, Group{Name: "once", Effect: "once-only", Share: 0.04, Goal: 3, Limit: 10, Utility: 2, Threads: 1, MeanWork: 0.3, WorkDeviation: 0.5})
+	w.Rules.FreeRetries, w.Rules.RetryRatio = 20, 0.2
+	r, err := Play(w, Day{Name: "drawn", Seconds: 12, Faults: []Fault{{Kind: "lost", At: 3, Duration: 4, Share: 0.5}}}, Options{Seed: 42})
 	require.NoError(t, err)
-	assert.Empty(t, r.Broken)
+	assert.Empty(t, r.Violations)
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -10,214 +10,214 @@
 	"pitchfield/internal/traffic"
 )
 
-const notesEvery = 1.0
+const progressInterval = 1.0
 
 // engine is the model of one: cores shared by threads, memory that spills, data sets that are warm, a cold start.
 type engine struct {
-	sim     *sim
-	name    string
-	address string
-	kind    int
-	up      bool
-	life    int // number of starts
-	started float64
-	slow    float64 // times its pace
-	failing bool
+	sim        *sim
+	name       string
+	address    string
+	kind       int
+	up         bool
+	generation int // number of starts
+	startedAt  float64
+	faultSpeed float64 // times its pace
+	failing    bool
 
-	at      float64 // until when the running ones have been worked on
-	running []*run
-	due     int // number of the next end that counts
-	warm    []int
-	conns   map[uint64]*conn // dropped with it
-	lately  []load           // work that came since a fall's time ago
-	noted   bool             // a round of notes is due
+	advancedTo        float64 // until when the running ones have been worked on
+	running           []*run
+	nextCheck         int // number of the next end that counts
+	warmDataSets      []int
+	conns             map[uint64]*conn // dropped with it
+	recentLoad        []load           // work that came since a fall's time ago
+	progressScheduled bool             // a round of notes is due
 }
 
 type load struct{ at, work float64 }
 
 // run is a batch that an engine runs.
 type run struct {
-	batch   *batch
-	conn    *conn
-	left    float64 // seconds of work
-	whole   float64
-	threads float64
-	need    float64
-	began   float64
-	rate    float64
-	over    bool // given up, or the engine died
-	copyOf  bool // a repeat that the engine remembers: it answers once the first has ended, and runs nothing
+	batch     *batch
+	conn      *conn
+	remaining float64 // seconds of work
+	totalWork float64
+	threads   float64
+	memory    float64
+	startedAt float64
+	rate      float64
+	ended     bool // given up, or the engine died
+	duplicate bool // a repeat that the engine remembers: it answers once the first has ended, and runs nothing
 }
 
-// pace is the share of its full one that it has now.
-func (e *engine) pace() float64 {
+// speed is the share of its full one that it has now.
+func (e *engine) speed() float64 {
 	w := &e.sim.world.Engine
-	warm := min(w.ColdFrom+(1-w.ColdFrom)*(e.sim.now-e.started)/w.Cold, 1)
-	return warm * e.slow
+	warm := min(w.ColdSpeed+(1-w.ColdSpeed)*(e.sim.now-e.startedAt)/w.SlowStartTime, 1)
+	return warm * e.faultSpeed
 }
 
-// work brings the running ones up to now.
-func (e *engine) work() {
-	passed := e.sim.now - e.at
-	e.at = e.sim.now
+// advance brings the running ones up to now.
+func (e *engine) advance() {
+	passed := e.sim.now - e.advancedTo
+	e.advancedTo = e.sim.now
 	for _, r := range e.running {
-		r.left -= r.rate * passed
+		r.remaining -= r.rate * passed
 	}
 }
 
-// rates gives each running one its share and sets the next end.
-func (e *engine) rates() {
+// updateRates gives each running one its share and sets the next end.
+func (e *engine) updateRates() {
 	w := &e.sim.world.Engine
 	threads, memory := 0.0, 0.0
 	for _, r := range e.running {
 		threads += r.threads
 	}
-	pace := e.pace() / (1 + w.Strain*max(threads/w.Cores-2, 0))
+	pace := e.speed() / (1 + w.OversubscriptionCost*max(threads/w.Cores-2, 0))
 	share := min(1, w.Cores/max(threads, 1e-9)) * pace
 	next := math.Inf(1)
 	for _, r := range e.running {
 		r.rate = r.threads * share
-		if memory += r.need; memory > w.Memory { // who came last finds none
-			r.rate *= w.Spill
+		if memory += r.memory; memory > w.Memory { // who came last finds none
+			r.rate *= w.SpillFactor
 		}
 		if r.rate > 0 {
-			next = min(next, max(r.left, 0)/r.rate)
+			next = min(next, max(r.remaining, 0)/r.rate)
 		}
 	}
-	e.due++
+	e.nextCheck++
 	if math.IsInf(next, 1) {
 		return
 	}
-	due := e.due
-	if e.pace() < 1 { // a pace that grows is looked at again
+	due := e.nextCheck
+	if e.speed() < 1 { // a pace that grows is looked at again
 		next = min(next, 0.25)
 	}
-	e.sim.after(next+1e-7, func() {
-		if e.due == due && e.up {
-			e.look()
+	e.sim.scheduleAfter(next+1e-7, func() {
+		if e.nextCheck == due && e.up {
+			e.completeRuns()
 		}
 	})
 }
 
-// look ends what is done.
-func (e *engine) look() {
-	e.work()
+// completeRuns ends what is done.
+func (e *engine) completeRuns() {
+	e.advance()
 	var done []*run
 	e.running = slices.DeleteFunc(e.running, func(r *run) bool {
-		if r.left <= 1e-9 {
+		if r.remaining <= 1e-9 {
 			done = append(done, r)
 			return true
 		}
 		return false
 	})
 	for _, r := range done {
-		e.ended(r)
+		e.complete(r)
 	}
-	e.rates()
+	e.updateRates()
 }
 
-func (e *engine) ended(r *run) {
-	r.over = true
-	r.batch.out--
-	e.sim.result.ran(r, !r.batch.over && !r.batch.done)
-	e.sim.check.ended(r)
-	r.conn.reply(&traffic.EngineReply{ID: r.batch.id, Kind: traffic.ReplyFirstPage, Pages: 1, Page: -1, Work: r.batch.work, Memory: r.batch.need})
+func (e *engine) complete(r *run) {
+	r.ended = true
+	r.batch.activeDispatches--
+	e.sim.result.recordWork(r, !r.batch.closed && !r.batch.served)
+	e.sim.checker.runCompleted(r)
+	r.conn.reply(&traffic.EngineReply{ID: r.batch.id, Kind: traffic.ReplyFirstPage, Pages: 1, Page: -1, Work: r.batch.work, Memory: r.batch.memory})
 }
 
-// dispatch begins a batch.
-func (e *engine) dispatch(c *conn, d *traffic.Dispatch, b *batch) {
+// start begins a batch.
+func (e *engine) start(c *conn, d *traffic.Dispatch, b *batch) {
 	s := e.sim
 	if e.failing { // before it has begun, though nobody can know that
-		b.out--
+		b.activeDispatches--
 		c.reply(&traffic.EngineReply{ID: b.id, Kind: traffic.ReplyFailed, Pages: -1, Page: -1, Work: -1, Memory: -1})
 		return
 	}
-	e.work()
-	r := &run{batch: b, conn: c, threads: b.group.Threads, need: b.need, began: s.now}
-	r.whole = b.work
-	if s.result.begun++; !slices.Contains(e.warm, b.data) {
-		s.result.notWarm++
-		r.whole *= s.world.Engine.ColdCost
+	e.advance()
+	r := &run{batch: b, conn: c, threads: b.group.Threads, memory: b.memory, startedAt: s.now}
+	r.totalWork = b.work
+	if s.result.startedRuns++; !slices.Contains(e.warmDataSets, b.dataSet) {
+		s.result.coldDataSetRuns++
+		r.totalWork *= s.world.Engine.ColdCost
 	}
-	e.warm = append(slices.DeleteFunc(e.warm, func(d int) bool { return d == b.data }), b.data)
-	if n := len(e.warm) - s.world.Engine.Warm; n > 0 {
-		e.warm = slices.Delete(e.warm, 0, n)
+	e.warmDataSets = append(slices.DeleteFunc(e.warmDataSets, func(d int) bool { return d == b.dataSet }), b.dataSet)
+	if n := len(e.warmDataSets) - s.world.Engine.WarmDataSets; n > 0 {
+		e.warmDataSets = slices.Delete(e.warmDataSets, 0, n)
 	}
-	if d.Memory > 0 && d.Memory < b.need { // short of memory by its grant
-		r.whole /= max(s.world.Engine.Spill, d.Memory/b.need)
+	if d.Memory > 0 && d.Memory < b.memory { // short of memory by its grant
+		r.totalWork /= max(s.world.Engine.SpillFactor, d.Memory/b.memory)
 	}
-	if r.copyOf = b.group.Effect == "referenced" && s.check.ranLately(b); r.copyOf {
-		r.whole, r.need, r.threads = 0.001, 0, 0.1
+	if r.duplicate = b.group.Effect == "referenced" && s.checker.ranWithinWindow(b); r.duplicate {
+		r.totalWork, r.memory, r.threads = 0.001, 0, 0.1
 	}
-	r.left = r.whole
-	s.check.began(r, e)
+	r.remaining = r.totalWork
+	s.checker.runStarted(r, e)
 	e.running = append(e.running, r)
 	// What a batch adds to the load of that time is what its threads can ask for in it, of the work that was told. How far
 	// that is off, and that a data set is not warm, is not a router's to know: no rule is to break by chance alone.
-	nominal := min(b.told, b.group.Threads*s.world.Rules.Fall)
-	if r.copyOf {
+	nominal := min(b.estimatedWork, b.group.Threads*s.world.Rules.OverloadWindow)
+	if r.duplicate {
 		nominal = 0
 	}
-	e.lately = append(slices.DeleteFunc(e.lately, func(l load) bool { return l.at < s.now-s.world.Rules.Fall }), load{s.now, nominal})
-	if s.now-e.started < s.world.Engine.Cold && e.started > 0 {
+	e.recentLoad = append(slices.DeleteFunc(e.recentLoad, func(l load) bool { return l.at < s.now-s.world.Rules.OverloadWindow }), load{s.now, nominal})
+	if s.now-e.startedAt < s.world.Engine.SlowStartTime && e.startedAt > 0 {
 		sum := 0.0
-		for _, l := range e.lately {
+		for _, l := range e.recentLoad {
 			sum += l.work
 		}
-		bears := s.world.Rules.FallMultiple * e.pace() * s.world.Engine.Cores * s.world.Rules.Fall
-		s.result.Cold = max(s.result.Cold, sum/bears)
+		bears := s.world.Rules.OverloadFactor * e.speed() * s.world.Engine.Cores * s.world.Rules.OverloadWindow
+		s.result.MaxColdLoad = max(s.result.MaxColdLoad, sum/bears)
 		if sum > bears {
-			s.check.fell(e, sum, bears)
-			e.die(s.world.Engine.Restart)
+			s.checker.engineOverloaded(e, sum, bears)
+			e.crash(s.world.Engine.RestartTime)
 			return
 		}
 	}
-	if !e.noted {
-		e.noted = true
-		life := e.life
-		s.after(notesEvery, func() { e.notes(life) })
+	if !e.progressScheduled {
+		e.progressScheduled = true
+		life := e.generation
+		s.scheduleAfter(progressInterval, func() { e.sendProgress(life) })
 	}
-	e.rates()
+	e.updateRates()
 }
 
-// notes tells of progress, once a second.
-func (e *engine) notes(life int) {
-	if e.life != life || !e.up {
+// sendProgress tells of progress, once a second.
+func (e *engine) sendProgress(life int) {
+	if e.generation != life || !e.up {
 		return
 	}
-	e.work()
+	e.advance()
 	for _, r := range e.running {
-		if r.began <= e.sim.now-notesEvery/2 {
+		if r.startedAt <= e.sim.now-progressInterval/2 {
 			r.conn.reply(&traffic.EngineReply{ID: r.batch.id, Kind: traffic.ReplyProgress, Pages: -1, Page: -1, Work: -1, Memory: -1,
-				Note: brain.Progress, Level: min(max(1-r.left/r.whole, 0), 1)})
+				Note: brain.Progress, Level: min(max(1-r.remaining/r.totalWork, 0), 1)})
 		}
 	}
-	if e.noted = len(e.running) > 0; e.noted {
-		e.sim.after(notesEvery, func() { e.notes(life) })
+	if e.progressScheduled = len(e.running) > 0; e.progressScheduled {
+		e.sim.scheduleAfter(progressInterval, func() { e.sendProgress(life) })
 	}
 }
 
-// giveUp stops a batch that came on a connection.
-func (e *engine) giveUp(c *conn, id string) {
-	e.work()
+// cancel stops a batch that came on a connection.
+func (e *engine) cancel(c *conn, id string) {
+	e.advance()
 	e.running = slices.DeleteFunc(e.running, func(r *run) bool {
 		if r.conn == c && r.batch.id == id {
-			r.over = true
-			r.batch.out--
-			e.sim.result.ran(r, false)
-			e.sim.check.stopped(r)
+			r.ended = true
+			r.batch.activeDispatches--
+			e.sim.result.recordWork(r, false)
+			e.sim.checker.runCancelled(r)
 			return true
 		}
 		return false
 	})
-	e.rates()
+	e.updateRates()
 }
 
-func (e *engine) report() *brain.Report {
+func (e *engine) loadReport() *brain.Report {
 	rep := settings.EmptyReport()
 	memory, threads := 0.0, 0.0
 	for _, r := range e.running {
-		memory, threads = memory+r.need, threads+r.threads
+		memory, threads = memory+r.memory, threads+r.threads
 	}
 	rep.Waiting, rep.Memory = 0, min(memory/e.sim.world.Engine.Memory, 2)
 	if e.sim.world.Reports == "full" {
@@ -226,21 +226,21 @@
 	return rep
 }
 
-// die ends all that is there; unless back is infinite it starts again, cold, so much later.
-func (e *engine) die(back float64) {
+// crash ends all that is there; unless back is infinite it starts again, cold, so much later.
+func (e *engine) crash(back float64) {
 	if !e.up {
 		return
 	}
-	e.work()
+	e.advance()
 	e.up = false
-	e.life++
+	e.generation++
 	for _, r := range e.running {
-		r.over = true
-		r.batch.out--
-		e.sim.result.ran(r, false)
-		e.sim.check.stopped(r)
+		r.ended = true
+		r.batch.activeDispatches--
+		e.sim.result.recordWork(r, false)
+		e.sim.checker.runCancelled(r)
 	}
-	e.running, e.warm, e.lately, e.noted = nil, nil, nil, false
+	e.running, e.warmDataSets, e.recentLoad, e.progressScheduled = nil, nil, nil, false
 	conns := make([]*conn, 0, len(e.conns))
 	for _, c := range e.conns {
 		conns = append(conns, c)
@@ -250,11 +250,11 @@
 		c.reset()
 	}
 	e.conns = map[uint64]*conn{}
-	e.sim.names.change()
+	e.sim.nameService.publish()
 	if !math.IsInf(back, 1) {
-		e.sim.after(back, func() {
-			e.up, e.started, e.at = true, e.sim.now, e.sim.now
-			e.sim.names.change()
+		e.sim.scheduleAfter(back, func() {
+			e.up, e.startedAt, e.advancedTo = true, e.sim.now, e.sim.now
+			e.sim.nameService.publish()
 		})
 	}
 }
--- a/internal/emulator/routes_test.go
+++ b/internal/emulator/routes_test.go
@@ -10,22 +10,22 @@
 	"pitchfield/internal/limits"
 )
 
-// proof is what a world's routers may be told, as limits see it.
-func (w *World) proof() limits.Platform {
-	p := limits.Platform{Known: true, AllowsHedging: true, EngineKinds: []string{"a", "b"}, MaxDispatches: w.Rules.Dispatches, RetriesLimited: w.Rules.Free > 0 || w.Rules.Further > 0, FreeRetries: w.Rules.Free, RetryRatio: w.Rules.Further, RetryWindow: w.Rules.Window}
+// limitsPlatform is what a world's routers may be told, as limits see it.
+func (w *World) limitsPlatform() limits.Platform {
+	p := limits.Platform{Known: true, AllowsHedging: true, EngineKinds: []string{"a", "b"}, MaxDispatches: w.Rules.MaxDispatches, RetriesLimited: w.Rules.FreeRetries > 0 || w.Rules.RetryRatio > 0, FreeRetries: w.Rules.FreeRetries, RetryRatio: w.Rules.RetryRatio, RetryWindow: w.Rules.RetryWindow}
 	for _, g := range w.Groups {
-		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == "repeatable", Referenced: g.Effect == "referenced", TimeLimit: g.Limit, DedupWindow: g.Window})
+		p.Groups = append(p.Groups, limits.Group{Name: g.Name, Repeatable: g.Effect == "repeatable", Referenced: g.Effect == "referenced", TimeLimit: g.Limit, DedupWindow: g.DedupWindow})
 	}
 	return p
 }
 
 // No set of routes that passes the checker lets a router break a rule, on days with troubles drawn alike.
-func TestNoRoutesThatPassLetARuleBreak(t *testing.T) {
+func TestValidatedRoutesKeepRules(t *testing.T) {
 	passed, refused, batches := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := hall(2, 4, 0.9)
-		w.Groups = append(w.Groups, Group{Name: "once", Effect: "once-only", Share: 0.04, Goal: 3, Limit: 10, Utility: 2, Threads: 1, Work: 0.3, Spread: 0.5})
-		w.Rules.Free, w.Rules.Further = 20, 0.2
+		w := newTestWorld(2, 4, 0.9)
+		w.Groups = append(w.Groups, Group{Name: "once", Effect: "once-only", Share: 0.04, Goal: 3, Limit: 10, Utility: 2, Threads: 1, MeanWork: 0.3, WorkDeviation: 0.5})
+		w.Rules.FreeRetries, w.Rules.RetryRatio = 20, 0.2
 		seconds := func(name string) float64 {
 			return rapid.SampledFrom([]float64{0, 0, 0, 0, 0.05, 0.4, 1.2, 4}).Draw(t, name)
 		}
@@ -68,18 +68,18 @@
 			return &limits.RetryBudget{Name: name, FreeRetries: rapid.Float64Range(0, 21).Draw(t, "free"), RetryRatio: rapid.Float64Range(0, 0.3).Draw(t, "share"), Window: 10}
 		}
 		all, engine := further("all"), further("engine")
-		if len(limits.Check(limits.Config{Routes: routes, Budgets: budgets, ConcurrencyLimits: concurrencies, Adaptive: adaptive, AllRetries: all, EngineRetries: engine}, w.proof())) > 0 {
+		if len(limits.Check(limits.Config{Routes: routes, Budgets: budgets, ConcurrencyLimits: concurrencies, Adaptive: adaptive, AllRetries: all, EngineRetries: engine}, w.limitsPlatform())) > 0 {
 			refused++
 			return
 		}
 		passed++
 		kind := rapid.SampledFrom([]string{"lost", "failing", "slow", "drain", "cold", "restart"}).Draw(t, "trouble")
 		table := limits.NewTable(routes)
-		r, err := Play(w, Day{Name: "drawn", Seconds: 12, Troubles: []Trouble{{Kind: kind, At: 3, For: 4, Share: 0.5, Times: 0.1}}},
-			Options{Seed: rapid.Uint64Range(1, 1000).Draw(t, "seed"), Routes: table.CopyUnspent, Adaptive: adaptive, All: all, Engine: engine})
+		r, err := Play(w, Day{Name: "drawn", Seconds: 12, Faults: []Fault{{Kind: kind, At: 3, Duration: 4, Share: 0.5, Factor: 0.1}}},
+			Options{Seed: rapid.Uint64Range(1, 1000).Draw(t, "seed"), NewRoutes: table.CopyUnspent, Adaptive: adaptive, AllRetries: all, EngineRetries: engine})
 		require.NoError(t, err)
-		require.Empty(t, r.Broken)
-		batches += r.Asked
+		require.Empty(t, r.Violations)
+		batches += r.Requests
 	})
 	t.Logf("%d sets of routes passed and were played, %d batches; %d were refused", passed, batches, refused)
 	assert.Positive(t, passed)
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -23,8 +23,8 @@
 	color.RGBA{148, 103, 189, 255}, color.RGBA{255, 127, 14, 255}, color.RGBA{23, 190, 207, 255}}
 
 const (
-	width, height = 9 * vg.Inch, 7.5 * vg.Inch
-	smoothOver    = 5 // seconds
+	width, height    = 9 * vg.Inch, 7.5 * vg.Inch
+	smoothingSeconds = 5 // seconds
 )
 
 // Draw draws each world and day, of the first seed: service, load and levels over time, each variant a line, but for
@@ -47,7 +47,7 @@
 	}
 	for _, key := range order {
 		name := filepath.Join(folder, fileName(key[0]+"-"+key[1]))
-		if err := chart(name, key[0]+", "+key[1], cells[key]); err != nil {
+		if err := drawChart(name, key[0]+", "+key[1], cells[key]); err != nil {
 			return names, err
 		}
 		names = append(names, name+".svg", name+".png")
@@ -55,14 +55,14 @@
 	return names, nil
 }
 
-// DrawTails draws what the requests of each group took, of each world: variants side by side, a panel for each day. It gives
+// DrawLatencies draws what the requests of each group took, of each world: variants side by side, a panel for each day. It gives
 // the names of the files.
-func DrawTails(folder string, cells []Summary) (names []string, err error) {
+func DrawLatencies(folder string, cells []Summary) (names []string, err error) {
 	type key struct{ world, group string }
 	days := map[key][]string{}
 	var order []key
 	for _, c := range cells {
-		for _, g := range slices.Sorted(maps.Keys(c.Tails)) {
+		for _, g := range slices.Sorted(maps.Keys(c.Latencies)) {
 			k := key{c.World, g}
 			if days[k] == nil {
 				order = append(order, k)
@@ -81,7 +81,7 @@
 			marks := [3]plotter.XYs{}
 			for _, c := range cells {
 				if c.World == k.world && c.Day == day {
-					x, t := float64(len(variants)), c.Tails[k.group]
+					x, t := float64(len(variants)), c.Latencies[k.group]
 					for i, y := range []float64{t.P50, t.P99, t.P999} {
 						marks[i] = append(marks[i], plotter.XY{X: x, Y: y})
 					}
@@ -122,10 +122,10 @@
 			panels[i][0].Draw(canvases[i][0])
 		}
 	}
-	return write(name, png, svg)
+	return writeFiles(name, png, svg)
 }
 
-func chart(name, title string, runs []Run) error {
+func drawChart(name, title string, runs []Run) error {
 	service, load, level := plot.New(), plot.New(), plot.New()
 	service.Title.Text = title
 	service.Y.Label.Text, load.Y.Label.Text, level.Y.Label.Text = "service", "load", "level (mean, least, most)"
@@ -145,10 +145,10 @@
 		return l, nil
 	}
 	for i, r := range runs {
-		l, err := add(service, overTime(r.Seconds, func(s []emulator.Second) float64 {
+		l, err := add(service, movingWindow(r.Seconds, func(s []emulator.Second) float64 {
 			asked, in := 0.0, 0.0
 			for _, one := range s {
-				asked, in = asked+one.Asked, in+one.InGoal
+				asked, in = asked+one.RequestedUtility, in+one.UtilityInGoal
 			}
 			return in / max(asked, 1e-9)
 		}), i, false)
@@ -156,14 +156,14 @@
 			return err
 		}
 		service.Legend.Add(r.Variant, l)
-		for k, pick := range []func([]int) float64{mean, least, most} {
-			points := overTime(r.Seconds, func(s []emulator.Second) float64 { return pick(s[len(s)-1].Levels) })
+		for k, pick := range []func([]int) float64{mean, minimum, maximum} {
+			points := movingWindow(r.Seconds, func(s []emulator.Second) float64 { return pick(s[len(s)-1].Levels) })
 			if _, err := add(level, points, i, k > 0); err != nil {
 				return err
 			}
 		}
 	}
-	if _, err := add(load, overTime(runs[0].Seconds, func(s []emulator.Second) float64 {
+	if _, err := add(load, movingWindow(runs[0].Seconds, func(s []emulator.Second) float64 {
 		sum := 0.0
 		for _, one := range s {
 			sum += one.Load
@@ -175,7 +175,7 @@
 	return drawPanels(name, [][]*plot.Plot{{service}, {load}, {level}})
 }
 
-func write(name string, png *vgimg.Canvas, svg *vgsvg.Canvas) error {
+func writeFiles(name string, png *vgimg.Canvas, svg *vgsvg.Canvas) error {
 	f, err := os.Create(name + ".png")
 	if err != nil {
 		return fmt.Errorf("chart: %w", err)
@@ -198,10 +198,10 @@
 	return nil
 }
 
-// overTime gives a figure of the last seconds at each.
-func overTime(all []emulator.Second, figure func([]emulator.Second) float64) (out plotter.XYs) {
+// movingWindow gives a figure of the last seconds at each.
+func movingWindow(all []emulator.Second, figure func([]emulator.Second) float64) (out plotter.XYs) {
 	for i := range all {
-		out = append(out, plotter.XY{X: float64(i), Y: figure(all[max(0, i+1-smoothOver) : i+1])})
+		out = append(out, plotter.XY{X: float64(i), Y: figure(all[max(0, i+1-smoothingSeconds) : i+1])})
 	}
 	return out
 }
@@ -214,7 +214,7 @@
 	return float64(sum) / float64(max(len(x), 1))
 }
 
-func least(x []int) float64 {
+func minimum(x []int) float64 {
 	if len(x) == 0 {
 		return 0
 	}
@@ -225,7 +225,7 @@
 	return float64(out)
 }
 
-func most(x []int) float64 {
+func maximum(x []int) float64 {
 	out := 0
 	for _, v := range x {
 		out = max(out, v)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -34,17 +34,17 @@
 
 // Variant is one way to set routers up.
 type Variant struct {
-	Name   string
-	Levels *levels.Settings // nil: off
-	Over   float64
-	Routes func() *limits.Table // makes the routes of a router; nil: none
+	Name          string
+	Levels        *levels.Settings // nil: off
+	SmoothingTime float64
+	NewRoutes     func() *limits.Table // makes the routes of a router; nil: none
 	// Adaptive limits what is out at each engine.
-	Adaptive limits.AdaptiveSettings
-	All      *limits.RetryBudget // of further dispatches, and
-	Engine   *limits.RetryBudget // to each engine
-	Load     float64             // and tell each other what is out, so often
-	Talk     bool                // routers talk,
-	Shares   *shares.Settings    // and divide by that; nil: not
+	Adaptive           limits.AdaptiveSettings
+	AllRetries         *limits.RetryBudget // of further dispatches, and
+	EngineRetries      *limits.RetryBudget // to each engine
+	LoadReportInterval float64             // and tell each other what is out, so often
+	PeerMessaging      bool                // routers talk,
+	Quotas             *shares.Settings    // and divide by that; nil: not
 
 	swept bool // one of many fixed ones
 }
@@ -59,7 +59,7 @@
 	Charts   bool
 }
 
-type file struct {
+type fileConfig struct {
 	Name    string           `toml:"name"`
 	Seeds   int              `toml:"seeds"`
 	First   uint64           `toml:"first-seed"`
@@ -98,8 +98,8 @@
 }
 
 const (
-	mostRuns  = 100000
-	keptSpell = 1e9
+	maxRuns                = 100000
+	forcedLevelMinDuration = 1e9
 )
 
 // Load reads an experiment's file.
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	var f file
+	var f fileConfig
 	d := toml.NewDecoder(strings.NewReader(string(text)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
@@ -126,7 +126,7 @@
 		e.Seeds = append(e.Seeds, max(f.First, 1)+uint64(n))
 	}
 	held := func(name string, does levels.Actions) Variant {
-		return Variant{Name: name, Over: 5, Levels: &levels.Settings{ForcedLevel: "fixed", Levels: []levels.Level{{Name: "fixed", MinDuration: keptSpell, Actions: does}}}}
+		return Variant{Name: name, SmoothingTime: 5, Levels: &levels.Settings{ForcedLevel: "fixed", Levels: []levels.Level{{Name: "fixed", MinDuration: forcedLevelMinDuration, Actions: does}}}}
 	}
 	fixed := func(name, group string, keep float64) Variant {
 		return held(name, levels.Actions{AdmitRatio: map[string]float64{group: keep}})
@@ -144,23 +144,23 @@
 			if own.Levels == nil && len(own.Routes.Routes) == 0 && own.Limits.Adaptive.Kind == "" && own.Limits.AllRetries == nil && own.Limits.EngineRetries == nil {
 				return nil, fmt.Errorf("%s: variant %q: %s has neither levels nor limits", path, v.Name, v.Settings)
 			}
-			one.Adaptive, one.All, one.Engine = own.Limits.Adaptive, own.Limits.AllRetries, own.Limits.EngineRetries
+			one.Adaptive, one.AllRetries, one.EngineRetries = own.Limits.Adaptive, own.Limits.AllRetries, own.Limits.EngineRetries
 			if own.Levels != nil {
 				s := *own.Levels
 				if v.Hold != "" {
 					s.ForcedLevel = v.Hold
 				}
-				one.Levels, one.Over = &s, own.LevelDecayTime
+				one.Levels, one.SmoothingTime = &s, own.LevelDecayTime
 			}
 			if len(own.Routes.Routes) > 0 {
-				one.Routes = own.Routes.CopyUnspent
+				one.NewRoutes = own.Routes.CopyUnspent
 			}
 		}
-		one.Load = v.Load
-		if one.Talk = v.Talk || v.Shares; v.Shares {
+		one.LoadReportInterval = v.Load
+		if one.PeerMessaging = v.Talk || v.Shares; v.Shares {
 			s := shares.Defaults()
 			s.FixedFraction = v.Firm
-			one.Shares = &s
+			one.Quotas = &s
 		}
 		if v.Adaptive != "" {
 			one.Adaptive = limits.AdaptiveSettings{Kind: v.Adaptive, Initial: v.Limit}
@@ -190,12 +190,12 @@
 			for _, swing := range w.Swing {
 				for _, period := range w.Period {
 					name := fmt.Sprintf("%gx %.0f%% %gs", times, 100*swing, period)
-					d := emulator.Day{Name: name, Seconds: w.Seconds, Troubles: []emulator.Trouble{
-						{Kind: "wave", At: 1, Times: times, Swing: swing, Period: period}}}
+					d := emulator.Day{Name: name, Seconds: w.Seconds, Faults: []emulator.Fault{
+						{Kind: "wave", At: 1, Factor: times, Amplitude: swing, Period: period}}}
 					e.Days = append(e.Days, d)
 					if w.Cold {
 						d.Name += " cold"
-						d.Troubles = append(slices.Clone(d.Troubles), emulator.Trouble{Kind: "lost", At: w.Seconds / 3, For: w.Seconds / 6, Share: 0.01})
+						d.Faults = append(slices.Clone(d.Faults), emulator.Fault{Kind: "lost", At: w.Seconds / 3, Duration: w.Seconds / 6, Share: 0.01})
 						e.Days = append(e.Days, d)
 					}
 				}
@@ -214,13 +214,13 @@
 		errs = append(errs, errors.New("there is no [[world]] or no [[day]]"))
 	}
 	for i := range e.Worlds {
-		errs = append(errs, e.Worlds[i].Ready())
+		errs = append(errs, e.Worlds[i].Prepare())
 	}
 	for i := range e.Days {
 		errs = append(errs, e.Days[i].Check())
 	}
-	if n := len(e.Worlds) * len(e.Days) * len(e.Variants) * len(e.Seeds); n > mostRuns {
-		errs = append(errs, fmt.Errorf("%d runs, more than %d", n, mostRuns))
+	if n := len(e.Worlds) * len(e.Days) * len(e.Variants) * len(e.Seeds); n > maxRuns {
+		errs = append(errs, fmt.Errorf("%d runs, more than %d", n, maxRuns))
 	}
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -245,8 +245,8 @@
 				for _, seed := range e.Seeds {
 					todo = append(todo, Run{World: w.Name, Day: d.Name, Variant: v.Name, Seed: seed})
 					jobs = append(jobs, func() (*emulator.Result, error) {
-						return emulator.Play(w, d, emulator.Options{Seed: seed, Levels: v.Levels, Over: v.Over, Routes: v.Routes, Adaptive: v.Adaptive,
-							All: v.All, Engine: v.Engine, Load: v.Load, Talk: v.Talk, Shares: v.Shares})
+						return emulator.Play(w, d, emulator.Options{Seed: seed, Levels: v.Levels, SmoothingTime: v.SmoothingTime, NewRoutes: v.NewRoutes, Adaptive: v.Adaptive,
+							AllRetries: v.AllRetries, EngineRetries: v.EngineRetries, LoadReportInterval: v.LoadReportInterval, PeerMessaging: v.PeerMessaging, Quotas: v.Quotas})
 					})
 				}
 			}
@@ -276,8 +276,8 @@
 	return todo, nil
 }
 
-// header of the CSV; columns are found by name.
-var header = []string{"world", "day", "variant", "seed", "service", "asked", "returned", "pushed back", "errored", "turns", "most turns", "away", "amplified", "wasted", "copies", "recovery", "rules broken", "cold most", "not warm"}
+// csvHeader of the CSV; columns are found by name.
+var csvHeader = []string{"world", "day", "variant", "seed", "service", "asked", "returned", "pushed back", "errored", "turns", "most turns", "away", "amplified", "wasted", "copies", "recovery", "rules broken", "cold most", "not warm"}
 
 // WriteCSV writes a line for each run, and a column for each group.
 func WriteCSV(out io.Writer, runs []Run) error {
@@ -293,18 +293,18 @@
 	}
 	sort.Strings(names)
 	w := csv.NewWriter(out)
-	all := slices.Clone(header)
+	all := slices.Clone(csvHeader)
 	for _, g := range names {
 		all = append(all, "group "+g, "p50 "+g, "p99 "+g, "p99.9 "+g)
 	}
 	w.Write(all) //nolint:errcheck // told by Error
 	for _, r := range runs {
 		f := func(v float64) string { return strconv.FormatFloat(v, 'f', 6, 64) }
-		row := []string{r.World, r.Day, r.Variant, strconv.FormatUint(r.Seed, 10), f(r.Service), strconv.Itoa(r.Asked), strconv.Itoa(r.Returned),
-			strconv.Itoa(r.PushedBack), strconv.Itoa(r.Errored), strconv.Itoa(r.Turns), strconv.Itoa(r.MostTurns), f(r.Away), f(r.Amplified),
-			f(r.Wasted), strconv.Itoa(r.Copies), f(r.Recovery), strings.Join(r.Broken, "; "), f(r.Cold), f(r.NotWarm)}
+		row := []string{r.World, r.Day, r.Variant, strconv.FormatUint(r.Seed, 10), f(r.Service), strconv.Itoa(r.Requests), strconv.Itoa(r.Returned),
+			strconv.Itoa(r.Rejected), strconv.Itoa(r.Failed), strconv.Itoa(r.LevelTransitions), strconv.Itoa(r.MaxTransitionsPerMinute), f(r.ReducedServiceShare), f(r.Amplification),
+			f(r.WastedWorkShare), strconv.Itoa(r.ConcurrentDispatches), f(r.RecoveryTime), strings.Join(r.Violations, "; "), f(r.MaxColdLoad), f(r.ColdDataSetShare)}
 		for _, g := range names {
-			row = append(row, f(r.Groups[g]), f(r.Tails[g].P50), f(r.Tails[g].P99), f(r.Tails[g].P999))
+			row = append(row, f(r.Groups[g]), f(r.Latencies[g].P50), f(r.Latencies[g].P99), f(r.Latencies[g].P999))
 		}
 		w.Write(row) //nolint:errcheck
 	}
@@ -322,7 +322,7 @@
 	for i, name := range rows[0] {
 		at[name] = i
 	}
-	for _, name := range header {
+	for _, name := range csvHeader {
 		if _, there := at[name]; !there {
 			return nil, fmt.Errorf("csv: there is no column %q", name)
 		}
@@ -342,20 +342,20 @@
 
 // Summary is what the seeds of one cell of the matrix came to.
 type Summary struct {
-	World, Day, Variant string
-	Runs                int
-	Mean, Half          float64 // and half of the interval that holds the mean with 95%
-	WorstTenth          float64 // mean of the worst tenth of the runs
-	MostTurns           int
-	Away                float64
-	Amplified           float64 // the most of any run
-	Wasted              float64
-	Copies              float64
-	Cold                float64                  // the most of any run, and
-	NotWarm             float64                  // the mean
-	Recovery            float64                  // the longest; -1: some never did, or nothing was to recover from
-	Tails               map[string]emulator.Tail // mean of the runs
-	Broken              []string
+	World, Day, Variant     string
+	Runs                    int
+	Mean, HalfWidth         float64 // and half of the interval that holds the mean with 95%
+	WorstTenth              float64 // mean of the worst tenth of the runs
+	MaxTransitionsPerMinute int
+	ReducedServiceShare     float64
+	MaxAmplification        float64 // the most of any run
+	WastedWorkShare         float64
+	ConcurrentDispatches    float64
+	MaxColdLoad             float64                              // the most of any run, and
+	ColdDataSetShare        float64                              // the mean
+	RecoveryTime            float64                              // the longest; -1: some never did, or nothing was to recover from
+	Latencies               map[string]emulator.LatencyQuantiles // mean of the runs
+	Violations              []string
 }
 
 // Summarize gives one for each cell, in their order.
@@ -371,29 +371,29 @@
 	}
 	for _, key := range order {
 		list := cells[key]
-		s := Summary{World: key[0], Day: key[1], Variant: key[2], Runs: len(list), Tails: map[string]emulator.Tail{}}
+		s := Summary{World: key[0], Day: key[1], Variant: key[2], Runs: len(list), Latencies: map[string]emulator.LatencyQuantiles{}}
 		var service []float64
 		for _, r := range list {
 			service = append(service, r.Service)
-			s.MostTurns, s.Amplified = max(s.MostTurns, r.MostTurns), max(s.Amplified, r.Amplified)
+			s.MaxTransitionsPerMinute, s.MaxAmplification = max(s.MaxTransitionsPerMinute, r.MaxTransitionsPerMinute), max(s.MaxAmplification, r.Amplification)
 			n := float64(len(list))
-			s.Away += r.Away / n
-			s.Wasted, s.Copies = s.Wasted+r.Wasted/n, s.Copies+float64(r.Copies)/n
-			s.Cold, s.NotWarm = max(s.Cold, r.Cold), s.NotWarm+r.NotWarm/n
-			if s.Recovery >= 0 && r.Recovery >= 0 {
-				s.Recovery = max(s.Recovery, r.Recovery)
+			s.ReducedServiceShare += r.ReducedServiceShare / n
+			s.WastedWorkShare, s.ConcurrentDispatches = s.WastedWorkShare+r.WastedWorkShare/n, s.ConcurrentDispatches+float64(r.ConcurrentDispatches)/n
+			s.MaxColdLoad, s.ColdDataSetShare = max(s.MaxColdLoad, r.MaxColdLoad), s.ColdDataSetShare+r.ColdDataSetShare/n
+			if s.RecoveryTime >= 0 && r.RecoveryTime >= 0 {
+				s.RecoveryTime = max(s.RecoveryTime, r.RecoveryTime)
 			} else {
-				s.Recovery = -1
+				s.RecoveryTime = -1
 			}
-			for g, t := range r.Tails {
-				was := s.Tails[g]
-				s.Tails[g] = emulator.Tail{P50: was.P50 + t.P50/n, P99: was.P99 + t.P99/n, P999: was.P999 + t.P999/n}
+			for g, t := range r.Latencies {
+				was := s.Latencies[g]
+				s.Latencies[g] = emulator.LatencyQuantiles{P50: was.P50 + t.P50/n, P99: was.P99 + t.P99/n, P999: was.P999 + t.P999/n}
 			}
-			for _, b := range r.Broken {
-				s.Broken = append(s.Broken, fmt.Sprintf("seed %d: %s", r.Seed, b))
+			for _, b := range r.Violations {
+				s.Violations = append(s.Violations, fmt.Sprintf("seed %d: %s", r.Seed, b))
 			}
 		}
-		s.Mean, s.Half = interval(service)
+		s.Mean, s.HalfWidth = interval(service)
 		sort.Float64s(service)
 		s.WorstTenth = stat.Mean(service[:max(len(service)/10, 1)], nil)
 		out = append(out, s)
@@ -411,7 +411,7 @@
 	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * deviation / math.Sqrt(n)
 }
 
-func half(v float64) string {
+func formatHalfWidth(v float64) string {
 	if math.IsNaN(v) {
 		return "-"
 	}
@@ -424,26 +424,26 @@
 	fmt.Fprintln(t, "world\tday\tvariant\truns\tservice\t+-\tworst tenth\tturns/min\taway\tamplified\twasted\tcopies\trecovery\tcold most\tnot warm\trules broken")
 	for _, s := range list {
 		rules := "none"
-		if len(s.Broken) > 0 {
-			rules, broken = s.Broken[0], true
+		if len(s.Violations) > 0 {
+			rules, broken = s.Violations[0], true
 		}
 		recovery := "-"
-		if s.Recovery >= 0 {
-			recovery = fmt.Sprintf("%.0fs", s.Recovery)
+		if s.RecoveryTime >= 0 {
+			recovery = fmt.Sprintf("%.0fs", s.RecoveryTime)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.3f\t%s\t%.3f\t%d\t%.2f\t%.2f\t%.3f\t%.0f\t%s\t%.2f\t%.2f\t%s\n", s.World, s.Day, s.Variant, s.Runs, s.Mean, half(s.Half),
-			s.WorstTenth, s.MostTurns, s.Away, s.Amplified, s.Wasted, s.Copies, recovery, s.Cold, s.NotWarm, rules)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.3f\t%s\t%.3f\t%d\t%.2f\t%.2f\t%.3f\t%.0f\t%s\t%.2f\t%.2f\t%s\n", s.World, s.Day, s.Variant, s.Runs, s.Mean, formatHalfWidth(s.HalfWidth),
+			s.WorstTenth, s.MaxTransitionsPerMinute, s.ReducedServiceShare, s.MaxAmplification, s.WastedWorkShare, s.ConcurrentDispatches, recovery, s.MaxColdLoad, s.ColdDataSetShare, rules)
 	}
 	return broken, t.Flush()
 }
 
-// TailTable writes what the requests of each group took.
-func TailTable(out io.Writer, list []Summary) error {
+// LatencyTable writes what the requests of each group took.
+func LatencyTable(out io.Writer, list []Summary) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "world\tday\tvariant\tgroup\tp50\tp99\tp99.9")
 	for _, s := range list {
-		for _, g := range slices.Sorted(maps.Keys(s.Tails)) {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.3fs\t%.3fs\t%.3fs\n", s.World, s.Day, s.Variant, g, s.Tails[g].P50, s.Tails[g].P99, s.Tails[g].P999)
+		for _, g := range slices.Sorted(maps.Keys(s.Latencies)) {
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.3fs\t%.3fs\t%.3fs\n", s.World, s.Day, s.Variant, g, s.Latencies[g].P50, s.Latencies[g].P99, s.Latencies[g].P999)
 		}
 	}
 	return t.Flush()
@@ -479,7 +479,7 @@
 	fmt.Fprintln(t, "world\tday\tvariant\tpairs\tdifference\t+-")
 	for _, cell := range order {
 		mean, h := interval(cells[cell])
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%+.3f\t%s\n", cell[0], cell[1], cell[2], len(cells[cell]), mean, half(h))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%+.3f\t%s\n", cell[0], cell[1], cell[2], len(cells[cell]), mean, formatHalfWidth(h))
 	}
 	return t.Flush()
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const small = `name = "small"
+const smallExperiment = `name = "small"
 seeds = 2
 charts = true
 [[world]]
@@ -42,10 +42,10 @@
 keep = [0.5]
 `
 
-func TestAMatrixIsPlayedKeptDrawnAndCompared(t *testing.T) {
+func TestMatrixRunsAndComparesDeterministically(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "small.toml")
-	require.NoError(t, os.WriteFile(path, []byte(small), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(smallExperiment), 0o600))
 	e, err := Load(path)
 	require.NoError(t, err)
 	runs, err := e.Play(context.Background(), nil)
@@ -72,18 +72,18 @@
 		require.NoError(t, err)
 		assert.Greater(t, info.Size(), int64(2000))
 	}
-	runs[0].Broken = []string{"rule 1: once"}
+	runs[0].Violations = []string{"rule 1: once"}
 	broken, err = Table(&table, Summarize(runs))
 	require.NoError(t, err)
 	assert.True(t, broken)
 }
 
-func TestAFileThatCanNotBePlayedIsToldSo(t *testing.T) {
+func TestInvalidFileIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.toml")
 	for change, why := range map[string]string{"routers = 2|routers = -2": "routers", "seeds = 2|seds = 2": "seds", "period = [5]|period = [0]": "period",
 		"share = 1|share = 0": "share", `name = "off"|name = "off"` + "\nsettings = \"none.toml\"": "none.toml"} {
 		from, to, _ := strings.Cut(change, "|")
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(small, from, to, 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(smallExperiment, from, to, 1)), 0o600))
 		_, err := Load(path)
 		assert.ErrorContains(t, err, why)
 	}
@@ -91,7 +91,7 @@
 	assert.ErrorContains(t, err, "no column")
 }
 
-func TestTheExperimentsInTheRepositoryCanBeLoaded(t *testing.T) {
+func TestRepositoryExperimentsLoad(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	require.NoError(t, err)
 	for _, f := range files {
