--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -213,7 +213,7 @@
 		c.report(5, "%s starts while key %s settles for another %.3f s", b.id, b.key, d.settleUntil-now)
 	}
 	if queue := c.keyQueues[id]; len(queue) > 0 && queue[0] != b && !b.closed {
-		c.report(5, "%s starts before %s, which was accepted earlier", b.id, queue[0].id)
+		c.report(5, "%s begins before %s, which was taken before it", b.id, queue[0].id)
 	}
 	d := c.keyStates[id]
 	d.running++
