--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay carries bytes between processes on loopback and lets the way go wrong: loss, delay, jitter, doubles,
-// reordering, cuts in one direction or both, a slow drip, all healed again. It knows no protocol. Every link is between
-// two parties by name, so that a cut can take a whole side's view at once. It is for tests.
+// Package relay is a proxy for tests. It forwards datagrams and TCP streams between processes on loopback and injects
+// network faults: packet loss, delay, jitter, duplication, reordering, partitions in one direction or both, and throttling.
+// Every fault can be removed again. The package knows no application protocol. Each link joins two participants that are
+// identified by name, so one fault can affect all links of a whole group of participants at once.
 package relay
 
 import (
@@ -12,276 +13,284 @@
 	"time"
 )
 
-// Weather is what one direction of a link is like. The zero value is a good day.
-type Weather struct {
-	Cut     bool          // nothing passes: datagrams are lost, streams stand still until it heals
-	Loss    float64       // share of datagrams that are lost
-	Double  float64       // share of datagrams that come twice
-	Reorder float64       // share of datagrams that are held back behind later ones
-	Delay   time.Duration // of all that passes, on top of what loopback takes
-	Jitter  time.Duration // up to so much more, drawn for each piece; streams keep their order
-	Drip    int           // bytes a second of a stream; 0: as fast as they come
+// Condition is the network condition of one direction of a link. The zero value is a link without faults.
+type Condition struct {
+	Partitioned    bool          // nothing is forwarded: datagrams are lost, streams stall until the fault is removed
+	LossRate       float64       // fraction of datagrams that are lost, 0 to 1
+	DuplicateRate  float64       // fraction of datagrams that are delivered twice, 0 to 1
+	ReorderRate    float64       // fraction of datagrams that are delayed so that later ones overtake them, 0 to 1
+	Delay          time.Duration // added to everything that is forwarded, on top of the latency of loopback
+	Jitter         time.Duration // maximum of a random extra delay for each datagram or stream chunk; streams keep their order
+	BytesPerSecond int           // bandwidth of a stream; 0: not limited
 }
 
-func (w Weather) String() string {
-	if w == (Weather{}) {
-		return "fair"
+func (c Condition) String() string {
+	if c == (Condition{}) {
+		return "no fault"
 	}
-	return fmt.Sprintf("cut %t, loss %.2f, double %.2f, reorder %.2f, delay %s, jitter %s, drip %d", w.Cut, w.Loss, w.Double,
-		w.Reorder, w.Delay.Round(time.Millisecond), w.Jitter.Round(time.Millisecond), w.Drip)
+	return fmt.Sprintf("partitioned %t, loss %.2f, duplicates %.2f, reordering %.2f, delay %s, jitter %s, %d bytes/s",
+		c.Partitioned, c.LossRate, c.DuplicateRate, c.ReorderRate, c.Delay.Round(time.Millisecond), c.Jitter.Round(time.Millisecond), c.BytesPerSecond)
 }
 
-// worse joins two that hold at once: the worse of each.
-func (w Weather) worse(o Weather) Weather {
-	w.Cut = w.Cut || o.Cut
-	w.Loss, w.Double, w.Reorder = max(w.Loss, o.Loss), max(w.Double, o.Double), max(w.Reorder, o.Reorder)
-	w.Delay, w.Jitter = max(w.Delay, o.Delay), max(w.Jitter, o.Jitter)
-	if o.Drip > 0 && (w.Drip == 0 || o.Drip < w.Drip) {
-		w.Drip = o.Drip
+// worst combines two conditions that apply at the same time: each field takes the more severe value.
+func (c Condition) worst(other Condition) Condition {
+	c.Partitioned = c.Partitioned || other.Partitioned
+	c.LossRate, c.DuplicateRate, c.ReorderRate = max(c.LossRate, other.LossRate), max(c.DuplicateRate, other.DuplicateRate), max(c.ReorderRate, other.ReorderRate)
+	c.Delay, c.Jitter = max(c.Delay, other.Delay), max(c.Jitter, other.Jitter)
+	if other.BytesPerSecond > 0 && (c.BytesPerSecond == 0 || other.BytesPerSecond < c.BytesPerSecond) {
+		c.BytesPerSecond = other.BytesPerSecond
 	}
-	return w
+	return c
 }
 
-// Front is a piece of weather that somebody brought: which ways it lies over, and what it is. Fronts add up, so one that
-// goes takes nothing of another with it.
-type Front struct {
-	Over    func(from, to string) bool
-	Weather Weather
+// Fault applies a condition to some directions of links. The conditions of all current faults are combined, so removing
+// one fault leaves the effect of the others in place.
+type Fault struct {
+	Affects   func(from, to string) bool // whether the direction between two named participants is affected
+	Condition Condition
 }
 
-// Address is where a party is, as host and port; it is one of the network's addresses.
+// Address is the UDP address of a participant, as host:port. It implements net.Addr.
 type Address string
 
-// Network is UDP.
+// Network returns "udp".
 func (Address) Network() string { return "udp" }
 
 func (a Address) String() string { return string(a) }
 
-// resolved is what can be written to.
-func resolved(a net.Addr) (net.Addr, error) {
-	if text, is := a.(Address); is {
+// resolveAddress converts an Address to an address that a socket can send to. Other addresses are returned unchanged.
+func resolveAddress(a net.Addr) (net.Addr, error) {
+	if text, ok := a.(Address); ok {
 		return net.ResolveUDPAddr("udp", string(text))
 	}
 	return a, nil
 }
 
-// Fabric is a set of links and the weather over them. All links end with Close.
+// Fabric is a set of links and the faults that affect them. Its methods may be called concurrently. Close ends all links.
 type Fabric struct {
 	seed uint64
 
-	mutex  sync.Mutex
-	fronts map[int]Front // by number; Lift deletes
-	next   int
-	closed chan struct{}
-	ends   []func() // what closes links; Close empties it
-	shut   bool
-	moved  chan struct{} // closed and made anew with each change of weather, for streams that stand still
-	done   sync.WaitGroup
+	mutex           sync.Mutex
+	faults          map[int]Fault // by number; RemoveFault deletes
+	lastFaultNumber int
+	closed          chan struct{} // closed by Close
+	closers         []func()      // each closes one link; Close empties the list
+	isClosed        bool
+	faultsChanged   chan struct{}  // closed and replaced at each change of faults; wakes streams that wait for a partition to end
+	running         sync.WaitGroup // goroutines of all links
 }
 
-// New makes one. What is drawn is drawn from the seed, for each direction of each link on its own.
+// New returns a fabric without links or faults. Each direction of each link draws from a random generator of its own, derived
+// from the seed and the names of the participants.
 func New(seed uint64) *Fabric {
-	return &Fabric{seed: seed, fronts: map[int]Front{}, closed: make(chan struct{}), moved: make(chan struct{})}
+	return &Fabric{seed: seed, faults: map[int]Fault{}, closed: make(chan struct{}), faultsChanged: make(chan struct{})}
 }
 
-// Bring lets a front lie over the links until Lift with the number.
-func (f *Fabric) Bring(front Front) int {
+// AddFault applies a fault until RemoveFault is called with the number that it returns.
+func (f *Fabric) AddFault(fault Fault) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.next++
-	f.fronts[f.next] = front
-	f.changed()
-	return f.next
+	f.lastFaultNumber++
+	f.faults[f.lastFaultNumber] = fault
+	f.notifyChange()
+	return f.lastFaultNumber
 }
 
-// Lift takes a front away.
-func (f *Fabric) Lift(number int) {
+// RemoveFault removes the fault with this number.
+func (f *Fabric) RemoveFault(number int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	delete(f.fronts, number)
-	f.changed()
+	delete(f.faults, number)
+	f.notifyChange()
 }
 
-// Heal takes all away.
-func (f *Fabric) Heal() {
+// RemoveAllFaults removes all faults.
+func (f *Fabric) RemoveAllFaults() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	clear(f.fronts)
-	f.changed()
+	clear(f.faults)
+	f.notifyChange()
 }
 
-func (f *Fabric) changed() {
-	close(f.moved)
-	f.moved = make(chan struct{})
+// notifyChange wakes the streams that wait for a change of faults. The caller holds the mutex.
+func (f *Fabric) notifyChange() {
+	close(f.faultsChanged)
+	f.faultsChanged = make(chan struct{})
 }
 
-// now gives the weather of a direction, and what is closed when it changes.
-func (f *Fabric) now(from, to string) (w Weather, moved <-chan struct{}) {
+// condition returns the combined condition of a direction and a channel that is closed when the faults change.
+func (f *Fabric) condition(from, to string) (combined Condition, changed <-chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, front := range f.fronts {
-		if front.Over(from, to) {
-			w = w.worse(front.Weather)
+	for _, fault := range f.faults {
+		if fault.Affects(from, to) {
+			combined = combined.worst(fault.Condition)
 		}
 	}
-	return w, f.moved
+	return combined, f.faultsChanged
 }
 
-// Cut tells whether nothing passes in a direction now.
-func (f *Fabric) Cut(from, to string) bool {
-	w, _ := f.now(from, to)
-	return w.Cut
+// Partitioned reports whether a fault currently blocks all traffic in a direction.
+func (f *Fabric) Partitioned(from, to string) bool {
+	condition, _ := f.condition(from, to)
+	return condition.Partitioned
 }
 
-// Between is over all ways from one set of parties to another, in that direction.
+// Between selects the directions from one group of participants to another, but not back.
 func Between(from, to func(name string) bool) func(a, b string) bool {
 	return func(a, b string) bool { return from(a) && to(b) }
 }
 
-// Around is over all ways between parties of which one is inside and one is not, in both directions.
-func Around(inside func(name string) bool) func(a, b string) bool {
+// AcrossBoundary selects both directions of all links with exactly one participant inside a group.
+func AcrossBoundary(inside func(name string) bool) func(a, b string) bool {
 	return func(a, b string) bool { return inside(a) != inside(b) }
 }
 
-// chance is a generator of a direction's own.
-func (f *Fabric) chance(from, to string) *rand.Rand {
+// newRandom returns the random generator of a direction, derived from the seed and the names.
+func (f *Fabric) newRandom(from, to string) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s>%s", from, to)
 	return rand.New(rand.NewPCG(f.seed, h.Sum64()))
 }
 
-// keep notes how a link is closed; false: the fabric is closed already.
-func (f *Fabric) keep(end func()) bool {
+// registerCloser stores the function that closes a link. It returns false if the fabric is closed already.
+func (f *Fabric) registerCloser(closeLink func()) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.shut {
+	if f.isClosed {
 		return false
 	}
-	f.ends = append(f.ends, end)
+	f.closers = append(f.closers, closeLink)
 	return true
 }
 
-// Close ends all links and waits for them.
+// Close ends all links and waits until their goroutines have ended. Further calls do nothing.
 func (f *Fabric) Close() {
 	f.mutex.Lock()
-	if f.shut {
+	if f.isClosed {
 		f.mutex.Unlock()
 		return
 	}
-	f.shut = true
+	f.isClosed = true
 	close(f.closed)
-	ends := f.ends
-	f.ends = nil
+	closers := f.closers
+	f.closers = nil
 	f.mutex.Unlock()
-	for _, end := range ends {
-		end()
+	for _, closeLink := range closers {
+		closeLink()
 	}
-	f.done.Wait()
+	f.running.Wait()
 }
 
-// Datagrams links two parties that send each other datagrams. Each knows the other by an address of the relay's; what
-// comes there from anywhere is carried to the other party, and comes from the address by which that one knows the first.
-// Without an address of its own, a party is where its last datagram came from.
-type Datagrams struct{ A, B net.PacketConn } // where A sends to reach B, and where B sends to reach A
+// DatagramLink connects two participants, A and B, that exchange datagrams. Each knows the other by an address of the relay.
+// A datagram that arrives there, from any source, is forwarded to the other participant, which sees it come from the relay
+// address by which it knows the sender. If a participant's own address is not given, it is the source of its last datagram.
+type DatagramLink struct {
+	A net.PacketConn // where A sends to reach B
+	B net.PacketConn // where B sends to reach A
+}
 
 const (
-	largestDatagram = 64 << 10
-	mostUnderWay    = 4096 // datagrams of a direction; more are lost, as in a full queue
+	maxDatagramSize     = 64 << 10 // bytes
+	maxDelayedDatagrams = 4096     // waiting in one direction; further delayed ones are lost, as when a queue is full
 )
 
-// Datagrams makes a link on free ports of an address.
-func (f *Fabric) Datagrams(host, a, b string, addressA, addressB net.Addr) (*Datagrams, error) {
-	for _, one := range []*net.Addr{&addressA, &addressB} {
+// NewDatagramLink creates a link between the participants named a and b on free UDP ports of host. A nil address is learned
+// from the datagrams that the participant sends.
+func (f *Fabric) NewDatagramLink(host, a, b string, addressA, addressB net.Addr) (*DatagramLink, error) {
+	for _, address := range []*net.Addr{&addressA, &addressB} {
 		var err error
-		if *one, err = resolved(*one); err != nil {
-			return nil, fmt.Errorf("relay: %w", err)
+		if *address, err = resolveAddress(*address); err != nil {
+			return nil, fmt.Errorf("relay: resolve address: %w", err)
 		}
 	}
-	open := func() (net.PacketConn, error) { return net.ListenPacket("udp", host+":0") }
-	toB, err := open()
+	listen := func() (net.PacketConn, error) { return net.ListenPacket("udp", host+":0") }
+	toB, err := listen()
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("relay: listen: %w", err)
 	}
-	toA, err := open()
+	toA, err := listen()
 	if err != nil {
 		toB.Close()
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("relay: listen: %w", err)
 	}
-	d := &Datagrams{A: toB, B: toA}
-	if !f.keep(func() { toA.Close(); toB.Close() }) {
+	d := &DatagramLink{A: toB, B: toA}
+	if !f.registerCloser(func() { toA.Close(); toB.Close() }) {
 		toA.Close()
 		toB.Close()
-		return nil, fmt.Errorf("relay: closed")
+		return nil, fmt.Errorf("relay: fabric is closed")
 	}
-	ends := &twoEnds{addresses: [2]net.Addr{addressA, addressB}}
-	f.done.Add(2)
-	go f.datagrams(a, b, toB, toA, ends, 0)
-	go f.datagrams(b, a, toA, toB, ends, 1)
+	endpoints := &endpointAddresses{addresses: [2]net.Addr{addressA, addressB}}
+	f.running.Add(2)
+	go f.forwardDatagrams(a, b, toB, toA, endpoints, 0)
+	go f.forwardDatagrams(b, a, toA, toB, endpoints, 1)
 	return d, nil
 }
 
-// Close ends the link.
-func (d *Datagrams) Close() {
+// Close closes both sockets, which ends the link.
+func (d *DatagramLink) Close() {
 	d.A.Close()
 	d.B.Close()
 }
 
-type twoEnds struct {
+// endpointAddresses holds the addresses of participants A (0) and B (1); nil: not known yet.
+type endpointAddresses struct {
 	mutex     sync.Mutex
 	addresses [2]net.Addr
 }
 
-// datagrams carries one direction, from party number side, which sends to in; out is known to the other one.
-func (f *Fabric) datagrams(from, to string, in, out net.PacketConn, ends *twoEnds, side int) {
-	defer f.done.Done()
-	chance := f.chance(from, to)
-	learn := func() bool {
-		ends.mutex.Lock()
-		defer ends.mutex.Unlock()
-		return ends.addresses[side] == nil
+// forwardDatagrams forwards one direction until the link is closed. The sender is participant A (0) or B (1) and sends to in;
+// out is the address by which the receiver knows the sender.
+func (f *Fabric) forwardDatagrams(from, to string, in, out net.PacketConn, endpoints *endpointAddresses, sender int) {
+	defer f.running.Done()
+	random := f.newRandom(from, to)
+	learnAddress := func() bool {
+		endpoints.mutex.Lock()
+		defer endpoints.mutex.Unlock()
+		return endpoints.addresses[sender] == nil
 	}()
-	buf := make([]byte, largestDatagram)
-	under := make(chan struct{}, mostUnderWay)
+	buffer := make([]byte, maxDatagramSize)
+	delayedSlots := make(chan struct{}, maxDelayedDatagrams)
 	for {
-		n, source, err := in.ReadFrom(buf)
+		n, source, err := in.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		ends.mutex.Lock()
-		if learn {
-			ends.addresses[side] = source
+		endpoints.mutex.Lock()
+		if learnAddress {
+			endpoints.addresses[sender] = source
 		}
-		target := ends.addresses[1-side]
-		ends.mutex.Unlock()
-		w, _ := f.now(from, to)
-		// Drawn for each datagram, whatever the weather: the same datagrams meet the same fate.
-		lost, double, late, jitter := chance.Float64(), chance.Float64(), chance.Float64(), chance.Float64()
-		if target == nil || w.Cut || lost < w.Loss {
+		target := endpoints.addresses[1-sender]
+		endpoints.mutex.Unlock()
+		condition, _ := f.condition(from, to)
+		// All four are drawn for each datagram, whatever the condition, so a seed decides the same for the same datagrams.
+		lossDraw, duplicateDraw, reorderDraw, jitterDraw := random.Float64(), random.Float64(), random.Float64(), random.Float64()
+		if target == nil || condition.Partitioned || lossDraw < condition.LossRate {
 			continue
 		}
-		wait := w.Delay + time.Duration(jitter*float64(w.Jitter))
-		if late < w.Reorder {
-			wait += w.Delay + w.Jitter + 20*time.Millisecond
+		delay := condition.Delay + time.Duration(jitterDraw*float64(condition.Jitter))
+		if reorderDraw < condition.ReorderRate {
+			delay += condition.Delay + condition.Jitter + 20*time.Millisecond
 		}
 		copies := 1
-		if double < w.Double {
+		if duplicateDraw < condition.DuplicateRate {
 			copies = 2
 		}
-		data := append([]byte(nil), buf[:n]...)
+		data := append([]byte(nil), buffer[:n]...)
 		for range copies {
-			if wait <= 0 {
-				out.WriteTo(data, target) //nolint:errcheck // a datagram that can't be written is lost
+			if delay <= 0 {
+				out.WriteTo(data, target) //nolint:errcheck // a datagram that cannot be written counts as lost
 				continue
 			}
 			select {
-			case under <- struct{}{}:
-				time.AfterFunc(wait, func() {
-					<-under
+			case delayedSlots <- struct{}{}:
+				time.AfterFunc(delay, func() {
+					<-delayedSlots
 					out.WriteTo(data, target) //nolint:errcheck
 				})
-			default:
+			default: // too many are delayed already: lost
 			}
-			wait += 5 * time.Millisecond
+			delay += 5 * time.Millisecond // the second copy arrives later
 		}
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,16 +16,16 @@
 
 const host = "127.0.0.1"
 
-// party is one that speaks datagrams.
-func party(t *testing.T) net.PacketConn {
+// newParticipant opens a UDP socket that is closed when the test ends.
+func newParticipant(t *testing.T) net.PacketConn {
 	c, err := net.ListenPacket("udp", host+":0")
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
 	return c
 }
 
-// heard reads until a word that ends it has come, or nothing more.
-func heard(t *testing.T, c net.PacketConn, last string) (out []string) {
+// receiveUntil reads datagrams until one equals last or none arrives for two seconds, and returns all of them.
+func receiveUntil(t *testing.T, c net.PacketConn, last string) (out []string) {
 	buf := make([]byte, 100)
 	for {
 		c.SetReadDeadline(time.Now().Add(2 * time.Second)) //nolint:errcheck
@@ -40,13 +40,14 @@
 	}
 }
 
-func named(name string) func(string) bool { return func(s string) bool { return s == name } }
+// hasName matches one participant by name.
+func hasName(name string) func(string) bool { return func(s string) bool { return s == name } }
 
-func TestDatagramsPassBothWaysAndComeFromTheRelay(t *testing.T) {
+func TestDatagramsPassBothWaysFromTheRelaysAddress(t *testing.T) {
 	f := New(1)
 	defer f.Close()
-	a, b := party(t), party(t)
-	d, err := f.Datagrams(host, "a", "b", nil, b.LocalAddr())
+	a, b := newParticipant(t), newParticipant(t)
+	d, err := f.NewDatagramLink(host, "a", "b", nil, b.LocalAddr())
 	require.NoError(t, err)
 	a.WriteTo([]byte("to b"), d.A.LocalAddr()) //nolint:errcheck
 	buf := make([]byte, 100)
@@ -55,79 +56,79 @@
 	assert.Equal(t, "to b", string(buf[:n]))
 	assert.Equal(t, d.B.LocalAddr().String(), from.String(), "b knows a by the relay's address")
 	b.WriteTo([]byte("back"), from) //nolint:errcheck
-	assert.Equal(t, []string{"back"}, heard(t, a, "back"), "a was learned from its first datagram")
+	assert.Equal(t, []string{"back"}, receiveUntil(t, a, "back"), "the address of a is learned from its first datagram")
 }
 
-// The same seed lets the same datagrams through, each direction on its own.
-func TestWhatIsLostIsDrawnBySeed(t *testing.T) {
-	through := func(seed uint64) string {
+// The same seed delivers the same datagrams, and faults of one direction do not affect the other.
+func TestDatagramLossIsDeterminedBySeed(t *testing.T) {
+	deliveredWithSeed := func(seed uint64) string {
 		f := New(seed)
 		defer f.Close()
-		a, b := party(t), party(t)
-		d, err := f.Datagrams(host, "a", "b", a.LocalAddr(), b.LocalAddr())
+		a, b := newParticipant(t), newParticipant(t)
+		d, err := f.NewDatagramLink(host, "a", "b", a.LocalAddr(), b.LocalAddr())
 		require.NoError(t, err)
-		front := f.Bring(Front{Over: Between(named("a"), named("b")), Weather: Weather{Loss: 0.4, Double: 0.2}})
+		fault := f.AddFault(Fault{Affects: Between(hasName("a"), hasName("b")), Condition: Condition{LossRate: 0.4, DuplicateRate: 0.2}})
 		for i := range 100 {
 			a.WriteTo([]byte(fmt.Sprint(i)), d.A.LocalAddr()) //nolint:errcheck
-			time.Sleep(100 * time.Microsecond)                // the kernel's own queue is not what is looked at
+			time.Sleep(100 * time.Microsecond)                // do not overflow the kernel's queue: its losses are not under test
 		}
-		time.Sleep(50 * time.Millisecond) // doubles are behind
-		f.Lift(front)
+		time.Sleep(50 * time.Millisecond) // until delayed copies have arrived
+		f.RemoveFault(fault)
 		a.WriteTo([]byte("end"), d.A.LocalAddr()) //nolint:errcheck
-		got := heard(t, b, "end")
-		b.WriteTo([]byte("fair"), d.B.LocalAddr()) //nolint:errcheck
-		assert.Equal(t, []string{"fair"}, heard(t, a, "fair"), "the other way is as it was")
+		got := receiveUntil(t, b, "end")
+		b.WriteTo([]byte("reverse"), d.B.LocalAddr()) //nolint:errcheck
+		assert.Equal(t, []string{"reverse"}, receiveUntil(t, a, "reverse"), "the reverse direction is not affected")
 		return strings.Join(got, " ")
 	}
-	one := through(3)
-	assert.Equal(t, one, through(3))
-	assert.NotEqual(t, one, through(4))
-	n := len(strings.Fields(one))
-	assert.Greater(t, n, 40)
-	assert.Less(t, n, 100)
+	delivered := deliveredWithSeed(3)
+	assert.Equal(t, delivered, deliveredWithSeed(3))
+	assert.NotEqual(t, delivered, deliveredWithSeed(4))
+	count := len(strings.Fields(delivered))
+	assert.Greater(t, count, 40)
+	assert.Less(t, count, 100)
 }
 
-func TestACutIsOneWayAndHealsAndFrontsAddUp(t *testing.T) {
+func TestPartitionIsOneWayAndHealsAndFaultsCombine(t *testing.T) {
 	f := New(1)
 	defer f.Close()
-	a, b := party(t), party(t)
-	d, err := f.Datagrams(host, "a", "b", a.LocalAddr(), b.LocalAddr())
+	a, b := newParticipant(t), newParticipant(t)
+	d, err := f.NewDatagramLink(host, "a", "b", a.LocalAddr(), b.LocalAddr())
 	require.NoError(t, err)
-	one := f.Bring(Front{Over: Between(named("a"), named("b")), Weather: Weather{Cut: true}})
-	two := f.Bring(Front{Over: Around(named("b")), Weather: Weather{Delay: time.Millisecond}})
-	assert.True(t, f.Cut("a", "b"))
-	assert.False(t, f.Cut("b", "a"))
+	partition := f.AddFault(Fault{Affects: Between(hasName("a"), hasName("b")), Condition: Condition{Partitioned: true}})
+	delay := f.AddFault(Fault{Affects: AcrossBoundary(hasName("b")), Condition: Condition{Delay: time.Millisecond}})
+	assert.True(t, f.Partitioned("a", "b"))
+	assert.False(t, f.Partitioned("b", "a"))
 	a.WriteTo([]byte("lost"), d.A.LocalAddr())   //nolint:errcheck
 	b.WriteTo([]byte("passes"), d.B.LocalAddr()) //nolint:errcheck
-	assert.Equal(t, []string{"passes"}, heard(t, a, "passes"))
-	f.Lift(two)
-	assert.True(t, f.Cut("a", "b"), "the other front is still there")
-	f.Lift(one)
+	assert.Equal(t, []string{"passes"}, receiveUntil(t, a, "passes"))
+	f.RemoveFault(delay)
+	assert.True(t, f.Partitioned("a", "b"), "the partition is still in effect")
+	f.RemoveFault(partition)
 	a.WriteTo([]byte("healed"), d.A.LocalAddr()) //nolint:errcheck
-	assert.Equal(t, []string{"healed"}, heard(t, b, "healed"), "what a cut took does not come later")
+	assert.Equal(t, []string{"healed"}, receiveUntil(t, b, "healed"), "datagrams lost in a partition are not delivered later")
 }
 
-func TestLateDatagramsArePassedByOthers(t *testing.T) {
+func TestDelayedDatagramsAreReordered(t *testing.T) {
 	f := New(5)
 	defer f.Close()
-	a, b := party(t), party(t)
-	d, err := f.Datagrams(host, "a", "b", a.LocalAddr(), b.LocalAddr())
+	a, b := newParticipant(t), newParticipant(t)
+	d, err := f.NewDatagramLink(host, "a", "b", a.LocalAddr(), b.LocalAddr())
 	require.NoError(t, err)
-	f.Bring(Front{Over: Between(named("a"), named("b")), Weather: Weather{Reorder: 0.3}})
+	f.AddFault(Fault{Affects: Between(hasName("a"), hasName("b")), Condition: Condition{ReorderRate: 0.3}})
 	for i := range 30 {
 		a.WriteTo([]byte{byte('A' + i)}, d.A.LocalAddr()) //nolint:errcheck
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond)
-	f.Heal()
+	f.RemoveAllFaults()
 	a.WriteTo([]byte("."), d.A.LocalAddr()) //nolint:errcheck
-	all := strings.TrimSuffix(strings.Join(heard(t, b, "."), ""), ".")
+	all := strings.TrimSuffix(strings.Join(receiveUntil(t, b, "."), ""), ".")
 	assert.Len(t, all, 30)
 	assert.False(t, slices.IsSorted([]byte(all)), all)
 }
 
-// echo is a party that streams connect to; it gives back what comes.
-func echo(t *testing.T) string {
+// startEchoServer starts a TCP server that returns everything it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", host+":0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -146,8 +147,9 @@
 	return l.Addr().String()
 }
 
-func connected(t *testing.T, f *Fabric) (*Stream, net.Conn) {
-	s, err := f.Stream(host, "a", "b", echo(t))
+// connectThroughLink creates a link from a to an echo server b and opens a connection through it.
+func connectThroughLink(t *testing.T, f *Fabric) (*StreamLink, net.Conn) {
+	s, err := f.NewStreamLink(host, "a", "b", startEchoServer(t))
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", s.Addr().String())
 	require.NoError(t, err)
@@ -155,69 +157,69 @@
 	return s, c
 }
 
-func TestAStreamKeepsItsOrderThroughDelayAndACut(t *testing.T) {
+func TestStreamKeepsOrderThroughDelayAndPartition(t *testing.T) {
 	f := New(2)
 	defer f.Close()
-	_, c := connected(t, f)
-	f.Bring(Front{Over: Around(named("b")), Weather: Weather{Delay: time.Millisecond, Jitter: 3 * time.Millisecond}})
+	_, c := connectThroughLink(t, f)
+	f.AddFault(Fault{Affects: AcrossBoundary(hasName("b")), Condition: Condition{Delay: time.Millisecond, Jitter: 3 * time.Millisecond}})
 	var sent bytes.Buffer
 	for i := range 200 {
 		fmt.Fprintf(&sent, "piece %d;", i)
 	}
-	cut := f.Bring(Front{Over: Between(named("b"), named("a")), Weather: Weather{Cut: true}})
+	partition := f.AddFault(Fault{Affects: Between(hasName("b"), hasName("a")), Condition: Condition{Partitioned: true}})
 	c.Write(sent.Bytes()) //nolint:errcheck
 	got := make([]byte, sent.Len())
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)) //nolint:errcheck
 	n, _ := c.Read(got)
-	assert.Zero(t, n, "nothing passes a cut")
-	f.Lift(cut)
+	assert.Zero(t, n, "a partition blocks all data")
+	f.RemoveFault(partition)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck
 	_, err := io.ReadFull(c, got)
 	require.NoError(t, err)
-	assert.Equal(t, sent.Bytes(), got, "and nothing is lost by it")
+	assert.Equal(t, sent.Bytes(), got, "a partition loses no stream data")
 	c.(*net.TCPConn).CloseWrite() //nolint:errcheck
 	_, err = c.Read(got)
-	assert.ErrorIs(t, err, io.EOF, "its end comes through")
+	assert.ErrorIs(t, err, io.EOF, "the end of the stream is forwarded")
 }
 
-func TestAStreamDripsAndIsReset(t *testing.T) {
+func TestStreamIsThrottledAndReset(t *testing.T) {
 	f := New(2)
 	defer f.Close()
-	s, c := connected(t, f)
-	f.Bring(Front{Over: Between(named("a"), named("b")), Weather: Weather{Drip: 4 * dripPiece}})
-	c.Write(make([]byte, 100*dripPiece)) //nolint:errcheck
+	s, c := connectThroughLink(t, f)
+	f.AddFault(Fault{Affects: Between(hasName("a"), hasName("b")), Condition: Condition{BytesPerSecond: 4 * throttledChunkSize}})
+	c.Write(make([]byte, 100*throttledChunkSize)) //nolint:errcheck
 	time.Sleep(300 * time.Millisecond)
-	got := make([]byte, 100*dripPiece)
+	got := make([]byte, 100*throttledChunkSize)
 	c.SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck
 	n, err := c.Read(got)
 	require.NoError(t, err)
-	assert.Less(t, n, 50*dripPiece, "a few pieces of a hundred")
+	assert.Less(t, n, 50*throttledChunkSize, "only a few of the hundred chunks have arrived")
 	s.Reset()
 	for err == nil {
 		_, err = c.Read(got)
 	}
-	assert.NotErrorIs(t, err, io.EOF, "a reset is no end")
+	assert.NotErrorIs(t, err, io.EOF, "a reset is not an end of stream")
 	_, err = net.Dial("tcp", s.Addr().String())
-	assert.NoError(t, err, "and others may come")
+	assert.NoError(t, err, "new connections are still accepted")
 }
 
-func TestALinkToNobodyBreaksAndAClosedFabricHasNone(t *testing.T) {
+func TestUnreachableTargetResetsAndClosedFabricRefusesLinks(t *testing.T) {
 	f := New(2)
-	s, err := f.Stream(host, "a", "b", host+":1")
+	s, err := f.NewStreamLink(host, "a", "b", host+":1")
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", s.Addr().String())
-	if err == nil { // the reset may come before the connection is told
+	if err == nil { // the reset may arrive before Dial returns
 		_, err = c.Read(make([]byte, 1))
 	}
 	assert.Error(t, err)
-	f.Bring(Front{Over: Around(named("b")), Weather: Weather{Cut: true}})
-	stuck, err := net.Dial("tcp", s.Addr().String())
+	f.AddFault(Fault{Affects: AcrossBoundary(hasName("b")), Condition: Condition{Partitioned: true}})
+	pending, err := net.Dial("tcp", s.Addr().String())
 	require.NoError(t, err)
-	defer stuck.Close()
+	defer pending.Close()
 	f.Close()
 	f.Close()
-	_, err = f.Stream(host, "a", "b", host+":1")
+	_, err = f.NewStreamLink(host, "a", "b", host+":1")
 	assert.Error(t, err)
-	_, err = f.Datagrams(host, "a", "b", nil, nil)
+	_, err = f.NewDatagramLink(host, "a", "b", nil, nil)
 	assert.Error(t, err)
 }
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -10,84 +10,88 @@
 	"time"
 )
 
-// Stream is a link on which one party connects to another. What the other's address is may change; connections that are
-// open stay with the one they came to.
-type Stream struct {
+// StreamLink is a link over which one participant opens TCP connections to another. The target address may change; open
+// connections stay with the target they were opened to.
+type StreamLink struct {
 	net.Listener
 	fabric   *Fabric
 	from, to string
 
-	mutex  sync.Mutex
-	target string
-	open   map[net.Conn]struct{} // both ends of all; each deletes its own
-	shut   bool
+	mutex       sync.Mutex
+	target      string
+	connections map[net.Conn]struct{} // both sides of each proxied connection; untrack deletes them
+	isClosed    bool
 }
 
 const (
-	pieceSize   = 16 << 10
-	mostPieces  = 64 // of a direction under way; then the writer is held back
-	dripPiece   = 256
-	connectTime = 5 * time.Second
+	chunkSize          = 16 << 10 // bytes
+	maxQueuedChunks    = 64       // in one direction of a connection; reading pauses while the queue is full
+	throttledChunkSize = 256      // bytes
+	connectTimeout     = 5 * time.Second
 )
 
-// Stream makes a link from one party to the other at target. The first one connects to the link's address.
-func (f *Fabric) Stream(host, from, to, target string) (*Stream, error) {
-	l, err := net.Listen("tcp", host+":0")
+// NewStreamLink creates a link on which the participant named from reaches the one named to, which listens at target.
+// The link listens on a free TCP port of host; from connects there.
+func (f *Fabric) NewStreamLink(host, from, to, target string) (*StreamLink, error) {
+	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("relay: listen: %w", err)
 	}
-	s := &Stream{Listener: l, fabric: f, from: from, to: to, target: target, open: map[net.Conn]struct{}{}}
-	if !f.keep(s.Close) {
-		l.Close()
-		return nil, errors.New("relay: closed")
+	s := &StreamLink{Listener: listener, fabric: f, from: from, to: to, target: target, connections: map[net.Conn]struct{}{}}
+	if !f.registerCloser(s.Close) {
+		listener.Close()
+		return nil, errors.New("relay: fabric is closed")
 	}
-	f.done.Add(1)
+	f.running.Add(1)
 	go s.accept()
 	return s, nil
 }
 
-// Close ends the link and all its connections.
-func (s *Stream) Close() {
+// Close stops listening and resets all connections.
+func (s *StreamLink) Close() {
 	s.Listener.Close()
 	s.mutex.Lock()
-	s.shut = true
+	s.isClosed = true
 	s.mutex.Unlock()
 	s.Reset()
 }
 
-// Reset breaks all connections that are open.
-func (s *Stream) Reset() {
+// Reset aborts all open connections. New ones are still accepted.
+func (s *StreamLink) Reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for c := range s.open {
-		if t, is := c.(*net.TCPConn); is {
-			t.SetLinger(0) //nolint:errcheck // then it ends in peace
+	for c := range s.connections {
+		if tcp, ok := c.(*net.TCPConn); ok {
+			tcp.SetLinger(0) //nolint:errcheck // if this fails, the connection closes normally
 		}
 		c.Close()
 	}
 }
 
-func (s *Stream) track(c net.Conn) bool {
+// track registers a connection for Reset. If the link is closed, it closes the connection and returns false.
+func (s *StreamLink) track(c net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.shut {
+	if s.isClosed {
 		c.Close()
 		return false
 	}
-	s.open[c] = struct{}{}
+	s.connections[c] = struct{}{}
 	return true
 }
 
-func (s *Stream) untrack(c net.Conn) {
+// untrack closes a connection and removes it from the registry.
+func (s *StreamLink) untrack(c net.Conn) {
 	c.Close()
 	s.mutex.Lock()
-	delete(s.open, c)
+	delete(s.connections, c)
 	s.mutex.Unlock()
 }
 
-func (s *Stream) accept() {
-	defer s.fabric.done.Done()
-	for n := uint64(1); ; n++ {
+// accept serves new connections until the listener is closed.
+func (s *StreamLink) accept() {
+	defer s.fabric.running.Done()
+	for number := uint64(1); ; number++ {
 		c, err := s.Accept()
 		if err != nil {
 			return
@@ -95,23 +99,23 @@
 		if !s.track(c) {
 			return
 		}
-		s.fabric.done.Add(1)
-		go s.carry(c, n)
+		s.fabric.running.Add(1)
+		go s.serveConnection(c, number)
 	}
 }
 
-// carry connects on and lets both directions pass. While the way there is cut, nothing is known of the other side: the
-// connection is there and says nothing, as where its first packets are lost.
-func (s *Stream) carry(near net.Conn, n uint64) {
-	defer s.fabric.done.Done()
+// serveConnection connects to the target and forwards both directions. While the direction to the target is partitioned, it
+// does not connect: the accepted connection stays open without data, as if its first packets had been lost.
+func (s *StreamLink) serveConnection(near net.Conn, number uint64) {
+	defer s.fabric.running.Done()
 	defer s.untrack(near)
-	if !s.fabric.passes(s.from, s.to) {
+	if !s.fabric.waitWhilePartitioned(s.from, s.to) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", s.target, connectTime)
+	far, err := net.DialTimeout("tcp", s.target, connectTimeout)
 	if err != nil {
-		if t, is := near.(*net.TCPConn); is {
-			t.SetLinger(0) //nolint:errcheck
+		if tcp, ok := near.(*net.TCPConn); ok {
+			tcp.SetLinger(0) //nolint:errcheck
 		}
 		return
 	}
@@ -121,115 +125,118 @@
 	defer s.untrack(far)
 	var both sync.WaitGroup
 	both.Add(2)
-	for i, way := range [][2]net.Conn{{near, far}, {far, near}} {
+	for i, sides := range [][2]net.Conn{{near, far}, {far, near}} {
 		from, to := s.from, s.to
 		if i == 1 {
 			from, to = to, from
 		}
 		go func() {
 			defer both.Done()
-			chance := s.fabric.chance(from, to)
-			for range n % 64 { // connections differ
-				chance.Float64()
+			random := s.fabric.newRandom(from, to)
+			for range number % 64 { // so that connections draw different sequences
+				random.Float64()
 			}
-			s.fabric.pump(way[0], way[1], from, to, chance)
+			s.fabric.forward(sides[0], sides[1], from, to, random)
 		}()
 	}
 	both.Wait()
 }
 
-// passes waits until a direction is not cut; false: the fabric was closed before.
-func (f *Fabric) passes(from, to string) bool {
+// waitWhilePartitioned blocks while a direction is partitioned. It returns false if the fabric is closed meanwhile.
+func (f *Fabric) waitWhilePartitioned(from, to string) bool {
 	for {
-		w, moved := f.now(from, to)
-		if !w.Cut {
+		condition, changed := f.condition(from, to)
+		if !condition.Partitioned {
 			return true
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-f.closed:
 			return false
 		}
 	}
 }
 
-type piece struct {
+// chunk is data of a stream and the earliest time to forward it.
+type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pump carries one direction of a connection until its end, which it carries too.
-func (f *Fabric) pump(in, out net.Conn, from, to string, chance *rand.Rand) {
-	pieces := make(chan piece, mostPieces)
-	gone := make(chan struct{})
+// forward copies one direction of a connection until it ends, and forwards the end of the stream or the reset too.
+func (f *Fabric) forward(in, out net.Conn, from, to string, random *rand.Rand) {
+	chunks := make(chan chunk, maxQueuedChunks)
+	stopped := make(chan struct{})
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
-			buf := make([]byte, pieceSize)
-			n, err := in.Read(buf)
+			buffer := make([]byte, chunkSize)
+			n, err := in.Read(buffer)
 			if n > 0 {
-				w, _ := f.now(from, to)
-				p := piece{data: buf[:n], due: time.Now().Add(w.Delay + time.Duration(chance.Float64()*float64(w.Jitter)))}
+				condition, _ := f.condition(from, to)
+				c := chunk{data: buffer[:n], due: time.Now().Add(condition.Delay + time.Duration(random.Float64()*float64(condition.Jitter)))}
 				select {
-				case pieces <- p:
-				case <-gone:
+				case chunks <- c:
+				case <-stopped:
 					return
 				}
 			}
 			if err != nil {
-				if !errors.Is(err, io.EOF) { // broken: the other side learns of it at once
-					breakOff(out)
+				if !errors.Is(err, io.EOF) { // reset: the other side is reset immediately, even if partitioned
+					resetConnection(out)
 				}
 				return
 			}
 		}
 	}()
-	defer close(gone)
-	for p := range pieces {
-		if wait := time.Until(p.due); wait > 0 {
+	defer close(stopped)
+	for c := range chunks {
+		if wait := time.Until(c.due); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-f.closed:
 				return
 			}
 		}
-		if !f.passes(from, to) || !f.write(out, p.data, from, to) {
-			breakOff(in)
+		if !f.waitWhilePartitioned(from, to) || !f.writeThrottled(out, c.data, from, to) {
+			resetConnection(in)
 			return
 		}
 	}
-	// An end passes a cut as little as bytes do.
-	if f.passes(from, to) {
-		if t, is := out.(*net.TCPConn); is {
-			t.CloseWrite() //nolint:errcheck
+	// Like data, the end of the stream is not forwarded during a partition.
+	if f.waitWhilePartitioned(from, to) {
+		if tcp, ok := out.(*net.TCPConn); ok {
+			tcp.CloseWrite() //nolint:errcheck
 		}
 	}
 }
 
-func breakOff(c net.Conn) {
-	if t, is := c.(*net.TCPConn); is {
-		t.SetLinger(0) //nolint:errcheck
+// resetConnection closes a connection with a TCP reset instead of an orderly close.
+func resetConnection(c net.Conn) {
+	if tcp, ok := c.(*net.TCPConn); ok {
+		tcp.SetLinger(0) //nolint:errcheck
 	}
 	c.Close()
 }
 
-// write writes all, in small pieces and with pauses where it drips.
-func (f *Fabric) write(out net.Conn, data []byte, from, to string) bool {
+// writeThrottled writes all data, in small chunks with pauses between them while the bandwidth is limited. It returns false
+// if a write fails or the fabric is closed.
+func (f *Fabric) writeThrottled(out net.Conn, data []byte, from, to string) bool {
 	for len(data) > 0 {
-		w, _ := f.now(from, to)
+		condition, _ := f.condition(from, to)
 		n := len(data)
-		if w.Drip > 0 {
-			n = min(n, dripPiece)
+		if condition.BytesPerSecond > 0 {
+			n = min(n, throttledChunkSize)
 		}
-		if w.Cut && !f.passes(from, to) {
+		if condition.Partitioned && !f.waitWhilePartitioned(from, to) {
 			return false
 		}
 		if _, err := out.Write(data[:n]); err != nil {
 			return false
 		}
-		if data = data[n:]; w.Drip > 0 {
+		if data = data[n:]; condition.BytesPerSecond > 0 {
 			select {
-			case <-time.After(time.Duration(float64(n) / float64(w.Drip) * float64(time.Second))):
+			case <-time.After(time.Duration(float64(n) / float64(condition.BytesPerSecond) * float64(time.Second))):
 			case <-f.closed:
 				return false
 			}
--- a/internal/torture/fleet.go
+++ b/internal/torture/fleet.go
@@ -17,18 +17,18 @@
 type LinkFault struct {
 	Interval
 	Affects   func(from, to string) bool
-	Condition relay.Weather
+	Condition relay.Condition
 }
 
 // applyLinkFault applies a condition to links for some time and records it.
-func (sc *scenario) applyLinkFault(duration time.Duration, affects func(from, to string) bool, condition relay.Weather) {
+func (sc *scenario) applyLinkFault(duration time.Duration, affects func(from, to string) bool, condition relay.Condition) {
 	if sc.fabric == nil {
 		return
 	}
 	from := sc.since()
-	number := sc.fabric.Bring(relay.Front{Over: affects, Weather: condition})
+	number := sc.fabric.AddFault(relay.Fault{Affects: affects, Condition: condition})
 	time.Sleep(duration)
-	sc.fabric.Lift(number)
+	sc.fabric.RemoveFault(number)
 	sc.mutex.Lock()
 	defer sc.mutex.Unlock()
 	sc.linkFaults = append(sc.linkFaults, LinkFault{Interval{from, sc.since()}, affects, condition})
@@ -56,21 +56,21 @@
 	toEngine, fromEngine := relay.Between(is(routerName), is(engineName)), relay.Between(is(engineName), is(routerName))
 	switch s.Fault {
 	case CutEngine:
-		sc.applyLinkFault(s.Duration, func(a, b string) bool { return toEngine(a, b) || fromEngine(a, b) }, relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, func(a, b string) bool { return toEngine(a, b) || fromEngine(a, b) }, relay.Condition{Partitioned: true})
 	case CutZone:
-		sc.applyLinkFault(s.Duration, relay.Around(sc.zoneSide()), relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, relay.AcrossBoundary(sc.zoneSide()), relay.Condition{Partitioned: true})
 	case CutOneWay:
 		if s.Selector%2 == 0 {
 			toEngine = fromEngine
 		}
-		sc.applyLinkFault(s.Duration, toEngine, relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, toEngine, relay.Condition{Partitioned: true})
 	case CutNameService:
-		sc.applyLinkFault(s.Duration, relay.Between(is(nameServiceEndpoint), is(routerName)), relay.Weather{Cut: true})
+		sc.applyLinkFault(s.Duration, relay.Between(is(nameServiceEndpoint), is(routerName)), relay.Condition{Partitioned: true})
 	case SlowBytes:
-		sc.applyLinkFault(s.Duration, relay.Between(is(engineName), func(string) bool { return true }), relay.Weather{Drip: 4000})
+		sc.applyLinkFault(s.Duration, relay.Between(is(engineName), func(string) bool { return true }), relay.Condition{BytesPerSecond: 4000})
 	case PacketLoss:
 		sc.applyLinkFault(s.Duration, func(string, string) bool { return true },
-			relay.Weather{Loss: 0.33, Double: 0.1, Reorder: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond})
+			relay.Condition{LossRate: 0.33, DuplicateRate: 0.1, ReorderRate: 0.2, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond})
 	}
 }
 
--- a/internal/torture/play.go
+++ b/internal/torture/play.go
@@ -155,7 +155,7 @@
 	clients.Wait()
 	sc.closing.Wait()
 	if sc.fabric != nil {
-		sc.fabric.Heal()
+		sc.fabric.RemoveAllFaults()
 	}
 	close(stopWatching)
 	<-stallsWatched
--- a/internal/torture/router.go
+++ b/internal/torture/router.go
@@ -33,10 +33,10 @@
 	config  string
 	log     *os.File
 
-	names              *standin.NameService     // its own name service; guarded by fleetMutex
-	nameServiceAddress string                   // by which the router reaches it
-	peerAddresses      map[string]string        // by the advertised address of the peer: the address of the link to it
-	engineLinks        map[string]*relay.Stream // by engine name; empty without a fabric. The fabric closes them
+	names              *standin.NameService         // its own name service; guarded by fleetMutex
+	nameServiceAddress string                       // by which the router reaches it
+	peerAddresses      map[string]string            // by the advertised address of the peer: the address of the link to it
+	engineLinks        map[string]*relay.StreamLink // by engine name; empty without a fabric. The fabric closes them
 
 	processMutex sync.Mutex // held by whoever disturbs the process
 	limits       [2]int     // memory in MB and descriptors, as last configured
@@ -65,7 +65,7 @@
 // newRouter prepares a router with its log, fault table and name service, but starts no process.
 func (sc *scenario) newRouter(index int, program string) (*router, error) {
 	r := &router{scenario: sc, number: len(sc.routers) + len(sc.duplicates), index: index, name: fmt.Sprintf("n%d", index+1), program: program,
-		engineLinks: map[string]*relay.Stream{}, peerAddresses: map[string]string{}, limits: [2]int{sc.MemoryMB, sc.Descriptors}}
+		engineLinks: map[string]*relay.StreamLink{}, peerAddresses: map[string]string{}, limits: [2]int{sc.MemoryMB, sc.Descriptors}}
 	// A loopback address that only this scenario uses keeps the port free between two starts of a router.
 	r.address = fmt.Sprintf("%s:%d", sc.host, 7400+r.number)
 	r.config = filepath.Join(sc.Folder, fmt.Sprintf("config-%d-%d.json", sc.Seed, r.number))
@@ -95,7 +95,7 @@
 	if r.fabric == nil {
 		return nil
 	}
-	link, err := r.fabric.Datagrams(r.host, r.endpoint(), nameServiceEndpoint, nil, r.names.LocalAddr())
+	link, err := r.fabric.NewDatagramLink(r.host, r.endpoint(), nameServiceEndpoint, nil, r.names.LocalAddr())
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 		return address, nil
 	}
 	if r.engineLinks[e.Engine.Name] == nil {
-		link, err := r.fabric.Stream(r.host, r.endpoint(), e.Engine.Name, address)
+		link, err := r.fabric.NewStreamLink(r.host, r.endpoint(), e.Engine.Name, address)
 		if err != nil {
 			return "", err
 		}
--- a/internal/torture/talk.go
+++ b/internal/torture/talk.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		peerAddress := func(router *router) relay.Address { return relay.Address(router.peerAddress()) }
-		link, err := r.fabric.Datagrams(r.host, r.endpoint(), other.endpoint(), peerAddress(r), peerAddress(other))
+		link, err := r.fabric.NewDatagramLink(r.host, r.endpoint(), other.endpoint(), peerAddress(r), peerAddress(other))
 		if err != nil {
 			return err
 		}
--- a/internal/torture/terms.go
+++ b/internal/torture/terms.go
@@ -109,7 +109,7 @@
 	}()
 	address := echo.Addr().String()
 	if sc.fabric != nil {
-		link, err := sc.fabric.Stream(sc.host, stallProbeEndpoint, stallProbeEndpoint, address)
+		link, err := sc.fabric.NewStreamLink(sc.host, stallProbeEndpoint, stallProbeEndpoint, address)
 		if err != nil {
 			return nil, fmt.Errorf("torture: %w", err)
 		}
