--- a/internal/crowd/purse.go
+++ b/internal/crowd/purse.go
@@ -10,140 +10,140 @@
 	"pitchfield/internal/talk"
 )
 
-// Purse says what a crowd divides: what each of some engines bears within a window. Times are seconds.
-type Purse struct {
-	Settings shares.Settings // but for keepers and address; zero: the defaults
-	Keepers  int             // of the routers; 0: five
-	Whole    float64         // of each engine, within Window
-	Window   float64
-	Engines  int
-	Replaced float64 // an engine takes the place of another each so many seconds; 0: never
-	Rate     float64 // batches a second, over all routers
-	Heavy    float64 // share of the batches that take a quarter to three quarters of a whole
-	Uneven   float64 // share of the routers to which nine in ten batches come; 0: all alike
-	Patience float64 // a batch that waits for so long is given up; 0: four seconds
-	Drift    float64 // clocks' rates differ by up to so much from the true one, either way
-	Stands   float64 // share of what is sent that goes out late, since the process stands still between look and use
-	Fixed    bool    // nothing moves: each has what the fixed division gives
-	Told     int     // routers, by settings; 0: as many as there are
+// QuotaOptions says what a crowd divides: what each of some engines bears within a window. Times are seconds.
+type QuotaOptions struct {
+	Settings          shares.Settings // but for keepers and address; zero: the defaults
+	Replicas          int             // of the routers; 0: five
+	Total             float64         // of each engine, within Window
+	Window            float64
+	Engines           int
+	ReplaceInterval   float64 // an engine takes the place of another each so many seconds; 0: never
+	BatchRate         float64 // batches a second, over all routers
+	LargeFraction     float64 // share of the batches that take a quarter to three quarters of a whole
+	SkewFraction      float64 // share of the routers to which nine in ten batches come; 0: all alike
+	MaxWait           float64 // a batch that waits for so long is given up; 0: four seconds
+	ClockDrift        float64 // clocks' rates differ by up to so much from the true one, either way
+	PauseProbability  float64 // share of what is sent that goes out late, since the process stands still between look and use
+	Fixed             bool    // nothing moves: each has what the fixed division gives
+	ConfiguredRouters int     // routers, by settings; 0: as many as there are
 }
 
-// Ledger sums what engines get, whoever sends it, by the true time.
-type Ledger struct {
-	crowd   *Crowd
-	starts  []shares.EngineStart
-	uses    map[shares.Key][]use // within the window; use drops the others
-	sums    map[shares.Key]float64
-	Broken  []string // a whole that was passed, the first few
-	Most    float64  // of a whole that was used within a window
-	Used    float64  // work that engines got
-	Batches int
-	Sent    int
-	GivenUp int
-	Heavy   [2]int         // batches that took a quarter of a whole or more: all, and sent
-	Waits   []float64      // seconds until a batch was sent,
-	Heavies []float64      // and until heavy ones were
-	By      map[string]int // batches that were sent, by router
-	Stood   int            // batches that were not sent, since what allowed them had ended
-	Lent    []float64      // share of all wholes that was in hand and not used, looked at now and then
-	Took    []float64      // share of all wholes that was used within a window, likewise
-	chance  *rand.Rand
+// QuotaStats sums what engines get, whoever sends it, by the true time.
+type QuotaStats struct {
+	sim            *Simulation
+	engines        []shares.EngineStart
+	uses           map[shares.Key][]usage // within the window; use drops the others
+	sums           map[shares.Key]float64
+	Violations     []string // a whole that was passed, the first few
+	PeakShare      float64  // of a whole that was used within a window
+	WorkDone       float64  // work that engines got
+	Batches        int
+	Sent           int
+	GivenUp        int
+	Large          [2]int         // batches that took a quarter of a whole or more: all, and sent
+	WaitTimes      []float64      // seconds until a batch was sent,
+	LargeWaitTimes []float64      // and until heavy ones were
+	SentByRouter   map[string]int // batches that were sent, by router
+	Expired        int            // batches that were not sent, since what allowed them had ended
+	IdleShares     []float64      // share of all wholes that was in hand and not used, looked at now and then
+	UsedShares     []float64      // share of all wholes that was used within a window, likewise
+	rng            *rand.Rand
 }
 
-type use struct{ at, work float64 }
+type usage struct{ at, work float64 }
 
-// holder is a router's part of it.
-type holder struct {
+// quotaClient is a router's part of it.
+type quotaClient struct {
 	*Node
-	machine *shares.Machine // nil: the division is fixed
-	parts   shares.ColdStartQuota
-	held    []*wish
-	timer   int
+	machine        *shares.Machine // nil: the division is fixed
+	coldStartQuota shares.ColdStartQuota
+	queue          []*queuedBatch
+	turnTimerID    int
 }
 
-// wish is a batch that waits.
-type wish struct {
-	to    shares.EngineStart
-	work  float64
-	since float64
-	heavy bool
+// queuedBatch is a batch that waits.
+type queuedBatch struct {
+	engine   shares.EngineStart
+	work     float64
+	queuedAt float64
+	large    bool
 }
 
-func newLedger(c *Crowd) *Ledger {
-	p := c.Purse
+func newQuotaStats(c *Simulation) *QuotaStats {
+	p := c.Quota
 	if p.Settings.Lease == 0 {
 		p.Settings = shares.Defaults()
 	}
-	if p.Keepers == 0 {
-		p.Keepers = 5
+	if p.Replicas == 0 {
+		p.Replicas = 5
 	}
-	if p.Patience == 0 {
-		p.Patience = 4
+	if p.MaxWait == 0 {
+		p.MaxWait = 4
 	}
-	l := &Ledger{crowd: c, uses: map[shares.Key][]use{}, sums: map[shares.Key]float64{}, By: map[string]int{}, chance: rand.New(rand.NewPCG(c.Seed, 0x7075727365))}
+	l := &QuotaStats{sim: c, uses: map[shares.Key][]usage{}, sums: map[shares.Key]float64{}, SentByRouter: map[string]int{}, rng: rand.New(rand.NewPCG(c.Seed, 0x7075727365))}
 	for i := range p.Engines {
-		l.starts = append(l.starts, shares.EngineStart{Engine: uint32(i + 1), StartedAt: epoch, Cores: 1})
+		l.engines = append(l.engines, shares.EngineStart{Engine: uint32(i + 1), StartedAt: epoch, Cores: 1})
 	}
-	if p.Replaced > 0 {
-		c.After(p.Replaced, l.replace)
+	if p.ReplaceInterval > 0 {
+		c.After(p.ReplaceInterval, l.replaceEngine)
 	}
-	c.After(0.1, l.arrive)
-	c.After(1, l.look)
+	c.After(0.1, l.arriveBatch)
+	c.After(1, l.sample)
 	return l
 }
 
-// replace starts an engine anew: its budget is another one.
-func (l *Ledger) replace() {
-	s := &l.starts[l.chance.IntN(len(l.starts))]
-	s.StartedAt = l.crowd.Now
-	l.crowd.After(l.crowd.Purse.Replaced, l.replace)
+// replaceEngine starts an engine anew: its budget is another one.
+func (l *QuotaStats) replaceEngine() {
+	s := &l.engines[l.rng.IntN(len(l.engines))]
+	s.StartedAt = l.sim.Now
+	l.sim.After(l.sim.Quota.ReplaceInterval, l.replaceEngine)
 }
 
-// arrive brings a batch to a router.
-func (l *Ledger) arrive() {
-	c, p := l.crowd, l.crowd.Purse
-	l.crowd.After(l.chance.ExpFloat64()/p.Rate, l.arrive)
-	w := &wish{to: l.starts[l.chance.IntN(len(l.starts))], since: c.Now, work: p.Whole * (0.002 + 0.04*l.chance.Float64())}
-	if w.heavy = l.chance.Float64() < p.Heavy; w.heavy {
-		w.work = p.Whole * (0.25 + 0.5*l.chance.Float64())
+// arriveBatch brings a batch to a router.
+func (l *QuotaStats) arriveBatch() {
+	c, p := l.sim, l.sim.Quota
+	l.sim.After(l.rng.ExpFloat64()/p.BatchRate, l.arriveBatch)
+	w := &queuedBatch{engine: l.engines[l.rng.IntN(len(l.engines))], queuedAt: c.Now, work: p.Total * (0.002 + 0.04*l.rng.Float64())}
+	if w.large = l.rng.Float64() < p.LargeFraction; w.large {
+		w.work = p.Total * (0.25 + 0.5*l.rng.Float64())
 	}
 	nodes := c.Nodes
-	if few := int(math.Ceil(p.Uneven * float64(len(nodes)))); p.Uneven > 0 && l.chance.IntN(10) > 0 {
+	if few := int(math.Ceil(p.SkewFraction * float64(len(nodes)))); p.SkewFraction > 0 && l.rng.IntN(10) > 0 {
 		nodes = nodes[:few]
 	}
-	n := nodes[l.chance.IntN(len(nodes))]
-	if n.purse == nil || n.Paused {
+	n := nodes[l.rng.IntN(len(nodes))]
+	if n.quota == nil || n.Paused {
 		return
 	}
 	l.Batches++
-	if w.heavy {
-		l.Heavy[0]++
+	if w.large {
+		l.Large[0]++
 	}
-	n.purse.held = append(n.purse.held, w)
-	n.purse.turn()
+	n.quota.queue = append(n.quota.queue, w)
+	n.quota.processQueue()
 }
 
-// look samples how much of the wholes is used, and how much lies idle in hands.
-func (l *Ledger) look() {
-	l.crowd.After(0.25, l.look)
+// sample samples how much of the wholes is used, and how much lies idle in hands.
+func (l *QuotaStats) sample() {
+	l.sim.After(0.25, l.sample)
 	used, lent, whole := 0.0, 0.0, 0.0
-	for _, s := range l.starts {
-		l.old(shares.ColdStartKey(s))
-		used, whole = used+l.sums[shares.ColdStartKey(s)], whole+l.crowd.Purse.Whole
+	for _, s := range l.engines {
+		l.expire(shares.ColdStartKey(s))
+		used, whole = used+l.sums[shares.ColdStartKey(s)], whole+l.sim.Quota.Total
 	}
-	for _, n := range l.crowd.Nodes {
-		if n.purse != nil && n.purse.machine != nil {
-			for _, h := range n.purse.machine.State(n.now()).Budgets {
+	for _, n := range l.sim.Nodes {
+		if n.quota != nil && n.quota.machine != nil {
+			for _, h := range n.quota.machine.State(n.localTime()).Budgets {
 				lent += h.Available
 			}
 		}
 	}
-	l.Took, l.Lent = append(l.Took, used/whole), append(l.Lent, lent/whole)
+	l.UsedShares, l.IdleShares = append(l.UsedShares, used/whole), append(l.IdleShares, lent/whole)
 }
 
-// old drops what no longer counts.
-func (l *Ledger) old(key shares.Key) {
-	for len(l.uses[key]) > 0 && l.uses[key][0].at <= l.crowd.Now-l.crowd.Purse.Window {
+// expire drops what no longer counts.
+func (l *QuotaStats) expire(key shares.Key) {
+	for len(l.uses[key]) > 0 && l.uses[key][0].at <= l.sim.Now-l.sim.Quota.Window {
 		l.sums[key] -= l.uses[key][0].work
 		l.uses[key] = l.uses[key][1:]
 	}
@@ -153,137 +153,137 @@
 	}
 }
 
-// use is what came to an engine.
-func (l *Ledger) use(w *wish, by string) {
-	key := shares.ColdStartKey(w.to)
-	l.old(key)
-	l.uses[key], l.sums[key] = append(l.uses[key], use{l.crowd.Now, w.work}), l.sums[key]+w.work
-	share := l.sums[key] / l.crowd.Purse.Whole
-	l.Most, l.Used, l.Sent = max(l.Most, share), l.Used+w.work, l.Sent+1
-	l.By[by]++
-	l.Waits = append(l.Waits, l.crowd.Now-w.since)
-	if w.heavy {
-		l.Heavy[1]++
-		l.Heavies = append(l.Heavies, l.crowd.Now-w.since)
+// recordUse is what came to an engine.
+func (l *QuotaStats) recordUse(w *queuedBatch, by string) {
+	key := shares.ColdStartKey(w.engine)
+	l.expire(key)
+	l.uses[key], l.sums[key] = append(l.uses[key], usage{l.sim.Now, w.work}), l.sums[key]+w.work
+	share := l.sums[key] / l.sim.Quota.Total
+	l.PeakShare, l.WorkDone, l.Sent = max(l.PeakShare, share), l.WorkDone+w.work, l.Sent+1
+	l.SentByRouter[by]++
+	l.WaitTimes = append(l.WaitTimes, l.sim.Now-w.queuedAt)
+	if w.large {
+		l.Large[1]++
+		l.LargeWaitTimes = append(l.LargeWaitTimes, l.sim.Now-w.queuedAt)
 	}
-	if share > 1+1e-6 && len(l.Broken) < 10 {
-		l.Broken = append(l.Broken, fmt.Sprintf("%.4f s: %s sends %.3f, and engine %d has got %.4f of its whole within %g s", l.crowd.Now-epoch, by, w.work,
-			w.to.Engine, share, l.crowd.Purse.Window))
+	if share > 1+1e-6 && len(l.Violations) < 10 {
+		l.Violations = append(l.Violations, fmt.Sprintf("%.4f s: %s sends %.3f, and engine %d has got %.4f of its whole within %g s", l.sim.Now-epoch, by, w.work,
+			w.engine.Engine, share, l.sim.Quota.Window))
 	}
 }
 
-// now is a node's own time.
-func (n *Node) now() float64 { return epoch + (n.crowd.Now-epoch)*n.rate }
+// localTime is a node's own time.
+func (n *Node) localTime() float64 { return epoch + (n.sim.Now-epoch)*n.clockRate }
 
-// hold gives a process that starts its part, with nothing remembered.
-func (n *Node) hold() {
-	c, p := n.crowd, n.crowd.Purse
-	h := &holder{Node: n}
-	routers := p.Told
+// startQuota gives a process that starts its part, with nothing remembered.
+func (n *Node) startQuota() {
+	c, p := n.sim, n.sim.Quota
+	h := &quotaClient{Node: n}
+	routers := p.ConfiguredRouters
 	if routers == 0 {
 		routers = c.Routers
 	}
-	fixed := shares.FixedConfig{Total: p.Whole, Window: p.Window, Routers: float64(routers), Index: n.number % routers, MaxHolders: 16, StartedAt: n.now()}
+	fixed := shares.FixedConfig{Total: p.Total, Window: p.Window, Routers: float64(routers), Index: n.index % routers, MaxHolders: 16, StartedAt: n.localTime()}
 	if p.Fixed {
-		h.parts = shares.NewFixedDivision(fixed)
+		h.coldStartQuota = shares.NewFixedDivision(fixed)
 	} else {
 		s := p.Settings
 		s.Listen = n.Address
-		for i := range min(p.Keepers, len(c.Nodes)) { // spread over all
-			s.Replicas = append(s.Replicas, c.Nodes[i*len(c.Nodes)/min(p.Keepers, len(c.Nodes))].Address)
+		for i := range min(p.Replicas, len(c.Nodes)) { // spread over all
+			s.Replicas = append(s.Replicas, c.Nodes[i*len(c.Nodes)/min(p.Replicas, len(c.Nodes))].Address)
 		}
-		h.machine = shares.New(s, shares.ID{Name: n.Name, Start: c.starts}, fixed, n.now())
-		h.parts = h.machine
+		h.machine = shares.New(s, shares.ID{Name: n.Name, Start: c.startCount}, fixed, n.localTime())
+		h.coldStartQuota = h.machine
 	}
-	n.purse = h
-	h.plan()
+	n.quota = h
+	h.scheduleTurn()
 }
 
-// turn sends what may be sent, wants what may not, and does what is due.
-func (h *holder) turn() {
-	c := h.crowd
+// processQueue sends what may be sent, wants what may not, and does what is due.
+func (h *quotaClient) processQueue() {
+	c := h.sim
 	if h.machine != nil {
 		h.machine.ObserveFleetSize(h.Machine.Count())
 	}
 	for range 4 {
-		for i := 0; i < len(h.held); {
-			w := h.held[i]
+		for i := 0; i < len(h.queue); {
+			w := h.queue[i]
 			switch {
-			case c.Now > w.since+c.Purse.Patience || !slices.Contains(c.Ledger.starts, w.to):
-				c.Ledger.GivenUp++
-			case h.parts.CanSpend(h.now(), w.to, w.work):
-				h.send(w)
+			case c.Now > w.queuedAt+c.Quota.MaxWait || !slices.Contains(c.Stats.engines, w.engine):
+				c.Stats.GivenUp++
+			case h.coldStartQuota.CanSpend(h.localTime(), w.engine, w.work):
+				h.sendBatch(w)
 			default:
-				h.parts.Request(h.now(), w.to, w.work)
+				h.coldStartQuota.Request(h.localTime(), w.engine, w.work)
 				i++
 				continue
 			}
-			h.held = slices.Delete(h.held, i, i+1)
+			h.queue = slices.Delete(h.queue, i, i+1)
 		}
-		if h.machine == nil || !h.machine.DemandPending() && h.now() < h.machine.NextWake() {
+		if h.machine == nil || !h.machine.DemandPending() && h.localTime() < h.machine.NextWake() {
 			break
 		}
-		h.machine.Wake(h.now())
+		h.machine.Wake(h.localTime())
 		if !h.machine.GrantsArrived() {
 			break
 		}
 	}
-	h.said()
-	h.plan()
+	h.flushQuotaMessages()
+	h.scheduleTurn()
 }
 
-// send is the way of a batch from the look at one's part to its engine. Now and then the process stands still in between.
-func (h *holder) send(w *wish) {
-	c := h.crowd
-	h.parts.Spend(h.now(), w.to, w.work)
+// sendBatch is the way of a batch from the look at one's part to its engine. Now and then the process stands still in between.
+func (h *quotaClient) sendBatch(w *queuedBatch) {
+	c := h.sim
+	h.coldStartQuota.Spend(h.localTime(), w.engine, w.work)
 	by := math.Inf(1)
 	if h.machine != nil {
 		by = h.machine.SendDeadline()
 	}
-	if c.Purse.Stands == 0 || c.Ledger.chance.Float64() >= c.Purse.Stands {
-		c.Ledger.use(w, h.Name)
+	if c.Quota.PauseProbability == 0 || c.Stats.rng.Float64() >= c.Quota.PauseProbability {
+		c.Stats.recordUse(w, h.Name)
 		return
 	}
-	life := h.Life
-	c.After(3*c.Ledger.chance.Float64(), func() {
+	life := h.Generation
+	c.After(3*c.Stats.rng.Float64(), func() {
 		switch {
-		case h.Life != life:
-		case h.now() >= by:
-			c.Ledger.Stood++
+		case h.Generation != life:
+		case h.localTime() >= by:
+			c.Stats.Expired++
 		default:
-			c.Ledger.use(w, h.Name)
+			c.Stats.recordUse(w, h.Name)
 		}
 	})
 }
 
-func (h *holder) said() {
+func (h *quotaClient) flushQuotaMessages() {
 	if h.machine == nil || h.Machine == nil {
 		return
 	}
 	h.machine.TakeNotes()
 	for _, s := range h.machine.TakeOutgoing() {
 		said := s.Message
-		h.Node.send(s.Destination, talk.Message{Message: h.Machine.Envelope(), Shares: &said})
+		h.Node.sendDatagram(s.Destination, talk.Message{Message: h.Machine.Envelope(), Shares: &said})
 	}
 }
 
-// plan sets the next time: of the machine, or to look at what waits.
-func (h *holder) plan() {
-	h.timer++
-	timer, life := h.timer, h.Life
+// scheduleTurn sets the next time: of the machine, or to look at what waits.
+func (h *quotaClient) scheduleTurn() {
+	h.turnTimerID++
+	timer, life := h.turnTimerID, h.Generation
 	wait := math.Inf(1)
 	if h.machine != nil {
-		wait = (h.machine.NextWake() - h.now()) / h.rate
+		wait = (h.machine.NextWake() - h.localTime()) / h.clockRate
 	}
-	if len(h.held) > 0 {
+	if len(h.queue) > 0 {
 		wait = min(wait, 0.05)
 	}
 	if math.IsInf(wait, 1) {
 		return
 	}
-	h.crowd.After(max(wait, 0.0005), func() {
-		if h.Life == life && h.timer == timer && !h.Paused && h.purse == h {
-			h.turn()
+	h.sim.After(max(wait, 0.0005), func() {
+		if h.Generation == life && h.turnTimerID == timer && !h.Paused && h.quota == h {
+			h.processQueue()
 		}
 	})
 }
