--- a/internal/explore/cmd/main.go
+++ b/internal/explore/cmd/main.go
@@ -21,7 +21,7 @@
 type options struct {
 	states, depth, walks int
 	only                 string
-	beside               int
+	parallelism          int
 }
 
 func main() {
@@ -30,12 +30,12 @@
 	flag.IntVar(&o.depth, "depth", 40, "at the most")
 	flag.IntVar(&o.walks, "walks", 0, "at random, of 300 steps, in each world, in place of all that may happen")
 	flag.StringVar(&o.only, "only", "", "worlds whose name has this in it")
-	flag.IntVar(&o.beside, "beside", 2, "worlds, or defects, beside each other")
+	flag.IntVar(&o.parallelism, "beside", 2, "worlds, or defects, beside each other")
 	hunt := flag.Bool("defects", false, "put each defect of defects.toml in and look for it")
 	flag.Parse()
 	ok := true
 	if *hunt {
-		ok = o.hunt()
+		ok = o.findDefects()
 	} else {
 		ok = o.explore()
 	}
@@ -45,24 +45,24 @@
 }
 
 func (o options) explore() bool {
-	var worlds []explore.Named
+	var worlds []explore.NamedWorld
 	for _, w := range explore.Worlds() {
 		if strings.Contains(w.Name, o.only) {
 			worlds = append(worlds, w)
 		}
 	}
 	said, broken := make([]string, len(worlds)), make([]bool, len(worlds))
-	parallel.Each(o.beside, len(worlds), func(i int) {
+	parallel.Each(o.parallelism, len(worlds), func(i int) {
 		w, from := worlds[i], time.Now()
-		var f explore.Found
+		var f explore.Result
 		if o.walks > 0 {
-			f = explore.Walk(w.New, 1, o.walks, 300)
+			f = explore.RandomWalks(w.New, 1, o.walks, 300)
 		} else {
 			f = explore.Explore(w.New, o.depth, o.states)
 		}
-		said[i] = fmt.Sprintf("%-40s %8d  %8d  %5d  %7.1f  %t", w.Name, f.States, f.Steps, f.Depth, time.Since(from).Seconds(), f.Broken != "")
-		if broken[i] = f.Broken != ""; broken[i] {
-			said[i] += fmt.Sprintf(" in %d steps\n%s", len(f.Way), explore.Story(w.New, f.Way, explore.Word))
+		said[i] = fmt.Sprintf("%-40s %8d  %8d  %5d  %7.1f  %t", w.Name, f.States, f.Steps, f.Depth, time.Since(from).Seconds(), f.Violation != "")
+		if broken[i] = f.Violation != ""; broken[i] {
+			said[i] += fmt.Sprintf(" in %d steps\n%s", len(f.Trace), explore.DescribeTrace(w.New, f.Trace, explore.DescribeEvent))
 		}
 	})
 	fmt.Println("world                                      states    events  depth  seconds  broken")
@@ -74,8 +74,8 @@
 	return ok
 }
 
-// hunt builds this command with each defect and lets it look.
-func (o options) hunt() bool {
+// findDefects builds this command with each defect and lets it look.
+func (o options) findDefects() bool {
 	all, err := explore.Defects()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "explore:", err)
@@ -88,7 +88,7 @@
 	}
 	defer os.RemoveAll(folder)
 	found := make([]bool, len(all))
-	parallel.Each(o.beside, len(all), func(i int) {
+	parallel.Each(o.parallelism, len(all), func(i int) {
 		d, program := all[i], filepath.Join(folder, fmt.Sprint(i))
 		if err := d.Build(".", "./internal/explore/cmd", program); err != nil {
 			fmt.Println(err)
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -18,32 +18,32 @@
 	// Events are what may happen now, in one order; each has the same meaning wherever the same way leads.
 	Events() []Event
 	// Do lets one happen.
-	Do(e Event)
+	Apply(e Event)
 	// Print writes the state; what behaves the same from now on has to print the same.
 	Print(out *strings.Builder)
 	// Broken says what does not hold; empty: all does.
-	Broken() string
+	Violation() string
 }
 
 // Event is one thing that happens: its kind, and to whom or with which message.
 type Event struct {
-	Kind uint8
-	Of   uint8
+	Kind   uint8
+	Target uint8
 }
 
-// Found is what an exploration came to.
-type Found struct {
-	States  int
-	Steps   int  // events that were tried
-	Depth   int  // that was reached in full
-	Whole   bool // nothing was left to go on from
-	Broken  string
-	Way     []Event // the shortest to what is broken
-	Deepest int     // states at the last depth
+// Result is what an exploration came to.
+type Result struct {
+	States    int
+	Steps     int  // events that were tried
+	Depth     int  // that was reached in full
+	Exhausted bool // nothing was left to go on from
+	Violation string
+	Trace     []Event // the shortest to what is broken
+	Frontier  int     // states at the last depth
 }
 
 // Explore goes through all that may happen, so deep and over so many states at the most.
-func Explore(fresh func() World, depth, states int) (f Found) {
+func Explore(fresh func() World, depth, states int) (f Result) {
 	key := func(w World) uint64 {
 		var text strings.Builder
 		w.Print(&text)
@@ -54,12 +54,12 @@
 	play := func(way []Event) World {
 		w := fresh()
 		for _, e := range way {
-			w.Do(e)
+			w.Apply(e)
 		}
 		return w
 	}
 	first := fresh()
-	if f.Broken = first.Broken(); f.Broken != "" {
+	if f.Violation = first.Violation(); f.Violation != "" {
 		return f
 	}
 	seen := map[uint64]struct{}{key(first): {}}
@@ -69,10 +69,10 @@
 		for _, way := range edge {
 			for _, e := range play(way).Events() {
 				w := play(way)
-				w.Do(e)
+				w.Apply(e)
 				f.Steps++
-				if broken := w.Broken(); broken != "" {
-					f.Broken, f.Way, f.States = broken, append(slices.Clone(way), e), len(seen)
+				if broken := w.Violation(); broken != "" {
+					f.Violation, f.Trace, f.States = broken, append(slices.Clone(way), e), len(seen)
 					return f
 				}
 				k := key(w)
@@ -82,7 +82,7 @@
 				seen[k] = struct{}{}
 				next = append(next, append(way[:len(way):len(way)], e))
 				if len(seen) >= states {
-					f.States, f.Deepest = len(seen), len(next)
+					f.States, f.Frontier = len(seen), len(next)
 					return f
 				}
 			}
@@ -90,23 +90,23 @@
 		edge = next
 		f.Depth++
 	}
-	f.States, f.Whole, f.Deepest = len(seen), len(edge) == 0, len(edge)
+	f.States, f.Exhausted, f.Frontier = len(seen), len(edge) == 0, len(edge)
 	return f
 }
 
-// Walk goes on at random from the start, so many steps in each of so many walks, for worlds that are beyond going through all of
+// RandomWalks goes on at random from the start, so many steps in each of so many walks, for worlds that are beyond going through all of
 // them. What breaks is made as short as leaving steps out makes it.
-func Walk(fresh func() World, seed uint64, walks, steps int) (f Found) {
+func RandomWalks(fresh func() World, seed uint64, walks, steps int) (f Result) {
 	for n := range walks {
 		chance := rand.New(rand.NewPCG(seed, uint64(n)))
 		w, way := fresh(), []Event(nil)
 		for range steps {
-			e := draw(w, chance)
-			w.Do(e)
+			e := drawEvent(w, chance)
+			w.Apply(e)
 			way = append(way, e)
 			f.Steps++
-			if f.Broken = w.Broken(); f.Broken != "" {
-				f.Way = shorten(fresh, way)
+			if f.Violation = w.Violation(); f.Violation != "" {
+				f.Trace = shortenTrace(fresh, way)
 				return f
 			}
 		}
@@ -118,7 +118,7 @@
 // time, nothing that takes ten messages ever happens.
 type Weighted interface{ Weight(e Event) int }
 
-func draw(w World, chance *rand.Rand) Event {
+func drawEvent(w World, chance *rand.Rand) Event {
 	events := w.Events()
 	by, weighted := w.(Weighted)
 	if !weighted {
@@ -137,15 +137,15 @@
 	return events[0]
 }
 
-// shorten leaves out what a break does not need. A step that can't happen any more is passed over.
-func shorten(fresh func() World, way []Event) []Event {
+// shortenTrace leaves out what a break does not need. A step that can't happen any more is passed over.
+func shortenTrace(fresh func() World, way []Event) []Event {
 	breaks := func(way []Event) bool {
 		w := fresh()
 		for _, e := range way {
 			if slices.Contains(w.Events(), e) {
-				w.Do(e)
+				w.Apply(e)
 			}
-			if w.Broken() != "" {
+			if w.Violation() != "" {
 				return true
 			}
 		}
@@ -163,16 +163,16 @@
 	return way
 }
 
-// Story tells a way in words.
-func Story(fresh func() World, way []Event, word func(e Event) string) string {
+// DescribeTrace tells a way in words.
+func DescribeTrace(fresh func() World, way []Event, word func(e Event) string) string {
 	var out strings.Builder
 	w := fresh()
 	for i, e := range way {
 		if slices.Contains(w.Events(), e) {
 			fmt.Fprintf(&out, "%d. %s\n", i+1, word(e))
-			w.Do(e)
+			w.Apply(e)
 		}
 	}
-	fmt.Fprintf(&out, "then: %s", w.Broken())
+	fmt.Fprintf(&out, "then: %s", w.Violation())
 	return out.String()
 }
