--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,8 +1,10 @@
-// Package explore takes the very state machines that run, a few of them with a few messages between them, through every order of
-// what may happen, breadth first, and looks at each state whether what must hold does. States that print alike are looked at once.
-// A state is kept as the way to it and played again from the start when it is gone on from: the machines need no copy.
+// Package explore is a small model checker. It runs the state machines of production code, a few of them with a few messages between
+// them, through every possible order of events, breadth first, and checks in each state that the invariant of the world holds. States
+// that print the same text count as one and are checked once. A state is stored as the trace of events that leads to it and is
+// replayed from the start when it is expanded, so the machines need no copy operation.
 //
-// What is proved by it is bounded: the world's size, the events allowed, the depth. The bounds are told with the counts.
+// The verification is bounded by the size of the world, the events that it allows, the depth and the number of states. Result reports
+// how far it got.
 package explore
 
 import (
@@ -13,135 +15,137 @@
 	"strings"
 )
 
-// World is what is explored. A fresh one is made for each way that is played.
+// World is the system that is explored. A new one is created for each trace that is replayed, and it has to be deterministic.
 type World interface {
-	// Events are what may happen now, in one order; each has the same meaning wherever the same way leads.
+	// Events returns the events that are possible now, in a fixed order. After the same trace an event always has the same meaning.
 	Events() []Event
-	// Do lets one happen.
+	// Apply executes one event.
 	Apply(e Event)
-	// Print writes the state; what behaves the same from now on has to print the same.
+	// Print writes the state. States whose further behaviour is the same have to print the same text, and all others different ones.
 	Print(out *strings.Builder)
-	// Broken says what does not hold; empty: all does.
+	// Violation describes the invariant that does not hold, and is empty if all hold.
 	Violation() string
 }
 
-// Event is one thing that happens: its kind, and to whom or with which message.
+// Event is one event: its kind, and the index of the router or message that it concerns.
 type Event struct {
 	Kind   uint8
 	Target uint8
 }
 
-// Result is what an exploration came to.
+// Result is the outcome of an exploration or of random walks.
 type Result struct {
-	States    int
-	Steps     int  // events that were tried
-	Depth     int  // that was reached in full
-	Exhausted bool // nothing was left to go on from
-	Violation string
-	Trace     []Event // the shortest to what is broken
-	Frontier  int     // states at the last depth
+	States    int     // number of distinct states
+	Steps     int     // number of events that were tried
+	Depth     int     // number of events up to which every order was tried
+	Exhausted bool    // all reachable states were visited
+	Violation string  // empty: none was found
+	Trace     []Event // leads to the violation: the shortest one from Explore, a shortened one from RandomWalks
+	Frontier  int     // number of states at the last depth, which were not expanded
 }
 
-// Explore goes through all that may happen, so deep and over so many states at the most.
-func Explore(fresh func() World, depth, states int) (f Result) {
-	key := func(w World) uint64 {
+// Explore visits all states that are reachable in at most depth events, breadth first, and stops at the first violation or once it
+// has seen maxStates states.
+func Explore(newWorld func() World, depth, maxStates int) (result Result) {
+	stateHash := func(w World) uint64 {
 		var text strings.Builder
 		w.Print(&text)
 		h := fnv.New64a()
 		h.Write([]byte(text.String())) //nolint:errcheck
 		return h.Sum64()
 	}
-	play := func(way []Event) World {
-		w := fresh()
-		for _, e := range way {
+	replay := func(trace []Event) World {
+		w := newWorld()
+		for _, e := range trace {
 			w.Apply(e)
 		}
 		return w
 	}
-	first := fresh()
-	if f.Violation = first.Violation(); f.Violation != "" {
-		return f
+	initial := newWorld()
+	if result.Violation = initial.Violation(); result.Violation != "" {
+		return result
 	}
-	seen := map[uint64]struct{}{key(first): {}}
-	edge := [][]Event{nil}
-	for f.Depth < depth && len(edge) > 0 {
+	seen := map[uint64]struct{}{stateHash(initial): {}}
+	frontier := [][]Event{nil}
+	for result.Depth < depth && len(frontier) > 0 {
 		var next [][]Event
-		for _, way := range edge {
-			for _, e := range play(way).Events() {
-				w := play(way)
+		for _, trace := range frontier {
+			for _, e := range replay(trace).Events() {
+				w := replay(trace)
 				w.Apply(e)
-				f.Steps++
-				if broken := w.Violation(); broken != "" {
-					f.Violation, f.Trace, f.States = broken, append(slices.Clone(way), e), len(seen)
-					return f
+				result.Steps++
+				if violation := w.Violation(); violation != "" {
+					result.Violation, result.Trace, result.States = violation, append(slices.Clone(trace), e), len(seen)
+					return result
 				}
-				k := key(w)
-				if _, known := seen[k]; known {
+				hash := stateHash(w)
+				if _, known := seen[hash]; known {
 					continue
 				}
-				seen[k] = struct{}{}
-				next = append(next, append(way[:len(way):len(way)], e))
-				if len(seen) >= states {
-					f.States, f.Frontier = len(seen), len(next)
-					return f
+				seen[hash] = struct{}{}
+				next = append(next, append(trace[:len(trace):len(trace)], e))
+				if len(seen) >= maxStates {
+					result.States, result.Frontier = len(seen), len(next)
+					return result
 				}
 			}
 		}
-		edge = next
-		f.Depth++
+		frontier = next
+		result.Depth++
 	}
-	f.States, f.Exhausted, f.Frontier = len(seen), len(edge) == 0, len(edge)
-	return f
+	result.States, result.Exhausted, result.Frontier = len(seen), len(frontier) == 0, len(frontier)
+	return result
 }
 
-// RandomWalks goes on at random from the start, so many steps in each of so many walks, for worlds that are beyond going through all of
-// them. What breaks is made as short as leaving steps out makes it.
-func RandomWalks(fresh func() World, seed uint64, walks, steps int) (f Result) {
+// RandomWalks applies random events from the initial state, for worlds that are too large to explore in full: the given number of
+// walks with the given number of steps each. It stops at the first violation, whose trace is shortened by leaving out events as long
+// as a violation still occurs. The same seed gives the same walks.
+func RandomWalks(newWorld func() World, seed uint64, walks, steps int) (result Result) {
 	for n := range walks {
-		chance := rand.New(rand.NewPCG(seed, uint64(n)))
-		w, way := fresh(), []Event(nil)
+		rng := rand.New(rand.NewPCG(seed, uint64(n)))
+		w, trace := newWorld(), []Event(nil)
 		for range steps {
-			e := drawEvent(w, chance)
+			e := drawEvent(w, rng)
 			w.Apply(e)
-			way = append(way, e)
-			f.Steps++
-			if f.Violation = w.Violation(); f.Violation != "" {
-				f.Trace = shortenTrace(fresh, way)
-				return f
+			trace = append(trace, e)
+			result.Steps++
+			if result.Violation = w.Violation(); result.Violation != "" {
+				result.Trace = shortenTrace(newWorld, trace)
+				return result
 			}
 		}
 	}
-	return f
+	return result
 }
 
-// Weighted is a world of which some events come more often in walks: where most messages are lost and mishaps are as frequent as
-// time, nothing that takes ten messages ever happens.
+// Weighted is a world in which random walks draw some events more often than others. With equal weights most messages are lost and
+// faults are as frequent as the passing of time, so a sequence that takes ten messages never completes.
 type Weighted interface{ Weight(e Event) int }
 
-func drawEvent(w World, chance *rand.Rand) Event {
+func drawEvent(w World, rng *rand.Rand) Event {
 	events := w.Events()
-	by, weighted := w.(Weighted)
+	weights, weighted := w.(Weighted)
 	if !weighted {
-		return events[chance.IntN(len(events))]
+		return events[rng.IntN(len(events))]
 	}
 	sum := 0
 	for _, e := range events {
-		sum += by.Weight(e)
+		sum += weights.Weight(e)
 	}
-	at := chance.IntN(sum)
+	remaining := rng.IntN(sum)
 	for _, e := range events {
-		if at -= by.Weight(e); at < 0 {
+		if remaining -= weights.Weight(e); remaining < 0 {
 			return e
 		}
 	}
 	return events[0]
 }
 
-// shortenTrace leaves out what a break does not need. A step that can't happen any more is passed over.
-func shortenTrace(fresh func() World, way []Event) []Event {
-	breaks := func(way []Event) bool {
-		w := fresh()
-		for _, e := range way {
+// shortenTrace removes events that the violation does not need. An event that is no longer possible is skipped.
+func shortenTrace(newWorld func() World, trace []Event) []Event {
+	violates := func(trace []Event) bool {
+		w := newWorld()
+		for _, e := range trace {
 			if slices.Contains(w.Events(), e) {
 				w.Apply(e)
 			}
@@ -151,25 +155,26 @@
 		}
 		return false
 	}
-	for size := len(way) / 2; size > 0; size /= 2 {
-		for i := 0; i+size <= len(way); {
-			if less := slices.Delete(slices.Clone(way), i, i+size); breaks(less) {
-				way = less
+	for size := len(trace) / 2; size > 0; size /= 2 {
+		for i := 0; i+size <= len(trace); {
+			if shorter := slices.Delete(slices.Clone(trace), i, i+size); violates(shorter) {
+				trace = shorter
 			} else {
 				i++
 			}
 		}
 	}
-	return way
+	return trace
 }
 
-// DescribeTrace tells a way in words.
-func DescribeTrace(fresh func() World, way []Event, word func(e Event) string) string {
+// DescribeTrace replays a trace and returns its events as numbered lines, followed by the violation. Events that are not possible are
+// left out.
+func DescribeTrace(newWorld func() World, trace []Event, describe func(e Event) string) string {
 	var out strings.Builder
-	w := fresh()
-	for i, e := range way {
+	w := newWorld()
+	for i, e := range trace {
 		if slices.Contains(w.Events(), e) {
-			fmt.Fprintf(&out, "%d. %s\n", i+1, word(e))
+			fmt.Fprintf(&out, "%d. %s\n", i+1, describe(e))
 			w.Apply(e)
 		}
 	}
