--- a/internal/explore/shares.go
+++ b/internal/explore/shares.go
@@ -8,27 +8,27 @@
 	"pitchfield/internal/shares"
 )
 
-// Kinds of what may happen to routers that divide a whole.
+// Kinds of events in a world of routers that share a quota.
 const (
-	Tick          uint8 = iota // a step of time passes; whoever runs and is due wakes
-	Deliver                    // a message comes
-	DeliverTwice               // it comes, and comes once more later
-	Use                        // a router sends a unit of work if it may, and else wants it
-	DelayedUse                 // it looks, may, and stands still before it sends
-	SendDelayed                // what stood still goes on: it sends if it still may
-	Kill                       // a router ends without a word, and starts again with nothing remembered
-	Pause                      // a router stands still,
-	Resume                     // and goes on
-	Leave                      // it ends in peace, and starts again
-	ReleaseOldest              // of what it holds, what it began first ends
-	ReleaseNewest              // and what it began last
+	Tick          uint8 = iota // one step of time passes, and every running router whose wake time has come wakes
+	Deliver                    // a message is delivered
+	DeliverTwice               // a message is delivered, and its duplicate stays in flight
+	Use                        // a router spends a unit and sends its work if it may, and otherwise requests quota
+	DelayedUse                 // a router spends a unit if it may, but does not send its work yet, as if its process paused in between
+	SendDelayed                // a router sends the work of its oldest delayed use, unless the deadline for it has passed
+	Kill                       // a router crashes without notice and restarts with no state
+	Pause                      // the process of a router pauses: it neither wakes nor receives messages
+	Resume                     // a paused router resumes
+	Leave                      // a router shuts down gracefully and restarts
+	ReleaseOldest              // the oldest running use of a router ends
+	ReleaseNewest              // the newest running use of a router ends
 	eventKinds
 )
 
-var eventNames = [eventKinds]string{"time passes", "is delivered", "is delivered, and will be again", "uses a unit", "looks, and stands still before it sends", "goes on to send", "is killed and starts again",
-	"stops", "goes on", "leaves and starts again", "ends what it began first", "ends what it began last"}
+var eventNames = [eventKinds]string{"time passes", "is delivered", "is delivered, and a duplicate stays in flight", "uses a unit", "spends a unit, and is delayed before it sends", "sends its delayed unit unless its deadline has passed", "is killed and restarts",
+	"is paused", "resumes", "leaves and restarts", "releases its oldest use", "releases its newest use"}
 
-// DescribeEvent tells an event.
+// DescribeEvent returns an event in words, for DescribeTrace.
 func DescribeEvent(e Event) string {
 	switch e.Kind {
 	case Tick:
@@ -39,46 +39,49 @@
 	return fmt.Sprintf("router %d %s", e.Target, eventNames[e.Kind])
 }
 
-// SharesConfig is a small world of routers that divide one whole. Times are seconds.
+// SharesConfig describes a small world of routers that share one quota. Times are in seconds.
 type SharesConfig struct {
-	Routers, Replicas       int
-	Step                    float64 // that passes at once
-	Total                   float64 // units; a use takes one
-	Window                  float64
-	Settings                shares.Settings // but for keepers and address
-	Kills, Pauses           int             // that may happen in all,
-	DelayedUses, Duplicates int
-	Leaves                  int
-	MaxInFlight             int       // messages at the most; an older one is lost
-	ClockRates              []float64 // of the routers' clocks; none: all are true
-	SettleTime              float64   // seconds that pass before anything goes wrong, with every message delivered
-	Concurrency             bool      // a use lasts until its router ends it, or for a window, in which whoever does it ends it himself
+	Routers     int
+	Replicas    int             // number of routers, the first ones, that replicate the quota records
+	Step        float64         // by which a Tick advances the time
+	Total       float64         // quota in units; each use takes one
+	Window      float64         // for which a use counts
+	Settings    shares.Settings // without Replicas and Listen, which the world sets
+	Kills       int             // at most this many in one trace, as are the next four
+	Pauses      int
+	DelayedUses int
+	Duplicates  int
+	Leaves      int
+	MaxInFlight int       // messages in flight at most; beyond that the oldest one is lost
+	ClockRates  []float64 // rate of each router's clock; 1, an exact clock, for routers beyond its end
+	SettleTime  float64   // that passes without faults, with every message delivered, before the exploration begins
+	Concurrency bool      // a use lasts until its router releases it, at most for Window, after which it ends by itself
 }
 
 type sharesWorld struct {
 	SharesConfig
 	now          float64
-	incarnations uint64
+	incarnations uint64 // number of router starts so far
 	routers      []*shareRouter
-	messages     []inFlightMessage
-	uses         []unitUse // units that came to the engine, within the window
+	messages     []inFlightMessage // oldest first
+	uses         []unitUse         // units that reached the engine within the window, oldest first
 }
 
-// unitUse is a unit of work. Of what is held: as long as it lasts.
+// unitUse is a unit of work that reached the engine. With Concurrency it is kept only while it runs.
 type unitUse struct {
 	at          float64
 	router      int
-	incarnation uint64 // the start of its router that began it
+	incarnation uint64 // incarnation of the router that sent it
 }
 
 type shareRouter struct {
 	number             int
-	incarnation        uint64
-	lease              *shares.QuotaLease // of what is held
+	incarnation        uint64             // changes with each restart
+	lease              *shares.QuotaLease // used with Concurrency
 	machine            *shares.Machine
 	paused             bool
-	expiredWhilePaused int       // what it held and has ended while it stood still
-	sendDeadlines      []float64 // by when what stands still has to be sent, in its own time
+	expiredWhilePaused int       // number of its uses that ended while it was paused
+	sendDeadlines      []float64 // of its delayed uses, oldest first, by its own clock
 }
 
 type inFlightMessage struct {
@@ -88,7 +91,7 @@
 
 var engine = shares.EngineStart{Engine: 1, StartedAt: 1, Cores: 1}
 
-// New makes a world, settled.
+// New creates a world and runs it without faults for SettleTime.
 func (s SharesConfig) New() World {
 	w := &sharesWorld{SharesConfig: s, now: 1000}
 	for i := range s.Routers {
@@ -106,6 +109,7 @@
 
 func routerAddress(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 
+// localTime returns the time by the clock of a router.
 func (w *sharesWorld) localTime(i int) float64 {
 	if i < len(w.ClockRates) {
 		return 1000 + (w.now-1000)*w.ClockRates[i]
@@ -113,6 +117,7 @@
 	return w.now
 }
 
+// start starts or restarts a router with no state.
 func (w *sharesWorld) start(i int) {
 	w.incarnations++
 	s := w.Settings
@@ -134,7 +139,7 @@
 	return shares.ColdStartKey(engine)
 }
 
-// canSpend, spend and want are a router's for one unit.
+// canSpend reports whether a router may spend one unit.
 func (w *sharesWorld) canSpend(i int) bool {
 	if w.Concurrency {
 		return w.routers[i].lease.CanSpend(w.localTime(i), 1)
@@ -142,6 +147,7 @@
 	return w.routers[i].machine.CanSpend(w.localTime(i), engine, 1)
 }
 
+// spend spends one unit at a router.
 func (w *sharesWorld) spend(i int) {
 	if w.Concurrency {
 		w.routers[i].lease.Spend(w.localTime(i), 1)
@@ -150,6 +156,7 @@
 	}
 }
 
+// request requests quota for one unit at a router.
 func (w *sharesWorld) request(i int) {
 	if w.Concurrency {
 		w.routers[i].lease.Request(w.localTime(i), 1)
@@ -158,19 +165,19 @@
 	}
 }
 
-// belongsToCurrent tells whether a use is of the present start of a router, which can end it.
+// belongsToCurrent reports whether a use was started by the current incarnation of a router, which is the only one that can release it.
 func (w *sharesWorld) belongsToCurrent(u unitUse, i int) bool {
 	return u.router == i && u.incarnation == w.routers[i].incarnation
 }
 
-// expireUses ends what has lasted for a window. A router that runs knows it, and one that stands still learns it when it goes on.
+// expireUses ends the uses that are older than the window. A running router releases them at once, a paused one when it resumes.
 func (w *sharesWorld) expireUses() {
 	w.uses = slices.DeleteFunc(w.uses, func(u unitUse) bool {
 		if u.at > w.now-w.Window {
 			return false
 		}
 		if r := w.routers[u.router]; w.Concurrency && w.belongsToCurrent(u, u.router) {
-			if r.paused { // its router finds that out later
+			if r.paused { // released in Resume
 				r.expiredWhilePaused++
 				return true
 			}
@@ -180,7 +187,7 @@
 	})
 }
 
-// releaseUse ends a use of a router early.
+// releaseUse ends the oldest or the newest use of a router before its window is over.
 func (w *sharesWorld) releaseUse(i int, last bool) {
 	at := -1
 	for n, u := range w.uses {
@@ -195,45 +202,46 @@
 	w.collectOutgoing(r)
 }
 
+// Events returns the possible events. Loss of a message is not one of them: a message that is never delivered is lost.
 func (w *sharesWorld) Events() (out []Event) {
 	out = append(out, Event{Tick, 0})
 	for i := range w.messages {
-		out = append(out, Event{Deliver, uint8(i)}) // one that is never delivered is lost
+		out = append(out, Event{Deliver, uint8(i)})
 		if w.Duplicates > 0 {
 			out = append(out, Event{DeliverTwice, uint8(i)})
 		}
 	}
 	for i, r := range w.routers {
-		of := func(kind uint8) { out = append(out, Event{kind, uint8(i)}) }
+		add := func(kind uint8) { out = append(out, Event{kind, uint8(i)}) }
 		if r.paused {
-			of(Resume)
+			add(Resume)
 			continue
 		}
-		of(Use)
+		add(Use)
 		if w.DelayedUses > 0 {
-			of(DelayedUse)
+			add(DelayedUse)
 		}
 		if len(r.sendDeadlines) > 0 {
-			of(SendDelayed)
+			add(SendDelayed)
 		}
 		if w.Kills > 0 {
-			of(Kill)
+			add(Kill)
 		}
 		if w.Pauses > 0 {
-			of(Pause)
+			add(Pause)
 		}
 		if w.Leaves > 0 {
-			of(Leave)
+			add(Leave)
 		}
 		if w.Concurrency && slices.ContainsFunc(w.uses, func(u unitUse) bool { return w.belongsToCurrent(u, i) }) {
-			of(ReleaseOldest)
-			of(ReleaseNewest)
+			add(ReleaseOldest)
+			add(ReleaseNewest)
 		}
 	}
 	return out
 }
 
-// Weight has messages come sooner than time passes, and mishaps last.
+// Weight makes the delivery of messages, above all of the oldest one, more frequent than ticks, and faults the least frequent.
 func (w *sharesWorld) Weight(e Event) int {
 	switch e.Kind {
 	case Deliver:
@@ -249,6 +257,7 @@
 	return 1
 }
 
+// Apply executes one event.
 func (w *sharesWorld) Apply(e Event) {
 	i := int(e.Target)
 	switch e.Kind {
@@ -282,10 +291,10 @@
 			return
 		}
 		w.spend(i)
-		by := r.machine.SendDeadline()
+		deadline := r.machine.SendDeadline()
 		if e.Kind == DelayedUse {
 			w.DelayedUses--
-			r.sendDeadlines = append(r.sendDeadlines, by)
+			r.sendDeadlines = append(r.sendDeadlines, deadline)
 		} else {
 			w.recordUse(i)
 		}
@@ -293,11 +302,11 @@
 		w.collectOutgoing(r)
 	case SendDelayed:
 		r := w.routers[i]
-		by := r.sendDeadlines[0]
+		deadline := r.sendDeadlines[0]
 		r.sendDeadlines = r.sendDeadlines[1:]
-		if w.localTime(i) < by {
+		if w.localTime(i) < deadline {
 			w.recordUse(i)
-		} else if w.Concurrency { // it never ran
+		} else if w.Concurrency { // the unit was never sent
 			r.lease.Release(w.localTime(i), 1)
 		}
 	case Kill:
@@ -326,10 +335,12 @@
 	}
 }
 
+// recordUse records a unit that reaches the engine now.
 func (w *sharesWorld) recordUse(i int) {
 	w.uses = append(w.uses, unitUse{w.now, i, w.routers[i].incarnation})
 }
 
+// collectOutgoing puts the messages that a router has sent in flight, and drops the oldest ones beyond MaxInFlight.
 func (w *sharesWorld) collectOutgoing(r *shareRouter) {
 	r.machine.TakeNotes()
 	r.machine.GrantsArrived()
@@ -345,12 +356,13 @@
 	}
 }
 
+// Print writes the state, with times relative to now.
 func (w *sharesWorld) Print(out *strings.Builder) {
 	for i, r := range w.routers {
 		r.machine.Print(out)
 		fmt.Fprint(out, r.paused, r.expiredWhilePaused)
-		for _, by := range r.sendDeadlines {
-			fmt.Fprintf(out, " %.4g", by-w.localTime(i))
+		for _, deadline := range r.sendDeadlines {
+			fmt.Fprintf(out, " %.4g", deadline-w.localTime(i))
 		}
 	}
 	for _, f := range w.messages {
@@ -365,37 +377,39 @@
 	fmt.Fprint(out, w.Kills, w.Pauses, w.DelayedUses, w.Duplicates, w.Leaves)
 }
 
-// Violation: what all may still use without asking, and what came within the window or is still held, is at most the whole. A credit in the hands of a
-// router that stands still counts by its own clock, since that is what it will look at.
+// Violation checks that the total is not exceeded by the sum of what all routers may still use without a further grant, and the units
+// that were used within the window or, with Concurrency, still run. A grant at a paused router counts until it ends by the clock of
+// that router, since that is the clock it will check when it resumes.
 func (w *sharesWorld) Violation() string {
 	sum := float64(len(w.uses))
 	for i, r := range w.routers {
 		sum += r.machine.Available(w.localTime(i), w.budgetKey())
-		for _, by := range r.sendDeadlines {
-			if w.localTime(i) < by {
+		for _, deadline := range r.sendDeadlines {
+			if w.localTime(i) < deadline {
 				sum++
 			}
 		}
 	}
 	if sum > w.Total+1e-6 {
-		return fmt.Sprintf("%g may be used or came within the window, and the whole is %g", sum, w.Total)
+		return fmt.Sprintf("%g units may be used or were used within the window, but the total is %g", sum, w.Total)
 	}
 	return ""
 }
 
-// NamedWorld is a world with a name.
+// NamedWorld is the description of a world and its name, which defects.toml and the flag -only refer to.
 type NamedWorld struct {
 	Name string
 	SharesConfig
 }
 
-// Worlds are those that are explored: an office lasts four steps, a credit two, and a use counts for three and a little.
+// Worlds returns the worlds that are explored. With a step of 0.25 s a coordinator's term lasts four steps, a grant lasts two, and a
+// use counts for a little more than three unless the world sets another window.
 func Worlds() (out []NamedWorld) {
 	add := func(name string, edit func(s *SharesConfig)) {
-		own := shares.Defaults()
-		own.FixedFraction, own.Lease, own.Term, own.RetryInterval, own.IdleTimeout, own.MaxRequestFraction = 0, 0.5, 1, 1, 0.5, 1
-		s := SharesConfig{Routers: 2, Replicas: 1, Step: 0.25, Total: 2, Window: 0.75, Settings: own, MaxInFlight: 4, SettleTime: 5}
-		if edit(&s); s.Replicas > 1 { // what is given is told to them first
+		settings := shares.Defaults()
+		settings.FixedFraction, settings.Lease, settings.Term, settings.RetryInterval, settings.IdleTimeout, settings.MaxRequestFraction = 0, 0.5, 1, 1, 0.5, 1
+		s := SharesConfig{Routers: 2, Replicas: 1, Step: 0.25, Total: 2, Window: 0.75, Settings: settings, MaxInFlight: 4, SettleTime: 5}
+		if edit(&s); s.Replicas > 1 { // a grant is replicated before it is given, which takes more messages
 			s.MaxInFlight = max(s.MaxInFlight, 8)
 		}
 		out = append(out, NamedWorld{name, s})
@@ -412,20 +426,20 @@
 		s.Routers, s.Replicas, s.Kills, s.Pauses, s.DelayedUses, s.Duplicates, s.Leaves, s.MaxInFlight = 4, 3, 12, 12, 20, 40, 6, 10
 		s.ClockRates = []float64{1.008, 0.992, 1, 1.004}
 	})
-	held := func(name string, edit func(s *SharesConfig)) {
+	concurrency := func(name string, edit func(s *SharesConfig)) {
 		add("held, "+name, func(s *SharesConfig) {
 			s.Concurrency = true
 			edit(s)
 		})
 	}
-	held("two kills", func(s *SharesConfig) { s.Kills = 2 })
-	held("a stop and a late send", func(s *SharesConfig) { s.Pauses, s.DelayedUses = 1, 1 })
-	held("doubles", func(s *SharesConfig) { s.Duplicates = 2 })
-	held("clocks that differ", func(s *SharesConfig) { s.Pauses, s.ClockRates = 1, []float64{1.008, 0.992} })
-	held("three keepers, one leaves", func(s *SharesConfig) { s.Routers, s.Replicas, s.Leaves = 3, 3, 1 })
-	held("three keepers, many kills", func(s *SharesConfig) { s.Routers, s.Replicas, s.Kills, s.Pauses, s.Window = 3, 3, 12, 4, 2 })
-	held("a firm part", func(s *SharesConfig) { s.Total, s.Kills, s.Settings.FixedFraction = 4, 2, 0.5 })
-	held("all of it", func(s *SharesConfig) {
+	concurrency("two kills", func(s *SharesConfig) { s.Kills = 2 })
+	concurrency("a stop and a late send", func(s *SharesConfig) { s.Pauses, s.DelayedUses = 1, 1 })
+	concurrency("doubles", func(s *SharesConfig) { s.Duplicates = 2 })
+	concurrency("clocks that differ", func(s *SharesConfig) { s.Pauses, s.ClockRates = 1, []float64{1.008, 0.992} })
+	concurrency("three keepers, one leaves", func(s *SharesConfig) { s.Routers, s.Replicas, s.Leaves = 3, 3, 1 })
+	concurrency("three keepers, many kills", func(s *SharesConfig) { s.Routers, s.Replicas, s.Kills, s.Pauses, s.Window = 3, 3, 12, 4, 2 })
+	concurrency("a firm part", func(s *SharesConfig) { s.Total, s.Kills, s.Settings.FixedFraction = 4, 2, 0.5 })
+	concurrency("all of it", func(s *SharesConfig) {
 		s.Routers, s.Replicas, s.Kills, s.Pauses, s.DelayedUses, s.Duplicates, s.Leaves, s.MaxInFlight = 4, 3, 12, 12, 20, 40, 6, 10
 		s.Total, s.Settings.FixedFraction = 6, 0.25
 		s.ClockRates = []float64{1.008, 0.992, 1, 1.004}
