--- a/internal/explore/cmd/main.go
+++ b/internal/explore/cmd/main.go
@@ -1,8 +1,9 @@
-// Command cmd explores small worlds of routers that divide a whole, and prints what came of it:
+// Command cmd explores small worlds of routers that share a quota, and prints the results. It exits with 1 if an invariant is violated
+// or, with -defects, if a defect is not found:
 //
-//	go run ./internal/explore/cmd -states 200000           # all that may happen
-//	go run ./internal/explore/cmd -walks 20000             # at random, in worlds that are beyond that
-//	go run ./internal/explore/cmd -defects -walks 20000    # with each defect on purpose: by how many steps it is found
+//	go run ./internal/explore/cmd -states 200000           # every order of events, up to a number of states
+//	go run ./internal/explore/cmd -walks 20000             # random walks, for worlds that are too large for that
+//	go run ./internal/explore/cmd -defects -walks 20000    # with each defect put in on purpose: after how many steps it is found
 package main
 
 import (
@@ -26,15 +27,15 @@
 
 func main() {
 	var o options
-	flag.IntVar(&o.states, "states", 100000, "of each world, at the most")
+	flag.IntVar(&o.states, "states", 100000, "maximum `number` of states of each world")
 	flag.IntVar(&o.depth, "depth", 40, "at the most")
-	flag.IntVar(&o.walks, "walks", 0, "at random, of 300 steps, in each world, in place of all that may happen")
-	flag.StringVar(&o.only, "only", "", "worlds whose name has this in it")
-	flag.IntVar(&o.parallelism, "beside", 2, "worlds, or defects, beside each other")
-	hunt := flag.Bool("defects", false, "put each defect of defects.toml in and look for it")
+	flag.IntVar(&o.walks, "walks", 0, "`number` of random walks of 300 steps in each world, in place of every order of events")
+	flag.StringVar(&o.only, "only", "", "explore only worlds whose name contains this `text`")
+	flag.IntVar(&o.parallelism, "beside", 2, "`number` of worlds or defects explored in parallel")
+	defects := flag.Bool("defects", false, "build with each defect of defects.toml and check that it is found")
 	flag.Parse()
 	ok := true
-	if *hunt {
+	if *defects {
 		ok = o.findDefects()
 	} else {
 		ok = o.explore()
@@ -44,6 +45,7 @@
 	}
 }
 
+// explore explores the selected worlds, prints a line for each, and reports whether no invariant was violated.
 func (o options) explore() bool {
 	var worlds []explore.NamedWorld
 	for _, w := range explore.Worlds() {
@@ -51,60 +53,60 @@
 			worlds = append(worlds, w)
 		}
 	}
-	said, broken := make([]string, len(worlds)), make([]bool, len(worlds))
+	lines, violated := make([]string, len(worlds)), make([]bool, len(worlds))
 	parallel.Each(o.parallelism, len(worlds), func(i int) {
-		w, from := worlds[i], time.Now()
-		var f explore.Result
+		w, startedAt := worlds[i], time.Now()
+		var result explore.Result
 		if o.walks > 0 {
-			f = explore.RandomWalks(w.New, 1, o.walks, 300)
+			result = explore.RandomWalks(w.New, 1, o.walks, 300)
 		} else {
-			f = explore.Explore(w.New, o.depth, o.states)
+			result = explore.Explore(w.New, o.depth, o.states)
 		}
-		said[i] = fmt.Sprintf("%-40s %8d  %8d  %5d  %7.1f  %t", w.Name, f.States, f.Steps, f.Depth, time.Since(from).Seconds(), f.Violation != "")
-		if broken[i] = f.Violation != ""; broken[i] {
-			said[i] += fmt.Sprintf(" in %d steps\n%s", len(f.Trace), explore.DescribeTrace(w.New, f.Trace, explore.DescribeEvent))
+		lines[i] = fmt.Sprintf("%-40s %8d  %8d  %5d  %7.1f  %t", w.Name, result.States, result.Steps, result.Depth, time.Since(startedAt).Seconds(), result.Violation != "")
+		if violated[i] = result.Violation != ""; violated[i] {
+			lines[i] += fmt.Sprintf(" in %d steps\n%s", len(result.Trace), explore.DescribeTrace(w.New, result.Trace, explore.DescribeEvent))
 		}
 	})
 	fmt.Println("world                                      states    events  depth  seconds  broken")
 	ok := true
-	for i, text := range said {
-		fmt.Println(text)
-		ok = ok && !broken[i]
+	for i, line := range lines {
+		fmt.Println(line)
+		ok = ok && !violated[i]
 	}
 	return ok
 }
 
-// findDefects builds this command with each defect and lets it look.
+// findDefects builds this command with each defect, runs it on the defect's worlds, and reports whether every defect was found.
 func (o options) findDefects() bool {
-	all, err := explore.Defects()
+	defects, err := explore.Defects()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "explore:", err)
 		return false
 	}
-	folder, err := os.MkdirTemp("", "explore")
+	directory, err := os.MkdirTemp("", "explore")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "explore:", err)
 		return false
 	}
-	defer os.RemoveAll(folder)
-	found := make([]bool, len(all))
-	parallel.Each(o.parallelism, len(all), func(i int) {
-		d, program := all[i], filepath.Join(folder, fmt.Sprint(i))
+	defer os.RemoveAll(directory)
+	found := make([]bool, len(defects))
+	parallel.Each(o.parallelism, len(defects), func(i int) {
+		d, program := defects[i], filepath.Join(directory, fmt.Sprint(i))
 		if err := d.Build(".", "./internal/explore/cmd", program); err != nil {
 			fmt.Println(err)
 			return
 		}
-		out, _ := exec.Command(program, "-walks", fmt.Sprint(o.walks), "-states", fmt.Sprint(o.states), "-only", d.World, "-beside", "1").Output() //nolint:errcheck // it fails where it finds
-		said := "not found"
+		out, _ := exec.Command(program, "-walks", fmt.Sprint(o.walks), "-states", fmt.Sprint(o.states), "-only", d.World, "-beside", "1").Output() //nolint:errcheck // it exits with 1 if it finds a violation
+		outcome := "not found"
 		for _, line := range strings.Split(string(out), "\n") {
-			if world, how, is := strings.Cut(line, "true in "); is && !found[i] {
-				found[i], said = true, fmt.Sprintf("found in %s, in the world %q", how, strings.TrimSpace(world[:min(40, len(world))]))
+			if world, steps, violated := strings.Cut(line, "true in "); violated && !found[i] {
+				found[i], outcome = true, fmt.Sprintf("found in %s, in the world %q", steps, strings.TrimSpace(world[:min(40, len(world))]))
 			}
 		}
-		fmt.Printf("%s: %s\n", d.Name, said)
+		fmt.Printf("%s: %s\n", d.Name, outcome)
 	})
-	for _, is := range found {
-		if !is {
+	for _, ok := range found {
+		if !ok {
 			return false
 		}
 	}
--- a/internal/explore/defects.go
+++ b/internal/explore/defects.go
@@ -9,5 +9,5 @@
 //go:embed defects.toml
 var defectsText []byte
 
-// Defects are those that have to be found.
+// Defects returns the defects of defects.toml, which the exploration has to find.
 func Defects() ([]defects.Defect, error) { return defects.Read(defectsText) }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -7,30 +7,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A part of what the command explores.
+// No order of events lets the routers exceed the total. It explores a part of what the command does, for its run time.
 func TestNoEventOrderExceedsTheTotal(t *testing.T) {
 	for _, w := range Worlds() {
 		t.Run(w.Name, func(t *testing.T) {
 			t.Parallel()
-			f := Explore(w.New, 30, 4000)
-			require.Empty(t, f.Violation, DescribeTrace(w.New, f.Trace, DescribeEvent))
-			assert.Greater(t, f.States, 2000)
-			walked := RandomWalks(w.New, 1, 100, 300)
-			require.Empty(t, walked.Violation, DescribeTrace(w.New, walked.Trace, DescribeEvent))
-			t.Logf("%d states, %d events tried, all to a depth of %d", f.States, f.Steps, f.Depth)
+			result := Explore(w.New, 30, 4000)
+			require.Empty(t, result.Violation, DescribeTrace(w.New, result.Trace, DescribeEvent))
+			assert.Greater(t, result.States, 2000)
+			walks := RandomWalks(w.New, 1, 100, 300)
+			require.Empty(t, walks.Violation, DescribeTrace(w.New, walks.Trace, DescribeEvent))
+			t.Logf("%d states, %d events tried, every order up to a depth of %d", result.States, result.Steps, result.Depth)
 		})
 	}
 }
 
-// A whole that is larger by less than a use takes is one that two uses pass: what is looked at is seen.
+// The invariant is really checked: if it is checked with a total of 1.5 while the machines share out 2, two uses of one unit violate it.
 func TestExceededTotalIsFound(t *testing.T) {
 	s := Worlds()[0].SharesConfig
-	f := Explore(func() World {
+	result := Explore(func() World {
 		w := s.New().(*sharesWorld)
-		w.Total = 1.5 // the machines go by 2
+		w.Total = 1.5 // the machines have a total of 2
 		return w
 	}, 30, 8000)
-	require.NotEmpty(t, f.Violation)
-	assert.Contains(t, DescribeTrace(s.New, f.Trace, DescribeEvent), "uses a unit")
-	t.Log(DescribeTrace(s.New, f.Trace, DescribeEvent))
+	require.NotEmpty(t, result.Violation)
+	assert.Contains(t, DescribeTrace(s.New, result.Trace, DescribeEvent), "uses a unit")
+	t.Log(DescribeTrace(s.New, result.Trace, DescribeEvent))
 }
