--- a/internal/crowd/cmd/main.go
+++ b/internal/crowd/cmd/main.go
@@ -63,8 +63,8 @@
 		results[i] = make([]crowd.Measure, cells[i].seeds)
 		for s := range cells[i].seeds {
 			todo = append(todo, func() {
-				results[i][s] = crowd.Death(crowd.Options{Routers: cells[i].routers, Seed: uint64(s + 1), Loss: cells[i].loss, Slow: cells[i].slow, Late: late,
-					Together: cells[i].routers >= 1000}) // their start is looked at on its own
+				results[i][s] = crowd.MeasureDeath(crowd.Options{Routers: cells[i].routers, Seed: uint64(s + 1), Loss: cells[i].loss, SlowFraction: cells[i].slow, SlowDelay: late,
+					PreJoined: cells[i].routers >= 1000}) // their start is looked at on its own
 			})
 		}
 	}
@@ -76,12 +76,12 @@
 		var half, all, agreed []float64
 		never, falsely, told, hours, packets, bytes := 0, 0, 0, 0.0, 0.0, 0.0
 		for _, m := range results[i] {
-			if m.All < 0 || m.Agreed < 0 {
+			if m.AllKnown < 0 || m.Agreed < 0 {
 				never++
 			}
-			half, all, agreed = append(half, m.Half), append(all, m.All), append(agreed, m.Agreed)
-			falsely, told, hours = falsely+m.False, told+m.Told, hours+m.Hours
-			packets, bytes = packets+m.Packets/float64(c.seeds), bytes+m.Bytes/float64(c.seeds)
+			half, all, agreed = append(half, m.HalfKnown), append(all, m.AllKnown), append(agreed, m.Agreed)
+			falsely, told, hours = falsely+m.FalseDeaths, told+m.FalseDeathReports, hours+m.RouterHours
+			packets, bytes = packets+m.PacketRate/float64(c.seeds), bytes+m.ByteRate/float64(c.seeds)
 		}
 		for _, list := range [][]float64{half, all, agreed} {
 			slices.Sort(list)
@@ -99,25 +99,25 @@
 	var todo []func()
 	for s := range n {
 		todo = append(todo, func() {
-			results[s] = crowd.Quiet(crowd.Options{Routers: routers, Seed: uint64(5000 + s), Loss: 0.05}, seconds)
+			results[s] = crowd.MeasureQuiet(crowd.Options{Routers: routers, Seed: uint64(5000 + s), Loss: 0.05}, seconds)
 		})
 	}
 	parallel.Each(cores, len(todo), func(i int) { todo[i]() })
 	var sum crowd.Measure
 	for _, m := range results {
-		sum.Hours, sum.False, sum.Told = sum.Hours+m.Hours, sum.False+m.False, sum.Told+m.Told
+		sum.RouterHours, sum.FalseDeaths, sum.FalseDeathReports = sum.RouterHours+m.RouterHours, sum.FalseDeaths+m.FalseDeaths, sum.FalseDeathReports+m.FalseDeathReports
 	}
-	fmt.Printf("%d plays of %d routers, %.0f router-hours at 5%% loss: %d false deaths, heard by %d\n", n, routers, sum.Hours, sum.False, sum.Told)
+	fmt.Printf("%d plays of %d routers, %.0f router-hours at 5%% loss: %d false deaths, heard by %d\n", n, routers, sum.RouterHours, sum.FalseDeaths, sum.FalseDeathReports)
 }
 
 // divided prints what parts that move come to.
 func divided(sizes []int, seeds, cores int) {
 	seeds = max(seeds, 1)
-	results := make([]crowd.Parts, len(sizes)*seeds)
+	results := make([]crowd.QuotaMeasure, len(sizes)*seeds)
 	var todo []func()
 	for i, n := range sizes {
 		for s := range seeds {
-			todo = append(todo, func() { results[i*seeds+s] = crowd.MeasureParts(n, uint64(s+1)) })
+			todo = append(todo, func() { results[i*seeds+s] = crowd.MeasureQuota(n, uint64(s+1)) })
 		}
 	}
 	slices.Reverse(todo)
@@ -125,12 +125,12 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "routers\tused\tidle\tuneven\tfixed\tsmall (median, 99%)\theavy (median, 99%)\tsent\tfixed\tnewcomer\tbursar dead\tdead's part\tpackets/s\tbytes/s\tmost")
 	for _, p := range results {
-		fmt.Fprintf(t, "%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f %.4f\t%.4f %.4f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.3f\n", p.Routers, p.Used, p.Idle, p.Uneven, p.Fixed,
-			p.Small[0], p.Small[1], p.Heavy[0], p.Heavy[1], p.Sent, p.Plain, p.Comes, p.Bursar, p.Dead, p.Packets, p.Bytes, p.Most)
+		fmt.Fprintf(t, "%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f %.4f\t%.4f %.4f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.3f\n", p.Routers, p.Used, p.Idle, p.SkewedUsed, p.FixedUsed,
+			p.SmallWait[0], p.SmallWait[1], p.LargeWait[0], p.LargeWait[1], p.LargeSent, p.FixedLargeSent, p.NewcomerWait, p.CoordinatorGap, p.ReclaimTime, p.PacketRate, p.ByteRate, p.PeakShare)
 	}
 	t.Flush()
 	for _, p := range results {
-		for _, b := range p.Broken {
+		for _, b := range p.Violations {
 			fmt.Println(p.Routers, "routers:", b)
 		}
 	}
--- a/internal/crowd/crowd_test.go
+++ b/internal/crowd/crowd_test.go
@@ -9,271 +9,271 @@
 	"pitchfield/internal/membership"
 )
 
-func settled(t *testing.T, o Options) *Crowd {
-	c := New(o)
-	c.StartAll()
-	c.Run(1.1)
-	took := c.UntilAgreed(60)
+func newSettled(t *testing.T, o Options) *Simulation {
+	sim := New(o)
+	sim.StartAll()
+	sim.Run(1.1)
+	took := sim.RunUntilAgreed(60)
 	require.Greater(t, took, 0.0, "they never found each other")
-	return c
+	return sim
 }
 
 func TestRoutersFindEachOtherBySeeds(t *testing.T) {
 	for _, n := range []int{2, 3, 12, 60, 300} {
-		c := settled(t, Options{Routers: n, Seed: uint64(n)})
-		t.Logf("%d routers agree after %.1f s", n, c.Now-epoch)
+		sim := newSettled(t, Options{Routers: n, Seed: uint64(n)})
+		t.Logf("%d routers agree after %.1f s", n, sim.Now-epoch)
 	}
 }
 
-func TestADeathIsKnownToAll(t *testing.T) {
+func TestDeathIsDetectedByAll(t *testing.T) {
 	for _, n := range []int{3, 12, 60, 300} {
-		c := settled(t, Options{Routers: n, Seed: 7})
-		c.Kill(c.Nodes[n/3])
-		took := c.UntilAgreed(30)
+		sim := newSettled(t, Options{Routers: n, Seed: 7})
+		sim.Kill(sim.Nodes[n/3])
+		took := sim.RunUntilAgreed(30)
 		t.Logf("%d routers agree %.1f s after a death", n, took)
 		assert.Greater(t, took, 0.0)
 	}
 }
 
-func TestMostKilledAtOnceAndBack(t *testing.T) {
+func TestMostKilledAtOnceAndRestarted(t *testing.T) {
 	for _, n := range []int{5, 12, 100} {
-		c := settled(t, Options{Routers: n, Seed: 9})
+		sim := newSettled(t, Options{Routers: n, Seed: 9})
 		for i := range n * 7 / 10 {
-			c.Kill(c.Nodes[n-1-i])
+			sim.Kill(sim.Nodes[n-1-i])
 		}
-		c.Run(20)
-		for _, l := range c.Living() {
+		sim.Run(20)
+		for _, l := range sim.Running() {
 			assert.Equal(t, membership.CutOff, l.Machine.Certainty(), "whether they died or are cut off can't be known")
-			assert.Len(t, c.Living(), l.Machine.Count())
+			assert.Len(t, sim.Running(), l.Machine.Count())
 		}
 		for i := range n * 7 / 10 {
-			c.Start(c.Nodes[n-1-i])
+			sim.Start(sim.Nodes[n-1-i])
 		}
-		took := c.UntilAgreed(60)
+		took := sim.RunUntilAgreed(60)
 		t.Logf("%d routers agree %.1f s after most are back", n, took)
 		assert.Greater(t, took, 0.0)
 	}
 }
 
-func TestHalvesMeetAgain(t *testing.T) {
-	c := settled(t, Options{Routers: 20, Seed: 3})
+func TestHalvesMergeAfterPartition(t *testing.T) {
+	sim := newSettled(t, Options{Routers: 20, Seed: 3})
 	half := map[*Node]bool{}
-	for _, n := range c.Nodes[:9] {
+	for _, n := range sim.Nodes[:9] {
 		half[n] = true
 	}
-	c.Cut(func(a, b *Node) bool { return half[a] == half[b] })
-	c.Run(20)
-	assert.Equal(t, membership.CutOff, c.Nodes[0].Machine.Certainty())
-	assert.Equal(t, 9, c.Nodes[0].Machine.Count())
-	assert.Equal(t, membership.Settled, c.Nodes[19].Machine.Certainty(), "the larger half goes on")
-	c.Cut(nil)
-	took := c.UntilAgreed(120)
+	sim.Partition(func(a, b *Node) bool { return half[a] == half[b] })
+	sim.Run(20)
+	assert.Equal(t, membership.CutOff, sim.Nodes[0].Machine.Certainty())
+	assert.Equal(t, 9, sim.Nodes[0].Machine.Count())
+	assert.Equal(t, membership.Settled, sim.Nodes[19].Machine.Certainty(), "the larger half goes on")
+	sim.Partition(nil)
+	took := sim.RunUntilAgreed(120)
 	t.Logf("agreed %.1f s after the cut healed", took)
 	assert.Greater(t, took, 0.0)
 }
 
-// group tells by a list of sizes which part of the crowd a router is in.
-func group(c *Crowd, sizes ...int) map[*Node]int {
+// assignGroups tells by a list of sizes which part of the crowd a router is in.
+func assignGroups(sim *Simulation, sizes ...int) map[*Node]int {
 	out, i := map[*Node]int{}, 0
 	for part, size := range sizes {
 		for range size {
-			out[c.Nodes[i]] = part
+			out[sim.Nodes[i]] = part
 			i++
 		}
 	}
 	return out
 }
 
-func agrees(t *testing.T, c *Crowd, within float64, why string) {
-	took := c.UntilAgreed(within)
+func assertAgrees(t *testing.T, sim *Simulation, within float64, why string) {
+	took := sim.RunUntilAgreed(within)
 	assert.GreaterOrEqual(t, took, 0.0, why)
 	t.Logf("%s: agreed after %.1f s", why, took)
 }
 
-func TestCutsOfAllKindsHeal(t *testing.T) {
-	for name, passes := range map[string]func(c *Crowd, in map[*Node]int) func(a, b *Node) bool{
-		"thirds": func(_ *Crowd, in map[*Node]int) func(a, b *Node) bool {
+func TestAllPartitionKindsHeal(t *testing.T) {
+	for name, passes := range map[string]func(sim *Simulation, in map[*Node]int) func(a, b *Node) bool{
+		"thirds": func(_ *Simulation, in map[*Node]int) func(a, b *Node) bool {
 			return func(a, b *Node) bool { return in[a] == in[b] }
 		},
-		"one way": func(_ *Crowd, in map[*Node]int) func(a, b *Node) bool {
+		"one way": func(_ *Simulation, in map[*Node]int) func(a, b *Node) bool {
 			return func(a, b *Node) bool { return in[a] <= in[b] }
 		},
-		"one off": func(c *Crowd, _ map[*Node]int) func(a, b *Node) bool {
-			return func(a, b *Node) bool { return a != c.Nodes[3] && b != c.Nodes[3] }
+		"one off": func(sim *Simulation, _ map[*Node]int) func(a, b *Node) bool {
+			return func(a, b *Node) bool { return a != sim.Nodes[3] && b != sim.Nodes[3] }
 		},
-		"one is deaf": func(c *Crowd, _ map[*Node]int) func(a, b *Node) bool {
-			return func(_, b *Node) bool { return b != c.Nodes[3] }
+		"one is deaf": func(sim *Simulation, _ map[*Node]int) func(a, b *Node) bool {
+			return func(_, b *Node) bool { return b != sim.Nodes[3] }
 		},
 	} {
-		c := settled(t, Options{Routers: 15, Seed: 4})
-		c.Cut(passes(c, group(c, 5, 5, 5)))
-		c.Run(25)
-		c.Cut(nil)
-		agrees(t, c, 120, name)
+		sim := newSettled(t, Options{Routers: 15, Seed: 4})
+		sim.Partition(passes(sim, assignGroups(sim, 5, 5, 5)))
+		sim.Run(25)
+		sim.Partition(nil)
+		assertAgrees(t, sim, 120, name)
 	}
 }
 
 // Two that can't hear each other while all others hear both: nobody is given up for it.
-func TestOneLinkThatIsCutCostsNobodyHisPlace(t *testing.T) {
-	c := settled(t, Options{Routers: 12, Seed: 5})
+func TestOneBrokenLinkCausesNoFalseDeath(t *testing.T) {
+	sim := newSettled(t, Options{Routers: 12, Seed: 5})
 	var m Measure
-	*c.falseDeaths(&m) = true
-	c.Cut(func(a, b *Node) bool { return a != c.Nodes[2] || b != c.Nodes[7] })
-	c.Run(120)
-	assert.Zero(t, m.False)
-	agrees(t, c, 5, "with the link still cut")
+	*sim.watchFalseDeaths(&m) = true
+	sim.Partition(func(a, b *Node) bool { return a != sim.Nodes[2] || b != sim.Nodes[7] })
+	sim.Run(120)
+	assert.Zero(t, m.FalseDeaths)
+	assertAgrees(t, sim, 5, "with the link still cut")
 }
 
-func TestAllRestartedATenthAtATime(t *testing.T) {
-	c := settled(t, Options{Routers: 30, Seed: 6})
+func TestRollingRestart(t *testing.T) {
+	sim := newSettled(t, Options{Routers: 30, Seed: 6})
 	for i := range 10 {
-		for _, n := range c.Nodes[3*i : 3*i+3] {
-			c.Leave(n)
-			c.After(1, func() { c.Start(n) })
+		for _, n := range sim.Nodes[3*i : 3*i+3] {
+			sim.Leave(n)
+			sim.After(1, func() { sim.Start(n) })
 		}
-		c.Run(2)
+		sim.Run(2)
 	}
-	agrees(t, c, 30, "after a rolling restart")
+	assertAgrees(t, sim, 30, "after a rolling restart")
 }
 
-func TestOneThatFlapsIsTakenAsItIsInTheEnd(t *testing.T) {
-	c := settled(t, Options{Routers: 12, Seed: 7})
+func TestFlappingRouterConverges(t *testing.T) {
+	sim := newSettled(t, Options{Routers: 12, Seed: 7})
 	for range 20 {
-		c.Kill(c.Nodes[5])
-		c.Run(1.5)
-		c.Start(c.Nodes[5])
-		c.Run(1.5)
+		sim.Kill(sim.Nodes[5])
+		sim.Run(1.5)
+		sim.Start(sim.Nodes[5])
+		sim.Run(1.5)
 	}
-	agrees(t, c, 30, "after a minute of flapping")
+	assertAgrees(t, sim, 30, "after a minute of flapping")
 }
 
 // A process that was stopped goes on in the belief of half a minute ago: it accuses nobody for that, and is not sure until it
 // has heard of others.
-func TestAPauseIsNotHeldAgainstOthers(t *testing.T) {
-	c := settled(t, Options{Routers: 12, Seed: 8})
+func TestPausedRouterAccusesNobody(t *testing.T) {
+	sim := newSettled(t, Options{Routers: 12, Seed: 8})
 	var m Measure
-	c.Pause(c.Nodes[4])
-	c.Run(30)
-	for _, n := range c.Living() {
-		assert.False(t, n.Machine.Contains(c.Nodes[4].Name))
+	sim.Pause(sim.Nodes[4])
+	sim.Run(30)
+	for _, n := range sim.Running() {
+		assert.False(t, n.Machine.Contains(sim.Nodes[4].Name))
 	}
-	*c.falseDeaths(&m) = true
-	c.Go(c.Nodes[4])
-	assert.NotEqual(t, membership.Settled, c.Nodes[4].Machine.Certainty())
-	agrees(t, c, 30, "after the pause")
-	assert.Zero(t, m.False)
-	assert.Greater(t, c.Nodes[4].Machine.View().Members[c.Nodes[4].Machine.View().SelfIndex].Incarnation, uint32(0), "it has refuted")
+	*sim.watchFalseDeaths(&m) = true
+	sim.Resume(sim.Nodes[4])
+	assert.NotEqual(t, membership.Settled, sim.Nodes[4].Machine.Certainty())
+	assertAgrees(t, sim, 30, "after the pause")
+	assert.Zero(t, m.FalseDeaths)
+	assert.Greater(t, sim.Nodes[4].Machine.View().Members[sim.Nodes[4].Machine.View().SelfIndex].Incarnation, uint32(0), "it has refuted")
 }
 
 // The newer start of a name has it. The older says so, is alone, and takes the name again when the newer is gone.
-func TestANameUsedTwice(t *testing.T) {
-	c := settled(t, Options{Routers: 6, Seed: 9})
-	older := c.Nodes[2]
-	newer := &Node{Name: older.Name, Address: "10.0.0.7:7500", crowd: c}
-	c.Nodes = append(c.Nodes, newer)
-	c.Start(newer)
-	c.Run(10)
+func TestDuplicateName(t *testing.T) {
+	sim := newSettled(t, Options{Routers: 6, Seed: 9})
+	older := sim.Nodes[2]
+	newer := &Node{Name: older.Name, Address: "10.0.0.7:7500", sim: sim}
+	sim.Nodes = append(sim.Nodes, newer)
+	sim.Start(newer)
+	sim.Run(10)
 	assert.Equal(t, membership.Alone, older.Machine.Certainty())
-	for _, n := range c.Nodes {
+	for _, n := range sim.Nodes {
 		if n != older {
 			assert.Equal(t, 6, n.Machine.Count())
 			assert.Equal(t, membership.Settled, n.Machine.Certainty(), n.Address)
 		}
 	}
-	c.Kill(newer)
-	agrees(t, c, 12, "the older alone has the name") // it took 24 s with real processes: the next call at a seed was far off
+	sim.Kill(newer)
+	assertAgrees(t, sim, 12, "the older alone has the name") // it took 24 s with real processes: the next call at a seed was far off
 }
 
 // A clock that was set back gives a smaller start: at the same address it can only be the same router.
-func TestAStartThatIsTooSmallIsRaised(t *testing.T) {
-	c := settled(t, Options{Routers: 5, Seed: 10})
-	n := c.Nodes[1]
+func TestSmallerStartNumberIsRaised(t *testing.T) {
+	sim := newSettled(t, Options{Routers: 5, Seed: 10})
+	n := sim.Nodes[1]
 	before := n.Machine.SelfID().Start
-	c.Kill(n)
-	s := c.Settings
-	s.Self, s.Listen, s.Seeds = membership.ID{Name: n.Name, Start: before - 5000}, n.Address, []string{c.Nodes[0].Address}
-	n.Machine = membership.New(s, 1, c.Now)
-	n.plan()
-	agrees(t, c, 30, "though its start was smaller")
+	sim.Kill(n)
+	s := sim.Settings
+	s.Self, s.Listen, s.Seeds = membership.ID{Name: n.Name, Start: before - 5000}, n.Address, []string{sim.Nodes[0].Address}
+	n.Machine = membership.New(s, 1, sim.Now)
+	n.scheduleWake()
+	assertAgrees(t, sim, 30, "though its start was smaller")
 	assert.Greater(t, n.Machine.SelfID().Start, before)
 }
 
-func TestSeedsThatAreAllDownCostOnlyTime(t *testing.T) {
-	c := New(Options{Routers: 6, Seed: 11})
-	for _, n := range c.Nodes[1:] {
-		if n != c.Nodes[3] {
-			c.Start(n)
+func TestJoinAfterAllSeedsWereDown(t *testing.T) {
+	sim := New(Options{Routers: 6, Seed: 11})
+	for _, n := range sim.Nodes[1:] {
+		if n != sim.Nodes[3] {
+			sim.Start(n)
 		}
 	}
-	c.Run(20)
-	for _, n := range c.Living() {
+	sim.Run(20)
+	for _, n := range sim.Running() {
 		assert.Equal(t, membership.Alone, n.Machine.Certainty(), "nobody is found")
 	}
-	c.Start(c.Nodes[0])
-	c.Start(c.Nodes[3])
-	agrees(t, c, 30, "once a seed is there")
+	sim.Start(sim.Nodes[0])
+	sim.Start(sim.Nodes[3])
+	assertAgrees(t, sim, 30, "once a seed is there")
 }
 
 // All restarted while a cut lay between two pairs: each pair found itself and no other, and had nothing to miss.
-func TestPairsThatNeverKnewEachOtherFindTheSeeds(t *testing.T) {
-	c := New(Options{Routers: 4, Seed: 12}) // seeds are the first and the third
-	c.Cut(func(a, b *Node) bool {
-		return (a == c.Nodes[1] || a == c.Nodes[3]) == (b == c.Nodes[1] || b == c.Nodes[3])
+func TestSeparatePairsMergeThroughSeeds(t *testing.T) {
+	sim := New(Options{Routers: 4, Seed: 12}) // seeds are the first and the third
+	sim.Partition(func(a, b *Node) bool {
+		return (a == sim.Nodes[1] || a == sim.Nodes[3]) == (b == sim.Nodes[1] || b == sim.Nodes[3])
 	})
-	c.StartAll()
-	one, other := c.Nodes[1], c.Nodes[3]
-	c.After(1.1, func() {
-		one.Machine.Receive(c.Now, &membership.Message{Kind: membership.Gossip, From: other.Machine.SelfMember()})
+	sim.StartAll()
+	one, other := sim.Nodes[1], sim.Nodes[3]
+	sim.After(1.1, func() {
+		one.Machine.Receive(sim.Now, &membership.Message{Kind: membership.Gossip, From: other.Machine.SelfMember()})
 	})
-	c.Run(5)
+	sim.Run(5)
 	assert.Equal(t, 2, one.Machine.Count())
-	c.Cut(nil)
-	agrees(t, c, 8, "pairs")
+	sim.Partition(nil)
+	assertAgrees(t, sim, 8, "pairs")
 }
 
 // Whatever goes wrong, drawn by a seed: when it has ended, all that run agree.
-func TestWhateverGoesWrongTheyAgreeAfterwards(t *testing.T) {
+func TestAgreementAfterRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
-		c := settled(t, Options{Routers: 5 + int(seed)*2, Seed: 100 + seed, Loss: 0.05 * float64(seed%4)})
+		sim := newSettled(t, Options{Routers: 5 + int(seed)*2, Seed: 100 + seed, Loss: 0.05 * float64(seed%4)})
 		for range 8 {
-			n := c.Nodes[c.chance.IntN(len(c.Nodes))]
-			switch c.chance.IntN(6) {
+			n := sim.Nodes[sim.rng.IntN(len(sim.Nodes))]
+			switch sim.rng.IntN(6) {
 			case 0:
-				c.Kill(n)
+				sim.Kill(n)
 			case 1:
-				c.Kill(n)
-				c.Start(n)
+				sim.Kill(n)
+				sim.Start(n)
 			case 2:
 				if n.Machine != nil && !n.Paused {
-					c.Leave(n)
+					sim.Leave(n)
 				}
 			case 3:
 				if n.Machine != nil {
-					c.Pause(n)
+					sim.Pause(n)
 				}
 			case 4:
-				in := group(c, len(c.Nodes)/2)
-				oneWay := c.chance.IntN(2) == 0
-				c.Cut(func(a, b *Node) bool {
+				in := assignGroups(sim, len(sim.Nodes)/2)
+				oneWay := sim.rng.IntN(2) == 0
+				sim.Partition(func(a, b *Node) bool {
 					_, x := in[a]
 					_, y := in[b]
 					return x == y || oneWay && x
 				})
 			case 5:
-				c.Cut(nil)
+				sim.Partition(nil)
 			}
-			c.Run(4 * c.chance.Float64())
+			sim.Run(4 * sim.rng.Float64())
 		}
-		c.Cut(nil)
-		for _, n := range c.Nodes {
-			c.Go(n)
-			if n.Machine == nil && c.chance.IntN(3) > 0 {
-				c.Start(n)
+		sim.Partition(nil)
+		for _, n := range sim.Nodes {
+			sim.Resume(n)
+			if n.Machine == nil && sim.rng.IntN(3) > 0 {
+				sim.Start(n)
 			}
 		}
-		if len(c.Living()) < len(c.Nodes) { // who is missing may be cut off: that takes its time
-			c.Run(c.Settings.AcceptLossAfter)
+		if len(sim.Running()) < len(sim.Nodes) { // who is missing may be cut off: that takes its time
+			sim.Run(sim.Settings.AcceptLossAfter)
 		}
-		agrees(t, c, 180, "seed")
+		assertAgrees(t, sim, 180, "seed")
 	}
 }
--- a/internal/crowd/measure.go
+++ b/internal/crowd/measure.go
@@ -8,89 +8,89 @@
 
 // Measure is what a play came to.
 type Measure struct {
-	Half, All float64 // seconds until half and all others held a killed router for gone; below 0: not within a minute
-	Agreed    float64 // until all had settled without it
-	False     int     // deaths of living routers that somebody told on his own account, and
-	Told      int     // that somebody heard
-	Hours     float64 // router-hours that were played
-	Packets   float64 // a router and second, sent
-	Bytes     float64
-	Join      float64 // until all agreed after the start
+	HalfKnown, AllKnown float64 // seconds until half and all others held a killed router for gone; below 0: not within a minute
+	Agreed              float64 // until all had settled without it
+	FalseDeaths         int     // deaths of living routers that somebody told on his own account, and
+	FalseDeathReports   int     // that somebody heard
+	RouterHours         float64 // router-hours that were played
+	PacketRate          float64 // a router and second, sent
+	ByteRate            float64
+	JoinTime            float64 // until all agreed after the start
 }
 
 const (
-	calmed   = 40.0 // seconds until the rumours of a start have been told
-	measured = 10.0 // seconds over which packets are counted
-	patience = 60.0
+	settleSeconds  = 40.0 // seconds until the rumours of a start have been told
+	measureSeconds = 10.0 // seconds over which packets are counted
+	timeoutSeconds = 60.0
 )
 
-// Death plays a start, a quiet time, and one death.
-func Death(o Options) Measure {
+// MeasureDeath plays a start, a quiet time, and one death.
+func MeasureDeath(o Options) Measure {
 	var m Measure
-	c := begin(o, &m)
-	c.Run(calmed)
-	packets, bytes := c.Packets, c.Bytes
-	c.Run(measured)
-	m.Packets = float64(c.Packets-packets) / measured / float64(o.Routers)
-	m.Bytes = (c.Bytes - bytes) / measured / float64(o.Routers)
-	victim := c.Nodes[o.Routers/2+1]
-	c.Kill(victim)
-	from, half := c.Now, false
-	m.Half, m.All = -1, -1
-	for c.Now < from+patience && m.All < 0 {
-		c.Run(0.05)
+	sim := startConverged(o, &m)
+	sim.Run(settleSeconds)
+	packets, bytes := sim.Packets, sim.Bytes
+	sim.Run(measureSeconds)
+	m.PacketRate = float64(sim.Packets-packets) / measureSeconds / float64(o.Routers)
+	m.ByteRate = (sim.Bytes - bytes) / measureSeconds / float64(o.Routers)
+	victim := sim.Nodes[o.Routers/2+1]
+	sim.Kill(victim)
+	from, half := sim.Now, false
+	m.HalfKnown, m.AllKnown = -1, -1
+	for sim.Now < from+timeoutSeconds && m.AllKnown < 0 {
+		sim.Run(0.05)
 		know := 0
-		for _, n := range c.Living() {
+		for _, n := range sim.Running() {
 			if !n.Machine.Contains(victim.Name) {
 				know++
 			}
 		}
 		if !half && 2*know >= o.Routers-1 {
-			half, m.Half = true, c.Now-from
+			half, m.HalfKnown = true, sim.Now-from
 		}
 		if know == o.Routers-1 {
-			m.All = c.Now - from
+			m.AllKnown = sim.Now - from
 		}
 	}
-	m.Agreed = c.UntilAgreed(patience)
+	m.Agreed = sim.RunUntilAgreed(timeoutSeconds)
 	if m.Agreed >= 0 {
-		m.Agreed += max(m.All, 0)
+		m.Agreed += max(m.AllKnown, 0)
 	}
-	m.Hours = float64(o.Routers) * (c.Now - epoch) / 3600
+	m.RouterHours = float64(o.Routers) * (sim.Now - epoch) / 3600
 	return m
 }
 
-// begin starts all, waits until they agree, and counts false deaths from then on.
-func begin(o Options, m *Measure) *Crowd {
-	c := New(o)
-	watch := c.falseDeaths(m)
-	c.StartAll()
-	c.Run(1.1)
-	m.Join = 1.1 + c.UntilAgreed(patience)
+// startConverged starts all, waits until they agree, and counts false deaths from then on.
+func startConverged(o Options, m *Measure) *Simulation {
+	sim := New(o)
+	watch := sim.watchFalseDeaths(m)
+	sim.StartAll()
+	sim.Run(1.1)
+	m.JoinTime = 1.1 + sim.RunUntilAgreed(timeoutSeconds)
 	*watch = true
-	return c
+	return sim
 }
 
-// Quiet plays a fleet to which nothing happens for a time.
-func Quiet(o Options, seconds float64) Measure {
+// MeasureQuiet plays a fleet to which nothing happens for a time.
+func MeasureQuiet(o Options, seconds float64) Measure {
 	var m Measure
-	c := begin(o, &m)
-	from, packets, bytes := c.Now, c.Packets, c.Bytes
-	c.Run(seconds)
-	passed := c.Now - from
-	m.Packets, m.Bytes = float64(c.Packets-packets)/passed/float64(o.Routers), (c.Bytes-bytes)/passed/float64(o.Routers)
-	m.Hours = float64(o.Routers) * passed / 3600
+	sim := startConverged(o, &m)
+	from, packets, bytes := sim.Now, sim.Packets, sim.Bytes
+	sim.Run(seconds)
+	passed := sim.Now - from
+	m.PacketRate, m.ByteRate = float64(sim.Packets-packets)/passed/float64(o.Routers), (sim.Bytes-bytes)/passed/float64(o.Routers)
+	m.RouterHours = float64(o.Routers) * passed / 3600
 	return m
 }
 
-// falseDeaths counts those of routers that run, from when it is set on.
-func (c *Crowd) falseDeaths(m *Measure) *bool {
+// watchFalseDeaths counts those of routers that run, from when it is set on.
+func (sim *Simulation) watchFalseDeaths(m *Measure) *bool {
 	on := new(bool)
 	by := map[string]*Node{}
-	for _, n := range c.Nodes {
+	for _, n := range sim.Nodes {
 		by[n.Name] = n
 	}
-	c.OnNote = func(_ *Node, note membership.Note) {
+	sim.OnNote = func(_ *Node, note membership.Note) {
 		if !*on || note.Text != "member" {
 			return
 		}
@@ -102,8 +102,8 @@
 		}
 		name, _ := field("name").(string)
 		if n := by[name]; field("is") == membership.Dead.String() && n != nil && n.Machine != nil && !n.Paused {
-			if m.Told++; field("why") != "as told" {
-				m.False++
+			if m.FalseDeathReports++; field("why") != "as told" {
+				m.FalseDeaths++
 			}
 		}
 	}
--- /dev/null
+++ b/internal/crowd/measure_quota.go
@@ -0,0 +1,158 @@
+package crowd
+
+import (
+	"math"
+	"slices"
+
+	"pitchfield/internal/shares"
+)
+
+// QuotaMeasure is what plays of divided budgets came to, for a number of routers.
+type QuotaMeasure struct {
+	Routers        int
+	Used           float64    // of the wholes, within any window, where far more is wanted than there is
+	Idle           float64    // of the wholes, in hands and not used, meanwhile
+	SkewedUsed     float64    // used where nine in ten batches come to a tenth of the routers
+	FixedUsed      float64    // the same with the fixed division
+	SmallWait      [2]float64 // seconds until a batch is sent that there is room for: median, 99%
+	LargeWait      [2]float64 // the same of heavy ones, and
+	LargeSent      float64    // their share that was sent,
+	FixedLargeSent float64    // and with the fixed division
+	NewcomerWait   float64    // seconds until a newcomer's first batch is sent, without a firm part
+	CoordinatorGap float64    // seconds without any credit after the bursar's death, likewise
+	ReclaimTime    float64    // seconds until nothing counts any more that a dead router had
+	PacketRate     float64    // a router and second, beyond what membership sends, at one batch a second of each router
+	ByteRate       float64
+	PeakShare      float64 // of a whole, used within a window, in any of these plays
+	Violations     []string
+}
+
+const (
+	quotaTotal         = 6.0
+	quotaEngines       = 24
+	quotaSettleSeconds = 8.0
+	quotaRunSeconds    = 20.0
+)
+
+// MeasureQuota plays a number of routers through all of it.
+func MeasureQuota(routers int, seed uint64) QuotaMeasure {
+	out := QuotaMeasure{Routers: routers, NewcomerWait: -1, CoordinatorGap: -1, ReclaimTime: -1}
+	play := func(edit func(options *QuotaOptions)) *Simulation {
+		options := &QuotaOptions{Total: quotaTotal, Window: 1, Engines: quotaEngines, BatchRate: float64(routers), ClockDrift: 0.004, MaxWait: 3, Settings: shares.Defaults()}
+		edit(options)
+		sim := New(Options{Routers: routers, Seed: seed, Quota: options, PreJoined: true, Jitter: 0.0002})
+		sim.StartAll()
+		sim.Run(quotaSettleSeconds)
+		return sim
+	}
+	seen := func(sim *Simulation) {
+		out.PeakShare = max(out.PeakShare, sim.Stats.PeakShare)
+		out.Violations = append(out.Violations, sim.Stats.Violations...)
+	}
+	full := quotaEngines * quotaTotal / (quotaTotal * 0.022) // batches a second that want all there is
+	took := func(sim *Simulation) float64 {
+		sim.Stats.UsedShares, sim.Stats.IdleShares = nil, nil
+		sim.Run(quotaRunSeconds)
+		seen(sim)
+		return mean(sim.Stats.UsedShares)
+	}
+	sim := play(func(options *QuotaOptions) { options.BatchRate = 1.5 * full })
+	out.Used, out.Idle = took(sim), mean(sim.Stats.IdleShares)
+	out.SkewedUsed = took(play(func(options *QuotaOptions) { options.BatchRate, options.SkewFraction = 1.5*full, 0.1 }))
+	out.FixedUsed = took(play(func(options *QuotaOptions) {
+		options.BatchRate, options.SkewFraction, options.Fixed = 1.5*full, 0.1, true
+	}))
+
+	for _, fixed := range []bool{true, false} {
+		sim = play(func(options *QuotaOptions) {
+			options.BatchRate, options.LargeFraction, options.Fixed = 0.2*full, 0.05, fixed
+		})
+		sim.Stats.WaitTimes, sim.Stats.LargeWaitTimes, sim.Stats.Large = nil, nil, [2]int{}
+		sim.Run(quotaRunSeconds)
+		seen(sim)
+		share := float64(sim.Stats.Large[1]) / float64(max(sim.Stats.Large[0], 1))
+		if fixed {
+			out.FixedLargeSent = share
+			continue
+		}
+		out.LargeSent, out.SmallWait, out.LargeWait = share, medianAndP99(sim.Stats.WaitTimes), medianAndP99(sim.Stats.LargeWaitTimes)
+	}
+
+	unfirm := func(options *QuotaOptions) { options.BatchRate, options.Settings.FixedFraction = 0.5*full, 0 }
+	sim = play(unfirm)
+	if fresh := sim.Nodes[routers-1]; routers > 1 && !sim.isCoordinator(fresh) {
+		sim.Kill(fresh)
+		sim.Run(5)
+		sim.Start(fresh)
+		from, sent := sim.Now, sim.Stats.SentByRouter[fresh.Name]
+		for sim.Now < from+timeoutSeconds && out.NewcomerWait < 0 {
+			sim.Run(0.01)
+			if sim.Stats.SentByRouter[fresh.Name] > sent {
+				out.NewcomerWait = sim.Now - from
+			}
+		}
+	}
+	seen(sim)
+
+	sim = play(unfirm)
+	if i := slices.IndexFunc(sim.Nodes, sim.isCoordinator); i >= 0 && routers > 2 {
+		sim.Kill(sim.Nodes[i])
+		from, last := sim.Now, sim.Stats.Sent
+		sim.Run(0.5) // what was in hand is still used
+		for last = sim.Stats.Sent; sim.Now < from+timeoutSeconds && out.CoordinatorGap < 0; {
+			sim.Run(0.05)
+			if sim.Stats.Sent > last+routers/10 && slices.IndexFunc(sim.Nodes, sim.isCoordinator) >= 0 {
+				out.CoordinatorGap = sim.Now - from
+			}
+		}
+	}
+	seen(sim)
+
+	sim = play(unfirm)
+	if i := slices.IndexFunc(sim.Nodes, sim.isCoordinator); i >= 0 && routers > 1 {
+		victim := sim.Nodes[(i+1)%routers]
+		sim.Kill(victim)
+		from := sim.Now
+		for sim.Now < from+timeoutSeconds && out.ReclaimTime < 0 {
+			if sim.Nodes[i].quota.machine.Outstanding(victim.Name) == 0 {
+				out.ReclaimTime = sim.Now - from
+				break
+			}
+			sim.Run(0.05)
+		}
+	}
+	seen(sim)
+
+	rate := func(edit func(options *QuotaOptions)) (packets, bytes float64) {
+		sim := play(edit)
+		p, b := sim.Packets, sim.Bytes
+		sim.Run(quotaRunSeconds)
+		seen(sim)
+		n := quotaRunSeconds * float64(routers)
+		return float64(sim.Packets-p) / n, (sim.Bytes - b) / n
+	}
+	with, bytesWith := rate(func(*QuotaOptions) {})
+	without, bytesWithout := rate(func(options *QuotaOptions) { options.Fixed = true })
+	out.PacketRate, out.ByteRate = with-without, bytesWith-bytesWithout
+	return out
+}
+
+// isCoordinator tells whether a router has the office.
+func (sim *Simulation) isCoordinator(n *Node) bool {
+	return n.quota != nil && n.quota.machine != nil && n.quota.machine.State(n.localTime()).IsCoordinator
+}
+
+func mean(all []float64) (sum float64) {
+	for _, v := range all {
+		sum += v / float64(len(all))
+	}
+	return sum
+}
+
+func medianAndP99(all []float64) [2]float64 {
+	if len(all) == 0 {
+		return [2]float64{math.NaN(), math.NaN()}
+	}
+	slices.Sort(all)
+	return [2]float64{all[len(all)/2], all[len(all)*99/100]}
+}
