--- a/internal/crowd/cmd/main.go
+++ b/internal/crowd/cmd/main.go
@@ -1,7 +1,7 @@
-// Command cmd measures membership in simulated time, on all cores:
+// Command cmd measures membership and cold-start quota in simulated time, on all cores:
 //
 //	go run ./internal/crowd/cmd                       # deaths: 5 to 1,000 routers, losses, slow ones
-//	go run ./internal/crowd/cmd -hours 10000          # false deaths over so many router-hours at 5% loss
+//	go run ./internal/crowd/cmd -hours 10000          # false deaths over 10,000 router-hours at 5% loss
 package main
 
 import (
@@ -16,6 +16,7 @@
 	"pitchfield/internal/parallel"
 )
 
+// cell is one row of the table: a configuration and the number of seeds it is run with.
 type cell struct {
 	routers int
 	loss    float64
@@ -32,7 +33,7 @@
 	flag.Parse()
 	sizes := slices.DeleteFunc([]int{5, 50, 300, 1000}, func(n int) bool { return n > *largest })
 	if *parts {
-		divided(sizes, *seeds, *cores)
+		quotaTable(sizes, *seeds, *cores)
 		return
 	}
 	if *hours > 0 {
@@ -42,9 +43,11 @@
 	table(sizes, *seeds, *cores)
 }
 
-// late is by how much a slow router takes longer for each packet and each waking: some ten times a usual turn of its loop.
-const late = 0.05
+// slowDelay is the maximum extra delay, in seconds, of a slow router for each packet and each wake-up: about ten times a usual
+// iteration of its loop.
+const slowDelay = 0.05
 
+// table prints how deaths spread for each fleet size, loss rate and fraction of slow routers.
 func table(sizes []int, seeds, cores int) {
 	var cells []cell
 	for _, routers := range sizes {
@@ -63,12 +66,12 @@
 		results[i] = make([]crowd.Measure, cells[i].seeds)
 		for s := range cells[i].seeds {
 			todo = append(todo, func() {
-				results[i][s] = crowd.MeasureDeath(crowd.Options{Routers: cells[i].routers, Seed: uint64(s + 1), Loss: cells[i].loss, SlowFraction: cells[i].slow, SlowDelay: late,
-					PreJoined: cells[i].routers >= 1000}) // their start is looked at on its own
+				results[i][s] = crowd.MeasureDeath(crowd.Options{Routers: cells[i].routers, Seed: uint64(s + 1), Loss: cells[i].loss, SlowFraction: cells[i].slow, SlowDelay: slowDelay,
+					PreJoined: cells[i].routers >= 1000}) // the start of large fleets is measured separately
 			})
 		}
 	}
-	slices.Reverse(todo) // the long ones first
+	slices.Reverse(todo) // start the longest runs first
 	parallel.Each(cores, len(todo), func(i int) { todo[i]() })
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "routers\tloss\tslow\tseeds\thalf know (median)\tall know (median)\tall know (longest)\tsettled (median)\tnever\tfalse deaths\theard by\trouter-hours\tpackets/s\tbytes/s")
@@ -92,6 +95,7 @@
 	t.Flush()
 }
 
+// quiet prints the number of false deaths over a number of router-hours at 5% loss.
 func quiet(hours float64, cores int) {
 	const routers, seconds = 300, 600
 	n := int(hours*3600/routers/seconds) + 1
@@ -110,8 +114,8 @@
 	fmt.Printf("%d plays of %d routers, %.0f router-hours at 5%% loss: %d false deaths, heard by %d\n", n, routers, sum.RouterHours, sum.FalseDeaths, sum.FalseDeathReports)
 }
 
-// divided prints what parts that move come to.
-func divided(sizes []int, seeds, cores int) {
+// quotaTable prints the quota measurements for each fleet size and seed.
+func quotaTable(sizes []int, seeds, cores int) {
 	seeds = max(seeds, 1)
 	results := make([]crowd.QuotaMeasure, len(sizes)*seeds)
 	var todo []func()
--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -1,6 +1,7 @@
-// Package crowd plays what routers say to each other in simulated time: hundreds or thousands of the very state machines that
-// the program runs, on a network that loses, delays and cuts, by a seed. No batch and no engine is in it; the emulator has
-// those. The same options give the same play.
+// Package crowd simulates the peer messaging of hundreds or thousands of routers in simulated time. It runs the state machines
+// of the product (membership and cold-start quota) on a simulated network that loses, delays and partitions datagrams. All
+// randomness derives from a seed, so the same options give the same run. Real batches and engines are not part of it; the
+// emulator covers those. A Simulation must be used by one goroutine at a time.
 package crowd
 
 import (
@@ -13,68 +14,72 @@
 	"pitchfield/internal/talk"
 )
 
-// Options say what is played. Times are seconds.
+// Options configures a simulation. Times are in seconds.
 type Options struct {
 	Routers      int
 	Seed         uint64
-	Settings     membership.Settings // of each; zero: the defaults
-	Loss         float64             // share of datagrams
-	Latency      float64             // of a datagram; 0: half a millisecond
-	Jitter       float64             // up to so much more
-	SlowFraction float64             // share of the routers that
-	SlowDelay    float64             // take so much longer for each packet and each time they wake
-	PreJoined    bool                // all know each other at the start; else they join by two seeds
-	Duplication  float64             // share of datagrams that come twice
-	Quota        *QuotaOptions       // budgets that they divide; nil: none
+	Settings     membership.Settings // of each router; zero: the defaults
+	Loss         float64             // fraction of datagrams that are lost
+	Latency      float64             // minimum delivery time of a datagram; 0: 0.5 ms
+	Jitter       float64             // maximum random delay in addition to Latency
+	SlowFraction float64             // fraction of the routers that are slow
+	SlowDelay    float64             // maximum extra delay of a slow router for each packet and each wake-up
+	PreJoined    bool                // all routers know each other at the start; otherwise they join through two seeds
+	Duplication  float64             // fraction of datagrams that are delivered twice
+	Quota        *QuotaOptions       // cold-start quota that the routers divide; nil: none
 }
 
-// Simulation is a play that goes on.
+// Simulation is a running simulation of a fleet of routers.
 type Simulation struct {
 	Options
 	Now            float64
 	Nodes          []*Node
-	nodesByAddress map[string]*Node // that have started, by address
+	nodesByAddress map[string]*Node // routers that were started at least once
 	rng            *rand.Rand
 	events         eventQueue
 	eventSeq       uint64
 	startCount     uint64
-	linkOpen       func(from, to *Node) bool // whether a datagram passes; nil: all do
+	linkOpen       func(from, to *Node) bool // reports whether a datagram is delivered; nil: all are
 	Packets        int
-	Bytes          float64 // of all packets, from one in sixteen
-	EncodeErrors   int     // packets that could not be worded
-	// OnNote is told what each machine notes.
+	Bytes          float64 // estimated size of all packets; one packet in sizeSampleInterval is encoded
+	EncodeErrors   int     // sampled packets that could not be encoded
+	// OnNote, if set, receives each note (log entry) of each membership machine.
 	OnNote func(n *Node, note membership.Note)
-	Stats  *QuotaStats // of what is divided; nil: nothing is
+	Stats  *QuotaStats // quota statistics; nil without Options.Quota
 }
 
-// Node is a router of the crowd.
+// Node is one simulated router.
 type Node struct {
 	Name         string
 	Address      string
-	Machine      *membership.Machine // nil: no process runs
+	Machine      *membership.Machine // nil while the process is not running
 	Generation   int
 	Paused       bool
 	delay        float64
 	timerID      int
-	socketBuffer []talk.Message // that came while it was paused
+	socketBuffer []talk.Message // messages received while paused, delivered by Resume
 	sim          *Simulation
-	quota        *quotaClient // nil: nothing is divided
+	quota        *quotaClient // nil without Options.Quota
 	index        int
-	clockRate    float64 // of its clock
+	clockRate    float64 // clock rate relative to simulated time; 1 is exact
 }
 
 const (
-	epoch              = 1e6
+	// epoch is the simulated time, in seconds, at which each run starts.
+	epoch = 1e6
+	// sizeSampleInterval: one packet in this many is encoded to estimate the traffic in bytes.
 	sizeSampleInterval = 16
-	socketCapacity     = 256 // packets that wait for a process that stands still; more are lost
+	socketCapacity     = 256 // packets buffered for a paused process; further ones are lost
 )
 
+// event is an action scheduled for a simulated time.
 type event struct {
 	dueAt  float64
 	seq    uint64
 	action func()
 }
 
+// eventQueue is a heap of events, ordered by time and then by the order of scheduling.
 type eventQueue []event
 
 func (m eventQueue) Len() int { return len(m) }
@@ -83,10 +88,10 @@
 }
 func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
 
-// Push is the heap's.
+// Push implements heap.Interface.
 func (m *eventQueue) Push(x any) { *m = append(*m, x.(event)) }
 
-// Pop is the heap's.
+// Pop implements heap.Interface.
 func (m *eventQueue) Pop() any {
 	old := *m
 	last := old[len(old)-1]
@@ -95,7 +100,7 @@
 	return last
 }
 
-// New puts a crowd up; nobody has started.
+// New creates a simulation in which no router has been started.
 func New(o Options) *Simulation {
 	if o.Settings.ProbeInterval == 0 {
 		o.Settings = membership.Defaults()
@@ -121,13 +126,13 @@
 	return sim
 }
 
-// After does something later.
+// After schedules an action wait seconds from now; a negative wait counts as 0.
 func (sim *Simulation) After(wait float64, do func()) {
 	sim.eventSeq++
 	heap.Push(&sim.events, event{sim.Now + max(wait, 0), sim.eventSeq, do})
 }
 
-// Run plays on for some time.
+// Run advances the simulated time by the given number of seconds and runs all events that become due.
 func (sim *Simulation) Run(seconds float64) {
 	end := sim.Now + seconds
 	for len(sim.events) > 0 && sim.events[0].dueAt <= end {
@@ -138,7 +143,7 @@
 	sim.Now = end
 }
 
-// Start starts a process, with nothing remembered.
+// Start starts the process of a router without any state from an earlier run.
 func (sim *Simulation) Start(n *Node) {
 	sim.startCount++
 	sim.nodesByAddress[n.Address] = n
@@ -154,7 +159,8 @@
 	n.scheduleWake()
 }
 
-// StartAll starts all within a second; together: they know each other.
+// StartAll starts all routers at random times within the next second. With PreJoined it starts them at once and introduces
+// them to each other.
 func (sim *Simulation) StartAll() {
 	for _, n := range sim.Nodes {
 		if sim.PreJoined {
@@ -179,13 +185,13 @@
 	}
 }
 
-// Kill ends a process without a word.
+// Kill ends the process of a router without any notice to the others.
 func (sim *Simulation) Kill(n *Node) {
 	n.Machine, n.quota, n.Paused, n.socketBuffer = nil, nil, false, nil
 	n.Generation++
 }
 
-// Leave ends one in peace.
+// Leave shuts a router down gracefully: it announces its departure before its process ends.
 func (sim *Simulation) Leave(n *Node) {
 	if n.quota != nil {
 		n.quota.machine.Leave(n.localTime())
@@ -196,16 +202,16 @@
 	sim.Kill(n)
 }
 
-// Pause stops a process; what comes waits in its socket.
+// Pause stops a process. Datagrams that arrive meanwhile wait in its socket buffer.
 func (sim *Simulation) Pause(n *Node) { n.Paused = true }
 
-// Resume lets it go on.
+// Resume continues a paused process and delivers the datagrams in its socket buffer.
 func (sim *Simulation) Resume(n *Node) {
 	if n.Machine == nil || !n.Paused {
 		return
 	}
 	n.Paused = false
-	n.wake() // its timer is long due; packets wait
+	n.wake() // the timer expired during the pause and runs before the buffered packets
 	if n.quota != nil {
 		n.quota.processQueue()
 	}
@@ -216,9 +222,10 @@
 	}
 }
 
-// Partition lets only those datagrams pass for which it holds; nil: all.
+// Partition delivers only the datagrams for which passes returns true; nil delivers all.
 func (sim *Simulation) Partition(passes func(from, to *Node) bool) { sim.linkOpen = passes }
 
+// scheduleWake replaces the timer of the membership machine. A timer of an earlier schedule or process does nothing.
 func (n *Node) scheduleWake() {
 	n.timerID++
 	timer, life := n.timerID, n.Generation
@@ -251,7 +258,7 @@
 	}
 }
 
-// flushOutgoing sends what is to be sent.
+// flushOutgoing reports the notes of the membership machine and sends its outgoing messages.
 func (n *Node) flushOutgoing() {
 	sim := n.sim
 	for _, note := range n.Machine.TakeNotes() {
@@ -264,7 +271,7 @@
 	}
 }
 
-// sendDatagram brings a datagram to whoever listens at an address.
+// sendDatagram sends a datagram over the simulated network to the router that listens at an address.
 func (n *Node) sendDatagram(address string, m talk.Message) {
 	sim := n.sim
 	if sim.Packets++; sim.Packets%sizeSampleInterval == 0 {
@@ -300,10 +307,10 @@
 	}
 }
 
-// nodeAt is who listens at an address; nil: nobody.
+// nodeAt returns the router that was last started at an address, or nil.
 func (sim *Simulation) nodeAt(address string) *Node { return sim.nodesByAddress[address] }
 
-// Running are those whose process runs.
+// Running returns the routers whose process is running and not paused.
 func (sim *Simulation) Running() (out []*Node) {
 	for _, n := range sim.Nodes {
 		if n.Machine != nil && !n.Paused {
@@ -313,7 +320,7 @@
 	return out
 }
 
-// Agreed tells whether all living ones have settled on the view that is true: those and nobody else.
+// Agreed reports whether all running routers have settled on the correct view: exactly the running routers are members.
 func (sim *Simulation) Agreed() bool {
 	living := sim.Running()
 	for _, n := range living {
@@ -328,7 +335,8 @@
 	})
 }
 
-// RunUntilAgreed plays on until all agree, and gives how long that took; below 0: not within the time.
+// RunUntilAgreed runs until all routers agree and returns the seconds that took, or -1 if they did not agree within the given
+// number of seconds.
 func (sim *Simulation) RunUntilAgreed(within float64) float64 {
 	from := sim.Now
 	for sim.Now < from+within {
--- a/internal/crowd/measure.go
+++ b/internal/crowd/measure.go
@@ -6,25 +6,25 @@
 	"pitchfield/internal/membership"
 )
 
-// Measure is what a play came to.
+// Measure holds the results of one membership simulation.
 type Measure struct {
-	HalfKnown, AllKnown float64 // seconds until half and all others held a killed router for gone; below 0: not within a minute
-	Agreed              float64 // until all had settled without it
-	FalseDeaths         int     // deaths of living routers that somebody told on his own account, and
-	FalseDeathReports   int     // that somebody heard
-	RouterHours         float64 // router-hours that were played
-	PacketRate          float64 // a router and second, sent
+	HalfKnown, AllKnown float64 // seconds until half and all of the others had removed a killed router; -1: not within a minute
+	Agreed              float64 // seconds until all had settled on a view without it; below 0: not within a minute
+	FalseDeaths         int     // a running router was declared dead by a router's own detection
+	FalseDeathReports   int     // a running router was declared dead, by own detection or by report
+	RouterHours         float64 // simulated router-hours
+	PacketRate          float64 // packets sent per router and second
 	ByteRate            float64
-	JoinTime            float64 // until all agreed after the start
+	JoinTime            float64 // seconds from the start until all agreed
 }
 
 const (
-	settleSeconds  = 40.0 // seconds until the rumours of a start have been told
+	settleSeconds  = 40.0 // seconds until the membership updates of the start have spread
 	measureSeconds = 10.0 // seconds over which packets are counted
 	timeoutSeconds = 60.0
 )
 
-// MeasureDeath plays a start, a quiet time, and one death.
+// MeasureDeath simulates a start, a period without changes, and the death of one router.
 func MeasureDeath(o Options) Measure {
 	var m Measure
 	sim := startConverged(o, &m)
@@ -60,7 +60,7 @@
 	return m
 }
 
-// startConverged starts all, waits until they agree, and counts false deaths from then on.
+// startConverged starts all routers, waits until they agree, and counts false deaths from then on.
 func startConverged(o Options, m *Measure) *Simulation {
 	sim := New(o)
 	watch := sim.watchFalseDeaths(m)
@@ -71,7 +71,7 @@
 	return sim
 }
 
-// MeasureQuiet plays a fleet to which nothing happens for a time.
+// MeasureQuiet simulates a fleet without changes for the given number of seconds.
 func MeasureQuiet(o Options, seconds float64) Measure {
 	var m Measure
 	sim := startConverged(o, &m)
@@ -83,7 +83,7 @@
 	return m
 }
 
-// watchFalseDeaths counts those of routers that run, from when it is set on.
+// watchFalseDeaths counts reports that declare a running router dead. Counting starts when the returned flag is set.
 func (sim *Simulation) watchFalseDeaths(m *Measure) *bool {
 	on := new(bool)
 	by := map[string]*Node{}
--- a/internal/crowd/measure_quota.go
+++ b/internal/crowd/measure_quota.go
@@ -7,24 +7,25 @@
 	"pitchfield/internal/shares"
 )
 
-// QuotaMeasure is what plays of divided budgets came to, for a number of routers.
+// QuotaMeasure holds the results of the quota simulations for one number of routers. Durations of -1 were not reached within a
+// minute; they are in seconds.
 type QuotaMeasure struct {
 	Routers        int
-	Used           float64    // of the wholes, within any window, where far more is wanted than there is
-	Idle           float64    // of the wholes, in hands and not used, meanwhile
-	SkewedUsed     float64    // used where nine in ten batches come to a tenth of the routers
-	FixedUsed      float64    // the same with the fixed division
-	SmallWait      [2]float64 // seconds until a batch is sent that there is room for: median, 99%
-	LargeWait      [2]float64 // the same of heavy ones, and
-	LargeSent      float64    // their share that was sent,
-	FixedLargeSent float64    // and with the fixed division
-	NewcomerWait   float64    // seconds until a newcomer's first batch is sent, without a firm part
-	CoordinatorGap float64    // seconds without any credit after the bursar's death, likewise
-	ReclaimTime    float64    // seconds until nothing counts any more that a dead router had
-	PacketRate     float64    // a router and second, beyond what membership sends, at one batch a second of each router
-	ByteRate       float64
-	PeakShare      float64 // of a whole, used within a window, in any of these plays
-	Violations     []string
+	Used           float64    // mean fraction of all quotas used at 150% of the load they allow
+	Idle           float64    // mean fraction of all quotas held unused under the same load
+	SkewedUsed     float64    // as Used, with 90% of the batches at 10% of the routers
+	FixedUsed      float64    // as SkewedUsed, with the fixed division
+	SmallWait      [2]float64 // queue time at 20% load, in seconds: median, 99th percentile
+	LargeWait      [2]float64 // the same for large batches
+	LargeSent      float64    // fraction of large batches that was sent
+	FixedLargeSent float64    // the same with the fixed division
+	NewcomerWait   float64    // time until a newly started router sends its first batch, without fixed shares
+	CoordinatorGap float64    // time without grants after the coordinator died, without fixed shares
+	ReclaimTime    float64    // time until the quota of a dead router is reclaimed
+	PacketRate     float64    // packets per router and second in addition to membership, at one batch per second and router
+	ByteRate       float64    // bytes per router and second, likewise
+	PeakShare      float64    // largest fraction of a quota used within a window in any of these runs
+	Violations     []string   // exceeded quotas in any of these runs
 }
 
 const (
@@ -34,7 +35,7 @@
 	quotaRunSeconds    = 20.0
 )
 
-// MeasureQuota plays a number of routers through all of it.
+// MeasureQuota runs all quota simulations for a number of routers.
 func MeasureQuota(routers int, seed uint64) QuotaMeasure {
 	out := QuotaMeasure{Routers: routers, NewcomerWait: -1, CoordinatorGap: -1, ReclaimTime: -1}
 	play := func(edit func(options *QuotaOptions)) *Simulation {
@@ -49,7 +50,7 @@
 		out.PeakShare = max(out.PeakShare, sim.Stats.PeakShare)
 		out.Violations = append(out.Violations, sim.Stats.Violations...)
 	}
-	full := quotaEngines * quotaTotal / (quotaTotal * 0.022) // batches a second that want all there is
+	full := quotaEngines * quotaTotal / (quotaTotal * 0.022) // batches per second whose work equals all quotas; a small batch needs 2.2% on average
 	took := func(sim *Simulation) float64 {
 		sim.Stats.UsedShares, sim.Stats.IdleShares = nil, nil
 		sim.Run(quotaRunSeconds)
@@ -98,7 +99,7 @@
 	if i := slices.IndexFunc(sim.Nodes, sim.isCoordinator); i >= 0 && routers > 2 {
 		sim.Kill(sim.Nodes[i])
 		from, last := sim.Now, sim.Stats.Sent
-		sim.Run(0.5) // what was in hand is still used
+		sim.Run(0.5) // quota granted before the death is still spent
 		for last = sim.Stats.Sent; sim.Now < from+timeoutSeconds && out.CoordinatorGap < 0; {
 			sim.Run(0.05)
 			if sim.Stats.Sent > last+routers/10 && slices.IndexFunc(sim.Nodes, sim.isCoordinator) >= 0 {
@@ -137,7 +138,7 @@
 	return out
 }
 
-// isCoordinator tells whether a router has the office.
+// isCoordinator reports whether a router is the quota coordinator.
 func (sim *Simulation) isCoordinator(n *Node) bool {
 	return n.quota != nil && n.quota.machine != nil && n.quota.machine.State(n.localTime()).IsCoordinator
 }
--- a/internal/crowd/quota.go
+++ b/internal/crowd/quota.go
@@ -10,58 +10,61 @@
 	"pitchfield/internal/talk"
 )
 
-// QuotaOptions says what a crowd divides: what each of some engines bears within a window. Times are seconds.
+// QuotaOptions configures the cold-start quota that the simulated routers divide: the work that each engine may receive within
+// a sliding window. Times are in seconds.
 type QuotaOptions struct {
-	Settings          shares.Settings // but for keepers and address; zero: the defaults
-	Replicas          int             // of the routers; 0: five
-	Total             float64         // of each engine, within Window
+	Settings          shares.Settings // replicas and address are filled in; zero: the defaults
+	Replicas          int             // number of routers that are quota replicas; 0: 5
+	Total             float64         // work that each engine may receive within Window
 	Window            float64
 	Engines           int
-	ReplaceInterval   float64 // an engine takes the place of another each so many seconds; 0: never
-	BatchRate         float64 // batches a second, over all routers
-	LargeFraction     float64 // share of the batches that take a quarter to three quarters of a whole
-	SkewFraction      float64 // share of the routers to which nine in ten batches come; 0: all alike
-	MaxWait           float64 // a batch that waits for so long is given up; 0: four seconds
-	ClockDrift        float64 // clocks' rates differ by up to so much from the true one, either way
-	PauseProbability  float64 // share of what is sent that goes out late, since the process stands still between look and use
-	Fixed             bool    // nothing moves: each has what the fixed division gives
-	ConfiguredRouters int     // routers, by settings; 0: as many as there are
+	ReplaceInterval   float64 // interval at which one engine is replaced by a new one; 0: never
+	BatchRate         float64 // batches per second, all routers together
+	LargeFraction     float64 // fraction of batches that need 25% to 75% of an engine's quota
+	SkewFraction      float64 // fraction of routers that receive 90% of the batches; 0: even distribution
+	MaxWait           float64 // a batch queued for longer is given up; 0: 4 seconds
+	ClockDrift        float64 // maximum relative error of a router's clock rate, in both directions
+	PauseProbability  float64 // fraction of batches that leave late because the process pauses between quota check and sending
+	Fixed             bool    // each router has its fixed share only; no leases are exchanged
+	ConfiguredRouters int     // number of routers in the settings; 0: the actual number
 }
 
-// QuotaStats sums what engines get, whoever sends it, by the true time.
+// QuotaStats generates the load and records the work that each engine receives from all routers, measured by simulated time
+// rather than by the routers' clocks. It checks that no engine receives more than its quota within a window.
 type QuotaStats struct {
 	sim            *Simulation
 	engines        []shares.EngineStart
-	uses           map[shares.Key][]usage // within the window; use drops the others
+	uses           map[shares.Key][]usage // work within the window; recordUse expires older entries
 	sums           map[shares.Key]float64
-	Violations     []string // a whole that was passed, the first few
-	PeakShare      float64  // of a whole that was used within a window
-	WorkDone       float64  // work that engines got
+	Violations     []string // descriptions of exceeded quotas; the first ten
+	PeakShare      float64  // largest fraction of an engine's quota that was used within a window
+	WorkDone       float64  // total work that engines received
 	Batches        int
 	Sent           int
 	GivenUp        int
-	Large          [2]int         // batches that took a quarter of a whole or more: all, and sent
-	WaitTimes      []float64      // seconds until a batch was sent,
-	LargeWaitTimes []float64      // and until heavy ones were
-	SentByRouter   map[string]int // batches that were sent, by router
-	Expired        int            // batches that were not sent, since what allowed them had ended
-	IdleShares     []float64      // share of all wholes that was in hand and not used, looked at now and then
-	UsedShares     []float64      // share of all wholes that was used within a window, likewise
+	Large          [2]int         // large batches (25% of a quota or more): arrived, sent
+	WaitTimes      []float64      // seconds each sent batch was queued
+	LargeWaitTimes []float64      // the same for large batches only
+	SentByRouter   map[string]int // batches sent by each router
+	Expired        int            // batches not sent because the quota lease had ended
+	IdleShares     []float64      // samples: fraction of all quotas that routers held unused
+	UsedShares     []float64      // samples: fraction of all quotas that was used within a window
 	rng            *rand.Rand
 }
 
+// usage is work that an engine received at a simulated time.
 type usage struct{ at, work float64 }
 
-// quotaClient is a router's part of it.
+// quotaClient is the part of a router that queues batches and obtains quota for them.
 type quotaClient struct {
 	*Node
-	machine        *shares.Machine // nil: the division is fixed
+	machine        *shares.Machine // nil with a fixed division
 	coldStartQuota shares.ColdStartQuota
 	queue          []*queuedBatch
 	turnTimerID    int
 }
 
-// queuedBatch is a batch that waits.
+// queuedBatch is a batch that waits for quota.
 type queuedBatch struct {
 	engine   shares.EngineStart
 	work     float64
@@ -92,14 +95,14 @@
 	return stats
 }
 
-// replaceEngine starts an engine anew: its budget is another one.
+// replaceEngine restarts a random engine; a restarted engine has a separate quota.
 func (stats *QuotaStats) replaceEngine() {
 	s := &stats.engines[stats.rng.IntN(len(stats.engines))]
 	s.StartedAt = stats.sim.Now
 	stats.sim.After(stats.sim.Quota.ReplaceInterval, stats.replaceEngine)
 }
 
-// arriveBatch brings a batch to a router.
+// arriveBatch queues a new batch at a random router.
 func (stats *QuotaStats) arriveBatch() {
 	sim, options := stats.sim, stats.sim.Quota
 	stats.sim.After(stats.rng.ExpFloat64()/options.BatchRate, stats.arriveBatch)
@@ -123,25 +126,25 @@
 	n.quota.processQueue()
 }
 
-// sample samples how much of the wholes is used, and how much lies idle in hands.
+// sample records which fractions of all quotas are used and which are held unused by routers.
 func (stats *QuotaStats) sample() {
 	stats.sim.After(0.25, stats.sample)
-	used, lent, whole := 0.0, 0.0, 0.0
+	used, idle, total := 0.0, 0.0, 0.0
 	for _, s := range stats.engines {
 		stats.expire(shares.ColdStartKey(s))
-		used, whole = used+stats.sums[shares.ColdStartKey(s)], whole+stats.sim.Quota.Total
+		used, total = used+stats.sums[shares.ColdStartKey(s)], total+stats.sim.Quota.Total
 	}
 	for _, n := range stats.sim.Nodes {
 		if n.quota != nil && n.quota.machine != nil {
 			for _, h := range n.quota.machine.State(n.localTime()).Budgets {
-				lent += h.Available
+				idle += h.Available
 			}
 		}
 	}
-	stats.UsedShares, stats.IdleShares = append(stats.UsedShares, used/whole), append(stats.IdleShares, lent/whole)
+	stats.UsedShares, stats.IdleShares = append(stats.UsedShares, used/total), append(stats.IdleShares, idle/total)
 }
 
-// expire drops what no longer counts.
+// expire drops work that has left the window.
 func (stats *QuotaStats) expire(key shares.Key) {
 	for len(stats.uses[key]) > 0 && stats.uses[key][0].at <= stats.sim.Now-stats.sim.Quota.Window {
 		stats.sums[key] -= stats.uses[key][0].work
@@ -153,29 +156,29 @@
 	}
 }
 
-// recordUse is what came to an engine.
-func (stats *QuotaStats) recordUse(batch *queuedBatch, by string) {
+// recordUse records that an engine received a batch, and reports a violation if that exceeds its quota.
+func (stats *QuotaStats) recordUse(batch *queuedBatch, router string) {
 	key := shares.ColdStartKey(batch.engine)
 	stats.expire(key)
 	stats.uses[key], stats.sums[key] = append(stats.uses[key], usage{stats.sim.Now, batch.work}), stats.sums[key]+batch.work
 	share := stats.sums[key] / stats.sim.Quota.Total
 	stats.PeakShare, stats.WorkDone, stats.Sent = max(stats.PeakShare, share), stats.WorkDone+batch.work, stats.Sent+1
-	stats.SentByRouter[by]++
+	stats.SentByRouter[router]++
 	stats.WaitTimes = append(stats.WaitTimes, stats.sim.Now-batch.queuedAt)
 	if batch.large {
 		stats.Large[1]++
 		stats.LargeWaitTimes = append(stats.LargeWaitTimes, stats.sim.Now-batch.queuedAt)
 	}
 	if share > 1+1e-6 && len(stats.Violations) < 10 {
-		stats.Violations = append(stats.Violations, fmt.Sprintf("%.4f s: %s sends %.3f, and engine %d has got %.4f of its whole within %g s", stats.sim.Now-epoch, by, batch.work,
+		stats.Violations = append(stats.Violations, fmt.Sprintf("%.4f s: %s sends %.3f, and engine %d has got %.4f of its whole within %g s", stats.sim.Now-epoch, router, batch.work,
 			batch.engine.Engine, share, stats.sim.Quota.Window))
 	}
 }
 
-// localTime is a node's own time.
+// localTime returns the time by the router's own clock.
 func (n *Node) localTime() float64 { return epoch + (n.sim.Now-epoch)*n.clockRate }
 
-// startQuota gives a process that starts its part, with nothing remembered.
+// startQuota creates the quota client of a newly started process, without any state from an earlier run.
 func (n *Node) startQuota() {
 	sim, options := n.sim, n.sim.Quota
 	h := &quotaClient{Node: n}
@@ -189,7 +192,7 @@
 	} else {
 		s := options.Settings
 		s.Listen = n.Address
-		for i := range min(options.Replicas, len(sim.Nodes)) { // spread over all
+		for i := range min(options.Replicas, len(sim.Nodes)) { // replicas are spread over all routers
 			s.Replicas = append(s.Replicas, sim.Nodes[i*len(sim.Nodes)/min(options.Replicas, len(sim.Nodes))].Address)
 		}
 		h.machine = shares.New(s, shares.ID{Name: n.Name, Start: sim.startCount}, fixed, n.localTime())
@@ -199,7 +202,7 @@
 	h.scheduleTurn()
 }
 
-// processQueue sends what may be sent, wants what may not, and does what is due.
+// processQueue sends the batches that have quota, requests quota for the others, and wakes the quota machine when it is due.
 func (h *quotaClient) processQueue() {
 	sim := h.sim
 	if h.machine != nil {
@@ -232,23 +235,24 @@
 	h.scheduleTurn()
 }
 
-// sendBatch is the way of a batch from the look at one's part to its engine. Now and then the process stands still in between.
+// sendBatch spends quota for a batch and sends it. With PauseProbability the process pauses for up to 3 seconds in between; the
+// batch is then sent only if its send deadline has not passed.
 func (h *quotaClient) sendBatch(batch *queuedBatch) {
 	sim := h.sim
 	h.coldStartQuota.Spend(h.localTime(), batch.engine, batch.work)
-	by := math.Inf(1)
+	deadline := math.Inf(1)
 	if h.machine != nil {
-		by = h.machine.SendDeadline()
+		deadline = h.machine.SendDeadline()
 	}
 	if sim.Quota.PauseProbability == 0 || sim.Stats.rng.Float64() >= sim.Quota.PauseProbability {
 		sim.Stats.recordUse(batch, h.Name)
 		return
 	}
-	life := h.Generation
+	generation := h.Generation
 	sim.After(3*sim.Stats.rng.Float64(), func() {
 		switch {
-		case h.Generation != life:
-		case h.localTime() >= by:
+		case h.Generation != generation:
+		case h.localTime() >= deadline:
 			sim.Stats.Expired++
 		default:
 			sim.Stats.recordUse(batch, h.Name)
@@ -256,21 +260,23 @@
 	})
 }
 
+// flushQuotaMessages discards the notes of the quota machine and sends its outgoing messages.
 func (h *quotaClient) flushQuotaMessages() {
 	if h.machine == nil || h.Machine == nil {
 		return
 	}
 	h.machine.TakeNotes()
 	for _, s := range h.machine.TakeOutgoing() {
-		said := s.Message
-		h.Node.sendDatagram(s.Destination, talk.Message{Message: h.Machine.Envelope(), Shares: &said})
+		message := s.Message
+		h.Node.sendDatagram(s.Destination, talk.Message{Message: h.Machine.Envelope(), Shares: &message})
 	}
 }
 
-// scheduleTurn sets the next time: of the machine, or to look at what waits.
+// scheduleTurn schedules the next processQueue: at the next wake-up of the quota machine, and within 50 ms while batches are
+// queued.
 func (h *quotaClient) scheduleTurn() {
 	h.turnTimerID++
-	timer, life := h.turnTimerID, h.Generation
+	timerID, generation := h.turnTimerID, h.Generation
 	wait := math.Inf(1)
 	if h.machine != nil {
 		wait = (h.machine.NextWake() - h.localTime()) / h.clockRate
@@ -282,7 +288,7 @@
 		return
 	}
 	h.sim.After(max(wait, 0.0005), func() {
-		if h.Generation == life && h.turnTimerID == timer && !h.Paused && h.quota == h {
+		if h.Generation == generation && h.turnTimerID == timerID && !h.Paused && h.quota == h {
 			h.processQueue()
 		}
 	})
