--- a/internal/crowd/cmd/main.go
+++ b/internal/crowd/cmd/main.go
@@ -130,7 +130,7 @@
 	fmt.Fprintln(t, "routers\tused\tidle\tuneven\tfixed\tsmall (median, 99%)\theavy (median, 99%)\tsent\tfixed\tnewcomer\tbursar dead\tdead's part\tpackets/s\tbytes/s\tmost")
 	for _, p := range results {
 		fmt.Fprintf(t, "%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.4f %.4f\t%.4f %.4f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.3f\n", p.Routers, p.Used, p.Idle, p.SkewedUsed, p.FixedUsed,
-			p.SmallWait[0], p.SmallWait[1], p.LargeWait[0], p.LargeWait[1], p.LargeSent, p.FixedLargeSent, p.NewcomerWait, p.CoordinatorGap, p.ReclaimTime, p.PacketRate, p.ByteRate, p.PeakShare)
+			p.Wait[0], p.Wait[1], p.LargeWait[0], p.LargeWait[1], p.LargeSent, p.FixedLargeSent, p.NewcomerWait, p.CoordinatorGap, p.ReclaimTime, p.PacketRate, p.ByteRate, p.PeakShare)
 	}
 	t.Flush()
 	for _, p := range results {
--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -101,44 +101,44 @@
 }
 
 // New creates a simulation in which no router has been started.
-func New(o Options) *Simulation {
-	if o.Settings.ProbeInterval == 0 {
-		o.Settings = membership.Defaults()
+func New(options Options) *Simulation {
+	if options.Settings.ProbeInterval == 0 {
+		options.Settings = membership.Defaults()
 	}
-	if o.Latency == 0 {
-		o.Latency = 0.0005
+	if options.Latency == 0 {
+		options.Latency = 0.0005
 	}
-	sim := &Simulation{Options: o, Now: epoch, nodesByAddress: map[string]*Node{}, rng: rand.New(rand.NewPCG(o.Seed, 0x63726f7764))}
-	for i := range o.Routers {
+	sim := &Simulation{Options: options, Now: epoch, nodesByAddress: map[string]*Node{}, rng: rand.New(rand.NewPCG(options.Seed, 0x63726f7764))}
+	for i := range options.Routers {
 		n := &Node{Name: fmt.Sprintf("n%d", i+1), Address: fmt.Sprintf("10.%d.%d.%d:7500", i/62500, i/250%250, i%250+1), sim: sim}
 		n.index, n.clockRate = i, 1
-		if float64(i) < o.SlowFraction*float64(o.Routers) {
-			n.delay = o.SlowDelay
+		if float64(i) < options.SlowFraction*float64(options.Routers) {
+			n.delay = options.SlowDelay
 		}
-		if o.Quota != nil {
-			n.clockRate += o.Quota.ClockDrift * (2*sim.rng.Float64() - 1)
+		if options.Quota != nil {
+			n.clockRate += options.Quota.ClockDrift * (2*sim.rng.Float64() - 1)
 		}
 		sim.Nodes = append(sim.Nodes, n)
 	}
-	if o.Quota != nil {
+	if options.Quota != nil {
 		sim.Stats = newQuotaStats(sim)
 	}
 	return sim
 }
 
 // After schedules an action wait seconds from now; a negative wait counts as 0.
-func (sim *Simulation) After(wait float64, do func()) {
+func (sim *Simulation) After(wait float64, action func()) {
 	sim.eventSeq++
-	heap.Push(&sim.events, event{sim.Now + max(wait, 0), sim.eventSeq, do})
+	heap.Push(&sim.events, event{sim.Now + max(wait, 0), sim.eventSeq, action})
 }
 
 // Run advances the simulated time by the given number of seconds and runs all events that become due.
 func (sim *Simulation) Run(seconds float64) {
 	end := sim.Now + seconds
 	for len(sim.events) > 0 && sim.events[0].dueAt <= end {
-		m := heap.Pop(&sim.events).(event)
-		sim.Now = m.dueAt
-		m.action()
+		next := heap.Pop(&sim.events).(event)
+		sim.Now = next.dueAt
+		next.action()
 	}
 	sim.Now = end
 }
@@ -147,12 +147,12 @@
 func (sim *Simulation) Start(n *Node) {
 	sim.startCount++
 	sim.nodesByAddress[n.Address] = n
-	s := sim.Settings
-	s.Self, s.Listen = membership.ID{Name: n.Name, Start: uint64(sim.Now*1e3) + sim.startCount}, n.Address
-	s.Seeds = []string{sim.Nodes[0].Address, sim.Nodes[len(sim.Nodes)/2].Address}
+	settings := sim.Settings
+	settings.Self, settings.Listen = membership.ID{Name: n.Name, Start: uint64(sim.Now*1e3) + sim.startCount}, n.Address
+	settings.Seeds = []string{sim.Nodes[0].Address, sim.Nodes[len(sim.Nodes)/2].Address}
 	n.Generation++
 	n.Paused, n.socketBuffer = false, nil
-	n.Machine = membership.New(s, sim.Seed<<20^uint64(n.Generation)<<40^sim.startCount, sim.Now)
+	n.Machine = membership.New(settings, sim.Seed<<20^uint64(n.Generation)<<40^sim.startCount, sim.Now)
 	if sim.Quota != nil {
 		n.startQuota()
 	}
@@ -173,11 +173,11 @@
 		return
 	}
 	for _, n := range sim.Nodes {
-		m := membership.Message{Kind: membership.Gossip}
-		for _, o := range sim.Nodes {
-			if o != n {
-				m.From = o.Machine.SelfMember()
-				n.Machine.Receive(sim.Now, &m)
+		introduction := membership.Message{Kind: membership.Gossip}
+		for _, other := range sim.Nodes {
+			if other != n {
+				introduction.From = other.Machine.SelfMember()
+				n.Machine.Receive(sim.Now, &introduction)
 				n.Machine.TakeOutgoing()
 				n.Machine.TakeNotes()
 			}
@@ -228,9 +228,9 @@
 // scheduleWake replaces the timer of the membership machine. A timer of an earlier schedule or process does nothing.
 func (n *Node) scheduleWake() {
 	n.timerID++
-	timer, life := n.timerID, n.Generation
+	timerID, generation := n.timerID, n.Generation
 	n.sim.After(n.Machine.NextWake()-n.sim.Now+n.delay*n.sim.rng.Float64(), func() {
-		if n.Generation == life && n.timerID == timer && !n.Paused {
+		if n.Generation == generation && n.timerID == timerID && !n.Paused {
 			n.wake()
 		}
 	})
@@ -246,14 +246,14 @@
 }
 
 func (n *Node) receive(m *talk.Message) {
-	at := n.Machine.NextWake()
+	wakeBefore := n.Machine.NextWake()
 	n.Machine.Receive(n.sim.Now, &m.Message)
 	if m.Shares != nil && n.quota != nil {
 		n.quota.machine.Receive(n.localTime(), m.Shares)
 		n.quota.processQueue()
 	}
 	n.flushOutgoing()
-	if n.Machine.NextWake() != at {
+	if n.Machine.NextWake() != wakeBefore {
 		n.scheduleWake()
 	}
 }
@@ -290,7 +290,7 @@
 	if to.delay > 0 {
 		wait += to.delay * sim.rng.Float64()
 	}
-	come := func() {
+	deliver := func() {
 		switch {
 		case to.Machine == nil:
 		case to.Paused:
@@ -301,9 +301,9 @@
 			to.receive(&m)
 		}
 	}
-	sim.After(wait, come)
+	sim.After(wait, deliver)
 	if sim.Duplication > 0 && sim.rng.Float64() < sim.Duplication {
-		sim.After(wait+sim.Latency+20*sim.Jitter*sim.rng.Float64(), come)
+		sim.After(wait+sim.Latency+20*sim.Jitter*sim.rng.Float64(), deliver)
 	}
 }
 
@@ -322,14 +322,14 @@
 
 // Agreed reports whether all running routers have settled on the correct view: exactly the running routers are members.
 func (sim *Simulation) Agreed() bool {
-	living := sim.Running()
-	for _, n := range living {
-		v := n.Machine
-		if v.Count() != len(living) || v.Certainty() != membership.Settled && len(living) > 1 || v.Hash() != living[0].Machine.Hash() {
+	running := sim.Running()
+	for _, n := range running {
+		machine := n.Machine
+		if machine.Count() != len(running) || machine.Certainty() != membership.Settled && len(running) > 1 || machine.Hash() != running[0].Machine.Hash() {
 			return false
 		}
 	}
-	return len(living) == 0 || !slices.ContainsFunc(living[0].Machine.View().Members, func(m membership.Member) bool {
+	return len(running) == 0 || !slices.ContainsFunc(running[0].Machine.View().Members, func(m membership.Member) bool {
 		n := sim.nodeAt(m.Address)
 		return n == nil || n.Machine == nil || n.Machine.SelfID() != m.ID
 	})
@@ -337,12 +337,12 @@
 
 // RunUntilAgreed runs until all routers agree and returns the seconds that took, or -1 if they did not agree within the given
 // number of seconds.
-func (sim *Simulation) RunUntilAgreed(within float64) float64 {
-	from := sim.Now
-	for sim.Now < from+within {
+func (sim *Simulation) RunUntilAgreed(timeout float64) float64 {
+	start := sim.Now
+	for sim.Now < start+timeout {
 		sim.Run(0.1)
 		if sim.Agreed() {
-			return sim.Now - from
+			return sim.Now - start
 		}
 	}
 	return -1
--- a/internal/crowd/crowd_test.go
+++ b/internal/crowd/crowd_test.go
@@ -9,12 +9,13 @@
 	"pitchfield/internal/membership"
 )
 
-func newSettled(t *testing.T, o Options) *Simulation {
-	sim := New(o)
+// newSettled starts a simulation and runs it until all routers agree.
+func newSettled(t *testing.T, options Options) *Simulation {
+	sim := New(options)
 	sim.StartAll()
 	sim.Run(1.1)
 	took := sim.RunUntilAgreed(60)
-	require.Greater(t, took, 0.0, "they never found each other")
+	require.Greater(t, took, 0.0, "routers did not find each other")
 	return sim
 }
 
@@ -43,14 +44,14 @@
 		}
 		sim.Run(20)
 		for _, l := range sim.Running() {
-			assert.Equal(t, membership.CutOff, l.Machine.Certainty(), "whether they died or are cut off can't be known")
+			assert.Equal(t, membership.CutOff, l.Machine.Certainty(), "a router cannot tell whether the others died or are partitioned")
 			assert.Len(t, sim.Running(), l.Machine.Count())
 		}
 		for i := range n * 7 / 10 {
 			sim.Start(sim.Nodes[n-1-i])
 		}
 		took := sim.RunUntilAgreed(60)
-		t.Logf("%d routers agree %.1f s after most are back", n, took)
+		t.Logf("%d routers agree %.1f s after most were restarted", n, took)
 		assert.Greater(t, took, 0.0)
 	}
 }
@@ -65,14 +66,14 @@
 	sim.Run(20)
 	assert.Equal(t, membership.CutOff, sim.Nodes[0].Machine.Certainty())
 	assert.Equal(t, 9, sim.Nodes[0].Machine.Count())
-	assert.Equal(t, membership.Settled, sim.Nodes[19].Machine.Certainty(), "the larger half goes on")
+	assert.Equal(t, membership.Settled, sim.Nodes[19].Machine.Certainty(), "the larger half continues")
 	sim.Partition(nil)
 	took := sim.RunUntilAgreed(120)
-	t.Logf("agreed %.1f s after the cut healed", took)
+	t.Logf("agreed %.1f s after the partition healed", took)
 	assert.Greater(t, took, 0.0)
 }
 
-// assignGroups tells by a list of sizes which part of the crowd a router is in.
+// assignGroups assigns consecutive routers to groups of the given sizes and returns the group of each router.
 func assignGroups(sim *Simulation, sizes ...int) map[*Node]int {
 	out, i := map[*Node]int{}, 0
 	for part, size := range sizes {
@@ -84,6 +85,7 @@
 	return out
 }
 
+// assertAgrees runs until all routers agree and fails the test if they do not within the given number of seconds.
 func assertAgrees(t *testing.T, sim *Simulation, within float64, why string) {
 	took := sim.RunUntilAgreed(within)
 	assert.GreaterOrEqual(t, took, 0.0, why)
@@ -98,10 +100,10 @@
 		"one way": func(_ *Simulation, in map[*Node]int) func(a, b *Node) bool {
 			return func(a, b *Node) bool { return in[a] <= in[b] }
 		},
-		"one off": func(sim *Simulation, _ map[*Node]int) func(a, b *Node) bool {
+		"one isolated": func(sim *Simulation, _ map[*Node]int) func(a, b *Node) bool {
 			return func(a, b *Node) bool { return a != sim.Nodes[3] && b != sim.Nodes[3] }
 		},
-		"one is deaf": func(sim *Simulation, _ map[*Node]int) func(a, b *Node) bool {
+		"one receives nothing": func(sim *Simulation, _ map[*Node]int) func(a, b *Node) bool {
 			return func(_, b *Node) bool { return b != sim.Nodes[3] }
 		},
 	} {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Two that can't hear each other while all others hear both: nobody is given up for it.
+// Two routers cannot reach each other while all others reach both: neither may be declared dead.
 func TestOneBrokenLinkCausesNoFalseDeath(t *testing.T) {
 	sim := newSettled(t, Options{Routers: 12, Seed: 5})
 	var m Measure
@@ -121,7 +123,7 @@
 	sim.Partition(func(a, b *Node) bool { return a != sim.Nodes[2] || b != sim.Nodes[7] })
 	sim.Run(120)
 	assert.Zero(t, m.FalseDeaths)
-	assertAgrees(t, sim, 5, "with the link still cut")
+	assertAgrees(t, sim, 5, "with the link still broken")
 }
 
 func TestRollingRestart(t *testing.T) {
@@ -147,8 +149,8 @@
 	assertAgrees(t, sim, 30, "after a minute of flapping")
 }
 
-// A process that was stopped goes on in the belief of half a minute ago: it accuses nobody for that, and is not sure until it
-// has heard of others.
+// A process that was paused continues with a view that is 30 seconds old. It must not accuse other routers because of that, and
+// must not report a settled view until it has received messages from others.
 func TestPausedRouterAccusesNobody(t *testing.T) {
 	sim := newSettled(t, Options{Routers: 12, Seed: 8})
 	var m Measure
@@ -162,10 +164,11 @@
 	assert.NotEqual(t, membership.Settled, sim.Nodes[4].Machine.Certainty())
 	assertAgrees(t, sim, 30, "after the pause")
 	assert.Zero(t, m.FalseDeaths)
-	assert.Greater(t, sim.Nodes[4].Machine.View().Members[sim.Nodes[4].Machine.View().SelfIndex].Incarnation, uint32(0), "it has refuted")
+	assert.Greater(t, sim.Nodes[4].Machine.View().Members[sim.Nodes[4].Machine.View().SelfIndex].Incarnation, uint32(0), "the router refuted its own death")
 }
 
-// The newer start of a name has it. The older says so, is alone, and takes the name again when the newer is gone.
+// Two processes use one name: the one that started later owns it. The older one reports itself as alone and takes the name back
+// when the newer one is gone.
 func TestDuplicateName(t *testing.T) {
 	sim := newSettled(t, Options{Routers: 6, Seed: 9})
 	older := sim.Nodes[2]
@@ -181,10 +184,11 @@
 		}
 	}
 	sim.Kill(newer)
-	assertAgrees(t, sim, 12, "the older alone has the name") // it took 24 s with real processes: the next call at a seed was far off
+	assertAgrees(t, sim, 12, "the older process owns the name again") // took 24 s with real processes when the next contact with a seed was far off
 }
 
-// A clock that was set back gives a smaller start: at the same address it can only be the same router.
+// A clock that was set back gives a restarted router a smaller start number. At the same address it can only be the same router,
+// so the number is raised.
 func TestSmallerStartNumberIsRaised(t *testing.T) {
 	sim := newSettled(t, Options{Routers: 5, Seed: 10})
 	n := sim.Nodes[1]
@@ -194,7 +198,7 @@
 	s.Self, s.Listen, s.Seeds = membership.ID{Name: n.Name, Start: before - 5000}, n.Address, []string{sim.Nodes[0].Address}
 	n.Machine = membership.New(s, 1, sim.Now)
 	n.scheduleWake()
-	assertAgrees(t, sim, 30, "though its start was smaller")
+	assertAgrees(t, sim, 30, "despite the smaller start number")
 	assert.Greater(t, n.Machine.SelfID().Start, before)
 }
 
@@ -207,14 +211,15 @@
 	}
 	sim.Run(20)
 	for _, n := range sim.Running() {
-		assert.Equal(t, membership.Alone, n.Machine.Certainty(), "nobody is found")
+		assert.Equal(t, membership.Alone, n.Machine.Certainty(), "no other router is found")
 	}
 	sim.Start(sim.Nodes[0])
 	sim.Start(sim.Nodes[3])
-	assertAgrees(t, sim, 30, "once a seed is there")
+	assertAgrees(t, sim, 30, "once a seed is running")
 }
 
-// All restarted while a cut lay between two pairs: each pair found itself and no other, and had nothing to miss.
+// All routers restart while a partition separates two pairs: the routers of each pair find only each other and do not know that
+// others are missing.
 func TestSeparatePairsMergeThroughSeeds(t *testing.T) {
 	sim := New(Options{Routers: 4, Seed: 12}) // seeds are the first and the third
 	sim.Partition(func(a, b *Node) bool {
@@ -231,7 +236,7 @@
 	assertAgrees(t, sim, 8, "pairs")
 }
 
-// Whatever goes wrong, drawn by a seed: when it has ended, all that run agree.
+// After a random sequence of faults has ended, all running routers agree.
 func TestAgreementAfterRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		sim := newSettled(t, Options{Routers: 5 + int(seed)*2, Seed: 100 + seed, Loss: 0.05 * float64(seed%4)})
@@ -271,7 +276,7 @@
 				sim.Start(n)
 			}
 		}
-		if len(sim.Running()) < len(sim.Nodes) { // who is missing may be cut off: that takes its time
+		if len(sim.Running()) < len(sim.Nodes) { // missing routers may be partitioned; accepting their loss takes AcceptLossAfter
 			sim.Run(sim.Settings.AcceptLossAfter)
 		}
 		assertAgrees(t, sim, 180, "seed")
--- a/internal/crowd/measure.go
+++ b/internal/crowd/measure.go
@@ -21,19 +21,19 @@
 const (
 	settleSeconds  = 40.0 // seconds until the membership updates of the start have spread
 	measureSeconds = 10.0 // seconds over which packets are counted
-	timeoutSeconds = 60.0
+	timeoutSeconds = 60.0 // seconds after which a measured change counts as not reached
 )
 
 // MeasureDeath simulates a start, a period without changes, and the death of one router.
-func MeasureDeath(o Options) Measure {
+func MeasureDeath(options Options) Measure {
 	var m Measure
-	sim := startConverged(o, &m)
+	sim := startConverged(options, &m)
 	sim.Run(settleSeconds)
 	packets, bytes := sim.Packets, sim.Bytes
 	sim.Run(measureSeconds)
-	m.PacketRate = float64(sim.Packets-packets) / measureSeconds / float64(o.Routers)
-	m.ByteRate = (sim.Bytes - bytes) / measureSeconds / float64(o.Routers)
-	victim := sim.Nodes[o.Routers/2+1]
+	m.PacketRate = float64(sim.Packets-packets) / measureSeconds / float64(options.Routers)
+	m.ByteRate = (sim.Bytes - bytes) / measureSeconds / float64(options.Routers)
+	victim := sim.Nodes[options.Routers/2+1]
 	sim.Kill(victim)
 	from, half := sim.Now, false
 	m.HalfKnown, m.AllKnown = -1, -1
@@ -45,10 +45,10 @@
 				know++
 			}
 		}
-		if !half && 2*know >= o.Routers-1 {
+		if !half && 2*know >= options.Routers-1 {
 			half, m.HalfKnown = true, sim.Now-from
 		}
-		if know == o.Routers-1 {
+		if know == options.Routers-1 {
 			m.AllKnown = sim.Now - from
 		}
 	}
@@ -56,13 +56,13 @@
 	if m.Agreed >= 0 {
 		m.Agreed += max(m.AllKnown, 0)
 	}
-	m.RouterHours = float64(o.Routers) * (sim.Now - epoch) / 3600
+	m.RouterHours = float64(options.Routers) * (sim.Now - epoch) / 3600
 	return m
 }
 
 // startConverged starts all routers, waits until they agree, and counts false deaths from then on.
-func startConverged(o Options, m *Measure) *Simulation {
-	sim := New(o)
+func startConverged(options Options, m *Measure) *Simulation {
+	sim := New(options)
 	watch := sim.watchFalseDeaths(m)
 	sim.StartAll()
 	sim.Run(1.1)
@@ -72,26 +72,26 @@
 }
 
 // MeasureQuiet simulates a fleet without changes for the given number of seconds.
-func MeasureQuiet(o Options, seconds float64) Measure {
+func MeasureQuiet(options Options, seconds float64) Measure {
 	var m Measure
-	sim := startConverged(o, &m)
+	sim := startConverged(options, &m)
 	from, packets, bytes := sim.Now, sim.Packets, sim.Bytes
 	sim.Run(seconds)
 	passed := sim.Now - from
-	m.PacketRate, m.ByteRate = float64(sim.Packets-packets)/passed/float64(o.Routers), (sim.Bytes-bytes)/passed/float64(o.Routers)
-	m.RouterHours = float64(o.Routers) * passed / 3600
+	m.PacketRate, m.ByteRate = float64(sim.Packets-packets)/passed/float64(options.Routers), (sim.Bytes-bytes)/passed/float64(options.Routers)
+	m.RouterHours = float64(options.Routers) * passed / 3600
 	return m
 }
 
 // watchFalseDeaths counts reports that declare a running router dead. Counting starts when the returned flag is set.
 func (sim *Simulation) watchFalseDeaths(m *Measure) *bool {
-	on := new(bool)
-	by := map[string]*Node{}
+	enabled := new(bool)
+	nodesByName := map[string]*Node{}
 	for _, n := range sim.Nodes {
-		by[n.Name] = n
+		nodesByName[n.Name] = n
 	}
 	sim.OnNote = func(_ *Node, note membership.Note) {
-		if !*on || note.Text != "member" {
+		if !*enabled || note.Text != "member" {
 			return
 		}
 		field := func(name string) any {
@@ -101,11 +101,11 @@
 			return nil
 		}
 		name, _ := field("name").(string)
-		if n := by[name]; field("is") == membership.Dead.String() && n != nil && n.Machine != nil && !n.Paused {
+		if n := nodesByName[name]; field("is") == membership.Dead.String() && n != nil && n.Machine != nil && !n.Paused {
 			if m.FalseDeathReports++; field("why") != "as told" {
 				m.FalseDeaths++
 			}
 		}
 	}
-	return on
+	return enabled
 }
--- a/internal/crowd/measure_quota.go
+++ b/internal/crowd/measure_quota.go
@@ -15,7 +15,7 @@
 	Idle           float64    // mean fraction of all quotas held unused under the same load
 	SkewedUsed     float64    // as Used, with 90% of the batches at 10% of the routers
 	FixedUsed      float64    // as SkewedUsed, with the fixed division
-	SmallWait      [2]float64 // queue time at 20% load, in seconds: median, 99th percentile
+	Wait           [2]float64 // queue time of sent batches at 20% load, in seconds: median, 99th percentile
 	LargeWait      [2]float64 // the same for large batches
 	LargeSent      float64    // fraction of large batches that was sent
 	FixedLargeSent float64    // the same with the fixed division
@@ -29,16 +29,17 @@
 }
 
 const (
-	quotaTotal         = 6.0
-	quotaEngines       = 24
-	quotaSettleSeconds = 8.0
-	quotaRunSeconds    = 20.0
+	quotaTotal         = 6.0  // work that each engine may receive per window of 1 second
+	quotaEngines       = 24   // number of engines
+	quotaSettleSeconds = 8.0  // time before a measurement starts
+	quotaRunSeconds    = 20.0 // duration of a measurement
 )
 
 // MeasureQuota runs all quota simulations for a number of routers.
 func MeasureQuota(routers int, seed uint64) QuotaMeasure {
 	out := QuotaMeasure{Routers: routers, NewcomerWait: -1, CoordinatorGap: -1, ReclaimTime: -1}
-	play := func(edit func(options *QuotaOptions)) *Simulation {
+	// startRun starts a simulation with edited options and lets it settle.
+	startRun := func(edit func(options *QuotaOptions)) *Simulation {
 		options := &QuotaOptions{Total: quotaTotal, Window: 1, Engines: quotaEngines, BatchRate: float64(routers), ClockDrift: 0.004, MaxWait: 3, Settings: shares.Defaults()}
 		edit(options)
 		sim := New(Options{Routers: routers, Seed: seed, Quota: options, PreJoined: true, Jitter: 0.0002})
@@ -46,56 +47,59 @@
 		sim.Run(quotaSettleSeconds)
 		return sim
 	}
-	seen := func(sim *Simulation) {
+	// collect adds the peak and the violations of a run to the result.
+	collect := func(sim *Simulation) {
 		out.PeakShare = max(out.PeakShare, sim.Stats.PeakShare)
 		out.Violations = append(out.Violations, sim.Stats.Violations...)
 	}
-	full := quotaEngines * quotaTotal / (quotaTotal * 0.022) // batches per second whose work equals all quotas; a small batch needs 2.2% on average
-	took := func(sim *Simulation) float64 {
+	// fullLoad is the rate, in batches per second, at which small batches (2.2% of a quota on average) need all quotas.
+	fullLoad := quotaEngines * quotaTotal / (quotaTotal * 0.022)
+	// measureUsed returns the mean fraction of all quotas that is used within a window.
+	measureUsed := func(sim *Simulation) float64 {
 		sim.Stats.UsedShares, sim.Stats.IdleShares = nil, nil
 		sim.Run(quotaRunSeconds)
-		seen(sim)
+		collect(sim)
 		return mean(sim.Stats.UsedShares)
 	}
-	sim := play(func(options *QuotaOptions) { options.BatchRate = 1.5 * full })
-	out.Used, out.Idle = took(sim), mean(sim.Stats.IdleShares)
-	out.SkewedUsed = took(play(func(options *QuotaOptions) { options.BatchRate, options.SkewFraction = 1.5*full, 0.1 }))
-	out.FixedUsed = took(play(func(options *QuotaOptions) {
-		options.BatchRate, options.SkewFraction, options.Fixed = 1.5*full, 0.1, true
+	sim := startRun(func(options *QuotaOptions) { options.BatchRate = 1.5 * fullLoad })
+	out.Used, out.Idle = measureUsed(sim), mean(sim.Stats.IdleShares)
+	out.SkewedUsed = measureUsed(startRun(func(options *QuotaOptions) { options.BatchRate, options.SkewFraction = 1.5*fullLoad, 0.1 }))
+	out.FixedUsed = measureUsed(startRun(func(options *QuotaOptions) {
+		options.BatchRate, options.SkewFraction, options.Fixed = 1.5*fullLoad, 0.1, true
 	}))
 
 	for _, fixed := range []bool{true, false} {
-		sim = play(func(options *QuotaOptions) {
-			options.BatchRate, options.LargeFraction, options.Fixed = 0.2*full, 0.05, fixed
+		sim = startRun(func(options *QuotaOptions) {
+			options.BatchRate, options.LargeFraction, options.Fixed = 0.2*fullLoad, 0.05, fixed
 		})
 		sim.Stats.WaitTimes, sim.Stats.LargeWaitTimes, sim.Stats.Large = nil, nil, [2]int{}
 		sim.Run(quotaRunSeconds)
-		seen(sim)
+		collect(sim)
 		share := float64(sim.Stats.Large[1]) / float64(max(sim.Stats.Large[0], 1))
 		if fixed {
 			out.FixedLargeSent = share
 			continue
 		}
-		out.LargeSent, out.SmallWait, out.LargeWait = share, medianAndP99(sim.Stats.WaitTimes), medianAndP99(sim.Stats.LargeWaitTimes)
+		out.LargeSent, out.Wait, out.LargeWait = share, medianAndP99(sim.Stats.WaitTimes), medianAndP99(sim.Stats.LargeWaitTimes)
 	}
 
-	unfirm := func(options *QuotaOptions) { options.BatchRate, options.Settings.FixedFraction = 0.5*full, 0 }
-	sim = play(unfirm)
-	if fresh := sim.Nodes[routers-1]; routers > 1 && !sim.isCoordinator(fresh) {
-		sim.Kill(fresh)
+	withoutFixedShares := func(options *QuotaOptions) { options.BatchRate, options.Settings.FixedFraction = 0.5*fullLoad, 0 }
+	sim = startRun(withoutFixedShares)
+	if newcomer := sim.Nodes[routers-1]; routers > 1 && !sim.isCoordinator(newcomer) {
+		sim.Kill(newcomer)
 		sim.Run(5)
-		sim.Start(fresh)
-		from, sent := sim.Now, sim.Stats.SentByRouter[fresh.Name]
+		sim.Start(newcomer)
+		from, sent := sim.Now, sim.Stats.SentByRouter[newcomer.Name]
 		for sim.Now < from+timeoutSeconds && out.NewcomerWait < 0 {
 			sim.Run(0.01)
-			if sim.Stats.SentByRouter[fresh.Name] > sent {
+			if sim.Stats.SentByRouter[newcomer.Name] > sent {
 				out.NewcomerWait = sim.Now - from
 			}
 		}
 	}
-	seen(sim)
+	collect(sim)
 
-	sim = play(unfirm)
+	sim = startRun(withoutFixedShares)
 	if i := slices.IndexFunc(sim.Nodes, sim.isCoordinator); i >= 0 && routers > 2 {
 		sim.Kill(sim.Nodes[i])
 		from, last := sim.Now, sim.Stats.Sent
@@ -107,9 +111,9 @@
 			}
 		}
 	}
-	seen(sim)
+	collect(sim)
 
-	sim = play(unfirm)
+	sim = startRun(withoutFixedShares)
 	if i := slices.IndexFunc(sim.Nodes, sim.isCoordinator); i >= 0 && routers > 1 {
 		victim := sim.Nodes[(i+1)%routers]
 		sim.Kill(victim)
@@ -122,18 +126,19 @@
 			sim.Run(0.05)
 		}
 	}
-	seen(sim)
+	collect(sim)
 
-	rate := func(edit func(options *QuotaOptions)) (packets, bytes float64) {
-		sim := play(edit)
+	// measureTraffic returns the packets and bytes per router and second.
+	measureTraffic := func(edit func(options *QuotaOptions)) (packets, bytes float64) {
+		sim := startRun(edit)
 		p, b := sim.Packets, sim.Bytes
 		sim.Run(quotaRunSeconds)
-		seen(sim)
+		collect(sim)
 		n := quotaRunSeconds * float64(routers)
 		return float64(sim.Packets-p) / n, (sim.Bytes - b) / n
 	}
-	with, bytesWith := rate(func(*QuotaOptions) {})
-	without, bytesWithout := rate(func(options *QuotaOptions) { options.Fixed = true })
+	with, bytesWith := measureTraffic(func(*QuotaOptions) {})
+	without, bytesWithout := measureTraffic(func(options *QuotaOptions) { options.Fixed = true })
 	out.PacketRate, out.ByteRate = with-without, bytesWith-bytesWithout
 	return out
 }
@@ -150,6 +155,7 @@
 	return sum
 }
 
+// medianAndP99 returns the median and the 99th percentile of a list, which it sorts; NaN for an empty list.
 func medianAndP99(all []float64) [2]float64 {
 	if len(all) == 0 {
 		return [2]float64{math.NaN(), math.NaN()}
--- a/internal/crowd/quota.go
+++ b/internal/crowd/quota.go
@@ -111,8 +111,8 @@
 		batch.work = options.Total * (0.25 + 0.5*stats.rng.Float64())
 	}
 	nodes := sim.Nodes
-	if few := int(math.Ceil(options.SkewFraction * float64(len(nodes)))); options.SkewFraction > 0 && stats.rng.IntN(10) > 0 {
-		nodes = nodes[:few]
+	if favoured := int(math.Ceil(options.SkewFraction * float64(len(nodes)))); options.SkewFraction > 0 && stats.rng.IntN(10) > 0 {
+		nodes = nodes[:favoured]
 	}
 	n := nodes[stats.rng.IntN(len(nodes))]
 	if n.quota == nil || n.Paused {
@@ -190,12 +190,12 @@
 	if options.Fixed {
 		h.coldStartQuota = shares.NewFixedDivision(fixed)
 	} else {
-		s := options.Settings
-		s.Listen = n.Address
+		settings := options.Settings
+		settings.Listen = n.Address
 		for i := range min(options.Replicas, len(sim.Nodes)) { // replicas are spread over all routers
-			s.Replicas = append(s.Replicas, sim.Nodes[i*len(sim.Nodes)/min(options.Replicas, len(sim.Nodes))].Address)
+			settings.Replicas = append(settings.Replicas, sim.Nodes[i*len(sim.Nodes)/min(options.Replicas, len(sim.Nodes))].Address)
 		}
-		h.machine = shares.New(s, shares.ID{Name: n.Name, Start: sim.startCount}, fixed, n.localTime())
+		h.machine = shares.New(settings, shares.ID{Name: n.Name, Start: sim.startCount}, fixed, n.localTime())
 		h.coldStartQuota = h.machine
 	}
 	n.quota = h
--- a/internal/crowd/quota_test.go
+++ b/internal/crowd/quota_test.go
@@ -11,56 +11,57 @@
 	"pitchfield/internal/shares"
 )
 
+// defaultQuota returns options with small and large batches, engines that are replaced, and clock drift.
 func defaultQuota() *QuotaOptions {
 	return &QuotaOptions{Total: 6, Window: 1, Engines: 6, ReplaceInterval: 2, BatchRate: 60, LargeFraction: 0.05, ClockDrift: 0.004}
 }
 
-// injectFaults lets everything go wrong that a fleet meets, drawn by the play's seed.
-func (sim *Simulation) injectFaults(every float64) {
-	chance := sim.Stats.rng
-	some := func() (out []*Node) {
+// injectFaults injects a random fault, chosen by the seed, and schedules itself again after interval seconds on average.
+func (sim *Simulation) injectFaults(interval float64) {
+	rng := sim.Stats.rng
+	randomNodes := func() (out []*Node) {
 		for _, n := range sim.Nodes {
-			if chance.IntN(3) == 0 {
+			if rng.IntN(3) == 0 {
 				out = append(out, n)
 			}
 		}
 		return out
 	}
-	long := 0.2 + 6*chance.Float64()
-	switch chance.IntN(7) {
+	duration := 0.2 + 6*rng.Float64()
+	switch rng.IntN(7) {
 	case 0:
-		for _, n := range some() {
+		for _, n := range randomNodes() {
 			sim.Kill(n)
-			sim.After(chance.Float64()*long, func() {
+			sim.After(rng.Float64()*duration, func() {
 				if n.Machine == nil {
 					sim.Start(n)
 				}
 			})
 		}
 	case 1:
-		for _, n := range some() {
+		for _, n := range randomNodes() {
 			if n.Machine != nil && !n.Paused {
 				sim.Pause(n)
-				sim.After(long, func() { sim.Resume(n) })
+				sim.After(duration, func() { sim.Resume(n) })
 			}
 		}
-	case 2: // in two, or three
-		parts := map[*Node]int{}
+	case 2: // partition into two or three sides
+		side := map[*Node]int{}
 		for _, n := range sim.Nodes {
-			parts[n] = chance.IntN(2 + chance.IntN(2))
+			side[n] = rng.IntN(2 + rng.IntN(2))
 		}
-		sim.Partition(func(a, b *Node) bool { return parts[a] == parts[b] })
-		sim.After(long, func() { sim.Partition(nil) })
-	case 3: // one way
+		sim.Partition(func(a, b *Node) bool { return side[a] == side[b] })
+		sim.After(duration, func() { sim.Partition(nil) })
+	case 3: // some routers receive nothing
 		deaf := map[*Node]bool{}
-		for _, n := range some() {
+		for _, n := range randomNodes() {
 			deaf[n] = true
 		}
 		sim.Partition(func(_, b *Node) bool { return !deaf[b] })
-		sim.After(long, func() { sim.Partition(nil) })
-	case 4: // all in turn
+		sim.After(duration, func() { sim.Partition(nil) })
+	case 4: // rolling restart
 		for i, n := range sim.Nodes {
-			sim.After(long*float64(i)/float64(len(sim.Nodes)), func() {
+			sim.After(duration*float64(i)/float64(len(sim.Nodes)), func() {
 				if n.Machine != nil && !n.Paused {
 					sim.Leave(n)
 					sim.After(0.3, func() { sim.Start(n) })
@@ -69,16 +70,17 @@
 		}
 	case 5:
 		sim.Loss, sim.Duplication, sim.Jitter = 0.33, 0.2, 0.05
-		sim.After(long, func() { sim.Loss, sim.Duplication, sim.Jitter = 0, 0, 0 })
-	case 6: // all at once, and again before what the first start was given is over
+		sim.After(duration, func() { sim.Loss, sim.Duplication, sim.Jitter = 0, 0, 0 })
+	case 6: // all restart at once, possibly again before the quota granted after the previous start has ended
 		for _, n := range sim.Nodes {
 			sim.Kill(n)
 			sim.Start(n)
 		}
 	}
-	sim.After(every*(0.5+chance.Float64()), func() { sim.injectFaults(every) })
+	sim.After(interval*(0.5+rng.Float64()), func() { sim.injectFaults(interval) })
 }
 
+// runWithFaults starts all routers and then injects faults for the given number of seconds.
 func (sim *Simulation) runWithFaults(seconds float64) {
 	sim.StartAll()
 	sim.Run(4)
@@ -86,9 +88,9 @@
 	sim.Run(seconds)
 }
 
-// Whatever goes wrong, no engine gets more than it bears, of all routers together.
+// Under any faults, all routers together never send an engine more than its quota.
 func TestQuotaTotalIsNeverExceeded(t *testing.T) {
-	sent, stood := 0, 0
+	sent, expired := 0, 0
 	for seed := range uint64(20) {
 		options := defaultQuota()
 		options.PauseProbability = 0.05
@@ -99,44 +101,44 @@
 		sim := New(Options{Routers: 3 + int(seed)%10, Seed: seed, Quota: options, Jitter: 0.001})
 		sim.runWithFaults(40)
 		require.Empty(t, sim.Stats.Violations, "seed %d, %d routers", seed, sim.Routers)
-		sent, stood = sent+sim.Stats.Sent, stood+sim.Stats.Expired
+		sent, expired = sent+sim.Stats.Sent, expired+sim.Stats.Expired
 	}
-	t.Log(sent, "sent,", stood, "not, since what allowed them had ended")
+	t.Log(sent, "sent,", expired, "not sent because the quota lease had ended")
 	assert.Greater(t, sent, 10000)
-	assert.Greater(t, stood, 10)
+	assert.Greater(t, expired, 10)
 }
 
-// A number of routers in settings that is wrong, for all or for one, does not pass the whole once routers know each other.
+// A wrong number of routers in the settings does not exceed the quota once the routers know each other.
 func TestWrongRouterCountKeepsQuotaTotal(t *testing.T) {
-	for seed, told := range []int{6, 3, 1} {
+	for seed, configured := range []int{6, 3, 1} {
 		options := defaultQuota()
-		options.ConfiguredRouters, options.BatchRate, options.Settings, options.ReplaceInterval = told, 400, shares.Defaults(), 0
+		options.ConfiguredRouters, options.BatchRate, options.Settings, options.ReplaceInterval = configured, 400, shares.Defaults(), 0
 		options.Settings.FixedFraction = 0.5
 		sim := New(Options{Routers: 12, Seed: uint64(seed), Quota: options})
 		sim.StartAll()
-		sim.Run(6) // fixed parts alone were twice, four and twelve times the firm share
+		sim.Run(6) // fixed shares alone would be 2, 4 and 12 times the fixed fraction of the quota
 		sim.Stats.Violations, sim.Stats.PeakShare = nil, 0
 		sim.Run(8)
-		assert.Empty(t, sim.Stats.Violations, "told %d", told)
+		assert.Empty(t, sim.Stats.Violations, "configured routers: %d", configured)
 		assert.Greater(t, sim.Stats.PeakShare, 0.3)
 	}
 }
 
-// What it rests on: clocks whose rates differ by more than the bound break it.
+// The guarantee relies on the bound on clock drift: clocks that drift further apart exceed the quota.
 func TestQuotaIsExceededWithoutClockDriftBound(t *testing.T) {
-	broken := 0
+	violations := 0
 	for seed := range uint64(12) {
 		options := defaultQuota()
 		options.Settings, options.ClockDrift, options.BatchRate, options.LargeFraction = shares.Defaults(), 0.6, 120, 0.2
 		options.Settings.MaxDrift = 0
 		sim := New(Options{Routers: 8, Seed: seed, Quota: options})
 		sim.runWithFaults(40)
-		broken += len(sim.Stats.Violations)
+		violations += len(sim.Stats.Violations)
 	}
-	assert.Positive(t, broken)
+	assert.Positive(t, violations)
 }
 
-// A heavy batch fits no fixed part of many; with parts that move it is sent within one exchange.
+// A large batch exceeds the fixed share of each router in a large fleet. With quota leases it is sent after one message exchange.
 func TestLargeBatchGetsQuota(t *testing.T) {
 	for _, fixed := range []bool{true, false} {
 		options := defaultQuota()
@@ -146,50 +148,50 @@
 		sim.Run(30)
 		stats := sim.Stats
 		slices.Sort(stats.LargeWaitTimes)
-		t.Log("fixed", fixed, "heavy", stats.Large, "sent", stats.Sent, "of", stats.Batches, "most", stats.PeakShare)
+		t.Log("fixed", fixed, "large", stats.Large, "sent", stats.Sent, "of", stats.Batches, "peak", stats.PeakShare)
 		if fixed {
 			assert.Zero(t, stats.Large[1])
 			continue
 		}
 		require.NotEmpty(t, stats.LargeWaitTimes)
-		t.Logf("heavy: median %.4f s, longest %.3f s", stats.LargeWaitTimes[len(stats.LargeWaitTimes)/2], stats.LargeWaitTimes[len(stats.LargeWaitTimes)-1])
+		t.Logf("large: median %.4f s, longest %.3f s", stats.LargeWaitTimes[len(stats.LargeWaitTimes)/2], stats.LargeWaitTimes[len(stats.LargeWaitTimes)-1])
 		assert.Less(t, stats.LargeWaitTimes[len(stats.LargeWaitTimes)/2], 0.05)
 		assert.Greater(t, stats.Large[1]*10, stats.Large[0]*8)
 	}
 }
 
-// Of a dead router's part nine tenths are usable again, and the bursar's death closes the books for a stated time.
+// After a router dies, usage returns to at least 90% of what it was. The coordinator's death stops grants only for a limited time.
 func TestDeadRouterQuotaIsReclaimed(t *testing.T) {
-	for _, who := range []string{"a holder", "the bursar", "seven in ten"} {
+	for _, victim := range []string{"a member", "the coordinator", "70% of the routers"} {
 		options := defaultQuota()
 		options.ReplaceInterval, options.BatchRate, options.LargeFraction, options.Settings = 0, 400, 0, shares.Defaults()
 		sim := New(Options{Routers: 20, Seed: 3, Quota: options})
 		sim.StartAll()
 		sim.Run(15)
-		bursar := slices.IndexFunc(sim.Nodes, func(n *Node) bool { return n.quota.machine.State(n.localTime()).IsCoordinator })
-		require.GreaterOrEqual(t, bursar, 0)
+		coordinator := slices.IndexFunc(sim.Nodes, func(n *Node) bool { return n.quota.machine.State(n.localTime()).IsCoordinator })
+		require.GreaterOrEqual(t, coordinator, 0)
 		before := mean(sim.Stats.UsedShares[len(sim.Stats.UsedShares)-20:])
-		switch who {
-		case "a holder":
-			sim.Kill(sim.Nodes[(bursar+1)%20])
-		case "the bursar":
-			sim.Kill(sim.Nodes[bursar])
+		switch victim {
+		case "a member":
+			sim.Kill(sim.Nodes[(coordinator+1)%20])
+		case "the coordinator":
+			sim.Kill(sim.Nodes[coordinator])
 		default:
 			for i := range 14 {
-				sim.Kill(sim.Nodes[(bursar+i)%20])
+				sim.Kill(sim.Nodes[(coordinator+i)%20])
 			}
 		}
 		sim.Run(10)
 		after := mean(sim.Stats.UsedShares[len(sim.Stats.UsedShares)-20:])
-		t.Logf("%s: %.3f of the wholes before, %.3f ten seconds later", who, before, after)
-		if who == "seven in ten" { // most keepers may be dead: then the firm parts of the living are all there is
+		t.Logf("%s: %.3f of all quotas used before, %.3f ten seconds later", victim, before, after)
+		if victim == "70% of the routers" { // most replicas may be dead; then only the fixed shares of the running routers remain
 			continue
 		}
 		assert.Greater(t, after, 0.9*before)
 	}
 }
 
-// A bursar who leaves in peace hands his books over, so that the next one gives at once and still passes no whole.
+// A coordinator that leaves gracefully hands its records over, so that its successor grants at once without exceeding the quota.
 func TestLeavingCoordinatorHandsOver(t *testing.T) {
 	gap := map[bool]float64{}
 	for _, leaves := range []bool{true, false} {
@@ -215,18 +217,18 @@
 		}
 		require.Empty(t, sim.Stats.Violations)
 	}
-	t.Log("seconds without a batch, when he leaves and when he dies:", gap)
+	t.Log("seconds without a batch (true: coordinator leaves, false: it dies):", gap)
 	assert.Less(t, gap[true], 1.5)
-	assert.Less(t, gap[false], 3.0, "it was 4.3 before keepers knew what is given")
+	assert.Less(t, gap[false], 3.0, "was 4.3 before replicas recorded grants")
 	assert.Greater(t, gap[false], gap[true])
 }
 
 func TestQuotaSimulationIsDeterministic(t *testing.T) {
-	var said []string
+	var results []string
 	for range 2 {
 		sim := New(Options{Routers: 7, Seed: 11, Quota: defaultQuota(), Loss: 0.05})
 		sim.runWithFaults(15)
-		said = append(said, fmt.Sprint(sim.Packets, sim.Stats.Sent, sim.Stats.WorkDone, sim.Stats.PeakShare))
+		results = append(results, fmt.Sprint(sim.Packets, sim.Stats.Sent, sim.Stats.WorkDone, sim.Stats.PeakShare))
 	}
-	assert.Equal(t, said[0], said[1])
+	assert.Equal(t, results[0], results[1])
 }
