--- a/internal/crowd/cmd/main.go
+++ b/internal/crowd/cmd/main.go
@@ -77,20 +77,20 @@
 	fmt.Fprintln(t, "routers\tloss\tslow\tseeds\thalf know (median)\tall know (median)\tall know (longest)\tsettled (median)\tnever\tfalse deaths\theard by\trouter-hours\tpackets/s\tbytes/s")
 	for i, c := range cells {
 		var half, all, agreed []float64
-		never, falsely, told, hours, packets, bytes := 0, 0, 0, 0.0, 0.0, 0.0
+		never, falseDeaths, reports, hours, packets, bytes := 0, 0, 0, 0.0, 0.0, 0.0
 		for _, m := range results[i] {
 			if m.AllKnown < 0 || m.Agreed < 0 {
 				never++
 			}
 			half, all, agreed = append(half, m.HalfKnown), append(all, m.AllKnown), append(agreed, m.Agreed)
-			falsely, told, hours = falsely+m.FalseDeaths, told+m.FalseDeathReports, hours+m.RouterHours
+			falseDeaths, reports, hours = falseDeaths+m.FalseDeaths, reports+m.FalseDeathReports, hours+m.RouterHours
 			packets, bytes = packets+m.PacketRate/float64(c.seeds), bytes+m.ByteRate/float64(c.seeds)
 		}
 		for _, list := range [][]float64{half, all, agreed} {
 			slices.Sort(list)
 		}
 		fmt.Fprintf(t, "%d\t%.2f\t%.2f\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\t%.1f\t%.1f\t%.0f\n", c.routers, c.loss, c.slow, c.seeds, half[len(half)/2],
-			all[len(all)/2], all[len(all)-1], agreed[len(agreed)/2], never, falsely, told, hours, packets, bytes)
+			all[len(all)/2], all[len(all)-1], agreed[len(agreed)/2], never, falseDeaths, reports, hours, packets, bytes)
 	}
 	t.Flush()
 }
