--- a/internal/crowd/measure.go
+++ b/internal/crowd/measure.go
@@ -6,92 +6,92 @@
 	"pitchfield/internal/membership"
 )
 
-// Measure is what a play came to.
+// Measure holds the results of one membership simulation.
 type Measure struct {
-	HalfKnown, AllKnown float64 // seconds until half and all others held a killed router for gone; below 0: not within a minute
-	Agreed              float64 // until all had settled without it
-	FalseDeaths         int     // deaths of living routers that somebody told on his own account, and
-	FalseDeathReports   int     // that somebody heard
-	RouterHours         float64 // router-hours that were played
-	PacketRate          float64 // a router and second, sent
+	HalfKnown, AllKnown float64 // seconds until half and all of the others had removed a killed router; -1: not within a minute
+	Agreed              float64 // seconds until all had settled on a view without it; below 0: not within a minute
+	FalseDeaths         int     // a running router was declared dead by a router's own detection
+	FalseDeathReports   int     // a running router was declared dead, by own detection or by report
+	RouterHours         float64 // simulated router-hours
+	PacketRate          float64 // packets sent per router and second
 	ByteRate            float64
-	JoinTime            float64 // until all agreed after the start
+	JoinTime            float64 // seconds from the start until all agreed
 }
 
 const (
-	settleSeconds  = 40.0 // seconds until the rumours of a start have been told
+	settleSeconds  = 40.0 // seconds until the membership updates of the start have spread
 	measureSeconds = 10.0 // seconds over which packets are counted
-	timeoutSeconds = 60.0
+	timeoutSeconds = 60.0 // seconds after which a measured change counts as not reached
 )
 
-// MeasureDeath plays a start, a quiet time, and one death.
-func MeasureDeath(o Options) Measure {
+// MeasureDeath simulates a start, a period without changes, and the death of one router.
+func MeasureDeath(options Options) Measure {
 	var m Measure
-	c := startConverged(o, &m)
-	c.Run(settleSeconds)
-	packets, bytes := c.Packets, c.Bytes
-	c.Run(measureSeconds)
-	m.PacketRate = float64(c.Packets-packets) / measureSeconds / float64(o.Routers)
-	m.ByteRate = (c.Bytes - bytes) / measureSeconds / float64(o.Routers)
-	victim := c.Nodes[o.Routers/2+1]
-	c.Kill(victim)
-	from, half := c.Now, false
+	sim := startConverged(options, &m)
+	sim.Run(settleSeconds)
+	packets, bytes := sim.Packets, sim.Bytes
+	sim.Run(measureSeconds)
+	m.PacketRate = float64(sim.Packets-packets) / measureSeconds / float64(options.Routers)
+	m.ByteRate = (sim.Bytes - bytes) / measureSeconds / float64(options.Routers)
+	victim := sim.Nodes[options.Routers/2+1]
+	sim.Kill(victim)
+	from, half := sim.Now, false
 	m.HalfKnown, m.AllKnown = -1, -1
-	for c.Now < from+timeoutSeconds && m.AllKnown < 0 {
-		c.Run(0.05)
+	for sim.Now < from+timeoutSeconds && m.AllKnown < 0 {
+		sim.Run(0.05)
 		know := 0
-		for _, n := range c.Running() {
+		for _, n := range sim.Running() {
 			if !n.Machine.Contains(victim.Name) {
 				know++
 			}
 		}
-		if !half && 2*know >= o.Routers-1 {
-			half, m.HalfKnown = true, c.Now-from
+		if !half && 2*know >= options.Routers-1 {
+			half, m.HalfKnown = true, sim.Now-from
 		}
-		if know == o.Routers-1 {
-			m.AllKnown = c.Now - from
+		if know == options.Routers-1 {
+			m.AllKnown = sim.Now - from
 		}
 	}
-	m.Agreed = c.RunUntilAgreed(timeoutSeconds)
+	m.Agreed = sim.RunUntilAgreed(timeoutSeconds)
 	if m.Agreed >= 0 {
 		m.Agreed += max(m.AllKnown, 0)
 	}
-	m.RouterHours = float64(o.Routers) * (c.Now - epoch) / 3600
+	m.RouterHours = float64(options.Routers) * (sim.Now - epoch) / 3600
 	return m
 }
 
-// startConverged starts all, waits until they agree, and counts false deaths from then on.
-func startConverged(o Options, m *Measure) *Simulation {
-	c := New(o)
-	watch := c.watchFalseDeaths(m)
-	c.StartAll()
-	c.Run(1.1)
-	m.JoinTime = 1.1 + c.RunUntilAgreed(timeoutSeconds)
+// startConverged starts all routers, waits until they agree, and counts false deaths from then on.
+func startConverged(options Options, m *Measure) *Simulation {
+	sim := New(options)
+	watch := sim.watchFalseDeaths(m)
+	sim.StartAll()
+	sim.Run(1.1)
+	m.JoinTime = 1.1 + sim.RunUntilAgreed(timeoutSeconds)
 	*watch = true
-	return c
+	return sim
 }
 
-// MeasureQuiet plays a fleet to which nothing happens for a time.
-func MeasureQuiet(o Options, seconds float64) Measure {
+// MeasureQuiet simulates a fleet without changes for the given number of seconds.
+func MeasureQuiet(options Options, seconds float64) Measure {
 	var m Measure
-	c := startConverged(o, &m)
-	from, packets, bytes := c.Now, c.Packets, c.Bytes
-	c.Run(seconds)
-	passed := c.Now - from
-	m.PacketRate, m.ByteRate = float64(c.Packets-packets)/passed/float64(o.Routers), (c.Bytes-bytes)/passed/float64(o.Routers)
-	m.RouterHours = float64(o.Routers) * passed / 3600
+	sim := startConverged(options, &m)
+	from, packets, bytes := sim.Now, sim.Packets, sim.Bytes
+	sim.Run(seconds)
+	passed := sim.Now - from
+	m.PacketRate, m.ByteRate = float64(sim.Packets-packets)/passed/float64(options.Routers), (sim.Bytes-bytes)/passed/float64(options.Routers)
+	m.RouterHours = float64(options.Routers) * passed / 3600
 	return m
 }
 
-// watchFalseDeaths counts those of routers that run, from when it is set on.
-func (c *Simulation) watchFalseDeaths(m *Measure) *bool {
-	on := new(bool)
-	by := map[string]*Node{}
-	for _, n := range c.Nodes {
-		by[n.Name] = n
+// watchFalseDeaths counts reports that declare a running router dead. Counting starts when the returned flag is set.
+func (sim *Simulation) watchFalseDeaths(m *Measure) *bool {
+	enabled := new(bool)
+	nodesByName := map[string]*Node{}
+	for _, n := range sim.Nodes {
+		nodesByName[n.Name] = n
 	}
-	c.OnNote = func(_ *Node, note membership.Note) {
-		if !*on || note.Text != "member" {
+	sim.OnNote = func(_ *Node, note membership.Note) {
+		if !*enabled || note.Text != "member" {
 			return
 		}
 		field := func(name string) any {
@@ -101,11 +101,11 @@
 			return nil
 		}
 		name, _ := field("name").(string)
-		if n := by[name]; field("is") == membership.Dead.String() && n != nil && n.Machine != nil && !n.Paused {
+		if n := nodesByName[name]; field("is") == membership.Dead.String() && n != nil && n.Machine != nil && !n.Paused {
 			if m.FalseDeathReports++; field("why") != "as told" {
 				m.FalseDeaths++
 			}
 		}
 	}
-	return on
+	return enabled
 }
