--- a/brain/brain.go
+++ b/brain/brain.go
@@ -21,13 +21,14 @@
 )
 
 // The admission threshold is the load of an engine, in threads per core, below which a batch is started there
-// at once. It follows the measured stretch of answers (the time taken over the time alone on an idle engine).
+// at once. Answers adjust it by their stretch: the time that an answer took, divided by the time that its
+// batch would have taken alone on an idle engine.
 const (
 	initialThreshold = 1.5  // threads per core
 	minThreshold     = 0.4  // threads per core
 	maxThreshold     = 4.0  // threads per core
 	thresholdStep    = 0.02 // relative change by one answer at most; twice that for a large batch
-	targetStretch    = 1.5  // an engine is full at this stretch, but not yet crowded
+	targetStretch    = 1.5  // at this stretch an engine is in full use, but not yet overloaded
 )
 
 // Scoring of engines for a batch.
@@ -49,7 +50,8 @@
 	loadSmoothingTime = 2.0  // seconds; time constant
 )
 
-// The gate closes for a random time between these bounds when the best engine is too loaded.
+// When even the best engine for a batch is too loaded, the router starts no queued batch for a random time
+// between these bounds: the gate is closed.
 const (
 	minGateDelay = 0.05 // seconds
 	maxGateDelay = 0.2  // seconds
@@ -191,7 +193,7 @@
 			engine.cores, engine.memory = max(r.engineKinds[engine.Kind].Cores, 1), r.engineKinds[engine.Kind].Memory
 		}
 		r.largestMemory = max(r.largestMemory, engine.memory)
-		// A new process: what is known of the old one is void.
+		// The engine runs as a new process: forget what was measured and reported of the previous one.
 		if engine.groupHealth == nil || engine.knownStart != engine.StartedAt {
 			engine.knownStart, engine.startReceivedAt, engine.health, engine.reportAt, engine.reported =
 				engine.StartedAt, r.now, health{}, 0, resources{}
@@ -238,7 +240,7 @@
 	}
 	batch.timeAlone, batch.likelyWork, batch.usefulUntil =
 		batch.demand/group.Threads, r.estimateLikelyWork(batch), batch.deadline
-	if group.LateShare <= 0 { // an answer past the goal earns nothing
+	if group.LateShare <= 0 { // an answer after the goal has no utility
 		batch.usefulUntil = min(batch.deadline, r.now+group.Goal+group.GoalStretch*batch.timeAlone)
 	}
 	// A batch is weighted by its time alone, as it occupies an engine in proportion to that: so the first batch
@@ -292,7 +294,8 @@
 	return maxTries
 }
 
-// probeCost returns how many batches must be added for one probe.
+// probeCost returns the credit that one load probe costs. Each batch that is added to the router earns a
+// credit of 1, so that the number of probes follows the number of batches.
 func (r *Router) probeCost() float64 { return r.batchesPerProbe / cmp.Or(r.reduced.ProbeShare, 1) }
 
 // enqueue puts a batch into the queue, which is ordered by demand.
@@ -519,7 +522,7 @@
 
 // recordReport takes an engine's report of its load and updates the average load of the fleet.
 func (r *Router) recordReport(engine *Engine, report *Report) {
-	if report == nil || sanitize(*report) == engine.report { // equal values: the same report, or a frozen one
+	if report == nil || sanitize(*report) == engine.report { // the same report, or stuck values
 		return
 	}
 	engine.report, engine.reportAt = sanitize(*report), r.now
@@ -539,8 +542,8 @@
 	}
 	engine.reported = resources{1, inFlight * typical.threads / typical.batches, memory}.perEngine(engine)
 	// A cold engine is kept nearly empty by its quota, so its report tells nothing of the others: when six in
-	// ten engines were cold and counted in the average, overloaded ones looked idle, and 30 heavy batches met on
-	// each. Drawback: while all engines are cold, the average follows no report.
+	// ten engines were cold and counted in the average, overloaded ones looked idle, and 30 heavy batches ran at
+	// the same time on each of them. Drawback: while all engines are cold, the average follows no report.
 	if r.inSlowStart(engine) {
 		return
 	}
@@ -626,10 +629,13 @@
 // the next process under the same name may already run, and it uses the same quota.
 func (r *Router) PrepareShutdown() { r.stopping = true }
 
-// mayDispatch reports whether the rules allow another dispatch of a batch.
+// mayDispatch reports whether another dispatch of a batch is allowed: no cancellation of an earlier one is
+// unconfirmed, the batch has tries left and is safe to retry, the fleet's load permits a hedge if a dispatch
+// is in flight, and the retry budgets of the route and the router permit a retry. It does not check the
+// deadline.
 func (r *Router) mayDispatch(b *Batch) bool {
 	// An exhausted retry budget of its route ends the batch at once: others would wait behind it, and its retry
-	// would meet the same failure. Drawback: the failure may end the next moment.
+	// would meet the same failure. Drawback: the failure may be over a moment later, when a retry would succeed.
 	return !b.unconfirmed && len(b.dispatches) < r.maxTries(b) && r.safeToRetry(b, r.tick) &&
 		(b.InFlight == 0 || r.load < maxHedgeLoad) &&
 		(len(b.dispatches) == 0 || b.Route.MayRetrySoon(r.now) && r.retryBudget.MayRetrySoon(r.now))
@@ -834,8 +840,9 @@
 	return first
 }
 
-// isNextOfKey reports whether all earlier batches of the key are done, none of their dispatches is in flight,
-// and the rest time after an uncertain outcome is over.
+// isNextOfKey reports whether all earlier batches of the key are done and none of their dispatches is in
+// flight. After an outcome with which a dispatch may still run at its engine (a time-out, a lost connection,
+// or a cancellation, confirmed or not) the settle time must have passed too, except for that batch itself.
 func (r *Router) isNextOfKey(b *Batch) bool {
 	l := b.keyQueue
 	return l.batches[0] == b && l.inFlight == b.InFlight && (r.now >= l.restUntil || l.restExempt == b)
@@ -885,8 +892,8 @@
 // refusedBy reports whether a dispatch of the batch was rejected or failed with an error at the engine. On an
 // engine that takes one batch at a time per connection a time-out counts as well: no check can tell there
 // whether the engine or the batch is silent, and three dispatches went to one silent engine. Elsewhere
-// counting time-outs was no gain (brno-klima-later 0.873 to 0.870). Drawback: the engine is avoided also
-// where only that one batch was slow.
+// counting time-outs was no gain (bench score 0.873 to 0.870 on one bench deployment). Drawback: the engine
+// is avoided also where only that one batch was slow.
 func (b *Batch) refusedBy(e *Engine) bool {
 	return slices.ContainsFunc(b.dispatches, func(d *dispatch) bool {
 		return d.engine == e && d.ended &&
@@ -1061,7 +1068,8 @@
 		terms.Memory = min(attempt.resources.memory*r.grantFactor, r.maxGrantShare*engine.memory)
 	}
 	if r.priorities {
-		// The bound of 0.25 gives priority 3 below half the mean demand.
+		// Batches up to half the mean demand get priority 3, up to twice the mean 2, up to eight times 1, and
+		// larger ones 0. The bound of 0.25 keeps the logarithm finite and changes no priority.
 		doublings := math.Log2(max(2*batch.demand/max(r.meanDemand, 1e-6), 0.25))
 		terms.Priority = min(max(3-int(math.Ceil(doublings/2)), 0), 3)
 	}
--- a/internal/directory/follower.go
+++ b/internal/directory/follower.go
@@ -351,8 +351,8 @@
 }
 
 // List returns the current list, with the latest known start time of each engine. An engine to which no new batch may be
-// sent is marked as draining: the current list or another answer reports it as draining, or a candidate list whose serial is
-// not older lacks it.
+// sent is marked as draining: the current list or any other answer of the name service reports it as draining, or it is
+// missing from the candidate (a list that awaits confirmation by further answers) and the candidate's serial is not older.
 func (f *Follower) List() List {
 	out := List{Serial: f.current.Serial, Engines: slices.Clone(f.current.Engines)}
 	var inCandidate map[string]bool
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -189,7 +189,7 @@
 // idempotencies maps the effects of groups to the module's constants.
 var idempotencies = map[string]brain.Idempotency{"repeatable": brain.Idempotent, "referenced": brain.Deduplicated, "once-only": brain.AtMostOnce}
 
-// ParseWorld decodes a world from TOML and prepares it. Unknown keys are errors.
+// ParseWorld decodes a world from TOML, sets its defaults and validates it. Unknown keys are errors.
 func ParseWorld(text []byte) (*World, error) {
 	var w World
 	d := toml.NewDecoder(strings.NewReader(string(text)))
--- a/internal/engines/pool.go
+++ b/internal/engines/pool.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// AddPending adds a request that waits for a reply with this id.
+// AddPending records that something waits for a reply or another event on this connection, under an id: a request, or an item
+// that keeps the connection in use until its engine reports that it is free.
 func (c *Connection) AddPending(id string, request any) { c.pending[id] = request }
 
 // Pending returns the request that waits for a reply with this id, or nil.
--- a/internal/levels/gauge.go
+++ b/internal/levels/gauge.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// WorkFinished counts seconds of work that an engine has done for a batch.
+// WorkFinished adds work that an engine has done for a batch, in thread-seconds, to a sum that decays with time.
 func (g *Gauge) WorkFinished(work float64) { g.workFinished += work }
 
 // SetCurrent sets the seconds of work that are queued now, the number of listed engines, and how many of these are cold,
--- a/internal/levels/levels.go
+++ b/internal/levels/levels.go
@@ -239,7 +239,8 @@
 	}
 }
 
-// mayTransition reports whether the limit on transitions per minute allows one more. The limit may delay a level that would
+// mayTransition drops the transitions that are at least a minute old from the list and reports whether the limit on
+// transitions between load levels per minute allows one more. The limit may delay a level that would
 // relieve the router, but flapping would cost more, and the batches that a level sheds are rejected without harm.
 func (m *Machine) mayTransition() bool {
 	m.transitions = slices.DeleteFunc(m.transitions, func(at float64) bool { return at <= m.now-60 })
--- a/internal/levels/section.go
+++ b/internal/levels/section.go
@@ -150,7 +150,8 @@
 	return out
 }
 
-// ForEachGroup calls each for every service group that a level has an admit ratio for, with the group's key in the settings.
+// ForEachGroup calls each for every service group that a level has an admit ratio for, with the key of the ratio in the
+// settings, where admit ratios are called "keep": level[0].keep.GROUP.
 func (s *Settings) ForEachGroup(each func(key, group string)) {
 	for n, l := range s.Levels {
 		for _, group := range slices.Sorted(maps.Keys(l.AdmitRatio)) {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -30,7 +30,7 @@
 const (
 	// The next five bound memory. Fractions are of the memory limit.
 	maxPeerUnsentBytes  = 2 << 20 // unsent bytes of one peer; larger than all answers of one connection together
-	peerUnsentFraction  = 0.05    // unsent bytes of one peer, if that is less
+	peerUnsentFraction  = 0.05    // unsent bytes of one peer, if this is less than maxPeerUnsentBytes
 	totalUnsentFraction = 0.15    // unsent bytes of all peers
 	bufferedFraction    = 0.35    // all buffers in use; above it connections with a large incomplete message are closed
 	freeBufferFraction  = 0.05    // free buffers kept for reuse
@@ -128,7 +128,7 @@
 	events       []router.Event
 	processing   bool
 	stepStart    time.Time // when the handling of the current event began
-	busySince    time.Time // when the first event of the turn began; zero: none has
+	busySince    time.Time // when handling of the first event since the last decisions began; zero: there was none
 	postponed    bool      // the decisions of this turn were postponed once already
 	delays       delays
 	turnEndSet   bool // the end of the turn is scheduled
@@ -307,7 +307,8 @@
 	return router.Unreachable
 }
 
-// releasePeer removes a connection from the guard and from the accounts of unsent bytes, and frees its buffers.
+// releasePeer reports the end of a connection to the guard (which checks the router's actions against its own record of open
+// requests and connections), removes it from the accounts of unsent bytes, and frees its received data.
 func (l *Loop) releasePeer(p *peer) {
 	if p.kind == clientPeer {
 		l.guard.ClientClosed(p.number)
--- a/internal/outlook/publish.go
+++ b/internal/outlook/publish.go
@@ -224,7 +224,8 @@
 	return p.actions
 }
 
-// HandleWritten records that the last response of a kind is written, so that the next one may be sent.
+// HandleWritten records that the last response with resources of kind k (clusters, endpoints or routes) to the proxy with this
+// number is written, so that the next one may be sent.
 func (p *Publisher) HandleWritten(now float64, number uint64, k Kind) []Action {
 	p.begin(now)
 	if one := p.proxies[number]; one != nil && k < kindCount {
--- a/internal/reactor/listener.go
+++ b/internal/reactor/listener.go
@@ -112,7 +112,8 @@
 	l.retryClosing()
 }
 
-// retryClosing schedules another tryIO if the listener is closing, since epoll may report no further event for it.
+// retryClosing schedules another tryIO if the listener is closing, since epoll may report no further event for it. A closing
+// listener is closed as soon as its accept queue is empty.
 func (l *listener) retryClosing() {
 	if l.closing {
 		time.AfterFunc(retryInterval, func() { l.reactor.Post(l.tryIO) })
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -38,7 +38,7 @@
 	sentAt           float64     // when it was decided
 	writtenAt        float64
 	deadline         float64
-	writeBy          float64 // when it must be written: later engines have forgotten the first attempt, or a quota share has ended
+	writeBy          float64 // latest time to write it: later, engines may have forgotten the first attempt (deduplication), or the quota spent on it has ended
 	written          bool    // the order was emitted and not refused, so bytes of it may have left
 	ended            bool
 	pages            []rows.Part // pages by number, or the parts of a result that comes in parts and is not sent on yet
@@ -58,7 +58,8 @@
 	timer            *timer // at the deadline, or when a cancellation must be confirmed
 }
 
-// startDispatch carries out a decision to dispatch a batch to an engine.
+// startDispatch carries out a decision to dispatch a batch to an engine: it creates the dispatch, starts the timer of its
+// deadline and sends it on a connection to the engine. If no connection can be had, the dispatch ends at once, unwritten.
 func (r *Router) startDispatch(b *batch, e *engine, decision brain.Decision) {
 	number, timeLimit := decision.Number, decision.Wait
 	d := &dispatch{batch: b, number: number, engine: e, sentAt: r.now, deadline: r.now + timeLimit, writeBy: r.writeDeadline(), work: -1, memory: -1}
@@ -103,7 +104,7 @@
 }
 
 // origin returns the client request that the batch's attempts belong to. For a batch whose client has stopped waiting it is
-// empty, and no attempt may be sent. With single at most one attempt may be outstanding.
+// empty, and no attempt may be sent. If single is set, at most one attempt of the request may be outstanding at a time.
 func (b *batch) origin(single bool) Origin {
 	if b.client == nil {
 		return Origin{}
@@ -159,7 +160,8 @@
 	r.closeIfUnneeded(conn)
 }
 
-// decisionTime returns how many seconds a dispatch may take from the decision until it is written.
+// decisionTime returns how many seconds the host may take to write a dispatch after the router has ordered it with
+// SendToEngine: a part of the drain grace period, between minDecisionTime and maxDecisionTime.
 func (r *Router) decisionTime() float64 {
 	return max(min(r.config.Settings.DrainGrace*decisionGraceShare, maxDecisionTime), minDecisionTime)
 }
@@ -233,7 +235,7 @@
 	}
 	if conn.engine.protocol.OneAtATime {
 		if d.written {
-			r.awaitFree(conn) // before Close, so that the connection never counts as free
+			r.awaitFree(conn) // before RemovePending: a connection with nothing pending counts as free
 		}
 		conn.RemovePending(id, false, r.now)
 		r.closeIfUnneeded(conn)
@@ -420,8 +422,8 @@
 	}
 }
 
-// completeResult sends a complete result to the client and ends the dispatch. If the client's protocol can't express the
-// result, the client gets an error.
+// completeResult sends a complete result to the client, counts the batch's work for the load levels and ends the dispatch. If
+// the client's protocol can't express the result, or the result exceeds the protocol's size limit, the client gets an error.
 func (r *Router) completeResult(d *dispatch) {
 	b := d.batch
 	if b.work = d.work; b.work < 0 {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -452,7 +452,8 @@
 	r.scheduleQuery()
 }
 
-// listUnusable handles an answer of the name service that can't be decoded.
+// listUnusable handles an answer of the name service that can't be decoded: the follower of the engine list counts it
+// and ends the query if that is still open, and the next query is scheduled.
 func (r *Router) listUnusable(queryID uint16) {
 	r.follower.HandleUnusable(queryID, r.now)
 	r.scheduleQuery()
--- a/internal/router/withdrawal.go
+++ b/internal/router/withdrawal.go
@@ -79,6 +79,7 @@
 }
 
 // cancelConfirmExpired ends a cancelled dispatch as unconfirmed, since nothing has shown in time that the engine has ended it.
+// If nothing was received on its connection since the dispatch was written, the connection becomes suspect and is probed.
 func (r *Router) cancelConfirmExpired(d *dispatch) {
 	if d.ended {
 		return
--- a/internal/shares/coordinator.go
+++ b/internal/shares/coordinator.go
@@ -6,16 +6,18 @@
 	"slices"
 )
 
-// budgetLedger is the coordinator's account of one budget. A grant counts until its lease has ended on the slowest clock of the fleet
-// and everything that may have been done with it no longer counts. Of a grant that was reported as done only the used amount counts,
-// for countedFor seconds from the report on.
+// budgetLedger is the coordinator's account of one budget. The amount of a grant is taken off the budget until the grant's lease has
+// ended and a further countedFor seconds have passed, on the slowest clock of the fleet: until then, work that was started under the
+// grant may still load what the budget protects. Once a grant was reported as done, only the used amount is taken off,
+// for at most countedFor seconds and the send timeout from the report on. Amounts of a held kind (in use until their release is
+// reported) keep the grant's own end.
 type budgetLedger struct {
 	key            Key
 	total          float64 // least total that a router stated while this one applies; see ledgerFor
 	nextTotal      float64 // least total stated since nextTotalSince; replaces total when that is old
 	nextTotalSince float64
 	countedFor     float64 // seconds for which a use counts
-	opensAt        float64 // no grants before: grants of earlier coordinators that are not recorded here may still count
+	opensAt        float64 // no grants are issued before this time: grants of earlier coordinators that are not recorded here may still count
 	grants         map[grantID]*issuedGrant
 	granted        microUnits       // sum of the amounts in grants
 	nextExpiry     float64          // no grant expires before
--- a/internal/shares/machine.go
+++ b/internal/shares/machine.go
@@ -389,7 +389,9 @@
 	m.replicate(grants)
 }
 
-// Receive handles a message of another router of the fleet, whose format has been checked.
+// Receive handles a message of the protocol by which routers elect a coordinator and get budget grants from it. The message's
+// format has been checked. A message of another list of replicas, a message of this router itself, and an answer to an earlier
+// start of this router are ignored.
 func (m *Machine) Receive(now float64, message *Message) {
 	m.advanceClock(now)
 	if message.ReplicaSetHash != m.replicaSetHash() || message.From == m.self || message.isAnswer() && message.ToStart != m.self.Start {
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -255,7 +255,7 @@
 	MaxRequestFraction float64  // fraction of a total that one request may ask for, unless a single batch needs more
 }
 
-// Defaults returns settings that fit routers in one data center.
+// Defaults returns settings for dividing budgets among the routers of one data center. Times are in seconds.
 func Defaults() Settings {
 	return Settings{FixedFraction: 0.1, Lease: 1, Term: 2, MaxDrift: 0.01, SendTimeout: 0.1, RetryInterval: 0.1, GrantWait: 0.02, IdleTimeout: 0.1, MaxQueued: 1024, MaxRequestFraction: 0.125}
 }
--- a/internal/standin/resp.go
+++ b/internal/standin/resp.go
@@ -17,7 +17,8 @@
 	maxFloodBytes  = 64 << 20 // bytes after which an endless answer stops by itself
 )
 
-// NewRESP starts a scripted engine that speaks RESP on an address.
+// NewRESP starts a scripted engine that speaks RESP on an address. The fleet decides what the engine does with each batch
+// (Fleet.Script) and records what was run; engines that simulate one fleet share it.
 func NewRESP(name, address string, fleet *Fleet) (*Server, error) {
 	return newServer(name, "resp", address, fleet, serveRESP)
 }
--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -167,7 +167,8 @@
 	s.out.endMessage(out)
 }
 
-// beginResponse prepares the output buffer and reports a connection reset that has not been acknowledged yet.
+// beginResponse starts a response message in the output buffer. If the client has requested a reset of the connection that no
+// response has acknowledged yet, it appends the ENVCHANGE token that acknowledges it.
 func (s *Session) beginResponse() {
 	s.out.beginMessage()
 	if s.resetUnacknowledged {
@@ -428,8 +429,9 @@
 	return ask
 }
 
-// handleRPC processes an RPC request. The sp_executesql and sp_prepare families are handled here; a procedure called by
-// any other name is sent to an engine as an EXEC statement.
+// handleRPC processes an RPC request. It handles sp_executesql, sp_prepare, sp_prepexec, sp_execute and sp_unprepare. A
+// procedure called by any other name is sent to an engine as an EXEC statement; one called by any other number, such as those
+// of server cursors (1 to 9), gets an error as unsupported.
 func (s *Session) handleRPC(request rpcRequest, out *buffers.Chain) (traffic.ClientMessage, error) {
 	text := func(i int) (string, error) {
 		if i >= len(request.parameters) || request.parameters[i].Kind != rows.Text {
@@ -545,7 +547,8 @@
 	return s.submit(text, statement.Tokenize(text), s.settingsPrefix(), nil, out), nil
 }
 
-// isNameRune reports whether a procedure or parameter name may contain r without brackets.
+// isNameRune reports whether r is allowed in procedure and parameter names. The callers allow further characters: brackets,
+// dots and spaces in procedure names, and @ in parameter names.
 func isNameRune(r rune) bool {
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' || r == '$' || r == '#' || r >= 0x80
 }
--- a/internal/torture/summary.go
+++ b/internal/torture/summary.go
@@ -57,8 +57,10 @@
 	return f
 }
 
-// ReplacementScript is a script without randomness: an engine is replaced every 1.5 seconds, so that half of them are
-// always cold. If killed, half of the routers die after a third of the time and are restarted at the end.
+// ReplacementScript returns a script without randomness: from the first second until one second before the end, an engine is
+// replaced every 1.5 seconds, so that half of the engines are always in cold start. If killed is set, half of the routers
+// (Selector 1 of KillMany) are killed after a third of the duration and restarted half the duration later, at 5/6 of it.
+// The parameter routers is not used.
 func ReplacementScript(duration time.Duration, routers int, killed bool) (out []Step) {
 	for at := time.Second; at < duration-time.Second; at += 1500 * time.Millisecond {
 		out = append(out, Step{At: at, Fault: EngineReplaced, Selector: int(at / time.Second)})
