--- a/cmd/pitchfield/commands.go
+++ b/cmd/pitchfield/commands.go
@@ -103,7 +103,7 @@
 			if batches < 4 {
 				return usageError{errors.New("batches: at least 4")}
 			}
-			testbed, err := rig.Start(rig.Options{RESP: tryEnginesPerProtocol, TDS: tryEnginesPerProtocol})
+			testbed, err := rig.Start(rig.Options{RESPEngines: tryEnginesPerProtocol, TDSEngines: tryEnginesPerProtocol})
 			if err != nil {
 				return err
 			}
@@ -111,8 +111,8 @@
 				return errors.Join(err, testbed.Stop())
 			}
 			if stay {
-				fmt.Fprintf(out, "tds %s user=%s password=%s database=%s\n", testbed.TDS, rig.User, rig.Password, rig.Database)
-				fmt.Fprintf(out, "frames %s\n", testbed.Frames)
+				fmt.Fprintf(out, "tds %s user=%s password=%s database=%s\n", testbed.TDSAddress, rig.User, rig.Password, rig.Database)
+				fmt.Fprintf(out, "frames %s\n", testbed.FrameAddress)
 				interrupted := make(chan os.Signal, 1)
 				signal.Notify(interrupted, os.Interrupt, syscall.SIGTERM)
 				<-interrupted
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -95,7 +95,7 @@
 // start writes the configuration and settings of router i (counted from 0) and starts its process.
 func (f *fleet) start(i int) error {
 	address := func(base int) string { return fmt.Sprintf("127.0.0.1:%d", base+i) }
-	text, err := rig.Configuration(rig.Groups, fmt.Sprintf("n%d", i+1), address(7410), fmt.Sprintf("%016x", i+1), 64, 512, f.names.LocalAddr().String(), f.names.StartupEvents())
+	text, err := rig.Configuration(rig.PlatformSettings, fmt.Sprintf("n%d", i+1), address(7410), fmt.Sprintf("%016x", i+1), 64, 512, f.names.LocalAddr().String(), f.names.StartupEvents())
 	if err != nil {
 		return err
 	}
--- a/internal/defects/defects.go
+++ b/internal/defects/defects.go
@@ -43,26 +43,26 @@
 	if err != nil {
 		return fmt.Errorf("defect: %w", err)
 	}
-	folder, err := os.MkdirTemp("", "defect")
+	tempDir, err := os.MkdirTemp("", "defect")
 	if err != nil {
 		return fmt.Errorf("defect: %w", err)
 	}
-	defer os.RemoveAll(folder)
-	file := filepath.Join(root, d.File)
-	text, err := os.ReadFile(file)
+	defer os.RemoveAll(tempDir)
+	path := filepath.Join(root, d.File)
+	source, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("defect %q: %w", d.Name, err)
 	}
-	if n := strings.Count(string(text), d.Before); n != 1 {
-		return fmt.Errorf("defect %q: what it replaces stands %d times in %s", d.Name, n, d.File)
+	if count := strings.Count(string(source), d.Before); count != 1 {
+		return fmt.Errorf("defect %q: what it replaces stands %d times in %s", d.Name, count, d.File)
 	}
-	changed, overlay := filepath.Join(folder, "changed.go"), filepath.Join(folder, "overlay.json")
-	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), d.Before, d.After, 1)), 0o600); err != nil {
+	changed, overlay := filepath.Join(tempDir, "changed.go"), filepath.Join(tempDir, "overlay.json")
+	if err := os.WriteFile(changed, []byte(strings.Replace(string(source), d.Before, d.After, 1)), 0o600); err != nil {
 		return fmt.Errorf("defect: %w", err)
 	}
-	list, err := json.Marshal(map[string]any{"Replace": map[string]string{file: changed}})
+	overlayJSON, err := json.Marshal(map[string]any{"Replace": map[string]string{path: changed}})
 	if err == nil {
-		err = os.WriteFile(overlay, list, 0o600)
+		err = os.WriteFile(overlay, overlayJSON, 0o600)
 	}
 	if err != nil {
 		return fmt.Errorf("defect: %w", err)
@@ -71,10 +71,10 @@
 	if out != "" {
 		args = []string{"build", "-overlay", overlay, "-o", out, command}
 	}
-	c := exec.Command("go", args...)
-	c.Dir = root
-	if said, err := c.CombinedOutput(); err != nil {
-		return fmt.Errorf("defect %q: %w: %s", d.Name, err, said)
+	build := exec.Command("go", args...)
+	build.Dir = root
+	if output, err := build.CombinedOutput(); err != nil {
+		return fmt.Errorf("defect %q: %w: %s", d.Name, err, output)
 	}
 	return nil
 }
--- a/internal/parallel/parallel.go
+++ b/internal/parallel/parallel.go
@@ -4,15 +4,15 @@
 import "sync"
 
 // Each does n things by number, so many beside each other, begun in their order, and waits for all.
-func Each(beside, n int, do func(i int)) {
+func Each(concurrency, count int, do func(i int)) {
 	var wait sync.WaitGroup
-	free := make(chan struct{}, max(beside, 1))
-	for i := range n {
-		free <- struct{}{}
+	slots := make(chan struct{}, max(concurrency, 1))
+	for i := range count {
+		slots <- struct{}{}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			do(i)
 		}()
 	}
--- a/internal/rig/driver_test.go
+++ b/internal/rig/driver_test.go
@@ -14,28 +14,28 @@
 	"pitchfield/internal/standin"
 )
 
-const patience = 20 * time.Second // no time is asserted: only that it comes at all
+const testTimeout = 20 * time.Second // no time is asserted: only that it comes at all
 
-func world(t *testing.T, o Options) *World {
+func startEnvironment(t *testing.T, o Options) *Environment {
 	t.Helper()
-	w, err := Start(o)
+	env, err := Start(o)
 	require.NoError(t, err)
-	t.Cleanup(func() { assert.NoError(t, w.Stop()) })
-	return w
+	t.Cleanup(func() { assert.NoError(t, env.Stop()) })
+	return env
 }
 
-func driver(t *testing.T, w *World, more string) *sql.DB {
+func openDriver(t *testing.T, env *Environment, parameters string) *sql.DB {
 	db, err := sql.Open("sqlserver", fmt.Sprintf("sqlserver://%s:%s@%s?database=%s&encrypt=disable&dial+timeout=5%s", User,
-		Password, w.TDS, Database, more))
+		Password, env.TDSAddress, Database, parameters))
 	require.NoError(t, err)
 	t.Cleanup(func() { db.Close() })
 	return db
 }
 
-func TestTheDriverReadsParametersPreparesAndPings(t *testing.T) {
-	w := world(t, Options{RESP: 1, TDS: 1})
-	db := driver(t, w, "&app+name=rig")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func TestDriverQueriesParametersPreparedStatementsAndPing(t *testing.T) {
+	env := startEnvironment(t, Options{RESPEngines: 1, TDSEngines: 1})
+	db := openDriver(t, env, "&app+name=rig")
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, db.PingContext(ctx))
 	var version string
@@ -51,7 +51,7 @@
 	require.NoError(t, db.QueryRowContext(ctx, "/* pitchfield group=lookup */ SELECT a FROM sales_1.orders WHERE id=@p1 AND name=@p2 AND at<@p3",
 		42, "O'Hara @p1", time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)).Scan(&engine, &group, &line))
 	assert.Equal(t, "lookup", group)
-	runs := w.Ledger.Runs()
+	runs := env.Fleet.Runs()
 	assert.Contains(t, runs[len(runs)-1].Text, "id=42 AND name=N'O''Hara @p1' AND at<'2026-12-01 00:00:00")
 	prepared, err := db.PrepareContext(ctx, "SELECT a FROM sales_1.orders WHERE id=@p1")
 	require.NoError(t, err)
@@ -61,59 +61,59 @@
 	require.NoError(t, prepared.Close())
 }
 
-func TestTheDriverCancelsAndIsTurnedAway(t *testing.T) {
-	ledger := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step {
+func TestDriverCancellationAndRejection(t *testing.T) {
+	fleet := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step {
 		if r.Group == "once" {
 			return standin.Step{Action: standin.Reject}
 		}
 		return standin.Step{After: 400 * time.Millisecond}
 	}}
-	w := world(t, Options{TDS: 1, Ledger: ledger})
-	db := driver(t, w, "")
+	env := startEnvironment(t, Options{TDSEngines: 1, Fleet: fleet})
+	db := openDriver(t, env, "")
 	db.SetMaxOpenConns(1)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	var engine, group, line string
 	require.Error(t, db.QueryRowContext(ctx, "SELECT 1 FROM sales_1.orders").Scan(&engine, &group, &line))
-	ctx, cancel = context.WithTimeout(context.Background(), patience)
+	ctx, cancel = context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, db.QueryRowContext(ctx, "SELECT 2 FROM sales_1.orders").Scan(&engine, &group, &line), "the session goes on")
 	err := db.QueryRowContext(ctx, "/* pitchfield group=once limit=1s */ INSERT INTO sales_1.orders SELECT 1").Scan(&engine)
-	var told mssql.Error
-	require.ErrorAs(t, err, &told)
-	assert.Equal(t, int32(40501), told.Number, "what drivers hold for transient")
-	assert.Contains(t, told.Message, "harmless")
+	var sqlError mssql.Error
+	require.ErrorAs(t, err, &sqlError)
+	assert.Equal(t, int32(40501), sqlError.Number, "what drivers hold for transient")
+	assert.Contains(t, sqlError.Message, "harmless")
 	_, err = db.ExecContext(ctx, "BEGIN TRANSACTION")
-	require.ErrorAs(t, err, &told)
-	assert.Contains(t, told.Message, "transactions")
+	require.ErrorAs(t, err, &sqlError)
+	assert.Contains(t, sqlError.Message, "transactions")
 }
 
-func TestAnEncryptedConnectionIsRefusedClearly(t *testing.T) {
-	w := world(t, Options{TDS: 1})
-	db, err := sql.Open("sqlserver", fmt.Sprintf("sqlserver://%s:x@%s?encrypt=true&trustservercertificate=true&dial+timeout=5", User, w.TDS))
+func TestEncryptedConnectionIsRefusedWithClearError(t *testing.T) {
+	env := startEnvironment(t, Options{TDSEngines: 1})
+	db, err := sql.Open("sqlserver", fmt.Sprintf("sqlserver://%s:x@%s?encrypt=true&trustservercertificate=true&dial+timeout=5", User, env.TDSAddress))
 	require.NoError(t, err)
 	defer db.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	assert.ErrorContains(t, db.PingContext(ctx), "encrypt")
 }
 
-func TestAWrongPasswordIsRefused(t *testing.T) {
-	w := world(t, Options{TDS: 1})
-	db, err := sql.Open("sqlserver", fmt.Sprintf("sqlserver://%s:wrong@%s?encrypt=disable&dial+timeout=5", User, w.TDS))
+func TestWrongPasswordIsRefused(t *testing.T) {
+	env := startEnvironment(t, Options{TDSEngines: 1})
+	db, err := sql.Open("sqlserver", fmt.Sprintf("sqlserver://%s:wrong@%s?encrypt=disable&dial+timeout=5", User, env.TDSAddress))
 	require.NoError(t, err)
 	defer db.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	var told mssql.Error
-	require.ErrorAs(t, db.PingContext(ctx), &told)
-	assert.Equal(t, int32(18456), told.Number)
+	var sqlError mssql.Error
+	require.ErrorAs(t, db.PingContext(ctx), &sqlError)
+	assert.Equal(t, int32(18456), sqlError.Number)
 }
 
-func TestTheDriverReadsTypedRowsAndWhatIsMissing(t *testing.T) {
-	w := world(t, Options{TDS: 1})
-	db := driver(t, w, "")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func TestDriverReadsTypedRowsAndNulls(t *testing.T) {
+	env := startEnvironment(t, Options{TDSEngines: 1})
+	db := openDriver(t, env, "")
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	all, err := db.QueryContext(ctx, "SELECT typed FROM sales_1.orders")
 	require.NoError(t, err)
--- a/internal/rig/try.go
+++ b/internal/rig/try.go
@@ -16,61 +16,61 @@
 )
 
 const (
-	tryWithin  = 8 * time.Second // for one batch
-	tryClients = 4               // of each protocol
-	tryRounds  = 4
-	tryAgain   = 2 * time.Second // until engines that were set aside are tried again
-	longest    = int64(time.Minute / time.Microsecond)
+	tryReplyTimeout  = 8 * time.Second // for one batch
+	tryClients       = 4               // of each protocol
+	tryRounds        = 4
+	tryRoundPause    = 2 * time.Second // until engines that were set aside are tried again
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
-// pairing is what came of the batches of one client protocol on engines of another.
-type pairing struct {
+// pairingStats is what came of the batches of one client protocol on engines of another.
+type pairingStats struct {
 	clients, engines string
 	batches          int
-	times            *hdrhistogram.Histogram // microseconds
+	latencies        *hdrhistogram.Histogram // microseconds
 }
 
-// tally keeps pairings and what went wrong.
-type tally struct {
-	mutex sync.Mutex
-	pairs map[[2]string]*pairing
-	wrong []string
+// tryResults keeps pairings and what went wrong.
+type tryResults struct {
+	mutex    sync.Mutex
+	pairings map[[2]string]*pairingStats
+	failures []string
 }
 
-func (t *tally) served(client, line string, took time.Duration) {
-	engine, _, _ := strings.Cut(line, "-")
+func (t *tryResults) recordServed(client, engineName string, latency time.Duration) {
+	engine, _, _ := strings.Cut(engineName, "-")
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	p := t.pairs[[2]string{client, engine}]
+	p := t.pairings[[2]string{client, engine}]
 	if p == nil {
-		p = &pairing{clients: client, engines: engine, times: hdrhistogram.New(1, longest, 3)}
-		t.pairs[[2]string{client, engine}] = p
+		p = &pairingStats{clients: client, engines: engine, latencies: hdrhistogram.New(1, maxLatencyMicros, 3)}
+		t.pairings[[2]string{client, engine}] = p
 	}
 	p.batches++
-	p.times.RecordValue(min(max(took.Microseconds(), 1), longest)) //nolint:errcheck
+	p.latencies.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros)) //nolint:errcheck
 }
 
-func (t *tally) failed(format string, args ...any) {
+func (t *tryResults) recordFailure(format string, args ...any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.wrong = append(t.wrong, fmt.Sprintf(format, args...))
+	t.failures = append(t.failures, fmt.Sprintf(format, args...))
 }
 
 // Try sends so many batches of each protocol to a world and writes a table with a line for each pairing. It is an error
 // if a pairing had none, or a batch was not returned.
-func Try(w *World, batches int, out io.Writer) error {
-	t := &tally{pairs: map[[2]string]*pairing{}}
+func Try(env *Environment, batches int, out io.Writer) error {
+	results := &tryResults{pairings: map[[2]string]*pairingStats{}}
 	for round := range tryRounds {
 		if round > 0 { // on a busy machine engines were taken for silent, and are back after some seconds
-			time.Sleep(tryAgain)
+			time.Sleep(tryRoundPause)
 		}
-		var all sync.WaitGroup
+		var clients sync.WaitGroup
 		for i := range tryClients {
-			all.Go(func() { t.frames(w, round*tryClients+i, batches/tryClients) })
-			all.Go(func() { t.tds(w, round*tryClients+i, batches/tryClients) })
+			clients.Go(func() { results.runFrames(env, round*tryClients+i, batches/tryClients) })
+			clients.Go(func() { results.runTDS(env, round*tryClients+i, batches/tryClients) })
 		}
-		all.Wait()
-		if len(t.pairs) == 4 || len(t.wrong) > 0 {
+		clients.Wait()
+		if len(results.pairings) == 4 || len(results.failures) > 0 {
 			break
 		}
 	}
@@ -79,20 +79,20 @@
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	for _, client := range []string{"frames", "tds"} {
 		for _, engine := range []string{"resp", "tds"} {
-			p := t.pairs[[2]string{client, engine}]
+			p := results.pairings[[2]string{client, engine}]
 			if p == nil {
-				t.failed("no batch of %s went to an engine that speaks %s", client, engine)
+				results.recordFailure("no batch of %s went to an engine that speaks %s", client, engine)
 				continue
 			}
-			fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\n", client, engine, p.batches, p.times.Mean()/1000,
-				ms(p.times.ValueAtQuantile(50)), ms(p.times.ValueAtQuantile(99)), ms(p.times.Max()))
+			fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\n", client, engine, p.batches, p.latencies.Mean()/1000,
+				ms(p.latencies.ValueAtQuantile(50)), ms(p.latencies.ValueAtQuantile(99)), ms(p.latencies.Max()))
 		}
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
-	if len(t.wrong) > 0 {
-		return errors.New(strings.Join(t.wrong, "; "))
+	if len(results.failures) > 0 {
+		return errors.New(strings.Join(results.failures, "; "))
 	}
 	return nil
 }
@@ -101,46 +101,46 @@
 	return fmt.Sprintf("SELECT %d AS n, '%s' FROM sales_%d.orders", n, client, i*7+n%11)
 }
 
-func (t *tally) frames(w *World, i, batches int) {
-	c, err := standin.Dial(w.Frames)
+func (t *tryResults) runFrames(env *Environment, clientNumber, batches int) {
+	c, err := standin.Dial(env.FrameAddress)
 	if err != nil {
-		t.failed("%s", err)
+		t.recordFailure("%s", err)
 		return
 	}
 	defer c.Close()
 	for n := range batches {
 		began := time.Now()
-		if err := c.SendBatch(uint32(n+1), "lookup", fmt.Sprintf("%08x%08x", i+1, n), 4*time.Second, tryText("frames", i, n)); err != nil {
-			t.failed("frames: %s", err)
+		if err := c.SendBatch(uint32(n+1), "lookup", fmt.Sprintf("%08x%08x", clientNumber+1, n), 4*time.Second, tryText("frames", clientNumber, n)); err != nil {
+			t.recordFailure("frames: %s", err)
 			return
 		}
-		a, err := c.ReadFrame(tryWithin)
+		a, err := c.ReadFrame(tryReplyTimeout)
 		if err != nil || a.Code != 0 {
-			t.failed("frames: batch %d: code %d %v", n, a.Code, err)
+			t.recordFailure("frames: batch %d: code %d %v", n, a.Code, err)
 			return
 		}
-		t.served("frames", a.Body, time.Since(began))
+		t.recordServed("frames", a.Body, time.Since(began))
 	}
 }
 
-func (t *tally) tds(w *World, i, batches int) {
-	c, err := standin.DialTDS(w.TDS, User, Password, Database, tryWithin)
+func (t *tryResults) runTDS(env *Environment, clientNumber, batches int) {
+	c, err := standin.DialTDS(env.TDSAddress, User, Password, Database, tryReplyTimeout)
 	if err != nil {
-		t.failed("%s", err)
+		t.recordFailure("%s", err)
 		return
 	}
 	defer c.Close()
 	for n := range batches {
 		began := time.Now()
-		if err := c.Send("/* pitchfield group=lookup */ " + tryText("tds", i, n)); err != nil {
-			t.failed("tds: %s", err)
+		if err := c.Send("/* pitchfield group=lookup */ " + tryText("tds", clientNumber, n)); err != nil {
+			t.recordFailure("tds: %s", err)
 			return
 		}
-		a, err := c.ReadReply(tryWithin)
+		a, err := c.ReadReply(tryReplyTimeout)
 		if err != nil || a.Word != traffic.ReplyComplete || len(a.Lines) != 1 {
-			t.failed("tds: batch %d: %s %v", n, a.Why, err)
+			t.recordFailure("tds: batch %d: %s %v", n, a.Why, err)
 			return
 		}
-		t.served("tds", a.Lines[0], time.Since(began))
+		t.recordServed("tds", a.Lines[0], time.Since(began))
 	}
 }
--- a/internal/rig/world.go
+++ b/internal/rig/world.go
@@ -31,30 +31,30 @@
 
 // Options say what the world is like.
 type Options struct {
-	RESP, TDS             int // engines of each
-	MemoryMB, Descriptors int // of the router; 0: 192 and 1024
-	Log                   *zap.Logger
-	Ledger                *standin.Fleet // nil: all is served
-	Own                   string         // more of our own settings
+	RESPEngines, TDSEngines int // engines of each
+	MemoryMB, Descriptors   int // of the router; 0: 192 and 1024
+	Log                     *zap.Logger
+	Fleet                   *standin.Fleet // nil: all is served
+	ExtraSettings           string         // more of our own settings
 }
 
-// World is a running one.
-type World struct {
-	Frames, TDS string // addresses of the router
-	Names       *standin.NameService
-	Engines     []*standin.Server
-	Ledger      *standin.Fleet
-
-	cancel  context.CancelFunc
-	ended   chan struct{}
-	err     error
-	reloads chan serve.Configuration
-	told    serve.Configuration
-	mutex   sync.Mutex
+// Environment is a running one.
+type Environment struct {
+	FrameAddress, TDSAddress string // addresses of the router
+	NameService              *standin.NameService
+	Engines                  []*standin.Server
+	Fleet                    *standin.Fleet
+
+	cancel        context.CancelFunc
+	routerStopped chan struct{}
+	routerErr     error
+	reloads       chan serve.Configuration
+	configuration serve.Configuration
+	mutex         sync.Mutex
 }
 
-// Groups of the world: lookup and report are repeatable, upload is referenced and in order, once is once-only.
-const Groups = `{"grades":[
+// PlatformSettings of the world: lookup and report are repeatable, upload is referenced and in order, once is once-only.
+const PlatformSettings = `{"grades":[
 {"name":"lookup","on-time-ms":2000,"deadline-ms":4000,"idempotency":"idempotent","worth":1},
 {"name":"report","on-time-ms":4000,"deadline-ms":8000,"idempotency":"idempotent","worth":1},
 {"name":"upload","on-time-ms":3000,"deadline-ms":6000,"idempotency":"deduplicated","group":"all","window-ms":60000,
@@ -66,14 +66,14 @@
 "rules":{"settle-after-doubt-ms":300,"stop-sending-within-ms":250},
 "feedback":{"how":"probe","names":["waiting","x0","x1"]},"balancers":1,"index":0,"tick-ms":5}`
 
-// host gives each world a loopback address of its own: a port that is found free and let go of again can't be taken by
+// nextLoopbackHost gives each world a loopback address of its own: a port that is found free and let go of again can't be taken by
 // another world, of this process or the next, before the router listens there.
-func host() string {
-	n := worlds.Add(1)
+func nextLoopbackHost() string {
+	n := environmentCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, n/250%250, 1+n%250)
 }
 
-var worlds atomic.Uint32
+var environmentCount atomic.Uint32
 
 func freeAddress(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
@@ -85,56 +85,56 @@
 }
 
 // Start puts a world up and waits until its router answers.
-func Start(o Options) (w *World, err error) {
-	w = &World{Ledger: o.Ledger, ended: make(chan struct{}), reloads: make(chan serve.Configuration), cancel: func() {}}
+func Start(o Options) (env *Environment, err error) {
+	env = &Environment{Fleet: o.Fleet, routerStopped: make(chan struct{}), reloads: make(chan serve.Configuration), cancel: func() {}}
 	defer func() {
 		if err != nil {
-			w.Stop() //nolint:errcheck
+			env.Stop() //nolint:errcheck
 		}
 	}()
-	if w.Ledger == nil {
-		w.Ledger = &standin.Fleet{}
+	if env.Fleet == nil {
+		env.Fleet = &standin.Fleet{}
 	}
-	own := host()
-	if w.Names, err = standin.NewNameService(own + ":0"); err != nil {
-		return w, err
+	host := nextLoopbackHost()
+	if env.NameService, err = standin.NewNameService(host + ":0"); err != nil {
+		return env, err
 	}
-	for i := range o.RESP + o.TDS {
-		make, name := standin.NewRESP, fmt.Sprintf("resp-%d", i+1)
-		if i >= o.RESP {
-			make, name = standin.NewTDS, fmt.Sprintf("tds-%d", i-o.RESP+1)
+	for i := range o.RESPEngines + o.TDSEngines {
+		newEngine, name := standin.NewRESP, fmt.Sprintf("resp-%d", i+1)
+		if i >= o.RESPEngines {
+			newEngine, name = standin.NewTDS, fmt.Sprintf("tds-%d", i-o.RESPEngines+1)
 		}
-		s, err := make(name, own+":0", w.Ledger)
+		engine, err := newEngine(name, host+":0", env.Fleet)
 		if err != nil {
-			return w, err
+			return env, err
 		}
-		w.Engines = append(w.Engines, s)
+		env.Engines = append(env.Engines, engine)
 	}
-	w.List()
-	if w.Frames, err = freeAddress(own); err != nil {
-		return w, err
+	env.AdvertiseEngines()
+	if env.FrameAddress, err = freeAddress(host); err != nil {
+		return env, err
 	}
-	if w.TDS, err = freeAddress(own); err != nil {
-		return w, err
+	if env.TDSAddress, err = freeAddress(host); err != nil {
+		return env, err
 	}
-	if w.told, err = w.tell(o, o.Own); err != nil {
-		return w, err
+	if env.configuration, err = env.buildConfiguration(o, o.ExtraSettings); err != nil {
+		return env, err
 	}
 	log := o.Log
 	if log == nil {
 		log = zap.NewNop()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	w.cancel = cancel
+	env.cancel = cancel
 	go func() {
-		defer close(w.ended)
-		w.err = serve.Run(ctx, w.told, w.reloads, log)
+		defer close(env.routerStopped)
+		env.routerErr = serve.Run(ctx, env.configuration, env.reloads, log)
 	}()
-	return w, w.ready()
+	return env, env.waitReady()
 }
 
-// tell makes what the router is told.
-func (w *World) tell(o Options, own string) (t serve.Configuration, err error) {
+// buildConfiguration makes what the router is told.
+func (env *Environment) buildConfiguration(o Options, extraSettings string) (t serve.Configuration, err error) {
 	memory, descriptors := o.MemoryMB, o.Descriptors
 	if memory == 0 {
 		memory = 192
@@ -142,7 +142,7 @@
 	if descriptors == 0 {
 		descriptors = 1024
 	}
-	text, err := Configuration(Groups, "n1", w.Frames, "8c1f30d27a5be964", memory, descriptors, w.Names.LocalAddr().String(), w.Names.StartupEvents())
+	text, err := Configuration(PlatformSettings, "n1", env.FrameAddress, "8c1f30d27a5be964", memory, descriptors, env.NameService.LocalAddr().String(), env.NameService.StartupEvents())
 	if err != nil {
 		return t, fmt.Errorf("configuration: %w", err)
 	}
@@ -169,7 +169,7 @@
 group = "once"
 [default]
 group = "report"
-%s`, w.TDS, User, hash, standin.EngineUser, standin.EnginePassword, own), func(string) string { return "" })
+%s`, env.TDSAddress, User, hash, standin.EngineUser, standin.EnginePassword, extraSettings), func(string) string { return "" })
 	if err != nil {
 		return t, err
 	}
@@ -177,47 +177,47 @@
 }
 
 // Reload has the router read its settings again, with more of our own.
-func (w *World) Reload(own string) error {
-	t, err := w.tell(Options{}, own)
+func (env *Environment) Reload(extraSettings string) error {
+	configuration, err := env.buildConfiguration(Options{}, extraSettings)
 	if err != nil {
 		return err
 	}
 	select {
-	case w.reloads <- t:
+	case env.reloads <- configuration:
 		return nil
-	case <-w.ended:
+	case <-env.routerStopped:
 		return errors.New("the router has ended")
 	}
 }
 
 // Configuration is what the platform would tell a router of such a world, as JSON. Settings are the platform's; memory
 // is in MB; names is the name service's address, and known the list that it has at the start.
-func Configuration(settings, name, listen, seed string, memory, descriptors int, names string, known any) ([]byte, error) {
+func Configuration(settings, name, listen, seed string, memory, descriptors int, nameServiceAddress string, knownEngines any) ([]byte, error) {
 	return json.Marshal(map[string]any{"name": name, "listen": listen, "seed": seed,
 		"limits":   map[string]any{"cores": 1, "memory_mb": memory, "sockets": descriptors},
-		"resolver": names, "known": known,
+		"resolver": nameServiceAddress, "known": knownEngines,
 		"settings": json.RawMessage(settings)})
 }
 
-// List tells the name service of all engines, and which of them drain.
-func (w *World) List(drains ...string) {
+// AdvertiseEngines tells the name service of all engines, and which of them drain.
+func (env *Environment) AdvertiseEngines(draining ...string) {
 	var hosts []standin.Host
-	for _, e := range w.Engines {
+	for _, e := range env.Engines {
 		h := e.Host()
-		for _, name := range drains {
+		for _, name := range draining {
 			h.Draining = h.Draining || name == e.Name
 		}
 		hosts = append(hosts, h)
 	}
-	w.Names.Set(hosts...)
+	env.NameService.Set(hosts...)
 }
 
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
-// ready waits until the router answers and has served a batch on every engine's protocol, so that it knows the list.
-func (w *World) ready() error {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		c, err := standin.Dial(w.Frames)
+// waitReady waits until the router answers and has served a batch on every engine's protocol, so that it knows the list.
+func (env *Environment) waitReady() error {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		c, err := standin.Dial(env.FrameAddress)
 		if err != nil {
 			continue
 		}
@@ -230,24 +230,24 @@
 		}
 	}
 	select {
-	case <-w.ended:
-		return fmt.Errorf("the router has ended: %w", w.err)
+	case <-env.routerStopped:
+		return fmt.Errorf("the router has ended: %w", env.routerErr)
 	default:
 		return errors.New("the router is not ready")
 	}
 }
 
 // Stop takes the world down: the router answers what it has, then all the rest closes. It gives the router's end.
-func (w *World) Stop() error {
-	w.cancel()
-	if w.told.Installation != nil {
-		<-w.ended
+func (env *Environment) Stop() error {
+	env.cancel()
+	if env.configuration.Installation != nil {
+		<-env.routerStopped
 	}
-	for _, e := range w.Engines {
+	for _, e := range env.Engines {
 		e.Stop()
 	}
-	if w.Names != nil {
-		w.Names.Close()
+	if env.NameService != nil {
+		env.NameService.Close()
 	}
-	return w.err
+	return env.routerErr
 }
