--- a/internal/defects/defects.go
+++ b/internal/defects/defects.go
@@ -1,5 +1,5 @@
-// Package defects puts faults into the code on purpose, to show that what looks for them finds them: one piece of one file stands
-// for another while a command is built.
+// Package defects injects known faults into the code to show that the test tools find them: while a command is built, one
+// piece of one source file is replaced by another.
 package defects
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Defect is a fault put in on purpose.
+// Defect is a fault that is injected on purpose. Its fields are keys of the defects' TOML files.
 type Defect struct {
 	Name          string
-	Rule          int     // that it breaks
-	World         string  // in which internal/explore finds it; empty: none is named
-	Fleet         bool    // it shows only where there are several routers,
-	Talk, Shares  bool    // that talk, and divide by that,
-	Limits        bool    // not work for cold engines alone,
-	Soak          bool    // or where system calls fail too,
-	Firm          float64 // with so much of each whole fixed; 0: as the play has it
-	File          string  // from the root of the repository
-	Before, After string
+	Rule          int     // number of the rule that it breaks
+	World         string  // world in which internal/explore finds it; empty: no particular one
+	Fleet         bool    // visible only with several routers
+	Talk, Shares  bool    // visible only if routers exchange messages (Talk) and divide quotas by means of them (Shares)
+	Limits        bool    // visible only if the quotas also cover limits, not just work for cold engines
+	Soak          bool    // visible only if system calls fail as well
+	Firm          float64 // fraction of each total quota that is fixed; 0: the scenario's value
+	File          string  // path relative to the root of the repository
+	Before, After string  // source text that stands exactly once in File, and its replacement
 }
 
-// Read reads a list of them, [[defect]] each.
+// Read parses a list of defects from TOML, each in a [[defect]] table.
 func Read(text []byte) ([]Defect, error) {
 	var out struct{ Defect []Defect }
 	if err := toml.Unmarshal(text, &out); err != nil {
@@ -36,10 +36,10 @@
 	return out.Defect, nil
 }
 
-// Build builds a command of the repository at root with the defect; the tree stays as it is. Without an out nothing is kept, and
-// only what has the defect is built.
+// Build builds a command of the repository at root with the defect and writes the executable to out. If out is empty, it only
+// compiles the package that has the defect. The source tree is not changed.
 func (d Defect) Build(root, command, out string) error {
-	root, err := filepath.Abs(root) // the list of what stands for what is read from there
+	root, err := filepath.Abs(root) // the overlay needs absolute paths, since the build runs in root
 	if err != nil {
 		return fmt.Errorf("defect: %w", err)
 	}
@@ -54,7 +54,7 @@
 		return fmt.Errorf("defect %q: %w", d.Name, err)
 	}
 	if count := strings.Count(string(source), d.Before); count != 1 {
-		return fmt.Errorf("defect %q: what it replaces stands %d times in %s", d.Name, count, d.File)
+		return fmt.Errorf("defect %q: the text to replace occurs %d times in %s, want 1", d.Name, count, d.File)
 	}
 	changed, overlay := filepath.Join(tempDir, "changed.go"), filepath.Join(tempDir, "overlay.json")
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(source), d.Before, d.After, 1)), 0o600); err != nil {
--- a/internal/parallel/parallel.go
+++ b/internal/parallel/parallel.go
@@ -1,9 +1,10 @@
-// Package parallel does several things beside each other, for tools that play many worlds.
+// Package parallel runs tasks concurrently, for tools that run many simulated worlds.
 package parallel
 
 import "sync"
 
-// Each does n things by number, so many beside each other, begun in their order, and waits for all.
+// Each calls do with each number from 0 to count-1, in order, with at most concurrency calls running at the same time (at
+// least 1), and waits for all of them.
 func Each(concurrency, count int, do func(i int)) {
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, max(concurrency, 1))
--- a/internal/rig/clients.go
+++ b/internal/rig/clients.go
@@ -13,22 +13,23 @@
 	"pitchfield/internal/traffic"
 )
 
-// Batch is a batch as a client of either protocol asks for it.
+// Batch is a request of a client of either protocol. Key and Mark are optional.
 type Batch struct {
 	Group, Key, Mark, Text string
 	TimeLimit              time.Duration
 }
 
-// Outcome is how it ended for its client.
+// Outcome is the result of a batch as its client saw it.
 type Outcome struct {
 	Code      traffic.Code
-	Lost      bool // no final answer, or the connection ended before it
-	Duplicate bool // a second one came
+	Lost      bool // no final answer arrived, or the connection ended first
+	Duplicate bool // a second answer arrived
 	Reason    string
-	Lines     int // of the result
+	Lines     int // number of lines in the result
 	Elapsed   time.Duration
 }
 
+// String returns the name under which the fault script counts the outcome.
 func (e Outcome) String() string {
 	switch {
 	case e.Duplicate:
@@ -39,20 +40,20 @@
 	return e.Code.String()
 }
 
-// batchClient is a connection of a client, for one batch at a time.
+// batchClient is a client's connection. It carries one batch at a time and is not safe for concurrent use.
 type batchClient interface {
 	send(Batch) error
 	awaitOutcome(within time.Duration) Outcome
-	cancel() error // gives up what is open, and stays
+	cancel() error // cancels the open batch and keeps the connection
 	io.Closer
 }
 
-// patience beyond a batch's time limit, and how long a second answer is waited for.
 const (
-	replyMargin         = 2 * time.Second
-	duplicateAnswerWait = 30 * time.Millisecond
+	replyMargin         = 2 * time.Second       // wait for an answer beyond the batch's time limit
+	duplicateAnswerWait = 30 * time.Millisecond // wait for an erroneous second answer
 )
 
+// dial connects to the router with the given client protocol.
 func dial(protocol string, env *Environment) (batchClient, error) {
 	if protocol == "tds" {
 		c, err := standin.DialTDS(env.TDSAddress, User, Password, Database, readyTimeout)
@@ -68,7 +69,7 @@
 	return &frameClient{connection: c}, nil
 }
 
-// runBatch asks for one batch on a connection of its own.
+// runBatch runs one batch on a new connection.
 func runBatch(protocol string, env *Environment, batch Batch) Outcome {
 	c, err := dial(protocol, env)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return runBatchOn(c, batch)
 }
 
-// runBatchOn asks for one on a connection that is there, and closes it.
+// runBatchOn runs one batch on an open connection and closes it.
 func runBatchOn(c batchClient, batch Batch) Outcome {
 	defer c.Close()
 	if err := c.send(batch); err != nil {
@@ -86,13 +87,14 @@
 	return c.awaitOutcome(batch.TimeLimit + replyMargin)
 }
 
+// frameClient is a batchClient of the frame protocol.
 type frameClient struct {
 	connection *standin.Client
 	stream     uint32
 	sentAt     time.Time
 }
 
-// nextFrameID are drawn from one counter: no two batches of a process have the same.
+// nextFrameID is the last batch ID given out; the counter is shared, so that no two batches of a process have the same ID.
 var nextFrameID atomic.Uint64
 
 func (a *frameClient) send(batch Batch) error {
@@ -134,7 +136,7 @@
 		}
 		break
 	}
-	for { // a connection that closes or says that there is no more is none
+	for { // a closed connection or any frame other than an answer is no second answer
 		f, err := a.connection.ReadFrame(duplicateAnswerWait)
 		if err != nil {
 			return out
@@ -143,6 +145,7 @@
 	}
 }
 
+// tdsClient is a batchClient of TDS.
 type tdsClient struct {
 	connection *standin.TDSClient
 	sentAt     time.Time
@@ -176,7 +179,7 @@
 	case traffic.ReplyFailed:
 		out.Code = traffic.Failed
 	}
-	// What comes without a question is a second answer.
+	// Data that arrives without a request is a second answer.
 	a.connection.SetReadDeadline(time.Now().Add(duplicateAnswerWait)) //nolint:errcheck
 	var b [1]byte
 	n, err := a.connection.Read(b[:])
--- a/internal/rig/driver_test.go
+++ b/internal/rig/driver_test.go
@@ -14,7 +14,7 @@
 	"pitchfield/internal/standin"
 )
 
-const testTimeout = 20 * time.Second // no time is asserted: only that it comes at all
+const testTimeout = 20 * time.Second // generous, since tests assert only that an answer comes, not when
 
 func startEnvironment(t *testing.T, o Options) *Environment {
 	t.Helper()
@@ -41,7 +41,7 @@
 	var version string
 	require.NoError(t, db.QueryRowContext(ctx, "SELECT @@VERSION").Scan(&version))
 	assert.Contains(t, version, "pitchfield")
-	for i := range 6 { // either protocol's engine
+	for i := range 6 { // enough to reach engines of both protocols
 		var engine, group, line string
 		require.NoError(t, db.QueryRowContext(ctx, fmt.Sprintf("SELECT %d FROM sales_1.orders", i)).Scan(&engine, &group, &line))
 		assert.Equal(t, "report", group)
@@ -77,11 +77,11 @@
 	require.Error(t, db.QueryRowContext(ctx, "SELECT 1 FROM sales_1.orders").Scan(&engine, &group, &line))
 	ctx, cancel = context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	require.NoError(t, db.QueryRowContext(ctx, "SELECT 2 FROM sales_1.orders").Scan(&engine, &group, &line), "the session goes on")
+	require.NoError(t, db.QueryRowContext(ctx, "SELECT 2 FROM sales_1.orders").Scan(&engine, &group, &line), "the session must continue after a cancellation")
 	err := db.QueryRowContext(ctx, "/* pitchfield group=once limit=1s */ INSERT INTO sales_1.orders SELECT 1").Scan(&engine)
 	var sqlError mssql.Error
 	require.ErrorAs(t, err, &sqlError)
-	assert.Equal(t, int32(40501), sqlError.Number, "what drivers hold for transient")
+	assert.Equal(t, int32(40501), sqlError.Number, "drivers treat this error as transient")
 	assert.Contains(t, sqlError.Message, "harmless")
 	_, err = db.ExecContext(ctx, "BEGIN TRANSACTION")
 	require.ErrorAs(t, err, &sqlError)
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -12,31 +12,33 @@
 	"pitchfield/internal/traffic"
 )
 
-// The fault script: the same stories over both protocols, each in a world of its own. What has to hold is checked on
-// what the engines noted and on what clients got, never on what the router says of itself.
+// The fault script runs the same scenarios over both protocols, each in its own environment. Rules are checked against what
+// the engines recorded and what clients received, never against the router's own reports.
 
-// resultRow is one row of the table: what came of a fault over one protocol.
+// resultRow is one row of the table: the results of a fault over one protocol.
 type resultRow struct {
 	Fault, Group, Protocol string
 	Batches                int
-	Answers                int // final ones; batches whose client has left count as answered on record
+	Answers                int // final answers; a batch whose client has left counts as answered
 	Outcomes               string
-	MaxDispatches          int // the most of any batch
+	MaxDispatches          int // largest number of dispatches of one batch
 	Violations             []string
 }
 
+// Times that the rules and the engines use.
 const (
-	drainGracePeriod = 250 * time.Millisecond // within which a drain must be followed
-	settleTime       = 300 * time.Millisecond // of rest after doubt, as Groups has it
-	workTime         = 5 * time.Millisecond
+	drainGracePeriod = 250 * time.Millisecond // no batch may start on an engine later than this after it began to drain
+	settleTime       = 300 * time.Millisecond // pause of a key after an outcome in doubt; settle-after-doubt-ms of PlatformSettings
+	workTime         = 5 * time.Millisecond   // execution time of a batch on an engine
 )
 
-// scenario is a fault played over a protocol.
+// scenario injects one fault; run plays it over one client protocol, "frames" or "tds".
 type scenario struct {
 	name string
 	run  func(protocol string) ([]resultRow, error)
 }
 
+// scenarios returns the fault script, in the order of the table.
 func scenarios() (out []scenario) {
 	for d := standin.Reject; d <= standin.EndlessAnswer; d++ {
 		out = append(out, scenario{d.String(), func(p string) ([]resultRow, error) { return faultOnFirstDispatch(p, d) }})
@@ -45,13 +47,13 @@
 		scenario{"engine drains", engineDrains}, scenario{"stop", routerStops}, scenario{"reload", settingsReload}, scenario{"small", smallRouter})
 }
 
-// Faults plays all stories over both protocols and gives a table. It is an error if a rule broke, or if the protocols
-// ended differently.
+// Faults runs all scenarios over both protocols and returns the results as a Markdown table. It returns an error as well if
+// a scenario could not run, if a rule was broken, or if the outcomes of the two protocols differ.
 func Faults() (string, error) {
 	var running sync.WaitGroup
 	allScenarios := scenarios()
 	rows, errs := make([][2][]resultRow, len(allScenarios)), make([][2]error, len(allScenarios))
-	slots := make(chan struct{}, 6) // worlds at a time
+	slots := make(chan struct{}, 6) // environments that run at the same time
 	for i, s := range allScenarios {
 		for k, p := range []string{"frames", "tds"} {
 			running.Go(func() {
@@ -85,14 +87,14 @@
 					row.Outcomes, row.MaxDispatches, violations)
 			}
 			if len(outcomes) != 2 || outcomes[0] != outcomes[1] {
-				failures = append(failures, fmt.Errorf("%s: the protocols end differently: %s", s.name, strings.Join(outcomes, " and ")))
+				failures = append(failures, fmt.Errorf("%s: outcomes differ between the protocols: %s", s.name, strings.Join(outcomes, " and ")))
 			}
 		}
 	}
 	return out.String(), errors.Join(failures...)
 }
 
-// engines of one protocol, or of both.
+// engineOptions returns the options of an environment with two engines of the given protocol.
 func engineOptions(protocol string, fleet *standin.Fleet) Options {
 	if fleet.MarkMemory == 0 {
 		fleet.MarkMemory = time.Minute
@@ -106,10 +108,13 @@
 	return o
 }
 
-// idempotencyByGroup tells what a group's repeats do.
+// idempotencyByGroup says how often a batch of a group may run: repeatable ones any number of times, once-only ones once, and
+// referenced ones once for each mark.
 var idempotencyByGroup = map[string]string{"lookup": "repeatable", "report": "repeatable", "once": "once-only", "upload": "referenced"}
 
-// checkRules checks the rules on all that a world's engines noted, and sums up.
+// checkRules completes the row with a summary of the outcomes and with violations of the rules, found in the runs that the
+// engines recorded. Rule 1: each batch gets exactly one final answer. Rule 2: a batch has at most 3 dispatches, and neither a
+// once-only batch nor a mark runs twice. Rule 5: batches of one key run one at a time and in order.
 func checkRules(row resultRow, runs []standin.Run, outcomes []Outcome) resultRow {
 	row.Batches, row.Answers = len(outcomes), 0
 	counts := map[string]int{}
@@ -162,19 +167,20 @@
 		for i := 1; i < len(list); i++ {
 			before := list[i-1]
 			if before.Ended.IsZero() || list[i].Began.Before(before.Ended) {
-				row.Violations = append(row.Violations, "5: two of key "+key+" at a time")
+				row.Violations = append(row.Violations, "5: two batches of key "+key+" ran at the same time")
 			}
-			if list[i].Text < before.Text { // texts of a key are numbered
-				row.Violations = append(row.Violations, "5: key "+key+" out of order")
+			if list[i].Text < before.Text { // the texts of a key's batches are numbered in order
+				row.Violations = append(row.Violations, "5: batches of key "+key+" ran out of order")
 			}
 		}
 	}
 	return row
 }
 
+// batchMark returns the mark by which engines recognize batch n when it is sent again.
 func batchMark(n int) string { return fmt.Sprintf("%032x", n+1) }
 
-// faultOnFirstDispatch: the first dispatch of a batch meets a fault, in each kind of group.
+// faultOnFirstDispatch injects a fault into the first dispatch of a batch, for each kind of idempotency.
 func faultOnFirstDispatch(protocol string, fault standin.Action) (out []resultRow, err error) {
 	for _, group := range []string{"lookup", "once", "upload"} {
 		fleet := &standin.Fleet{Script: func(r standin.Run, count int) standin.Step {
@@ -189,7 +195,7 @@
 			return out, err
 		}
 		var outcomes []Outcome
-		for n := range 3 { // a usual one, the one with the fault, a usual one: what the fault leaves behind shows there
+		for n := range 3 { // the second one meets the fault; the third shows whether the fault has lasting effects
 			text := fmt.Sprintf("SELECT %d FROM sales_1.orders", n)
 			if n == 1 {
 				text = "SELECT 1 AS faulty FROM sales_1.orders"
@@ -209,16 +215,19 @@
 	return out, nil
 }
 
-// clientCancels and cutting: a client of an upload gives up, or its connection ends. The key rests, order holds, and a repeat
-// under the same mark runs nothing twice.
+// clientCancels has the client of an upload cancel its batch while it runs.
 func clientCancels(protocol string) ([]resultRow, error) {
 	return abandonFirstBatch(protocol, "client leaves", batchClient.cancel)
 }
 
+// clientDisconnects has the client of an upload close its connection while its batch runs.
 func clientDisconnects(protocol string) ([]resultRow, error) {
 	return abandonFirstBatch(protocol, "client cuts", batchClient.Close)
 }
 
+// abandonFirstBatch starts an upload and abandons it while it runs, then sends another batch of the same key and the first
+// one again. The key must pause after the abandoned batch, order must hold, and the second attempt under the same mark must
+// not run the batch twice.
 func abandonFirstBatch(protocol, name string, abandon func(batchClient) error) ([]resultRow, error) {
 	started := make(chan struct{}, 8)
 	fleet := &standin.Fleet{Script: func(r standin.Run, count int) standin.Step {
@@ -252,13 +261,14 @@
 	row.Outcomes = strings.Replace(row.Outcomes, "1 pushed back", "1 left", 1)
 	for i, r := range fleet.Runs() {
 		if i > 0 && r.Key == "depot" && r.Mark == batchMark(2) && r.Began.Sub(fleet.Runs()[0].Began) < settleTime {
-			row.Violations = append(row.Violations, "5: no rest after doubt")
+			row.Violations = append(row.Violations, "5: no pause of the key after an outcome in doubt")
 		}
 	}
 	return []resultRow{row}, env.Stop()
 }
 
-// keyOrderAfterFaults: batches of one key come in a row, and some meet a fault. They run one at a time, in order, and rest.
+// keyOrderAfterFaults sends a sequence of batches of one key, two of which meet a fault. They must run one at a time and in
+// order, with a pause of the key after an outcome in doubt.
 func keyOrderAfterFaults(protocol string) ([]resultRow, error) {
 	fleet := &standin.Fleet{Script: func(r standin.Run, count int) standin.Step {
 		act := standin.Step{After: 10 * time.Millisecond}
@@ -289,15 +299,15 @@
 			defer c.Close()
 			outcomes[n] = c.awaitOutcome(8 * time.Second)
 		})
-		time.Sleep(20 * time.Millisecond) // so that all take them in the same order
+		time.Sleep(20 * time.Millisecond) // so that the batches arrive in the order of their numbers
 	}
 	all.Wait()
 	row := checkRules(resultRow{Fault: "keys in doubt", Group: "upload", Protocol: protocol}, fleet.Runs(), outcomes)
 	return []resultRow{row}, env.Stop()
 }
 
-// engineDrains: clients of both protocols keep asking engines of both, and one of each drains. The protocol of the line is
-// that of the engine that drains.
+// engineDrains drains one engine while clients of both protocols keep sending batches to engines of both protocols. The
+// protocol is that of the draining engine. Rule 3: no batch starts there after the grace period.
 func engineDrains(protocol string) ([]resultRow, error) {
 	fleet := &standin.Fleet{MarkMemory: time.Minute, Script: func(standin.Run, int) standin.Step { return standin.Step{After: workTime} }}
 	env, err := Start(Options{RESPEngines: 2, TDSEngines: 2, Fleet: fleet})
@@ -325,7 +335,7 @@
 		})
 	}
 	drainedEngine := map[string]string{"frames": "resp-1", "tds": "tds-1"}[protocol]
-	// On a busy machine the engine may have been taken for silent and be tried again only after some seconds.
+	// On a busy machine the engine may have been ejected as unresponsive, and is tried again only after some seconds.
 	sent := func() bool {
 		return slices.ContainsFunc(fleet.Runs(), func(r standin.Run) bool { return r.Engine == drainedEngine })
 	}
@@ -346,38 +356,40 @@
 			continue
 		}
 		if dispatches++; r.Began.Sub(drainedAt) > drainGracePeriod+schedulingSlack {
-			row.Violations = append(row.Violations, fmt.Sprintf("3: begun %s after the drain", r.Began.Sub(drainedAt)))
+			row.Violations = append(row.Violations, fmt.Sprintf("3: a batch started %s after the drain", r.Began.Sub(drainedAt)))
 		}
 	}
 	if dispatches == 0 {
-		row.Violations = append(row.Violations, "nothing was sent there before the drain either")
+		row.Violations = append(row.Violations, "the engine received no batch before the drain")
 	}
-	row.Batches, row.Answers = 0, 0 // how many is chance
+	row.Batches, row.Answers = 0, 0 // the number depends on timing
 	row.Outcomes = strings.TrimLeft(row.Outcomes, "0123456789 ")
 	return []resultRow{row}, env.Stop()
 }
 
-// schedulingSlack is what a busy machine may add to times that are noted beside the router; a rule that is broken for good shows
-// all the same, since the stream goes on for longer.
+// schedulingSlack is what a busy machine may add to times that are recorded outside the router. A lasting violation is still
+// found, since the batches go on for longer than this.
 const schedulingSlack = 250 * time.Millisecond
 
-// routerStops: the router is told to stop amid batches; all that it has taken is answered.
+// routerStops stops the router while batches run; it must answer all that it has accepted.
 func routerStops(protocol string) ([]resultRow, error) {
 	fleet := &standin.Fleet{Script: func(standin.Run, int) standin.Step { return standin.Step{After: 150 * time.Millisecond} }}
 	return disturbWhileBusy(protocol, "stop", fleet, func(env *Environment) error { return env.Stop() })
 }
 
-// settingsReload: our own settings are read again amid batches, a bad one first.
+// settingsReload reloads the installation settings while batches run: first an invalid file, which must be refused, then a
+// valid one.
 func settingsReload(protocol string) ([]resultRow, error) {
 	fleet := &standin.Fleet{Script: func(standin.Run, int) standin.Step { return standin.Step{After: 150 * time.Millisecond} }}
 	return disturbWhileBusy(protocol, "reload", fleet, func(env *Environment) error {
 		if err := env.Reload("[[rule]]\ngroup = \"nobody's\"\n"); err == nil {
-			return errors.New("a bad file came into force")
+			return errors.New("an invalid settings file was accepted")
 		}
 		return env.Reload("[[rule]]\nlogin = \"other\"\ngroup = \"once\"\n")
 	})
 }
 
+// disturbWhileBusy sends batches of several groups and calls disturb 50 ms later, while they run. All must be answered.
 func disturbWhileBusy(protocol, name string, fleet *standin.Fleet, disturb func(*Environment) error) ([]resultRow, error) {
 	env, err := Start(engineOptions(protocol, fleet))
 	if err != nil {
@@ -410,8 +422,9 @@
 	return []resultRow{row}, errors.Join(err, env.Stop())
 }
 
-// runBatchWithRedial plays a batch as a client does that may be ended at the door: at the bound of descriptors who has said nothing
-// for 50 ms makes room, and on a busy machine that may be one whose login has not come through. Nothing of it was taken.
+// runBatchWithRedial runs a batch like runBatch but dials up to 5 times. At its limit of descriptors the router closes
+// connections that have sent nothing for 50 ms; on a busy machine this may hit a client whose login has not arrived yet. The
+// router has accepted no batch of such a client, so dialing again is safe.
 func runBatchWithRedial(protocol string, env *Environment, batch Batch) Outcome {
 	const tries = 5
 	for n := 1; ; n++ {
@@ -426,7 +439,7 @@
 	}
 }
 
-// smallRouter: 32 MB and 256 descriptors, most of which are taken by clients that do nothing.
+// smallRouter runs a router with 32 MB and 256 descriptors, most of which idle clients take.
 func smallRouter(protocol string) ([]resultRow, error) {
 	fleet := &standin.Fleet{Script: func(standin.Run, int) standin.Step { return standin.Step{After: workTime, Rows: 300} }}
 	o := engineOptions(protocol, fleet)
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -27,8 +27,8 @@
 	assert.Equal(t, 5, strings.Count(out.String(), "\n"), out.String())
 }
 
-// largeResultRows is a result that has to go out in parts.
-const largeResultRows = 400000 // rows, some 20 MB on the wire: more than sockets hold
+// largeResultRows makes a result that has to be sent in parts.
+const largeResultRows = 400000 // some 20 MB on the wire: more than socket buffers hold
 
 func TestLargeResultStreamsAndSlowReaderBlocksEngine(t *testing.T) {
 	fleet := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step { return standin.Step{Rows: largeResultRows} }}
@@ -38,19 +38,19 @@
 	defer c.Close()
 	require.NoError(t, c.Conn.(*net.TCPConn).SetReadBuffer(256<<10))
 	require.NoError(t, c.Send("/* pitchfield group=report limit=16s */ SELECT a FROM sales_1.orders"))
-	time.Sleep(time.Second) // nothing is read meanwhile
+	time.Sleep(time.Second) // the client reads nothing meanwhile
 	require.Len(t, fleet.Runs(), 1)
-	assert.Zero(t, fleet.Runs()[0].Answered, "the engine is still writing")
+	assert.Zero(t, fleet.Runs()[0].Answered, "the engine must still be writing")
 	r, err := c.ReadReply(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, traffic.ReplyComplete, r.Word, r.Why)
-	assert.Equal(t, largeResultRows, len(r.Lines)) //nolint:testifylint // the lines themselves are no help
+	assert.Equal(t, largeResultRows, len(r.Lines)) //nolint:testifylint // printing the lines would not help
 	assert.Len(t, fleet.Runs(), 1)
 }
 
 func TestTruncatedStreamIsReportedAndNotRetried(t *testing.T) {
-	// Half of it is several times what has to be whole. The engine makes all of it before it sends the first half, so a
-	// much larger one takes it longer than the batch has, on a busy machine.
+	// Half of this result is several times the size up to which a result must be complete before it is sent on. The engine
+	// produces all rows before it sends the first half, so on a busy machine a much larger result would exceed the time limit.
 	const rows = 20000
 	fleet := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step {
 		return standin.Step{Rows: rows, Action: standin.CloseMidAnswer}
@@ -67,7 +67,7 @@
 	fleet := &standin.Fleet{Script: func(r standin.Run, _ int) standin.Step { return standin.Step{Rows: largeResultRows} }}
 	env := startEnvironment(t, Options{TDSEngines: 1, Fleet: fleet})
 	assert.Equal(t, traffic.Failed, runBatch("frames", env, Batch{Group: "lookup", Text: "SELECT a FROM sales_1.orders", TimeLimit: 4 * time.Second}).Code)
-	require.Eventually(t, func() bool { // its engine's connection is of use again once the Attention is acknowledged
+	require.Eventually(t, func() bool { // the engine's connection is usable again once it has acknowledged the Attention
 		return len(fleet.Runs()) == 1
 	}, testTimeout, 10*time.Millisecond)
 }
@@ -84,17 +84,17 @@
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.Conn.(*net.TCPConn).SetReadBuffer(256<<10))
-	require.NoError(t, c.Send("/* pitchfield group=report limit=4s */ SELECT a FROM sales_1.orders")) // rows have to begin to come within it, on a busy machine too
+	require.NoError(t, c.Send("/* pitchfield group=report limit=4s */ SELECT a FROM sales_1.orders")) // the first rows have to arrive within the limit, on a busy machine too
 	time.Sleep(4200 * time.Millisecond)
 	assert.Equal(t, "returned", runBatch("frames", env, Batch{Group: "lookup", Text: "SELECT a FROM sales_1.b", TimeLimit: 3 * time.Second}).String(),
-		"the engine is free for others")
+		"the engine must be free for other batches")
 	r, err := c.ReadReply(testTimeout)
 	require.NoError(t, err)
 	assert.Equal(t, traffic.ReplyFailed, r.Word)
 	assert.Less(t, len(r.Lines), largeResultRows)
 }
 
-// What never becomes whole is closed, before a login and after it.
+// The router closes connections on which a packet never becomes complete, before the login and after it.
 func TestIncompletePacketsAreClosed(t *testing.T) {
 	env := startEnvironment(t, Options{TDSEngines: 1})
 	var all []net.Conn
@@ -109,11 +109,11 @@
 	for _, c := range all {
 		c.SetReadDeadline(time.Now().Add(testTimeout)) //nolint:errcheck
 		_, err := io.ReadAll(c)
-		assert.NoError(t, err, "it ends, and does not last as long as our patience")
+		assert.NoError(t, err, "the router must close the connection within testTimeout")
 	}
 }
 
-// An engine that takes connections and never ends its login gets no batch, and holds none.
+// An engine that accepts connections and never completes its login gets no batch and delays none.
 func TestEngineLoginThatNeverCompletes(t *testing.T) {
 	env := startEnvironment(t, Options{TDSEngines: 1})
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,6 +123,6 @@
 	time.Sleep(300 * time.Millisecond)
 	for n := range 6 {
 		e := runBatch([]string{"tds", "frames"}[n%2], env, Batch{Group: "once", Text: "INSERT INTO sales_1.b SELECT 1", TimeLimit: 3 * time.Second})
-		assert.Equal(t, "returned", e.String(), "it never ran there, so it goes on")
+		assert.Equal(t, "returned", e.String(), "the batch never ran on the dead engine, so it must run on another one")
 	}
 }
--- a/internal/rig/try.go
+++ b/internal/rig/try.go
@@ -15,28 +15,31 @@
 	"pitchfield/internal/traffic"
 )
 
+// Settings of Try.
 const (
 	tryReplyTimeout  = 8 * time.Second // for one batch
 	tryClients       = 4               // of each protocol
 	tryRounds        = 4
-	tryRoundPause    = 2 * time.Second // until engines that were set aside are tried again
+	tryRoundPause    = 2 * time.Second // long enough for ejected engines to be tried again
 	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
-// pairingStats is what came of the batches of one client protocol on engines of another.
+// pairingStats describes the batches that clients of one protocol had served by engines of one protocol.
 type pairingStats struct {
 	clients, engines string
 	batches          int
 	latencies        *hdrhistogram.Histogram // microseconds
 }
 
-// tryResults keeps pairings and what went wrong.
+// tryResults collects the statistics of each pairing and the failures. Its methods may be called concurrently.
+// Pairings are keyed by client protocol and engine protocol.
 type tryResults struct {
 	mutex    sync.Mutex
 	pairings map[[2]string]*pairingStats
 	failures []string
 }
 
+// recordServed counts a served batch. The engine's protocol is the part of its name before the first hyphen.
 func (t *tryResults) recordServed(client, engineName string, latency time.Duration) {
 	engine, _, _ := strings.Cut(engineName, "-")
 	t.mutex.Lock()
@@ -50,18 +53,20 @@
 	p.latencies.RecordValue(min(max(latency.Microseconds(), 1), maxLatencyMicros)) //nolint:errcheck
 }
 
+// recordFailure keeps a formatted failure message.
 func (t *tryResults) recordFailure(format string, args ...any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.failures = append(t.failures, fmt.Sprintf(format, args...))
 }
 
-// Try sends so many batches of each protocol to a world and writes a table with a line for each pairing. It is an error
-// if a pairing had none, or a batch was not returned.
+// Try sends the given number of batches over each client protocol and writes a table of latencies to out, with one line for
+// each pairing of client protocol and engine protocol. It repeats this for up to four rounds until each pairing has served a
+// batch. It returns an error if a pairing served none or if a batch did not succeed.
 func Try(env *Environment, batches int, out io.Writer) error {
 	results := &tryResults{pairings: map[[2]string]*pairingStats{}}
 	for round := range tryRounds {
-		if round > 0 { // on a busy machine engines were taken for silent, and are back after some seconds
+		if round > 0 { // on a busy machine engines may have been ejected as unresponsive; they return after some seconds
 			time.Sleep(tryRoundPause)
 		}
 		var clients sync.WaitGroup
@@ -89,7 +94,7 @@
 		}
 	}
 	if err := table.Flush(); err != nil {
-		return fmt.Errorf("table: %w", err)
+		return fmt.Errorf("write the table: %w", err)
 	}
 	if len(results.failures) > 0 {
 		return errors.New(strings.Join(results.failures, "; "))
@@ -97,10 +102,12 @@
 	return nil
 }
 
+// tryText returns the text of the n-th batch of client i.
 func tryText(client string, i, n int) string {
 	return fmt.Sprintf("SELECT %d AS n, '%s' FROM sales_%d.orders", n, client, i*7+n%11)
 }
 
+// runFrames sends batches one after another over the frame protocol and records them; it stops at the first failure.
 func (t *tryResults) runFrames(env *Environment, clientNumber, batches int) {
 	c, err := standin.Dial(env.FrameAddress)
 	if err != nil {
@@ -123,6 +130,7 @@
 	}
 }
 
+// runTDS sends batches one after another over TDS and records them; it stops at the first failure.
 func (t *tryResults) runTDS(env *Environment, clientNumber, batches int) {
 	c, err := standin.DialTDS(env.TDSAddress, User, Password, Database, tryReplyTimeout)
 	if err != nil {
--- a/internal/rig/world.go
+++ b/internal/rig/world.go
@@ -1,5 +1,5 @@
-// Package rig puts up a whole world on loopback: scripted engines of both protocols, the name service and a router in
-// this process. It is for 'pitchfield try', for the fault script and for tests.
+// Package rig starts a complete test environment on loopback: scripted engines of both protocols, a name service and a
+// router, all in this process. 'pitchfield try', the fault script and tests use it.
 package rig
 
 import (
@@ -22,25 +22,25 @@
 	"pitchfield/internal/standin"
 )
 
-// The login that the world's router takes.
+// The login and the database that the environment's router accepts.
 const (
 	User     = "reports"
 	Password = "try-me"
 	Database = "sales"
 )
 
-// Options say what the world is like.
+// Options configure an environment.
 type Options struct {
-	RESPEngines, TDSEngines int // engines of each
-	MemoryMB, Descriptors   int // of the router; 0: 192 and 1024
+	RESPEngines, TDSEngines int // number of engines of each protocol
+	MemoryMB, Descriptors   int // limits of the router; 0 means 192 MB and 1024 descriptors
 	Log                     *zap.Logger
-	Fleet                   *standin.Fleet // nil: all is served
-	ExtraSettings           string         // more of our own settings
+	Fleet                   *standin.Fleet // script and record of the engines' work; nil: every batch is served
+	ExtraSettings           string         // TOML appended to the router's installation settings
 }
 
-// Environment is a running one.
+// Environment is a running test environment.
 type Environment struct {
-	FrameAddress, TDSAddress string // addresses of the router
+	FrameAddress, TDSAddress string // the router's listening addresses, one for each client protocol
 	NameService              *standin.NameService
 	Engines                  []*standin.Server
 	Fleet                    *standin.Fleet
@@ -53,7 +53,8 @@
 	mutex         sync.Mutex
 }
 
-// PlatformSettings of the world: lookup and report are repeatable, upload is referenced and in order, once is once-only.
+// PlatformSettings are the platform's settings as JSON. Batches of the groups lookup and report are idempotent; those of
+// upload are deduplicated by the engine and run in order of arrival; those of once run at most once.
 const PlatformSettings = `{"grades":[
 {"name":"lookup","on-time-ms":2000,"deadline-ms":4000,"idempotency":"idempotent","worth":1},
 {"name":"report","on-time-ms":4000,"deadline-ms":8000,"idempotency":"idempotent","worth":1},
@@ -66,25 +67,27 @@
 "rules":{"settle-after-doubt-ms":300,"stop-sending-within-ms":250},
 "feedback":{"how":"probe","names":["waiting","x0","x1"]},"balancers":1,"index":0,"tick-ms":5}`
 
-// nextLoopbackHost gives each world a loopback address of its own: a port that is found free and let go of again can't be taken by
-// another world, of this process or the next, before the router listens there.
+// nextLoopbackHost returns a loopback address for one environment alone. Otherwise another environment, of this process
+// or of another, could take a port between freeAddress and the moment at which the router listens on it.
 func nextLoopbackHost() string {
 	n := environmentCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, n/250%250, 1+n%250)
 }
 
+// environmentCount counts the environments that this process has started.
 var environmentCount atomic.Uint32
 
+// freeAddress returns an address of host with a TCP port that is free at the moment.
 func freeAddress(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
-		return "", fmt.Errorf("no free port: %w", err)
+		return "", fmt.Errorf("find a free port: %w", err)
 	}
 	defer l.Close()
 	return l.Addr().String(), nil
 }
 
-// Start puts a world up and waits until its router answers.
+// Start starts an environment and waits until its router answers. If it fails, everything that it started is stopped.
 func Start(o Options) (env *Environment, err error) {
 	env = &Environment{Fleet: o.Fleet, routerStopped: make(chan struct{}), reloads: make(chan serve.Configuration), cancel: func() {}}
 	defer func() {
@@ -133,7 +136,7 @@
 	return env, env.waitReady()
 }
 
-// buildConfiguration makes what the router is told.
+// buildConfiguration returns the router's configuration; extraSettings are appended to its installation settings.
 func (env *Environment) buildConfiguration(o Options, extraSettings string) (t serve.Configuration, err error) {
 	memory, descriptors := o.MemoryMB, o.Descriptors
 	if memory == 0 {
@@ -144,14 +147,14 @@
 	}
 	text, err := Configuration(PlatformSettings, "n1", env.FrameAddress, "8c1f30d27a5be964", memory, descriptors, env.NameService.LocalAddr().String(), env.NameService.StartupEvents())
 	if err != nil {
-		return t, fmt.Errorf("configuration: %w", err)
+		return t, fmt.Errorf("build the platform configuration: %w", err)
 	}
 	if t.Config, err = config.Parse(text); err != nil {
 		return t, err
 	}
 	hash, err := bcrypt.GenerateFromPassword([]byte(Password), bcrypt.MinCost)
 	if err != nil {
-		return t, fmt.Errorf("password: %w", err)
+		return t, fmt.Errorf("hash the password: %w", err)
 	}
 	t.Installation, err = installation.Parse("rig.toml", fmt.Appendf(nil, `
 [tds]
@@ -176,7 +179,8 @@
 	return t, t.Installation.ValidateAgainst("rig.toml", t.Config.Settings)
 }
 
-// Reload has the router read its settings again, with more of our own.
+// Reload gives the router a new configuration with extraSettings in its installation settings. It returns an error without
+// a reload if the settings are invalid.
 func (env *Environment) Reload(extraSettings string) error {
 	configuration, err := env.buildConfiguration(Options{}, extraSettings)
 	if err != nil {
@@ -186,12 +190,12 @@
 	case env.reloads <- configuration:
 		return nil
 	case <-env.routerStopped:
-		return errors.New("the router has ended")
+		return errors.New("the router has stopped")
 	}
 }
 
-// Configuration is what the platform would tell a router of such a world, as JSON. Settings are the platform's; memory
-// is in MB; names is the name service's address, and known the list that it has at the start.
+// Configuration returns the JSON configuration that the platform would give to a router of such an environment. Memory is in
+// MB, descriptors is the limit of open sockets, and knownEngines is the name service's list of engines at the start.
 func Configuration(settings, name, listen, seed string, memory, descriptors int, nameServiceAddress string, knownEngines any) ([]byte, error) {
 	return json.Marshal(map[string]any{"name": name, "listen": listen, "seed": seed,
 		"limits":   map[string]any{"cores": 1, "memory_mb": memory, "sockets": descriptors},
@@ -199,7 +203,7 @@
 		"settings": json.RawMessage(settings)})
 }
 
-// AdvertiseEngines tells the name service of all engines, and which of them drain.
+// AdvertiseEngines makes the name service list all engines and mark the named ones as draining.
 func (env *Environment) AdvertiseEngines(draining ...string) {
 	var hosts []standin.Host
 	for _, e := range env.Engines {
@@ -212,9 +216,10 @@
 	env.NameService.Set(hosts...)
 }
 
+// readyTimeout limits how long Start waits for the router; clients use it for dialing and cancelling too.
 const readyTimeout = 10 * time.Second
 
-// waitReady waits until the router answers and has served a batch on every engine's protocol, so that it knows the list.
+// waitReady waits until the router answers, and then until it has had time to fetch the list of engines.
 func (env *Environment) waitReady() error {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		c, err := standin.Dial(env.FrameAddress)
@@ -225,19 +230,20 @@
 		a, err := c.ReadFrame(time.Second)
 		c.Close()
 		if err == nil && a.Type == 21 && a.Code == 0 {
-			time.Sleep(200 * time.Millisecond) // a question to the name service, and its answer
+			time.Sleep(200 * time.Millisecond) // enough for one query to the name service and its answer
 			return nil
 		}
 	}
 	select {
 	case <-env.routerStopped:
-		return fmt.Errorf("the router has ended: %w", env.routerErr)
+		return fmt.Errorf("the router has stopped: %w", env.routerErr)
 	default:
 		return errors.New("the router is not ready")
 	}
 }
 
-// Stop takes the world down: the router answers what it has, then all the rest closes. It gives the router's end.
+// Stop stops the environment: the router first answers the batches that it has accepted, then the engines and the name
+// service close. It returns the router's error, if any, and may be called more than once.
 func (env *Environment) Stop() error {
 	env.cancel()
 	if env.configuration.Installation != nil {
