--- a/internal/parallel/parallel.go
+++ b/internal/parallel/parallel.go
@@ -1,18 +1,19 @@
-// Package parallel does several things beside each other, for tools that play many worlds.
+// Package parallel runs tasks concurrently, for tools that run many simulated worlds.
 package parallel
 
 import "sync"
 
-// Each does n things by number, so many beside each other, begun in their order, and waits for all.
-func Each(beside, n int, do func(i int)) {
+// Each calls do with each number from 0 to count-1, in order, with at most concurrency calls running at the same time (at
+// least 1), and waits for all of them.
+func Each(concurrency, count int, do func(i int)) {
 	var wait sync.WaitGroup
-	free := make(chan struct{}, max(beside, 1))
-	for i := range n {
-		free <- struct{}{}
+	slots := make(chan struct{}, max(concurrency, 1))
+	for i := range count {
+		slots <- struct{}{}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			do(i)
 		}()
 	}
