--- a/internal/assign/assign.go
+++ b/internal/assign/assign.go
@@ -174,7 +174,7 @@
 		case "memory":
 			properties.Memory, err = ParseMegabytes(value)
 		default:
-			err = fmt.Errorf("unknown name; known are group, client, key, mark, limit, cost and memory")
+			err = fmt.Errorf("no such name; there are group, client, key, mark, limit, cost and memory")
 		}
 		if err != nil {
 			return "", fmt.Errorf("leading pitchfield comment: %.60q: %w", w, err)
--- a/internal/clients/frames.go
+++ b/internal/clients/frames.go
@@ -52,7 +52,7 @@
 )
 
 // ErrMalformedFrame reports bytes that are not a frame. Nothing after them can be read on the connection.
-var ErrMalformedFrame = errors.New("malformed frame")
+var ErrMalformedFrame = errors.New("not a frame")
 
 // Protocol returns the description of the frame protocol for the router's core. Clients close a connection themselves after 4 s
 // idle; one that leaves it open for longer would keep it forever, so the router closes it after 5 s.
@@ -177,7 +177,7 @@
 	}
 	count := int(b[0])
 	if b = b[1:]; count > maxFields {
-		return 1, fmt.Errorf("%d fields are too many", count)
+		return 1, fmt.Errorf("%d fields", count)
 	}
 	var seen uint // bits of the known fields that have occurred
 	var unknown []string
@@ -193,7 +193,7 @@
 			unknown = append(unknown, string(name))
 		}
 		if duplicate {
-			return all, fmt.Errorf("duplicate field %.8q", name)
+			return all, fmt.Errorf("two fields %.8q", name)
 		}
 		value, ok := text(2)
 		if !ok {
@@ -213,20 +213,20 @@
 		return errors.New("field i is not an id")
 	}
 	if b.IdempotencyKey != "" && !IsHex(b.IdempotencyKey, IdempotencyKeyDigits) {
-		return errors.New("field k is not an idempotency key")
+		return errors.New("field k is no mark")
 	}
 	millis, err := strconv.ParseUint(f.timeLeft, 10, 31)
 	if err != nil || millis == 0 {
-		return errors.New("field d is not a time in milliseconds")
+		return errors.New("field d is no time")
 	}
 	b.TimeLeft = float64(millis) / 1000
 	cost, costOK := ParseNonNegative(f.cost, maxCostMillis)
 	memory, memoryOK := ParseNonNegative(f.memory, maxMemoryMB)
 	if !costOK || !memoryOK {
-		return errors.New("field h or mb is not a number in its range")
+		return errors.New("fields h or mb are no figures")
 	}
 	if b.Text.Len() == 0 {
-		return errors.New("statement is missing")
+		return errors.New("no statement")
 	}
 	b.Cost, b.Memory = cost/1000, memory
 	if len(f.orderKey) > maxOrderKeyBytes {
--- a/internal/levels/levels.go
+++ b/internal/levels/levels.go
@@ -330,7 +330,7 @@
 	}
 	m.step = max(s.TrialSteps, 1)
 	if m.mayTransition() {
-		m.enterLevel(m.nearestAllowed(m.level-1), m.now, "trial succeeded")
+		m.enterLevel(m.nearestAllowed(m.level-1), m.now, "the load is borne")
 		m.hasLeftLevel, m.leftAt = true, m.now
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -27,32 +27,32 @@
 // evaluateCertainty returns the level of certainty of the view now, and the reason for the log.
 func (m *Machine) evaluateCertainty() (Certainty, string) {
 	if m.nameConflict {
-		return Alone, "another router has this name"
+		return Alone, "another has this name"
 	}
 	if m.statesChanged || m.now >= m.nextMajorityCheckAt { // cached, because isMajorityLost visits all members
 		m.statesChanged, m.nextMajorityCheckAt, m.majorityLost = false, m.now+majorityCheckInterval, m.isMajorityLost()
 	}
 	if m.majorityLost {
-		return CutOff, "fewer than half of the members of the settled view are present"
+		return CutOff, "less than half of those with whom it settled are there"
 	}
 	agree, differ := m.countRecentViews()
 	switch {
 	case m.memberCount == 1 && len(m.settledNames) <= 1:
-		return Alone, "no other router is known"
+		return Alone, "nobody is known"
 	case m.memberCount == 1 && m.now > m.viewSince+m.settings.SettleDelay && m.now >= m.pauseSettleAt:
-		return Settled, "all other routers have gone"
+		return Settled, "all others have gone"
 	case len(m.suspects) > 0:
-		return Changing, "a member is suspected"
+		return Changing, "somebody is suspected"
 	case m.now < m.viewSince+m.settings.SettleDelay:
 		return Changing, "the view has changed"
 	case m.now < m.pauseSettleAt:
 		return Changing, "it stood still"
 	case differ > 0:
-		return Changing, "some members have another view"
+		return Changing, "some have another view"
 	case agree == 0:
-		return Changing, "no message from a member recently"
+		return Changing, "nobody was heard lately"
 	}
-	return Settled, "all recent senders have the same view"
+	return Settled, "all heard lately have the same view"
 }
 
 // isMajorityLost reports whether fewer than half of settledNames are present and not suspected. Of two equal halves, the one with
--- a/internal/router/batches.go
+++ b/internal/router/batches.go
@@ -179,11 +179,11 @@
 	case group == nil:
 		return fmt.Errorf("no such service group: %.40q", request.Group)
 	case r.openByID[request.ID] != nil:
-		return errors.New("another open batch has the same id")
+		return errors.New("its id is open")
 	case group.Idempotency == brain.Deduplicated && request.IdempotencyKey == "":
-		return errors.New("a referenced batch needs a mark")
+		return errors.New("a referenced batch has no mark")
 	case request.TimeLeft > maxWaitFactor*group.Limit:
-		return errors.New("the requested wait is far above the time limit of the service group")
+		return errors.New("it would wait far past its group's time limit")
 	}
 	return nil
 }
--- a/internal/router/dispatches.go
+++ b/internal/router/dispatches.go
@@ -145,7 +145,7 @@
 	r.returnUnwritten(d)
 	if b.client != nil {
 		r.brain.RemoveBatch(b.Batch)
-		b.lastError = "internal error: sending the request would violate an invariant"
+		b.lastError = "the router's state is in doubt"
 		r.answerBatch(b, traffic.Failed, 0)
 	}
 }
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -14,8 +14,8 @@
 const streamThreshold = maxResultBytes
 
 var (
-	errProtocolLimit = errors.New("the result is larger than its client's protocol allows")
-	errRouteLimit    = errors.New("the result is larger than its route allows")
+	errProtocolLimit = errors.New("the result is larger than its client's protocol carries")
+	errRouteLimit    = errors.New("the result is larger than its route lets through")
 )
 
 // storePart buffers or forwards rows of a result that comes in parts.
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -119,7 +119,7 @@
 }
 
 // ErrMalformed means that data do not match the types or the number of their columns.
-var ErrMalformed = errors.New("rows do not match their columns")
+var ErrMalformed = errors.New("rows do not fit their columns")
 
 // scratch holds the slices that Each needs while it reads a part. They are pooled to avoid an allocation per part.
 type scratch struct {
@@ -187,7 +187,7 @@
 		text := p.Data.Bytes()
 		if !utf8.Valid(text) {
 			out.Release()
-			return nil, errors.New("the result is not valid UTF-8")
+			return nil, errors.New("the result is no UTF-8")
 		}
 		for len(text) > 0 {
 			for i := range lineColumns {
--- a/internal/rows/values.go
+++ b/internal/rows/values.go
@@ -86,7 +86,7 @@
 		}
 	}
 	if !ok {
-		return fmt.Errorf("%w: %d bytes are not a valid %s", ErrMalformed, len(v), t.Kind)
+		return fmt.Errorf("%w: %d bytes are no %s", ErrMalformed, len(v), t.Kind)
 	}
 	return nil
 }
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -104,21 +104,21 @@
 // Print writes the page as text.
 func (m *Members) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "router\t%s\nat\t%s\ncertainty\t%s, since %s\nview\t%s, %d members, the same for %.1f s, %d changes\nreceived lately\t%d agree, %d differ\n",
+	fmt.Fprintf(table, "router\t%s\nat\t%s\ncertainty\t%s, since %s\nview\t%s, %d members, the same for %.1f s, %d changes\nheard lately\t%d agree, %d differ\n",
 		m.Router, m.At.Format(time.RFC3339), m.Certainty, m.CertainSince.Format(time.RFC3339), m.View, m.Count, m.SameFor, m.Changes, m.Agree, m.Differ)
-	fmt.Fprintf(table, "datagrams\t%d in, %d out, %.0f and %.0f bytes a second\n", m.Traffic.In, m.Traffic.Out, m.Traffic.BytesInPerSecond, m.Traffic.BytesOutPerSecond)
+	fmt.Fprintf(table, "talk\t%d in, %d out, %.0f and %.0f bytes a second\n", m.Traffic.In, m.Traffic.Out, m.Traffic.BytesInPerSecond, m.Traffic.BytesOutPerSecond)
 	if traffic := m.Traffic; traffic.UnknownNetworks+traffic.OtherFleets+traffic.Malformed+traffic.Unsent > 0 {
-		fmt.Fprintf(table, "dropped\t%d from unknown networks, %d of other fleets, %d malformed, %d not sent\n", traffic.UnknownNetworks, traffic.OtherFleets, traffic.Malformed, traffic.Unsent)
+		fmt.Fprintf(table, "dropped\t%d of strangers, %d of other fleets, %d unreadable, %d not sent\n", traffic.UnknownNetworks, traffic.OtherFleets, traffic.Malformed, traffic.Unsent)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintln(table, "\nname\tstate\tfor\treceived\tview\taddress\tstart\tincarnation\taccusers")
+	fmt.Fprintln(table, "\nname\tstate\tfor\theard\tview\taddress\tstart\tincarnation\taccusers")
 	for _, member := range m.Members {
 		received, view := fmt.Sprintf("%.1f s ago", member.ReceivedAgo), "differs"
 		switch {
 		case member.Self:
-			received = "this router"
+			received = "this one"
 		case member.ReceivedAgo < 0:
 			received = "never"
 		}
--- a/internal/serve/shares.go
+++ b/internal/serve/shares.go
@@ -103,7 +103,7 @@
 	fmt.Fprintf(table, "router\t%s\nat\t%s\nbursar\t%s\nkeeper\t%t\n", s.Router, s.At.Format(time.RFC3339), coordinator, s.IsReplica)
 	counts := s.Counts
 	fmt.Fprintf(table, "credits\t%d asked for, %d given after %.4f s, %d given back, %d ended in hand, %d never\n", counts.Requested, counts.Granted, s.MeanWait, counts.Returned, counts.Expired, counts.TooLarge)
-	fmt.Fprintf(table, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d received\n", counts.Used, counts.FixedUsed, counts.Sent, counts.Received)
+	fmt.Fprintf(table, "spent\t%.2f by credits, %.2f of the firm part\nmessages\t%d sent, %d heard\n", counts.Used, counts.FixedUsed, counts.Sent, counts.Received)
 	if len(s.Budgets) > 0 {
 		fmt.Fprintln(table, "\nbudget\twhole\tin hand\tused of it\tasked for\tlast given")
 	}
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -136,7 +136,7 @@
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) {
 		m := p.members.Load()
 		if m == nil {
-			http.Error(w, "no members: the settings have no [fleet] section", http.StatusNotFound)
+			http.Error(w, "this router talks to no other; settings without [fleet] have none", http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -145,7 +145,7 @@
 	mux.HandleFunc("GET /shares", func(w http.ResponseWriter, _ *http.Request) {
 		s := p.quotas.Load()
 		if s == nil {
-			http.Error(w, "no budgets are divided among routers: the settings have no [shares] section", http.StatusNotFound)
+			http.Error(w, "this router divides nothing with others; settings without [shares] have nothing to divide", http.StatusNotFound)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/tds/login.go
+++ b/internal/tds/login.go
@@ -209,6 +209,6 @@
 	errEncryptionUnsupported = Message{20, 1, 20, "The connection must not be encrypted: this router does not support encryption. Connect with encryption off."}
 	errLoginFailed           = Message{18456, 1, 14, "Login failed."}
 	errLoginMethod           = Message{18452, 1, 14, "Login failed. Only logins by a user and a password that the router's settings name are supported."}
-	errOldVersion            = Message{17809, 1, 20, "This router supports TDS 7.4, and 7.2 and 7.3 where they are the same; the client requests an older version."}
-	errLoginExpected         = errors.New("a request before the login is complete")
+	errOldVersion            = Message{17809, 1, 20, "This router speaks TDS 7.4 and 7.2 to 7.3 as far as they are alike; the client asks for an older one."}
+	errLoginExpected         = errors.New("a request before the login is done")
 )
--- a/internal/tds/rpc.go
+++ b/internal/tds/rpc.go
@@ -120,7 +120,7 @@
 		p.Null = v == nil
 		p.Value = append([]byte{}, v...)
 		if status&paramDefaultValue != 0 {
-			return out, requestError{unsupportedError("default values of parameters")}
+			return out, requestError{unsupportedError("a parameter's default")}
 		}
 		out.parameters = append(out.parameters, p)
 	}
@@ -221,7 +221,7 @@
 	seen := map[string]bool{}
 	for i, v := range values {
 		if v.output {
-			return nil, requestError{unsupportedError("output parameters")}
+			return nil, requestError{unsupportedError("a parameter that returns a value")}
 		}
 		name := v.Name
 		if name == "" {
@@ -254,5 +254,5 @@
 
 // unsupportedError is the error for a feature that the router does not support.
 func unsupportedError(feature string) Message {
-	return Message{40510, 1, 16, "This router does not support " + feature + "."}
+	return Message{40510, 1, 16, "This router does not carry " + feature + "."}
 }
--- a/internal/tds/server_values.go
+++ b/internal/tds/server_values.go
@@ -13,7 +13,7 @@
 // is reachable.
 
 // productName is the value of @@VERSION.
-const productName = "pitchfield, a router for analytic engines"
+const productName = "pitchfield, a router before analytic engines"
 
 // serverValues returns the values of a SELECT of nothing but server values, with their column names, and false for any other
 // statement.
--- a/internal/tds/session.go
+++ b/internal/tds/session.go
@@ -385,7 +385,7 @@
 			}
 		}
 		if len(kept) >= maxSettings || size > maxSettingBytes {
-			return unsupportedError("more SET options in one session"), false
+			return unsupportedError("so many SET options of one session"), false
 		}
 		s.settings = append(kept, setting)
 	}
@@ -435,7 +435,7 @@
 func (s *Session) handleRPC(request rpcRequest, out *buffers.Chain) (traffic.ClientMessage, error) {
 	text := func(i int) (string, error) {
 		if i >= len(request.parameters) || request.parameters[i].Kind != rows.Text {
-			return "", requestError{Message{214, 2, 16, "Procedure expects a parameter of a text type."}}
+			return "", requestError{Message{214, 2, 16, "A procedure lacks a parameter of text."}}
 		}
 		return string(request.parameters[i].Value), nil
 	}
@@ -510,7 +510,7 @@
 func (s *Session) prepare(p preparedStatement) (int32, error) {
 	size := len(p.text) + len(p.declaration)
 	if len(s.handles) >= maxHandles || s.handleBytes+size > maxHandleBytes || s.lastHandle == math.MaxInt32 {
-		return 0, requestError{unsupportedError("more prepared statements in one session")}
+		return 0, requestError{unsupportedError("so many prepared statements of one session")}
 	}
 	if s.handles == nil {
 		s.handles = map[int32]preparedStatement{}
@@ -524,18 +524,18 @@
 // handleNamedProcedure turns an RPC request by procedure name into an EXEC statement with its parameters as literals.
 func (s *Session) handleNamedProcedure(request rpcRequest, out *buffers.Chain) (traffic.ClientMessage, error) {
 	if request.name == "" || strings.ContainsFunc(request.name, func(r rune) bool { return !isNameRune(r) && !strings.ContainsRune(".[] ", r) }) {
-		return nil, requestError{Message{2812, 62, 16, fmt.Sprintf("%.60q is not a valid procedure name.", request.name)}}
+		return nil, requestError{Message{2812, 62, 16, fmt.Sprintf("%.60q is not the name of a procedure.", request.name)}}
 	}
 	text := "EXEC " + request.name
 	for i, p := range request.parameters {
 		literal, err := rows.Literal(p.Parameter)
 		switch {
 		case p.output:
-			return nil, requestError{unsupportedError("output parameters")}
+			return nil, requestError{unsupportedError("a parameter that returns a value")}
 		case err != nil:
 			return nil, requestError{Message{8114, 5, 16, err.Error()}}
 		case strings.ContainsFunc(p.Name, func(r rune) bool { return !isNameRune(r) && r != '@' }):
-			return nil, requestError{Message{8145, 1, 16, fmt.Sprintf("%.40q is not a valid parameter name.", p.Name)}}
+			return nil, requestError{Message{8145, 1, 16, fmt.Sprintf("%.40q is not the name of a parameter.", p.Name)}}
 		case p.Name != "":
 			literal = p.Name + "=" + literal
 		}
@@ -600,13 +600,13 @@
 // run and is safe to retry; a failure guarantees nothing.
 func failureMessage(a *traffic.Answer) Message {
 	if a.Code == traffic.Rejected {
-		m := Message{ErrorNumberRejected, 1, 16, "The service is currently busy: the batch was rejected and is safe to retry."}
+		m := Message{ErrorNumberRejected, 1, 16, "The service is currently busy: the batch is pushed back, and to ask again is harmless."}
 		if a.RetryAfter > 0 {
 			m.Text += fmt.Sprintf(" Retry the request after %d ms.", int(math.Ceil(a.RetryAfter*1000)))
 		}
 		return m
 	}
-	m := Message{ErrorNumberFailed, 1, 16, "pitchfield: the batch failed, and whether it has run is not known."}
+	m := Message{ErrorNumberFailed, 1, 16, "pitchfield: the batch is errored, and whether it has run is not known."}
 	if a.Reason != "" {
 		m.Text += " " + a.Reason
 	}
--- a/internal/tds/types.go
+++ b/internal/tds/types.go
@@ -184,11 +184,11 @@
 		}
 	default:
 		name := map[byte]string{typeImage: "image", typeText: "text", typeNText: "ntext", typeVariant: "sql_variant",
-			typeUDT: "user-defined type", typeXML: "xml", typeTable: "table-valued parameter"}[id]
+			typeUDT: "a user's type", typeXML: "xml", typeTable: "a table"}[id]
 		if name == "" {
 			name = "unknown"
 		}
-		c.fail("type %#x (%s) is not supported", id, name)
+		c.fail("type %#x (%s) is not carried", id, name)
 	}
 	return info
 }
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -68,7 +68,7 @@
 	records := int(binary.LittleEndian.Uint32(head[4:]))
 	now := math.Float64frombits(binary.LittleEndian.Uint64(head[8:]))
 	if size < headerSize {
-		return nil, fmt.Errorf("frame header: length %d is less than the header's own", size)
+		return nil, fmt.Errorf("frame header: length %d is under the header's own", size)
 	}
 	if math.IsNaN(now) || math.IsInf(now, 0) {
 		return nil, fmt.Errorf("frame header: clock is not a number")
@@ -91,7 +91,7 @@
 	}
 	f.recordsRead++
 	if len(left) < 5 {
-		return nil, fmt.Errorf("record %d: frame ends inside its header", f.recordsRead)
+		return nil, fmt.Errorf("record %d: frame ends inside its head", f.recordsRead)
 	}
 	size := binary.LittleEndian.Uint32(left[1:])
 	if uint64(size) > uint64(len(left)-5) {
